--- a/Makefile
+++ b/Makefile
@@ -9,8 +9,10 @@
 
 LINT_VERSION = 2.15.0
 LINT = $(shell $(GO) env GOPATH)/bin/golangci-lint
+# Renames identifiers: gopls rename -w FILE:LINE:COLUMN NAME.
+GOPLS_VERSION = 0.23.0
 
-.PHONY: all build test bench capacity demo load matrix lint fmt fmt-check vet clean
+.PHONY: all build test bench capacity demo load matrix lint gopls fmt fmt-check vet clean
 
 all: build
 
@@ -50,6 +52,9 @@
 		$(GO) install github.com/golangci/golangci-lint/v2/cmd/golangci-lint@v$(LINT_VERSION)
 	"$(LINT)" run $(PACKAGES)
 
+gopls:
+	$(GO) install golang.org/x/tools/gopls@v$(GOPLS_VERSION)
+
 fmt:
 	gofmt -w $(shell git ls-files '*.go')
 
