--- a/internal/bencher/node.go
+++ b/internal/bencher/node.go
@@ -136,10 +136,10 @@
 		}
 		v.cacheSeen++
 		if lost {
-			n.hints.Learn(now, s.state.VM, nil, nil, true)
+			n.hints.Observe(now, s.state.VM, nil, nil, true)
 			continue
 		}
-		n.hints.Learn(now, s.state.VM, e.held, e.gone, false)
+		n.hints.Observe(now, s.state.VM, e.held, e.gone, false)
 	}
 }
 
@@ -225,7 +225,7 @@
 			OwnInFlight:      v.own,
 			OwnPrefill:       v.ownPrefill,
 			Load:             v.load,
-			PrefixHit:        n.hints.Hit(now, s.state.VM, r.prefix),
+			PrefixHit:        n.hints.CachedTokens(now, s.state.VM, r.prefix),
 			Slots:            s.pool.Slots,
 			TokensPerSecond:  s.pool.TokensPerSecond,
 			PrefillPerSecond: s.pool.PrefillPerSecond,
@@ -422,7 +422,7 @@
 		n.world.tally.discarded(r)
 		r.delivered = 0
 	}
-	verdict := n.budgets.Next(n.world.now, retrier.Ask{
+	verdict := n.budgets.Next(n.world.now, retrier.EndedAttempt{
 		Service:    r.kind.Service.Name,
 		Idempotent: r.kind.Service.Idempotent,
 		Result:     result,
--- a/internal/conductor/attempt.go
+++ b/internal/conductor/attempt.go
@@ -59,7 +59,7 @@
 		stream:     identifier.Stream(r.spec.Request, r.attempt+1),
 		firstToken: choice.Predicted.FirstToken,
 	})
-	return append(out, c.note("routed", r, choice.Why))
+	return append(out, c.note("routed", r, choice.Explanation))
 }
 
 // startMode says how an attempt on a server that has nothing of the stream
--- a/internal/conductor/pool.go
+++ b/internal/conductor/pool.go
@@ -66,7 +66,7 @@
 		OwnInFlight:      c.onServer[s.VM],
 		OwnPrefill:       c.prefilling[s.VM],
 		Load:             w.Loads[s.VM],
-		PrefixHit:        w.Hints.Hit(w.Now, s.VM, r.spec.Prefix),
+		PrefixHit:        w.Hints.CachedTokens(w.Now, s.VM, r.spec.Prefix),
 		Slots:            pool.Slots,
 		TokensPerSecond:  pool.TokensPerSecond,
 		PrefillPerSecond: pool.PrefillPerSecond,
--- a/internal/conductor/progress.go
+++ b/internal/conductor/progress.go
@@ -117,7 +117,7 @@
 
 // afterFailure asks the retrier whether there is a next attempt.
 func (c *Conductor) afterFailure(w *World, r *request, e messenger.AttemptEnded) []messenger.Effect {
-	verdict := w.Budgets.Next(w.Now, retrier.Ask{
+	verdict := w.Budgets.Next(w.Now, retrier.EndedAttempt{
 		Service:       r.spec.Service,
 		Idempotent:    r.spec.Idempotent || !c.config.Safeguards.RepeatOnlySafe,
 		Result:        e.Result,
--- a/internal/dispatcher/choose.go
+++ b/internal/dispatcher/choose.go
@@ -66,41 +66,41 @@
 // choose picks the server for an exchange's next attempt. Servers that it was
 // sent to before are left out, and suspected ones come last. A server that is
 // leaving gets nothing.
-func (d *Dispatcher) choose(w World, x *exchange) (choice, bool) {
-	among := w.Versions.Among(d.ask(w, x))
-	if c, ok := d.chooseAmong(w, x, among.First); ok || len(among.Rest) == 0 {
+func (d *Dispatcher) choose(env Env, x *exchange) (choice, bool) {
+	among := env.Versions.Among(d.ask(env, x))
+	if c, ok := d.chooseAmong(env, x, among.First); ok || len(among.Rest) == 0 {
 		return c, ok
 	}
-	return d.chooseAmong(w, x, among.Rest)
+	return d.chooseAmong(env, x, among.Rest)
 }
 
 // chooseAmong picks one of some servers.
-func (d *Dispatcher) chooseAmong(w World, x *exchange, servers []*registrar.Server) (choice, bool) {
-	k := d.keepersOf(w, x.spec.Prefix, servers)
+func (d *Dispatcher) chooseAmong(env Env, x *exchange, servers []*registrar.Server) (choice, bool) {
+	k := d.keepersOf(env, x.spec.Prefix, servers)
 	own := func(s *registrar.Server) bool { return d.subset.has(s.Server, chosenServers, len(servers)) }
-	found := d.candidates(w, x, k, own)
+	found := d.candidates(env, x, k, own)
 	if len(found) == 0 {
 		// None of those that this node chooses from serves.
-		found = d.candidates(w, x, k, func(*registrar.Server) bool { return true })
+		found = d.candidates(env, x, k, func(*registrar.Server) bool { return true })
 	}
 	if len(found) == 0 {
 		return choice{}, false
 	}
-	c := draw(w, found, d.unseen(w, x.service, registrar.CountReady(servers)))
+	c := draw(env, found, d.unseen(env, x.service, registrar.CountReady(servers)))
 	c.among = servers
 	return c, true
 }
 
 // candidates weighs the servers that an exchange may be sent to, the suspected ones
 // only if there are no others.
-func (d *Dispatcher) candidates(w World, x *exchange, k keepers, eligible func(*registrar.Server) bool) []choice {
+func (d *Dispatcher) candidates(env Env, x *exchange, k keepers, eligible func(*registrar.Server) bool) []choice {
 	var trusted, suspected []choice
 	for i, s := range k.servers {
-		if !w.takes(x, s) || !eligible(s) {
+		if !env.takes(x, s) || !eligible(s) {
 			continue
 		}
-		c := d.weigh(w, x, s, k.of(i))
-		if w.Suspicions.Suspect(w.Now, s.Server) {
+		c := d.weigh(env, x, s, k.of(i))
+		if env.Suspicions.Suspect(env.Now, s.Server) {
 			suspected = append(suspected, c)
 			continue
 		}
@@ -113,9 +113,9 @@
 }
 
 // takes reports whether a server may be sent an exchange, as far as this node knows.
-func (w World) takes(x *exchange, s *registrar.Server) bool {
+func (env Env) takes(x *exchange, s *registrar.Server) bool {
 	return s.State == messenger.ServerReady && !s.Displaced && !slices.Contains(x.tried, s.Server) &&
-		w.Limits.PausedUntil(w.Now, s.Server) == 0
+		env.Limits.PausedUntil(env.Now, s.Server) == 0
 }
 
 // unseen is the work, in milliseconds of each server's time, that other nodes have
@@ -124,18 +124,18 @@
 // Where relays pass news on it is some tenths of a second old: without this all nodes
 // take the same few servers for the best and send their prompts there at once, while
 // the other servers are idle.
-func (d *Dispatcher) unseen(w World, service identifier.ServiceName, servers int) float64 {
-	age, relayed := d.loads.relayedAge(w.Now)
-	if !relayed || !w.Catalog.Routing.Backends[service].Model {
+func (d *Dispatcher) unseen(env Env, service identifier.ServiceName, servers int) float64 {
+	age, relayed := d.loads.relayedAge(env.Now)
+	if !relayed || !env.Catalog.Routing.Backends[service].Model {
 		return 0
 	}
-	return d.Demand(w.Now, service).Busy * float64(age) / float64(max(servers, 1))
+	return d.Demand(env.Now, service).Busy * float64(age) / float64(max(servers, 1))
 }
 
 // draw returns one of the choices. Those that are about as good as the best are
 // drawn alike; of the others, a server that is worse by as much as was probably
 // sent unseen is taken a third as often, and none where nothing was.
-func draw(w World, cs []choice, unseen float64) choice {
+func draw(env Env, cs []choice, unseen float64) choice {
 	best := cs[0].cost
 	for _, c := range cs {
 		best = min(best, c.cost)
@@ -146,7 +146,7 @@
 		weights[i] = math.Exp(-max(float64(c.cost-best)-tieWidth, 0) / max(unseen, leastUnseen))
 		sum += weights[i]
 	}
-	at := w.Rand.Float64() * sum
+	at := env.Rand.Float64() * sum
 	drawn := cs[len(cs)-1]
 	for i, weight := range weights {
 		if at -= weight; at < 0 {
@@ -159,9 +159,9 @@
 }
 
 // weigh predicts when a server's answer to an exchange would begin.
-func (d *Dispatcher) weigh(w World, x *exchange, s *registrar.Server, k keeping) choice {
-	running, prefill := d.loads.at(w.Now, s.Server)
-	backend := w.Catalog.Routing.Backends[x.service]
+func (d *Dispatcher) weigh(env Env, x *exchange, s *registrar.Server, k keeping) choice {
+	running, prefill := d.loads.at(env.Now, s.Server)
+	backend := env.Catalog.Routing.Backends[x.service]
 	slots := s.Slots
 	if backend.Slots > 0 {
 		slots = backend.Slots
@@ -185,17 +185,17 @@
 	c.work = x.work(kept)
 	c.work.Running = running
 	c.work.Waiting = waiting
-	c.prefill = learned.Reading(s.Server, c.work) + c.copying
+	c.prefill = learned.PrefillTime(s.Server, c.work) + c.copying
 	c.occupied = c.prefill
 	if !backend.Model && slots > 0 {
-		c.occupied = learned.Wait(s.Server, estimator.Work{}) / timekeeper.Duration(slots)
+		c.occupied = learned.FirstEventTime(s.Server, estimator.Work{}) / timekeeper.Duration(slots)
 	}
 	c.ahead = prefill
-	c.predicted = cost + learned.Wait(s.Server, c.work) + prefill + c.copying
+	c.predicted = cost + learned.FirstEventTime(s.Server, c.work) + prefill + c.copying
 	c.cost = c.predicted + copyWeight*c.copying
 	if k.home {
 		// Nobody knows who keeps the shared parts: all nodes send them there.
-		c.cost -= c.prefill - learned.Reading(s.Server, x.work(indexer.Shared(x.spec.Prefix)))
+		c.cost -= c.prefill - learned.PrefillTime(s.Server, x.work(indexer.SharedTokens(x.spec.Prefix)))
 	}
 	return c
 }
@@ -235,7 +235,7 @@
 }
 
 // keepersOf looks up who keeps the shared parts of a prompt.
-func (d *Dispatcher) keepersOf(w World, prefix []messenger.PromptPart, servers []*registrar.Server) keepers {
+func (d *Dispatcher) keepersOf(env Env, prefix []messenger.PromptPart, servers []*registrar.Server) keepers {
 	k := keepers{
 		servers: servers,
 		tokens:  make([]identifier.Tokens, len(servers)),
@@ -243,11 +243,11 @@
 		home:    -1,
 	}
 	for i, s := range servers {
-		if s.State == messenger.ServerLeaving && w.Now.Sub(s.Changed) > copyWindow {
+		if s.State == messenger.ServerLeaving && env.Now.Sub(s.Changed) > copyWindow {
 			continue
 		}
-		k.tokens[i] = d.index.Kept(s.Server, prefix)
-		if _, limited := w.Limits.Of(s.Server); limited {
+		k.tokens[i] = d.index.CachedTokens(s.Server, prefix)
+		if _, limited := env.Limits.Of(s.Server); limited {
 			continue // A copy from it would be one more request.
 		}
 		if k.tokens[i] > 0 && (k.most < 0 || k.tokens[i] > k.tokens[k.most]) {
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -52,9 +52,9 @@
 	MaxExchanges int
 }
 
-// World is what the dispatcher reads and updates of the rest of the state
+// Env is what the dispatcher reads and updates of the rest of the state
 // while it handles one event.
-type World struct {
+type Env struct {
 	Now     timekeeper.Time
 	Catalog *catalog.Catalog // nil until the first configuration is known
 	Servers *registrar.Table
@@ -62,18 +62,18 @@
 	// it may grant where it is the node that grants centrally; nil elsewhere.
 	Local   *limiter.Buckets
 	Central *limiter.Buckets
-	// Granter is the node that grants centrally, as far as is known, and
+	// Allocator is the node that grants centrally, as far as is known, and
 	// GranterDue in how long one probably is where none is known; zero where
 	// nothing says.
-	Granter    *Granter
-	GranterDue timekeeper.Duration
+	Allocator    *Allocator
+	AllocatorDue timekeeper.Duration
 	// Limits are the request rates that servers state to accept, and Permits what this
 	// node grants of them where PermitsOf names no other node for a server.
-	Limits     *throttler.Table
-	Permits    *throttler.Permits
-	PermitsOf  func(server identifier.VMID) *Granter
-	Retries    *retrier.Allowance
-	Suspicions *detector.Suspicions
+	Limits          *throttler.Table
+	Permits         *throttler.Permits
+	PermitAllocator func(server identifier.VMID) *Allocator
+	Retries         *retrier.Allowance
+	Suspicions      *detector.Suspicions
 	// Quarantine knows the requests under which servers ended.
 	Quarantine *quarantiner.Quarantine
 	// Versions knows the roll-outs of services, and OrdersAsOf is the instant up to
@@ -81,25 +81,25 @@
 	Versions   *promoter.Promoter
 	OrdersAsOf timekeeper.Time
 	Rand       *rand.Rand
-	// Began is called with the account of each request that began to run.
-	Began func(identifier.AccountID)
-	// Stale tells that a newer configuration may be in force elsewhere.
-	Stale bool
-	// Basis is what the node knows, for its log.
-	Basis messenger.Basis
+	// OnBegan is called with the account of each request that began to run.
+	OnBegan func(identifier.AccountID)
+	// ConfigStale tells that a newer configuration may be in force elsewhere.
+	ConfigStale bool
+	// Inputs is what the node knows, for its log.
+	Inputs messenger.Basis
 }
 
 // about returns w with what an exchange is, for the log of its decision.
-func (w World) about(x *exchange) World {
-	w.Basis.Route = x.route.Name
-	w.Basis.Account = x.account
-	w.Basis.Fingerprint = x.request
-	w.Basis.Limit = x.limit
-	return w
+func (env Env) about(x *exchange) Env {
+	env.Inputs.Route = x.route.Name
+	env.Inputs.Account = x.account
+	env.Inputs.Fingerprint = x.request
+	env.Inputs.Limit = x.limit
+	return env
 }
 
-// Granter is the node that grants the limits of accounts centrally.
-type Granter struct {
+// Allocator is the node that grants the limits of accounts centrally.
+type Allocator struct {
 	Node    identifier.VMID
 	Address string
 }
@@ -120,8 +120,8 @@
 	// the node is leaving, or Never.
 	refuseAfter timekeeper.Time
 	leaving     bool
-	// tell is set when a long prompt was sent, or read, since TellPeers.
-	tell bool
+	// notifyPeers is set when a long prompt was sent, or read, since TellPeers.
+	notifyPeers bool
 }
 
 // longPrefill is the time to read a prompt from which on peers hear of it
@@ -129,11 +129,11 @@
 // calm day over a second where a prompt of 50,000 tokens was.
 const longPrefill = 120 * timekeeper.Millisecond
 
-// TellPeers reports whether peers should hear at once of what this node has at
+// NotifyPeers reports whether peers should hear at once of what this node has at
 // the servers, and forgets that.
-func (d *Dispatcher) TellPeers() bool {
-	tell := d.tell
-	d.tell = false
+func (d *Dispatcher) NotifyPeers() bool {
+	tell := d.notifyPeers
+	d.notifyPeers = false
 	return tell
 }
 
@@ -212,7 +212,7 @@
 }
 
 // Began notes the first byte, or the first event, of an answer.
-func (d *Dispatcher) Began(w World, e messenger.ExchangeBegan) {
+func (d *Dispatcher) Began(env Env, e messenger.ExchangeBegan) {
 	x, ok := d.current(e.Exchange, e.Attempt)
 	if !ok || x.current.began {
 		return
@@ -220,33 +220,33 @@
 	f := x.current
 	f.began = true
 	d.loads.read(f.server, f.prefill)
-	d.tell = d.tell || f.prefill >= longPrefill
+	d.notifyPeers = d.notifyPeers || f.prefill >= longPrefill
 	f.prefill = 0
-	w.Versions.Began(f.track, w.Now.Sub(f.sent), f.usual)
+	env.Versions.Began(f.track, env.Now.Sub(f.sent), f.usual)
 	if f.learn && !f.track.Exposed() {
-		d.estimator(x.service).Learn(f.server, f.work, w.Now.Sub(f.sent))
+		d.estimator(x.service).Observe(f.server, f.work, env.Now.Sub(f.sent))
 	}
-	w.Suspicions.Observe(w.Now, f.server, detector.Observation{
+	env.Suspicions.Observe(env.Now, f.server, detector.Observation{
 		Kind:             detector.FirstToken,
-		Latency:          w.Now.Sub(f.sent),
+		Latency:          env.Now.Sub(f.sent),
 		PredictedLatency: f.predicted,
 	})
-	d.count(w, x)
+	d.count(env, x)
 }
 
 // count counts a request once as one that began to run.
-func (d *Dispatcher) count(w World, x *exchange) {
+func (d *Dispatcher) count(env Env, x *exchange) {
 	if x.begun {
 		return
 	}
 	x.begun = true
-	if x.account != "" && w.Began != nil {
-		w.Began(x.account)
+	if x.account != "" && env.OnBegan != nil {
+		env.OnBegan(x.account)
 	}
 }
 
 // Ended drops an exchange of which nothing more follows.
-func (d *Dispatcher) Ended(w World, e messenger.ExchangeEnded) {
+func (d *Dispatcher) Ended(env Env, e messenger.ExchangeEnded) {
 	x, ok := d.exchanges[e.Exchange]
 	if !ok {
 		return
@@ -256,17 +256,17 @@
 		return
 	}
 	if !x.current.began {
-		d.index.Drop(x.current.server, x.spec.Prefix)
+		d.index.Remove(x.current.server, x.spec.Prefix)
 	}
 	if e.Result == messenger.AttemptComplete {
-		w.Suspicions.Observe(w.Now, x.current.server, detector.Observation{Kind: detector.Completed})
-		w.Quarantine.Completed(w.Now, x.request)
+		env.Suspicions.Observe(env.Now, x.current.server, detector.Observation{Kind: detector.Completed})
+		env.Quarantine.Completed(env.Now, x.request)
 	}
-	d.noteEnd(w, x, e.Result, e.ServerEnded)
-	w.Versions.Ended(x.current.track, promoter.End{
+	d.noteEnd(env, x, e.Result, e.ServerEnded)
+	env.Versions.Ended(x.current.track, promoter.End{
 		Result:      e.Result,
 		Began:       x.current.began,
-		Took:        w.Now.Sub(x.current.sent),
+		Took:        env.Now.Sub(x.current.sent),
 		Predicted:   x.current.usual,
 		Events:      e.Events,
 		EventsTook:  e.EventsTook,
@@ -293,40 +293,42 @@
 
 // keeps is how many tokens of shared parts a server is taken to keep; zero
 // where that is not known.
-func (w World) keeps(server identifier.VMID) identifier.Tokens {
-	s, ok := w.Servers.Server(server)
-	if !ok || w.Catalog == nil || w.Catalog.Routing == nil {
+func (env Env) keeps(server identifier.VMID) identifier.Tokens {
+	s, ok := env.Servers.Server(server)
+	if !ok || env.Catalog == nil || env.Catalog.Routing == nil {
 		return 0
 	}
-	return w.Catalog.Routing.Backends[s.Service].Memory * keptPercent / 100
+	return env.Catalog.Routing.Backends[s.Service].Memory * keptPercent / 100
 }
 
-// Kept takes in which parts of prompts servers keep, as a peer reported. A node that
+// MergeCachedPrefixes takes in which parts of prompts servers keep, as a peer reported. A node that
 // relays passes on what is new.
-func (d *Dispatcher) Kept(w World, parts []messenger.KeptPart, passOn bool) {
+func (d *Dispatcher) MergeCachedPrefixes(env Env, parts []messenger.KeptPart, passOn bool) {
 	for _, p := range parts {
-		if s, ok := w.Servers.Server(p.Server); ok && s.State != messenger.ServerRemoved {
-			d.index.Reported(w.Now, p, w.keeps(p.Server), passOn)
+		if s, ok := env.Servers.Server(p.Server); ok && s.State != messenger.ServerRemoved {
+			d.index.Merge(env.Now, p, env.keeps(p.Server), passOn)
 		}
 	}
 }
 
-// NewlyKept returns the parts of prompts of which peers hear that servers
+// CachedPrefixUpdates returns the parts of prompts of which peers hear that servers
 // keep them.
-func (d *Dispatcher) NewlyKept(now timekeeper.Time) []messenger.KeptPart { return d.index.News(now) }
+func (d *Dispatcher) CachedPrefixUpdates(now timekeeper.Time) []messenger.KeptPart {
+	return d.index.Updates(now)
+}
 
-// RelayedKept returns those of them that a relay passes on.
-func (d *Dispatcher) RelayedKept(now timekeeper.Time) []messenger.KeptPart {
-	return d.index.RelayedNews(now)
+// RelayedCachedPrefixUpdates returns those of them that a relay passes on.
+func (d *Dispatcher) RelayedCachedPrefixUpdates(now timekeeper.Time) []messenger.KeptPart {
+	return d.index.RelayedUpdates(now)
 }
 
-// AllKept returns all that is remembered of what servers keep, for a peer that
+// CachedPrefixes returns all that is remembered of what servers keep, for a peer that
 // joined.
-func (d *Dispatcher) AllKept() []messenger.KeptPart { return d.index.All() }
+func (d *Dispatcher) CachedPrefixes() []messenger.KeptPart { return d.index.All() }
 
-// Gone forgets what a server kept that is no more.
-func (d *Dispatcher) Gone(w World, server identifier.VMID) {
-	d.unexplained.ended(w, server)
+// ServerRemoved forgets what a server kept that is no more.
+func (d *Dispatcher) ServerRemoved(env Env, server identifier.VMID) {
+	d.unexplained.ended(env, server)
 	d.index.Forget(server)
 	for _, e := range d.estimators {
 		e.Forget(server)
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -26,7 +26,7 @@
 // node is one node's dispatcher with what it reads of the rest.
 type node struct {
 	*dispatcher.Dispatcher
-	world dispatcher.World
+	world dispatcher.Env
 	next  identifier.ExchangeID
 	began []identifier.AccountID
 	// offset is that of the last entry of a server.
@@ -89,22 +89,22 @@
 			Self: "entry-1",
 			Zone: "zone-0",
 		}),
-		world: dispatcher.World{
-			Now:        start,
-			Catalog:    testCatalog(),
-			Servers:    registrar.New(),
-			Local:      limiter.NewLocal(),
-			Retries:    newRetries(),
-			Suspicions: detector.New(detector.Config{Rules: detector.AllRules()}),
-			Quarantine: quarantiner.New(),
-			Versions:   promoter.New(promoter.Config{}),
-			Limits:     throttler.New(),
-			Permits:    throttler.NewPermits(),
-			PermitsOf:  func(identifier.VMID) *dispatcher.Granter { return nil },
-			Rand:       rand.New(rand.NewPCG(1, 2)),
+		world: dispatcher.Env{
+			Now:             start,
+			Catalog:         testCatalog(),
+			Servers:         registrar.New(),
+			Local:           limiter.NewLocal(),
+			Retries:         newRetries(),
+			Suspicions:      detector.New(detector.Config{Rules: detector.AllRules()}),
+			Quarantine:      quarantiner.New(),
+			Versions:        promoter.New(promoter.Config{}),
+			Limits:          throttler.New(),
+			Permits:         throttler.NewPermits(),
+			PermitAllocator: func(identifier.VMID) *dispatcher.Allocator { return nil },
+			Rand:            rand.New(rand.NewPCG(1, 2)),
 		},
 	}
-	n.world.Began = func(a identifier.AccountID) { n.began = append(n.began, a) }
+	n.world.OnBegan = func(a identifier.AccountID) { n.began = append(n.began, a) }
 	n.world.Local.SetNodes(1, true)
 	for i := range servers {
 		n.publish(i, messenger.ServerReady)
@@ -214,7 +214,7 @@
 			name: "unknown path, and a newer configuration may know it",
 			prepare: func(n *node, s *messenger.ExchangeSpec) {
 				s.Path = "/nowhere/"
-				n.world.Stale = true
+				n.world.ConfigStale = true
 			},
 			want:  messenger.ReasonNoConfiguration,
 			again: true,
@@ -530,7 +530,7 @@
 	keeper := peer.sentShared(t).Server
 	home := newNode(8).sentShared(t).Server
 	require.NotEqual(t, home, keeper)
-	n.Kept(n.world, peer.NewlyKept(start), false)
+	n.MergeCachedPrefixes(n.world, peer.CachedPrefixUpdates(start), false)
 	require.Equal(t, keeper, n.sentShared(t).Server)
 }
 
@@ -597,7 +597,7 @@
 // until what the peer told is old.
 func TestPeersLoad(t *testing.T) {
 	n := newNode(2)
-	n.PeerLoad(start, "entry-2", messenger.Share{
+	n.MergePeerLoad(start, "entry-2", messenger.Share{
 		InFlight: map[identifier.VMID]messenger.InFlight{
 			serverID(0): {Running: 50},
 		},
@@ -618,13 +618,13 @@
 	spec.PromptTokens = 50_000
 	send, ok := peer.Receive(peer.world, spec).(messenger.SendExchange)
 	require.True(t, ok)
-	require.True(t, peer.TellPeers())
-	require.False(t, peer.TellPeers())
+	require.True(t, peer.NotifyPeers())
+	require.False(t, peer.NotifyPeers())
 	told := func() messenger.Share {
 		running, _ := peer.OwnLoad(start)
 		return messenger.Share{InFlight: running}
 	}
-	n.PeerLoad(start, "entry-2", told())
+	n.MergePeerLoad(start, "entry-2", told())
 	for range 5 {
 		require.Equal(t, serverID(1), n.sent(t, "/report/1").Server)
 	}
@@ -632,8 +632,8 @@
 		Exchange: send.Exchange,
 		Attempt:  send.Attempt,
 	})
-	require.True(t, peer.TellPeers())
-	n.PeerLoad(start, "entry-2", told())
+	require.True(t, peer.NotifyPeers())
+	n.MergePeerLoad(start, "entry-2", told())
 	require.Equal(t, serverID(0), n.sent(t, "/report/1").Server)
 }
 
@@ -659,7 +659,7 @@
 		n := newNode(2)
 		n.world.Local = limiter.NewLocal()
 		n.world.Local.SetNodes(1_000_000_000, false)
-		n.world.Granter = &dispatcher.Granter{
+		n.world.Allocator = &dispatcher.Allocator{
 			Node:    "entry-2",
 			Address: "10.0.1.2:7000",
 		}
@@ -728,10 +728,10 @@
 // Only the node that holds the lease grants, and only to accounts it knows.
 func TestGrant(t *testing.T) {
 	n := newNode(1)
-	require.True(t, dispatcher.Grant(n.world, "agency", 10).NotGranting)
+	require.True(t, dispatcher.GrantLimit(n.world, "agency", 10).NotGranting)
 	n.world.Central = limiter.NewCentral()
-	require.True(t, dispatcher.Grant(n.world, "agency", 10).Granted)
-	require.True(t, dispatcher.Grant(n.world, "nobody", 10).Unknown)
+	require.True(t, dispatcher.GrantLimit(n.world, "agency", 10).Granted)
+	require.True(t, dispatcher.GrantLimit(n.world, "nobody", 10).Unknown)
 }
 
 // A request counts once as used, whatever becomes of it after it began to run,
--- a/internal/dispatcher/ended.go
+++ b/internal/dispatcher/ended.go
@@ -17,22 +17,22 @@
 
 // noteEnd notes where a server ended under an exchange's current attempt. One that
 // was leaving did not end for what it had.
-func (d *Dispatcher) noteEnd(w World, x *exchange, result messenger.AttemptResult, serverEnded bool) {
+func (d *Dispatcher) noteEnd(env Env, x *exchange, result messenger.AttemptResult, serverEnded bool) {
 	server := x.current.server
-	known, ok := w.Servers.Server(server)
+	known, ok := env.Servers.Server(server)
 	if !ok || known.State != messenger.ServerReady {
 		return
 	}
 	switch {
 	case result == messenger.AttemptNotSent:
 		if serverEnded {
-			d.unexplained.ended(w, server)
+			d.unexplained.ended(env, server)
 		}
 	case result != messenger.AttemptBroken && result != messenger.AttemptSilent:
 	case serverEnded:
-		w.Quarantine.Ended(w.Now, x.request, server)
+		env.Quarantine.Ended(env.Now, x.request, server)
 	default:
-		d.unexplained.note(w.Now, server, x.request)
+		d.unexplained.note(env.Now, server, x.request)
 	}
 }
 
@@ -69,15 +69,15 @@
 }
 
 // ended takes in that a server is gone.
-func (u unexplained) ended(w World, server identifier.VMID) {
+func (u unexplained) ended(env Env, server identifier.VMID) {
 	for _, s := range u[server] {
-		if w.Now.Sub(s.at) <= lapseTime {
-			w.Quarantine.Ended(w.Now, s.request, server)
+		if env.Now.Sub(s.at) <= lapseTime {
+			env.Quarantine.Ended(env.Now, s.request, server)
 		}
 	}
 	delete(u, server)
 }
 
-// Leaving notes that a server announced its leaving, so that it does not end for what
+// ServerLeaving notes that a server announced its leaving, so that it does not end for what
 // it has.
-func (d *Dispatcher) Leaving(server identifier.VMID) { delete(d.unexplained, server) }
+func (d *Dispatcher) ServerLeaving(server identifier.VMID) { delete(d.unexplained, server) }
--- a/internal/dispatcher/ended_test.go
+++ b/internal/dispatcher/ended_test.go
@@ -159,9 +159,9 @@
 			n.world.Now = n.world.Now.Add(test.after)
 			for _, server := range gone {
 				if test.notice {
-					n.Leaving(server)
+					n.ServerLeaving(server)
 				}
-				n.Gone(n.world, server)
+				n.ServerRemoved(n.world, server)
 			}
 			_, sent := n.Receive(n.world, n.asked("/book/1", 7)).(messenger.SendExchange)
 			require.Equal(t, test.refused, !sent)
@@ -234,7 +234,7 @@
 func TestQuarantinedWhileTheLimitIsAsked(t *testing.T) {
 	n := newNode(12)
 	n.world.Local.SetNodes(1000, false)
-	n.world.Granter = &dispatcher.Granter{
+	n.world.Allocator = &dispatcher.Allocator{
 		Node:    "entry-2",
 		Address: "entry-2:7000",
 	}
--- a/internal/dispatcher/limit.go
+++ b/internal/dispatcher/limit.go
@@ -21,13 +21,13 @@
 //
 // A node's part among many is smaller than most prompts, and takes seconds to grow to
 // one; after a loss of all nodes a central node grants again sooner than that.
-func (d *Dispatcher) refuseAlone(w World, x *exchange, after timekeeper.Duration) messenger.Effect {
+func (d *Dispatcher) refuseAlone(env Env, x *exchange, after timekeeper.Duration) messenger.Effect {
 	after = max(after, unaskedRetry)
-	if w.GranterDue == 0 || after <= w.GranterDue {
-		return d.refuseOverLimit(w, x, after)
+	if env.AllocatorDue == 0 || after <= env.AllocatorDue {
+		return d.refuseOverLimit(env, x, after)
 	}
-	after = w.GranterDue + timekeeper.Duration(w.Rand.Int64N(int64(returnWidth)))
-	return d.refuse(w.about(x), x.spec.Exchange, notRun(messenger.ReasonAccountLimit, after))
+	after = env.AllocatorDue + timekeeper.Duration(env.Rand.Int64N(int64(returnWidth)))
+	return d.refuse(env.about(x), x.spec.Exchange, notRun(messenger.ReasonAccountLimit, after))
 }
 
 // admit counts a request against its account's limit: first against this
@@ -37,48 +37,48 @@
 // account's callers meet some nodes more than others, so that shares alone
 // refuse accounts that stay within their limits. The central part is granted
 // to whichever node asks first.
-func (d *Dispatcher) admit(w World, x *exchange) messenger.Effect {
-	spec, limited := w.Catalog.Accounts[x.account]
+func (d *Dispatcher) admit(env Env, x *exchange) messenger.Effect {
+	spec, limited := env.Catalog.Accounts[x.account]
 	if !limited {
-		return d.start(w, x)
+		return d.start(env, x)
 	}
-	tokens := x.tokens(w)
+	tokens := x.tokens(env)
 	x.limit = messenger.LimitOwnPart
-	after, ok := w.Local.Take(w.Now, spec, tokens)
+	after, ok := env.Local.Take(env.Now, spec, tokens)
 	if ok {
-		return d.start(w, x)
+		return d.start(env, x)
 	}
-	if w.Central != nil {
+	if env.Central != nil {
 		x.limit = messenger.LimitCentral
-		if after, ok = w.Central.Take(w.Now, spec, tokens); ok {
-			return d.start(w, x)
+		if after, ok = env.Central.Take(env.Now, spec, tokens); ok {
+			return d.start(env, x)
 		}
-		return d.refuseOverLimit(w, x, after)
+		return d.refuseOverLimit(env, x, after)
 	}
-	if w.Granter == nil {
+	if env.Allocator == nil {
 		x.limit = messenger.LimitNoPeer
-		return d.refuseAlone(w, x, after)
+		return d.refuseAlone(env, x, after)
 	}
 	x.limit = messenger.LimitPeer
 	return messenger.AskLimit{
 		Exchange: x.spec.Exchange,
-		Peer:     w.Granter.Node,
-		Address:  w.Granter.Address,
+		Peer:     env.Allocator.Node,
+		Address:  env.Allocator.Address,
 		Account:  x.account,
 		Tokens:   tokens,
 	}
 }
 
 // tokens returns what a request counts.
-func (x *exchange) tokens(w World) identifier.Tokens {
+func (x *exchange) tokens(env Env) identifier.Tokens {
 	if sum := x.spec.PromptTokens + x.spec.MaxTokens; sum > 0 {
 		return sum
 	}
-	return w.Catalog.Routing.PlainTokens[x.account]
+	return env.Catalog.Routing.PlainTokens[x.account]
 }
 
 // LimitAnswered goes on with a request whose account's limit was asked for.
-func (d *Dispatcher) LimitAnswered(w World, e messenger.LimitAnswered) messenger.Effect {
+func (d *Dispatcher) LimitAnswered(env Env, e messenger.LimitAnswered) messenger.Effect {
 	x, ok := d.exchanges[e.Exchange]
 	if !ok || x.attempt > 0 {
 		return messenger.EndExchange{
@@ -88,48 +88,48 @@
 	}
 	switch {
 	case e.Granted:
-		return d.start(w, x)
+		return d.start(env, x)
 	case e.NotGranting:
-		return d.admitAlone(w, x)
+		return d.admitAlone(env, x)
 	case e.Unknown:
 		x.limit = messenger.LimitPeerSilent
-		return d.refuseOverLimit(w, x, unaskedRetry)
+		return d.refuseOverLimit(env, x, unaskedRetry)
 	}
-	return d.refuseOverLimit(w, x, e.RetryAfter)
+	return d.refuseOverLimit(env, x, e.RetryAfter)
 }
 
 // admitAlone counts a request against this node's own part, which is an equal
 // part of the whole limit while no node grants centrally.
-func (d *Dispatcher) admitAlone(w World, x *exchange) messenger.Effect {
+func (d *Dispatcher) admitAlone(env Env, x *exchange) messenger.Effect {
 	x.limit = messenger.LimitNoPeer
-	spec, limited := w.Catalog.Accounts[x.account]
+	spec, limited := env.Catalog.Accounts[x.account]
 	if !limited {
-		return d.start(w, x)
+		return d.start(env, x)
 	}
-	after, ok := w.Local.Take(w.Now, spec, x.tokens(w))
+	after, ok := env.Local.Take(env.Now, spec, x.tokens(env))
 	if ok {
-		return d.start(w, x)
+		return d.start(env, x)
 	}
-	return d.refuseAlone(w, x, after)
+	return d.refuseAlone(env, x, after)
 }
 
-func (d *Dispatcher) refuseOverLimit(w World, x *exchange, after timekeeper.Duration) messenger.Effect {
-	return d.refuse(w.about(x), x.spec.Exchange, notRun(messenger.ReasonAccountLimit, spread(w, after)))
+func (d *Dispatcher) refuseOverLimit(env Env, x *exchange, after timekeeper.Duration) messenger.Effect {
+	return d.refuse(env.about(x), x.spec.Exchange, notRun(messenger.ReasonAccountLimit, spread(env, after)))
 }
 
-// Grant answers a peer that asks for a part of an account's limit.
-func Grant(w World, account identifier.AccountID, tokens identifier.Tokens) messenger.LimitAnswered {
-	if w.Central == nil {
+// GrantLimit answers a peer that asks for a part of an account's limit.
+func GrantLimit(env Env, account identifier.AccountID, tokens identifier.Tokens) messenger.LimitAnswered {
+	if env.Central == nil {
 		return messenger.LimitAnswered{NotGranting: true}
 	}
-	if w.Catalog == nil {
+	if env.Catalog == nil {
 		return messenger.LimitAnswered{Unknown: true}
 	}
-	spec, ok := w.Catalog.Accounts[account]
+	spec, ok := env.Catalog.Accounts[account]
 	if !ok {
 		return messenger.LimitAnswered{Unknown: true}
 	}
-	after, granted := w.Central.Take(w.Now, spec, tokens)
+	after, granted := env.Central.Take(env.Now, spec, tokens)
 	return messenger.LimitAnswered{
 		Granted:    granted,
 		RetryAfter: after,
--- a/internal/dispatcher/load.go
+++ b/internal/dispatcher/load.go
@@ -160,8 +160,8 @@
 	s.busy += float64(work) / float64(demandMemory)
 }
 
-// PeerLoad takes in what a peer reported of its requests, or of those of others.
-func (d *Dispatcher) PeerLoad(now timekeeper.Time, peer identifier.VMID, s messenger.Share) {
+// MergePeerLoad takes in what a peer reported of its requests, or of those of others.
+func (d *Dispatcher) MergePeerLoad(now timekeeper.Time, peer identifier.VMID, s messenger.Share) {
 	report := peerLoad{
 		at:      now,
 		servers: s.InFlight,
@@ -181,8 +181,8 @@
 	}
 }
 
-// Heard returns the number of peers that reported their requests within a span.
-func (d *Dispatcher) Heard(now timekeeper.Time, within timekeeper.Duration) int {
+// ReportingPeers returns the number of peers that reported their requests within a span.
+func (d *Dispatcher) ReportingPeers(now timekeeper.Time, within timekeeper.Duration) int {
 	n := 0
 	for _, p := range d.loads.peers {
 		if now.Sub(p.at) <= within {
@@ -192,19 +192,19 @@
 	return n
 }
 
-// HearsRelays reports whether what relays told of other nodes counts.
-func (d *Dispatcher) HearsRelays(now timekeeper.Time) bool {
+// UsesRelayReports reports whether what relays told of other nodes counts.
+func (d *Dispatcher) UsesRelayReports(now timekeeper.Time) bool {
 	_, relayed := d.loads.relayedAge(now)
 	return relayed
 }
 
-// HeardOf returns how many of some peers have reported their requests within a span.
-func (d *Dispatcher) HeardOf(now timekeeper.Time, peers []identifier.VMID, within timekeeper.Duration) int {
+// CountReportingPeers returns how many of some peers have reported their requests within a span.
+func (d *Dispatcher) CountReportingPeers(now timekeeper.Time, peers []identifier.VMID, within timekeeper.Duration) int {
 	return countFresh(d.loads.peers, peers, now.Add(-within))
 }
 
-// HeardOfZones returns of how many zones a relay has reported the sum within a span.
-func (d *Dispatcher) HeardOfZones(now timekeeper.Time, zones []identifier.Zone, within timekeeper.Duration) int {
+// CountReportingZones returns of how many zones a relay has reported the sum within a span.
+func (d *Dispatcher) CountReportingZones(now timekeeper.Time, zones []identifier.Zone, within timekeeper.Duration) int {
 	return countFresh(d.loads.zones, zones, now.Add(-within))
 }
 
--- a/internal/dispatcher/permit_test.go
+++ b/internal/dispatcher/permit_test.go
@@ -25,8 +25,8 @@
 
 // grantedBy lets a peer grant the permits of all servers.
 func (n *node) grantedBy(peer identifier.VMID) {
-	n.world.PermitsOf = func(identifier.VMID) *dispatcher.Granter {
-		return &dispatcher.Granter{
+	n.world.PermitAllocator = func(identifier.VMID) *dispatcher.Allocator {
+		return &dispatcher.Allocator{
 			Node:    peer,
 			Address: "10.0.1.2:7000",
 		}
--- a/internal/dispatcher/prompts_test.go
+++ b/internal/dispatcher/prompts_test.go
@@ -145,7 +145,7 @@
 		return
 	}
 	w.serve(n, spec, send)
-	if n.TellPeers() {
+	if n.NotifyPeers() {
 		w.report(n)
 	}
 }
@@ -192,7 +192,7 @@
 				n.finish(send)
 			})
 		}
-		if n.TellPeers() {
+		if n.NotifyPeers() {
 			w.report(n)
 		}
 	})
@@ -237,7 +237,7 @@
 	share := messenger.Share{
 		InFlight: inFlight,
 		Demand:   demand,
-		Kept:     n.NewlyKept(w.now),
+		Kept:     n.CachedPrefixUpdates(w.now),
 	}
 	from := identifier.VMID(rune('a' + slices.Index(w.nodes, n)))
 	for _, peer := range w.nodes {
@@ -246,8 +246,8 @@
 		}
 		w.after(1, func() {
 			peer.world.Now = w.now
-			peer.PeerLoad(w.now, from, share)
-			peer.Kept(peer.world, share.Kept, false)
+			peer.MergePeerLoad(w.now, from, share)
+			peer.MergeCachedPrefixes(peer.world, share.Kept, false)
 		})
 	}
 }
@@ -293,7 +293,7 @@
 	for i, n := range w.nodes {
 		all[i].InFlight, all[i].Demand = n.OwnLoad(w.now)
 		add(sum, all[i], 1)
-		kept = append(kept, n.NewlyKept(w.now)...)
+		kept = append(kept, n.CachedPrefixUpdates(w.now)...)
 	}
 	for i, n := range w.nodes {
 		others := messenger.Share{
@@ -304,8 +304,8 @@
 		add(others, all[i], -1)
 		w.after(delay, func() {
 			n.world.Now = w.now
-			n.PeerLoad(w.now, "relay", others)
-			n.Kept(n.world, kept, false)
+			n.MergePeerLoad(w.now, "relay", others)
+			n.MergeCachedPrefixes(n.world, kept, false)
 		})
 	}
 }
--- a/internal/dispatcher/receive.go
+++ b/internal/dispatcher/receive.go
@@ -35,25 +35,25 @@
 
 // Receive admits a request and sends it, asks for a part of its account's
 // limit, or refuses it.
-func (d *Dispatcher) Receive(w World, spec messenger.ExchangeSpec) messenger.Effect {
-	x, refusal := d.match(w, spec)
+func (d *Dispatcher) Receive(env Env, spec messenger.ExchangeSpec) messenger.Effect {
+	x, refusal := d.match(env, spec)
 	if refusal != nil {
-		return d.refuse(w, spec.Exchange, refusal)
+		return d.refuse(env, spec.Exchange, refusal)
 	}
-	w = w.about(x)
-	if refusal := d.quarantined(w, x); refusal != nil {
-		return d.refuse(w, spec.Exchange, refusal)
+	env = env.about(x)
+	if refusal := d.quarantined(env, x); refusal != nil {
+		return d.refuse(env, spec.Exchange, refusal)
 	}
-	if _, ok := d.choose(w, x); !ok {
-		return d.refuseForServers(w, x)
+	if _, ok := d.choose(env, x); !ok {
+		return d.refuseForServers(env, x)
 	}
 	d.exchanges[spec.Exchange] = x
-	return d.admit(w, x)
+	return d.admit(env, x)
 }
 
 // quarantined returns the refusal of a request that no server may get, or nil.
-func (d *Dispatcher) quarantined(w World, x *exchange) *messenger.Refusal {
-	after, refused := w.Quarantine.Refuses(w.Now, x.request)
+func (d *Dispatcher) quarantined(env Env, x *exchange) *messenger.Refusal {
+	after, refused := env.Quarantine.Refuses(env.Now, x.request)
 	if !refused {
 		return nil
 	}
@@ -62,64 +62,64 @@
 
 // start sends an admitted request for the first time. Servers may have ended under it
 // at other nodes while its account's limit was asked for.
-func (d *Dispatcher) start(w World, x *exchange) messenger.Effect {
-	if refusal := d.quarantined(w, x); refusal != nil {
-		return d.refuse(w.about(x), x.spec.Exchange, refusal)
+func (d *Dispatcher) start(env Env, x *exchange) messenger.Effect {
+	if refusal := d.quarantined(env, x); refusal != nil {
+		return d.refuse(env.about(x), x.spec.Exchange, refusal)
 	}
-	effect, ok := d.place(w, x)
+	effect, ok := d.place(env, x)
 	if !ok {
-		return d.refuseForServers(w, x)
+		return d.refuseForServers(env, x)
 	}
-	w.Retries.Requested(w.Now, x.service)
+	env.Retries.Requested(env.Now, x.service)
 	return effect
 }
 
-func (d *Dispatcher) refuseForServers(w World, x *exchange) messenger.Effect {
+func (d *Dispatcher) refuseForServers(env Env, x *exchange) messenger.Effect {
 	// What was asked for in vain is still asked for: without it the demand
 	// would vanish with the servers, and no new ones be ordered.
-	d.noteRefusal(w, x)
+	d.noteRefusal(env, x)
 	again := bootWait
-	if w.Basis.ServersAge < 0 {
+	if env.Inputs.ServersAge < 0 {
 		// This node has just started and hears of the servers in a moment.
 		again = soon
 	}
-	if after, limited := d.permitIn(w, x); limited {
+	if after, limited := d.permitIn(env, x); limited {
 		again = after
 	}
-	return d.refuse(w, x.spec.Exchange, notRun(messenger.ReasonNoServer, spread(w, again)))
+	return d.refuse(env, x.spec.Exchange, notRun(messenger.ReasonNoServer, spread(env, again)))
 }
 
 // noteRefusal counts a request that was refused as if a server had taken it that
 // keeps the shared parts of its prompt.
-func (d *Dispatcher) noteRefusal(w World, x *exchange) {
-	work := x.work(indexer.Shared(x.spec.Prefix))
-	d.demand(x.service).note(w.Now, d.estimator(x.service).Reading("", work))
+func (d *Dispatcher) noteRefusal(env Env, x *exchange) {
+	work := x.work(indexer.SharedTokens(x.spec.Prefix))
+	d.demand(x.service).note(env.Now, d.estimator(x.service).PrefillTime("", work))
 }
 
 // work is what a server that keeps so much of the prompt, and has nothing else, has to do.
 func (x *exchange) work(kept identifier.Tokens) estimator.Work {
 	return estimator.Work{
-		Unread: max(x.spec.PromptTokens-kept, 0),
-		Kept:   kept,
+		Uncached: max(x.spec.PromptTokens-kept, 0),
+		Cached:   kept,
 	}
 }
 
 // match finds a request's route, account, service and deadline.
-func (d *Dispatcher) match(w World, spec messenger.ExchangeSpec) (*exchange, *messenger.Refusal) {
-	if w.Catalog == nil || w.Catalog.Routing == nil {
-		return nil, notRun(messenger.ReasonNoConfiguration, spread(w, soon))
+func (d *Dispatcher) match(env Env, spec messenger.ExchangeSpec) (*exchange, *messenger.Refusal) {
+	if env.Catalog == nil || env.Catalog.Routing == nil {
+		return nil, notRun(messenger.ReasonNoConfiguration, spread(env, soon))
 	}
 	if len(d.exchanges) >= d.config.MaxExchanges {
-		return nil, notRun(messenger.ReasonOverload, spread(w, soon))
+		return nil, notRun(messenger.ReasonOverload, spread(env, soon))
 	}
-	routing := w.Catalog.Routing
+	routing := env.Catalog.Routing
 	route, ok := routing.Find(spec.Host, spec.Path)
 	if !ok {
-		return nil, unknown(w, messenger.ReasonUnknownRoute)
+		return nil, unknown(env, messenger.ReasonUnknownRoute)
 	}
 	account, ok := accountOf(routing, route, spec.Key)
 	if !ok {
-		return nil, unknown(w, messenger.ReasonUnknownKey)
+		return nil, unknown(env, messenger.ReasonUnknownKey)
 	}
 	x := &exchange{
 		spec:     spec,
@@ -131,9 +131,9 @@
 		deadline: deadline(spec, route),
 	}
 	switch {
-	case x.deadline.Sub(w.Now) < leastTime:
+	case x.deadline.Sub(env.Now) < leastTime:
 		return nil, notRun(messenger.ReasonDeadline, 0)
-	case d.leaving && w.Now.After(d.refuseAfter):
+	case d.leaving && env.Now.After(d.refuseAfter):
 		return nil, notRun(messenger.ReasonLeaving, leavingWait)
 	}
 	return x, nil
@@ -142,9 +142,9 @@
 // unknown refuses a request that the configuration does not know. Where a
 // newer one may be in force elsewhere that would be a guess, so the caller is
 // told to come back instead.
-func unknown(w World, reason messenger.Reason) *messenger.Refusal {
-	if w.Stale {
-		return notRun(messenger.ReasonNoConfiguration, spread(w, soon))
+func unknown(env Env, reason messenger.Reason) *messenger.Refusal {
+	if env.ConfigStale {
+		return notRun(messenger.ReasonNoConfiguration, spread(env, soon))
 	}
 	return notRun(reason, 0)
 }
@@ -193,28 +193,28 @@
 }
 
 // send starts an attempt.
-func (d *Dispatcher) send(w World, x *exchange, c choice) messenger.Effect {
+func (d *Dispatcher) send(env Env, x *exchange, c choice) messenger.Effect {
 	x.attempt++
 	x.counted++
 	x.tried = append(x.tried, c.server.Server)
 	x.current = &flight{
 		server:    c.server.Server,
-		sent:      w.Now,
+		sent:      env.Now,
 		predicted: c.predicted,
 		prefill:   c.prefill,
 		work:      c.work,
 		learn:     c.ahead <= learnAhead && c.copying == 0,
 	}
-	x.current.track = w.Versions.Sent(x.service, x.route.Name, c.server)
+	x.current.track = env.Versions.Sent(x.service, x.route.Name, c.server)
 	x.current.usual = d.usual(x, c)
 	d.loads.sent(c.server.Server, c.prefill)
-	d.index.Note(w.Now, c.server.Server, x.spec.Prefix, w.keeps(c.server.Server))
-	d.tell = d.tell || c.prefill >= longPrefill
+	d.index.AddSent(env.Now, c.server.Server, x.spec.Prefix, env.keeps(c.server.Server))
+	d.notifyPeers = d.notifyPeers || c.prefill >= longPrefill
 	d.demand(x.service).running++
-	d.demand(x.service).note(w.Now, c.occupied)
-	w.Suspicions.Observe(w.Now, c.server.Server, detector.Observation{Kind: detector.Sent})
+	d.demand(x.service).note(env.Now, c.occupied)
+	env.Suspicions.Observe(env.Now, c.server.Server, detector.Observation{Kind: detector.Sent})
 	first, next := d.silence(x, c.predicted)
-	basis := w.about(x).Basis
+	basis := env.about(x).Inputs
 	basis.Candidates = c.candidates
 	basis.Predicted = c.predicted
 	basis.Version = c.server.Version
@@ -222,7 +222,7 @@
 	if c.copyFrom != nil {
 		copyFrom = c.copyFrom.Address
 	}
-	_, limited := w.Limits.Of(c.server.Server)
+	_, limited := env.Limits.Of(c.server.Server)
 	return messenger.SendExchange{
 		CopyFrom:     copyFrom,
 		Limited:      limited,
@@ -240,17 +240,17 @@
 	}
 }
 
-func (d *Dispatcher) refuse(w World, id identifier.ExchangeID, r *messenger.Refusal) messenger.Effect {
+func (d *Dispatcher) refuse(env Env, id identifier.ExchangeID, r *messenger.Refusal) messenger.Effect {
 	delete(d.exchanges, id)
 	return messenger.RefuseExchange{
 		Exchange: id,
 		Refusal:  *r,
-		Basis:    w.Basis,
+		Basis:    env.Inputs,
 	}
 }
 
 // spread draws a wait between one and two times base, so that refused callers
 // don't come back all at once.
-func spread(w World, base timekeeper.Duration) timekeeper.Duration {
-	return base + timekeeper.Duration(w.Rand.Int64N(int64(base)))
+func spread(env Env, base timekeeper.Duration) timekeeper.Duration {
+	return base + timekeeper.Duration(env.Rand.Int64N(int64(base)))
 }
--- a/internal/dispatcher/repeat.go
+++ b/internal/dispatcher/repeat.go
@@ -35,49 +35,49 @@
 }
 
 // AttemptEnded decides what follows an attempt that brought no whole answer.
-func (d *Dispatcher) AttemptEnded(w World, e messenger.ExchangeAttemptEnded) messenger.Effect {
+func (d *Dispatcher) AttemptEnded(env Env, e messenger.ExchangeAttemptEnded) messenger.Effect {
 	x, ok := d.current(e.Exchange, e.Attempt)
 	if !ok {
-		return d.end(w, nil, e, messenger.ReasonServerFailed)
+		return d.end(env, nil, e, messenger.ReasonServerFailed)
 	}
 	if kind, known := kinds[e.Result]; known {
-		w.Suspicions.Observe(w.Now, x.current.server, detector.Observation{Kind: kind})
+		env.Suspicions.Observe(env.Now, x.current.server, detector.Observation{Kind: kind})
 	}
-	w = w.about(x)
-	d.settle(w, x, e)
-	if d.quarantined(w, x) != nil {
-		return d.end(w, x, e, messenger.ReasonServersEnded)
+	env = env.about(x)
+	d.settle(env, x, e)
+	if d.quarantined(env, x) != nil {
+		return d.end(env, x, e, messenger.ReasonServersEnded)
 	}
 	if !d.mayRepeat(x, e) {
-		return d.end(w, x, e, messenger.ReasonServerFailed)
+		return d.end(env, x, e, messenger.ReasonServerFailed)
 	}
-	if x.deadline.Sub(w.Now) < leastTime {
-		return d.end(w, x, e, messenger.ReasonDeadlineExpired)
+	if x.deadline.Sub(env.Now) < leastTime {
+		return d.end(env, x, e, messenger.ReasonDeadlineExpired)
 	}
-	if _, ok := d.choose(w, x); !ok {
-		return d.end(w, x, e, messenger.ReasonNoServer)
+	if _, ok := d.choose(env, x); !ok {
+		return d.end(env, x, e, messenger.ReasonNoServer)
 	}
-	if e.Result != messenger.AttemptNotSent && !w.Retries.Spend(w.Now, x.service) {
-		return d.end(w, x, e, messenger.ReasonRetriesSpent)
+	if e.Result != messenger.AttemptNotSent && !env.Retries.Spend(env.Now, x.service) {
+		return d.end(env, x, e, messenger.ReasonRetriesSpent)
 	}
 	x.ended = e
-	effect, ok := d.place(w, x)
+	effect, ok := d.place(env, x)
 	if !ok {
-		return d.end(w, x, e, messenger.ReasonNoServer)
+		return d.end(env, x, e, messenger.ReasonNoServer)
 	}
 	return effect
 }
 
 // settle takes up what an attempt's end says of the request.
-func (d *Dispatcher) settle(w World, x *exchange, e messenger.ExchangeAttemptEnded) {
+func (d *Dispatcher) settle(env Env, x *exchange, e messenger.ExchangeAttemptEnded) {
 	server := x.current.server
-	entry, known := w.Servers.Server(server)
+	entry, known := env.Servers.Server(server)
 	departed := known && entry.State != messenger.ServerReady
 	if !x.current.began {
-		d.index.Drop(x.current.server, x.spec.Prefix)
+		d.index.Remove(x.current.server, x.spec.Prefix)
 	}
-	d.noteEnd(w, x, e.Result, e.ServerEnded)
-	w.Versions.Ended(x.current.track, promoter.End{
+	d.noteEnd(env, x, e.Result, e.ServerEnded)
+	env.Versions.Ended(x.current.track, promoter.End{
 		Result:      e.Result,
 		Began:       x.current.began,
 		ServerEnded: e.ServerEnded,
@@ -90,7 +90,7 @@
 	case e.Result == messenger.AttemptMisdirected:
 		// The server that was meant is gone and burdened by nobody.
 		x.counted--
-		w.Servers.Misdirected(server)
+		env.Servers.Misdirected(server)
 		return
 	case retrier.ProvablyNotRun(e.Result):
 		return
@@ -101,7 +101,7 @@
 	}
 	x.mayHaveRun = true
 	if e.Result == messenger.AttemptBroken || e.Result == messenger.AttemptFailed {
-		d.count(w, x)
+		d.count(env, x)
 	}
 }
 
@@ -124,14 +124,14 @@
 
 // end gives an exchange up. Only where no attempt can have run is the caller
 // told so, with a time to come back.
-func (d *Dispatcher) end(w World, x *exchange, e messenger.ExchangeAttemptEnded, reason messenger.Reason) messenger.Effect {
+func (d *Dispatcher) end(env Env, x *exchange, e messenger.ExchangeAttemptEnded, reason messenger.Reason) messenger.Effect {
 	delete(d.exchanges, e.Exchange)
 	if x != nil && !x.mayHaveRun && !e.Streaming && !x.spec.Resumes {
-		if refusal := d.quarantined(w, x); refusal != nil {
-			return d.refuse(w, e.Exchange, refusal)
+		if refusal := d.quarantined(env, x); refusal != nil {
+			return d.refuse(env, e.Exchange, refusal)
 		}
-		d.noteRefusal(w, x)
-		return d.refuse(w, e.Exchange, notRun(reason, max(spread(w, soon), e.RetryAfter)))
+		d.noteRefusal(env, x)
+		return d.refuse(env, e.Exchange, notRun(reason, max(spread(env, soon), e.RetryAfter)))
 	}
 	return messenger.EndExchange{
 		Exchange: e.Exchange,
--- a/internal/dispatcher/subset.go
+++ b/internal/dispatcher/subset.go
@@ -38,9 +38,9 @@
 	return float64(weight) < math.MaxUint64*(float64(chosen)/float64(all))
 }
 
-// Tells returns whether a relay tells a node of a server, one of so many of its
+// SubsetFilter returns whether a relay tells a node of a server, one of so many of its
 // service. It is asked of each server of each node's sum.
-func Tells(node identifier.VMID) func(server identifier.VMID, all int) bool {
+func SubsetFilter(node identifier.VMID) func(server identifier.VMID, all int) bool {
 	s := subsetOf(node)
 	return func(server identifier.VMID, all int) bool { return s.has(server, toldServers, all) }
 }
--- a/internal/dispatcher/subset_test.go
+++ b/internal/dispatcher/subset_test.go
@@ -21,7 +21,7 @@
 	)
 	known := map[int]int{}
 	for n := range nodes {
-		tells := dispatcher.Tells(identifier.VMID(fmt.Sprintf("entry-%d", n)))
+		tells := dispatcher.SubsetFilter(identifier.VMID(fmt.Sprintf("entry-%d", n)))
 		told := 0
 		for s := range servers {
 			if tells(serverID(s), servers) {
@@ -35,7 +35,7 @@
 	for s, n := range known {
 		require.Greater(t, n, 3, "server %d", s)
 	}
-	all := dispatcher.Tells("entry-0")
+	all := dispatcher.SubsetFilter("entry-0")
 	for s := range 200 {
 		require.True(t, all(serverID(s), 200), "where they are few a node hears of all")
 	}
@@ -47,7 +47,7 @@
 	const servers = 1000
 	n := newNode(servers)
 	n.world.Catalog.Accounts = nil
-	tells := dispatcher.Tells("entry-1")
+	tells := dispatcher.SubsetFilter("entry-1")
 	for range 200 {
 		sent := n.sent(t, "/report/1")
 		require.True(t, tells(sent.Server, servers), "sent to %s", sent.Server)
@@ -60,7 +60,7 @@
 func TestOtherServersBeforeNone(t *testing.T) {
 	const servers = 400
 	n := newNode(servers)
-	tells := dispatcher.Tells("entry-1")
+	tells := dispatcher.SubsetFilter("entry-1")
 	for s := range servers {
 		if tells(serverID(s), servers) {
 			n.publish(s, messenger.ServerLeaving)
--- a/internal/dispatcher/sum.go
+++ b/internal/dispatcher/sum.go
@@ -8,15 +8,15 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Sum is the requests of several nodes by server, and what their callers ask by
+// LoadSum is the requests of several nodes by server, and what their callers ask by
 // service. A relay makes it for nodes that do not hear all others themselves.
-type Sum struct {
+type LoadSum struct {
 	InFlight map[identifier.VMID]messenger.InFlight
 	Demand   map[identifier.ServiceName]messenger.ServiceDemand
 }
 
-func newSum() Sum {
-	return Sum{
+func newSum() LoadSum {
+	return LoadSum{
 		InFlight: map[identifier.VMID]messenger.InFlight{},
 		Demand:   map[identifier.ServiceName]messenger.ServiceDemand{},
 	}
@@ -24,7 +24,7 @@
 
 // add adds what a node reported, and with sign -1 takes it off again. The time to
 // read prompts has passed since.
-func (s Sum) add(p peerLoad, age timekeeper.Duration, sign int) {
+func (s LoadSum) add(p peerLoad, age timekeeper.Duration, sign int) {
 	for server, load := range p.servers {
 		sum := s.InFlight[server]
 		sum.Running += sign * load.Running
@@ -41,7 +41,7 @@
 
 // ZoneSum returns the requests of this node and of the given peers, its
 // neighbours in its availability zone.
-func (d *Dispatcher) ZoneSum(now timekeeper.Time, neighbours []identifier.VMID) Sum {
+func (d *Dispatcher) ZoneSum(now timekeeper.Time, neighbours []identifier.VMID) LoadSum {
 	sum := newSum()
 	sum.addFresh(now, d.lastReport(now, d.config.Self), 1)
 	for _, peer := range neighbours {
@@ -50,14 +50,14 @@
 	return sum
 }
 
-func (s Sum) addFresh(now timekeeper.Time, p peerLoad, sign int) {
+func (s LoadSum) addFresh(now timekeeper.Time, p peerLoad, sign int) {
 	if age := now.Sub(p.at); age <= peerLoadAge {
 		s.add(p, age, sign)
 	}
 }
 
-// WithZones returns a zone's sum with those that relays of other zones reported.
-func (d *Dispatcher) WithZones(now timekeeper.Time, zone Sum) Sum {
+// AddZones returns a zone's sum with those that relays of other zones reported.
+func (d *Dispatcher) AddZones(now timekeeper.Time, zone LoadSum) LoadSum {
 	all := zone.clone()
 	for name, z := range d.loads.zones {
 		if name != d.config.Zone {
@@ -67,9 +67,9 @@
 	return all
 }
 
-// Of returns the part of a sum that is about some servers.
-func (s Sum) Of(servers func(identifier.VMID) bool) Sum {
-	part := Sum{
+// ForServers returns the part of a sum that is about some servers.
+func (s LoadSum) ForServers(servers func(identifier.VMID) bool) LoadSum {
+	part := LoadSum{
 		InFlight: map[identifier.VMID]messenger.InFlight{},
 		Demand:   s.Demand,
 	}
@@ -81,9 +81,9 @@
 	return part
 }
 
-// Without returns the sum less what one node of the zone reported: it counts its own
+// WithoutNode returns the sum less what one node of the zone reported: it counts its own
 // requests itself, as they are now.
-func (d *Dispatcher) Without(now timekeeper.Time, all Sum, node identifier.VMID) Sum {
+func (d *Dispatcher) WithoutNode(now timekeeper.Time, all LoadSum, node identifier.VMID) LoadSum {
 	rest := all.clone()
 	rest.addFresh(now, d.lastReport(now, node), -1)
 	maps.DeleteFunc(rest.InFlight, func(_ identifier.VMID, n messenger.InFlight) bool {
@@ -105,8 +105,8 @@
 	}
 }
 
-func (s Sum) clone() Sum {
-	return Sum{
+func (s LoadSum) clone() LoadSum {
+	return LoadSum{
 		InFlight: maps.Clone(s.InFlight),
 		Demand:   maps.Clone(s.Demand),
 	}
--- a/internal/dispatcher/sum_test.go
+++ b/internal/dispatcher/sum_test.go
@@ -33,10 +33,10 @@
 func TestSumsOfARelay(t *testing.T) {
 	n := newNode(0)
 	now := start.Add(200)
-	n.PeerLoad(start, "entry-2", told(messenger.ShareOwn, "", "i-1", 3, 500))
-	n.PeerLoad(start, "entry-3", told(messenger.ShareOwn, "", "i-2", 4, 0))
-	n.PeerLoad(start.Add(-3*timekeeper.Second), "entry-4", told(messenger.ShareOwn, "", "i-3", 9, 0))
-	n.PeerLoad(start, "relay-9", told(messenger.ShareZone, "zone-1", "i-1", 10, 100))
+	n.MergePeerLoad(start, "entry-2", told(messenger.ShareOwn, "", "i-1", 3, 500))
+	n.MergePeerLoad(start, "entry-3", told(messenger.ShareOwn, "", "i-2", 4, 0))
+	n.MergePeerLoad(start.Add(-3*timekeeper.Second), "entry-4", told(messenger.ShareOwn, "", "i-3", 9, 0))
+	n.MergePeerLoad(start, "relay-9", told(messenger.ShareZone, "zone-1", "i-1", 10, 100))
 
 	zone := n.ZoneSum(now, []identifier.VMID{"entry-2", "entry-3", "entry-4"})
 	require.Equal(t, map[identifier.VMID]messenger.InFlight{
@@ -47,9 +47,9 @@
 		"i-2": {Running: 4},
 	}, zone.InFlight)
 
-	all := n.WithZones(now, zone)
+	all := n.AddZones(now, zone)
 	require.Equal(t, 17, all.Demand["reader"].Running)
-	rest := n.Without(now, all, "entry-3")
+	rest := n.WithoutNode(now, all, "entry-3")
 	require.Equal(t, map[identifier.VMID]messenger.InFlight{
 		"i-1": {
 			Running: 13,
@@ -64,9 +64,9 @@
 // long as it is fresh.
 func TestSumReplacesSinglePeers(t *testing.T) {
 	n := newNode(0)
-	n.PeerLoad(start, "entry-2", told(messenger.ShareOwn, "", "i-1", 3, 0))
+	n.MergePeerLoad(start, "entry-2", told(messenger.ShareOwn, "", "i-1", 3, 0))
 	require.Equal(t, 3, n.Demand(start, "reader").Running)
-	n.PeerLoad(start, "relay-9", told(messenger.ShareOthers, "", "i-1", 40, 0))
+	n.MergePeerLoad(start, "relay-9", told(messenger.ShareOthers, "", "i-1", 40, 0))
 	require.Equal(t, 40, n.Demand(start, "reader").Running)
 	require.Equal(t, 3, n.Demand(start.Add(1500), "reader").Running)
 }
--- a/internal/dispatcher/version.go
+++ b/internal/dispatcher/version.go
@@ -6,15 +6,15 @@
 )
 
 // ask says which request needs a server of the right version.
-func (d *Dispatcher) ask(w World, x *exchange) promoter.Ask {
+func (d *Dispatcher) ask(env Env, x *exchange) promoter.Ask {
 	return promoter.Ask{
-		Now:        w.Now,
+		Now:        env.Now,
 		Service:    x.service,
 		Route:      x.route.Name,
-		Servers:    w.Servers.Of(x.service),
+		Servers:    env.Servers.Of(x.service),
 		First:      x.attempt == 0,
-		OrdersAsOf: w.OrdersAsOf,
-		Rand:       w.Rand,
+		OrdersAsOf: env.OrdersAsOf,
+		Rand:       env.Rand,
 	}
 }
 
@@ -22,5 +22,5 @@
 // the service like any other, with what is ahead of it at the chosen one. What was
 // learned of a single server is left out: a slow version would excuse itself.
 func (d *Dispatcher) usual(x *exchange, c choice) timekeeper.Duration {
-	return d.estimator(x.service).Wait("", c.work) + c.ahead + c.copying
+	return d.estimator(x.service).FirstEventTime("", c.work) + c.ahead + c.copying
 }
--- a/internal/estimator/estimator.go
+++ b/internal/estimator/estimator.go
@@ -101,10 +101,10 @@
 
 // Work is what a server has to do for a request, and has to do already.
 type Work struct {
-	// Unread is the tokens of the prompt that have to be read, after Kept that
+	// Uncached is the tokens of the prompt that have to be read, after Kept that
 	// the server keeps.
-	Unread identifier.Tokens
-	Kept   identifier.Tokens
+	Uncached identifier.Tokens
+	Cached   identifier.Tokens
 	// Running is the requests at the server, and Waiting those of them that
 	// are beyond its slots.
 	Running int
@@ -112,7 +112,7 @@
 }
 
 func (w Work) vector() vector {
-	unread, kept := float64(max(w.Unread, 0)), float64(max(w.Kept, 0))
+	unread, kept := float64(max(w.Uncached, 0)), float64(max(w.Cached, 0))
 	return vector{
 		termBase:    1,
 		termRead:    unread / 1e3,
@@ -139,14 +139,14 @@
 	return e
 }
 
-// Wait predicts how long a request waits for its first event, beside prompts
+// FirstEventTime predicts how long a request waits for its first event, beside prompts
 // that its server has yet to read.
-func (e *Estimator) Wait(server identifier.VMID, w Work) timekeeper.Duration {
+func (e *Estimator) FirstEventTime(server identifier.VMID, w Work) timekeeper.Duration {
 	return duration(e.factor(server) * e.sum(w.vector()))
 }
 
-// Reading predicts how long the server's engine is taken by the prompt alone.
-func (e *Estimator) Reading(server identifier.VMID, w Work) timekeeper.Duration {
+// PrefillTime predicts how long the server's engine is taken by the prompt alone.
+func (e *Estimator) PrefillTime(server identifier.VMID, w Work) timekeeper.Duration {
 	x := w.vector()
 	read := x[termRead]*e.rates[termRead] + x[termPairs]*e.rates[termPairs]
 	return duration(e.factor(server) * read)
@@ -167,9 +167,9 @@
 	return 1
 }
 
-// Learn takes in how long a request waited. What its server had to read before
+// Observe takes in how long a request waited. What its server had to read before
 // it has to be off that.
-func (e *Estimator) Learn(server identifier.VMID, w Work, took timekeeper.Duration) {
+func (e *Estimator) Observe(server identifier.VMID, w Work, took timekeeper.Duration) {
 	if took < 0 || took > maxWait {
 		return
 	}
--- a/internal/estimator/estimator_test.go
+++ b/internal/estimator/estimator_test.go
@@ -21,15 +21,15 @@
 }
 
 func (e engine) wait(w estimator.Work) float64 {
-	unread := float64(w.Unread)
-	return e.base + e.read*unread/1e3 + e.pairs*unread*(float64(w.Kept)+unread/2)/1e6 + e.running*float64(w.Running)
+	unread := float64(w.Uncached)
+	return e.base + e.read*unread/1e3 + e.pairs*unread*(float64(w.Cached)+unread/2)/1e6 + e.running*float64(w.Running)
 }
 
 func draw(rng *rand.Rand) estimator.Work {
 	return estimator.Work{
-		Unread:  identifier.Tokens(200 + rng.ExpFloat64()*4000),
-		Kept:    identifier.Tokens(rng.ExpFloat64() * 10_000),
-		Running: rng.IntN(20),
+		Uncached: identifier.Tokens(200 + rng.ExpFloat64()*4000),
+		Cached:   identifier.Tokens(rng.ExpFloat64() * 10_000),
+		Running:  rng.IntN(20),
 	}
 }
 
@@ -66,11 +66,11 @@
 				if rng.IntN(10) == 0 {
 					took *= 8
 				}
-				e.Learn("i-1", w, timekeeper.Duration(took))
+				e.Observe("i-1", w, timekeeper.Duration(took))
 			}
 			for range 50 {
 				w := draw(rng)
-				require.InEpsilon(t, real.wait(w), float64(e.Wait("i-1", w)), 0.4)
+				require.InEpsilon(t, real.wait(w), float64(e.FirstEventTime("i-1", w)), 0.4)
 			}
 		})
 	}
@@ -95,13 +95,13 @@
 	for range 200 {
 		for server, f := range factors {
 			w := draw(rng)
-			e.Learn(server, w, timekeeper.Duration(f*real.wait(w)))
+			e.Observe(server, w, timekeeper.Duration(f*real.wait(w)))
 		}
 	}
-	w := estimator.Work{Unread: 10_000}
-	require.InDelta(t, 1.4, float64(e.Wait("i-3", w))/float64(e.Wait("i-1", w)), 0.15)
+	w := estimator.Work{Uncached: 10_000}
+	require.InDelta(t, 1.4, float64(e.FirstEventTime("i-3", w))/float64(e.FirstEventTime("i-1", w)), 0.15)
 	e.Forget("i-3")
-	require.InDelta(t, float64(e.Wait("i-1", w)), float64(e.Wait("i-3", w)), 0.3*float64(e.Wait("i-1", w)))
+	require.InDelta(t, float64(e.FirstEventTime("i-1", w)), float64(e.FirstEventTime("i-3", w)), 0.3*float64(e.FirstEventTime("i-1", w)))
 }
 
 // A server that lies, or answers that come at once or never, move what is
@@ -117,22 +117,22 @@
 		rng := rand.New(rand.NewPCG(1, 2))
 		e := estimator.New()
 		for range 2000 {
-			e.Learn("i-1", draw(rng), took)
-			wait := e.Wait("i-1", estimator.Work{Unread: 1000})
+			e.Observe("i-1", draw(rng), took)
+			wait := e.FirstEventTime("i-1", estimator.Work{Uncached: 1000})
 			require.Positive(t, wait)
 			require.Less(t, wait, 10*timekeeper.Second)
 		}
-		e.Learn("i-1", estimator.Work{
-			Unread:  -7,
-			Kept:    1 << 60,
-			Running: -1,
+		e.Observe("i-1", estimator.Work{
+			Uncached: -7,
+			Cached:   1 << 60,
+			Running:  -1,
 		}, took)
 		for range 600 {
 			w := draw(rng)
-			e.Learn("i-1", w, timekeeper.Duration(real.wait(w)))
+			e.Observe("i-1", w, timekeeper.Duration(real.wait(w)))
 		}
-		w := estimator.Work{Unread: 5000}
-		require.InEpsilon(t, real.wait(w), float64(e.Wait("i-1", w)), 0.3, "after %d", took)
+		w := estimator.Work{Uncached: 5000}
+		require.InEpsilon(t, real.wait(w), float64(e.FirstEventTime("i-1", w)), 0.3, "after %d", took)
 	}
 }
 
@@ -140,15 +140,15 @@
 func TestReading(t *testing.T) {
 	e := estimator.New()
 	w := estimator.Work{
-		Unread:  4000,
-		Kept:    10_000,
-		Running: 3,
+		Uncached: 4000,
+		Cached:   10_000,
+		Running:  3,
 	}
-	require.Less(t, e.Reading("i-1", w), e.Wait("i-1", w))
-	require.Zero(t, e.Reading("i-1", estimator.Work{Running: 5}))
-	w.Unread = 8000
-	require.Greater(t, e.Reading("i-1", w), 2*e.Reading("i-1", estimator.Work{
-		Unread: 4000,
-		Kept:   10_000,
+	require.Less(t, e.PrefillTime("i-1", w), e.FirstEventTime("i-1", w))
+	require.Zero(t, e.PrefillTime("i-1", estimator.Work{Running: 5}))
+	w.Uncached = 8000
+	require.Greater(t, e.PrefillTime("i-1", w), 2*e.PrefillTime("i-1", estimator.Work{
+		Uncached: 4000,
+		Cached:   10_000,
 	}))
 }
--- a/internal/indexer/indexer.go
+++ b/internal/indexer/indexer.go
@@ -45,7 +45,7 @@
 // Index is what one node remembers of all servers.
 type Index struct {
 	servers map[identifier.VMID]*kept
-	news    []item
+	updates []item
 }
 
 // kept is the parts of one server.
@@ -65,23 +65,23 @@
 	return &Index{servers: map[identifier.VMID]*kept{}}
 }
 
-// Note takes in that a server has read the shared parts of a prompt, or will
+// AddSent takes in that a server has read the shared parts of a prompt, or will
 // have before it reads another prompt. Peers hear of those that were not
 // remembered. Capacity is how many tokens the server keeps; zero where that is
 // not known.
-func (x *Index) Note(now timekeeper.Time, server identifier.VMID, prefix []messenger.PromptPart, capacity identifier.Tokens) {
+func (x *Index) AddSent(now timekeeper.Time, server identifier.VMID, prefix []messenger.PromptPart, capacity identifier.Tokens) {
 	for _, p := range shared(prefix) {
 		if x.add(server, p, capacity) {
-			x.tell(now, server, p)
+			x.queueUpdate(now, server, p)
 		}
 	}
 }
 
-// Reported takes in what a peer reported. With passOn set this node's own peers
+// Merge takes in what a peer reported. With passOn set this node's own peers
 // hear of it too, if it is new.
-func (x *Index) Reported(now timekeeper.Time, p messenger.KeptPart, capacity identifier.Tokens, passOn bool) {
+func (x *Index) Merge(now timekeeper.Time, p messenger.KeptPart, capacity identifier.Tokens, passOn bool) {
 	if x.add(p.Server, p.Part, capacity) && passOn {
-		x.tell(now, p.Server, p.Part)
+		x.queueUpdate(now, p.Server, p.Part)
 	}
 }
 
@@ -120,8 +120,8 @@
 	return k
 }
 
-func (x *Index) tell(now timekeeper.Time, server identifier.VMID, p messenger.PromptPart) {
-	x.news = append(x.news, item{
+func (x *Index) queueUpdate(now timekeeper.Time, server identifier.VMID, p messenger.PromptPart) {
+	x.updates = append(x.updates, item{
 		at: now,
 		part: messenger.KeptPart{
 			Server: server,
@@ -130,9 +130,9 @@
 	})
 }
 
-// Kept returns how many tokens of a prompt's shared parts a server keeps. A
+// CachedTokens returns how many tokens of a prompt's shared parts a server keeps. A
 // part counts only if all before it are kept too.
-func (x *Index) Kept(server identifier.VMID, prefix []messenger.PromptPart) identifier.Tokens {
+func (x *Index) CachedTokens(server identifier.VMID, prefix []messenger.PromptPart) identifier.Tokens {
 	k := x.servers[server]
 	if k == nil {
 		return 0
@@ -147,9 +147,9 @@
 	return sum
 }
 
-// Drop forgets what a prompt's server was noted to keep of it: the server did
+// Remove forgets what a prompt's server was noted to keep of it: the server did
 // not read it.
-func (x *Index) Drop(server identifier.VMID, prefix []messenger.PromptPart) {
+func (x *Index) Remove(server identifier.VMID, prefix []messenger.PromptPart) {
 	k := x.servers[server]
 	if k == nil {
 		return
@@ -162,23 +162,23 @@
 // Forget drops a server that is gone.
 func (x *Index) Forget(server identifier.VMID) { delete(x.servers, server) }
 
-// News returns what peers hear of, the newest last.
-func (x *Index) News(now timekeeper.Time) []messenger.KeptPart {
-	x.news = slices.DeleteFunc(x.news, func(i item) bool { return now.Sub(i.at) > newsTime })
-	x.news = x.news[max(len(x.news)-maxNews, 0):]
-	return x.newsWithin(now, newsTime)
+// Updates returns what peers hear of, the newest last.
+func (x *Index) Updates(now timekeeper.Time) []messenger.KeptPart {
+	x.updates = slices.DeleteFunc(x.updates, func(i item) bool { return now.Sub(i.at) > newsTime })
+	x.updates = x.updates[max(len(x.updates)-maxNews, 0):]
+	return x.updatesWithin(now, newsTime)
 }
 
-// RelayedNews returns the part of News that a relay passes on: each of its peers
+// RelayedUpdates returns the part of News that a relay passes on: each of its peers
 // hears of a part from two relays, so that each need tell it no longer than for one
 // of its turns.
-func (x *Index) RelayedNews(now timekeeper.Time) []messenger.KeptPart {
-	return x.newsWithin(now, relayedTime)
+func (x *Index) RelayedUpdates(now timekeeper.Time) []messenger.KeptPart {
+	return x.updatesWithin(now, relayedTime)
 }
 
-func (x *Index) newsWithin(now timekeeper.Time, span timekeeper.Duration) []messenger.KeptPart {
-	out := make([]messenger.KeptPart, 0, len(x.news))
-	for _, i := range x.news {
+func (x *Index) updatesWithin(now timekeeper.Time, span timekeeper.Duration) []messenger.KeptPart {
+	out := make([]messenger.KeptPart, 0, len(x.updates))
+	for _, i := range x.updates {
 		if now.Sub(i.at) <= span {
 			out = append(out, i.part)
 		}
@@ -218,8 +218,8 @@
 	return prefix[:len(prefix)-1]
 }
 
-// Shared returns the tokens of a prompt's shared parts.
-func Shared(prefix []messenger.PromptPart) identifier.Tokens {
+// SharedTokens returns the tokens of a prompt's shared parts.
+func SharedTokens(prefix []messenger.PromptPart) identifier.Tokens {
 	var sum identifier.Tokens
 	for _, p := range shared(prefix) {
 		sum += min(p.Tokens, math.MaxInt32)
--- a/internal/indexer/indexer_test.go
+++ b/internal/indexer/indexer_test.go
@@ -36,7 +36,7 @@
 
 func TestKept(t *testing.T) {
 	x := indexer.New()
-	x.Note(start, "i-1", prompt(1, 2), capacity)
+	x.AddSent(start, "i-1", prompt(1, 2), capacity)
 	tests := []struct {
 		name   string
 		server identifier.VMID
@@ -72,7 +72,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			require.Equal(t, test.want, x.Kept(test.server, test.prefix))
+			require.Equal(t, test.want, x.CachedTokens(test.server, test.prefix))
 		})
 	}
 }
@@ -82,46 +82,46 @@
 func TestLeastRecentlyUsedGivesWay(t *testing.T) {
 	x := indexer.New()
 	for hash := identifier.PrefixHash(10); hash < 14; hash++ {
-		x.Note(start, "i-1", prompt(1, hash), capacity)
+		x.AddSent(start, "i-1", prompt(1, hash), capacity)
 	}
-	x.Note(start, "i-1", prompt(1, 10), capacity)
-	x.Note(start, "i-1", prompt(1, 14), capacity)
-	require.Equal(t, identifier.Tokens(12_000), x.Kept("i-1", prompt(1, 10)))
-	require.Equal(t, identifier.Tokens(2000), x.Kept("i-1", prompt(1, 11)))
-	require.Equal(t, identifier.Tokens(12_000), x.Kept("i-1", prompt(1, 14)))
+	x.AddSent(start, "i-1", prompt(1, 10), capacity)
+	x.AddSent(start, "i-1", prompt(1, 14), capacity)
+	require.Equal(t, identifier.Tokens(12_000), x.CachedTokens("i-1", prompt(1, 10)))
+	require.Equal(t, identifier.Tokens(2000), x.CachedTokens("i-1", prompt(1, 11)))
+	require.Equal(t, identifier.Tokens(12_000), x.CachedTokens("i-1", prompt(1, 14)))
 }
 
 // Peers hear what is new, for as long as a share goes out twice. What a peer
 // reported goes no further, but from a node that relays: else it would go round.
 func TestNews(t *testing.T) {
 	x, peer, relay := indexer.New(), indexer.New(), indexer.New()
-	x.Note(start, "i-1", prompt(1, 2), capacity)
-	require.Len(t, x.News(start), 2)
-	x.Note(start.Add(500), "i-1", prompt(1, 3), capacity)
-	require.Len(t, x.News(start.Add(1000)), 3)
-	require.Len(t, x.News(start.Add(1500)), 1)
-	for _, p := range x.News(start.Add(1500)) {
+	x.AddSent(start, "i-1", prompt(1, 2), capacity)
+	require.Len(t, x.Updates(start), 2)
+	x.AddSent(start.Add(500), "i-1", prompt(1, 3), capacity)
+	require.Len(t, x.Updates(start.Add(1000)), 3)
+	require.Len(t, x.Updates(start.Add(1500)), 1)
+	for _, p := range x.Updates(start.Add(1500)) {
 		for range 2 {
-			peer.Reported(start, p, capacity, false)
-			relay.Reported(start, p, capacity, true)
+			peer.Merge(start, p, capacity, false)
+			relay.Merge(start, p, capacity, true)
 		}
 	}
-	require.Empty(t, peer.News(start))
-	require.Len(t, relay.News(start), 1)
-	require.Zero(t, peer.Kept("i-1", prompt(1, 3)), "the first part was reported before")
-	require.Empty(t, x.News(start.Add(timekeeper.Minute)))
+	require.Empty(t, peer.Updates(start))
+	require.Len(t, relay.Updates(start), 1)
+	require.Zero(t, peer.CachedTokens("i-1", prompt(1, 3)), "the first part was reported before")
+	require.Empty(t, x.Updates(start.Add(timekeeper.Minute)))
 }
 
 // A server was sent a prompt that it never read, or ended. What was noted of it
 // would draw requests to a server that has to read all of them.
 func TestForgotten(t *testing.T) {
 	x := indexer.New()
-	x.Note(start, "i-1", prompt(1, 2), capacity)
-	x.Drop("i-1", prompt(1, 2))
-	require.Zero(t, x.Kept("i-1", prompt(1, 2)))
-	x.Note(start, "i-1", prompt(1, 2), capacity)
+	x.AddSent(start, "i-1", prompt(1, 2), capacity)
+	x.Remove("i-1", prompt(1, 2))
+	require.Zero(t, x.CachedTokens("i-1", prompt(1, 2)))
+	x.AddSent(start, "i-1", prompt(1, 2), capacity)
 	x.Forget("i-1")
-	require.Zero(t, x.Kept("i-1", prompt(1, 2)))
+	require.Zero(t, x.CachedTokens("i-1", prompt(1, 2)))
 }
 
 // A peer may tell anything. What one node remembers stays bounded.
@@ -135,21 +135,21 @@
 				Tokens: 1 << 40,
 			},
 		}
-		x.Reported(start, part, 0, true)
+		x.Merge(start, part, 0, true)
 	}
-	require.LessOrEqual(t, len(x.News(start)), 256)
+	require.LessOrEqual(t, len(x.Updates(start)), 256)
 }
 
 // A node joins and remembers nothing. With all that a peer remembers it finds the
 // servers that keep its callers' prompts.
 func TestAllForANewcomer(t *testing.T) {
 	x, newcomer := indexer.New(), indexer.New()
-	x.Note(start, "i-1", prompt(1, 2), capacity)
-	x.Note(start, "i-2", prompt(1, 3), capacity)
+	x.AddSent(start, "i-1", prompt(1, 2), capacity)
+	x.AddSent(start, "i-2", prompt(1, 3), capacity)
 	for _, p := range x.All() {
-		newcomer.Reported(start, p, capacity, false)
+		newcomer.Merge(start, p, capacity, false)
 	}
-	require.Equal(t, identifier.Tokens(12_000), newcomer.Kept("i-1", prompt(1, 2)))
-	require.Equal(t, identifier.Tokens(12_000), newcomer.Kept("i-2", prompt(1, 3)))
-	require.Empty(t, newcomer.News(start))
+	require.Equal(t, identifier.Tokens(12_000), newcomer.CachedTokens("i-1", prompt(1, 2)))
+	require.Equal(t, identifier.Tokens(12_000), newcomer.CachedTokens("i-2", prompt(1, 3)))
+	require.Empty(t, newcomer.Updates(start))
 }
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -111,7 +111,7 @@
 			}
 			watchers := map[identifier.VMID]int{}
 			for _, n := range nodes {
-				watched := placer.SubsetOfServers(n.VM, nodes, servers, test.k)
+				watched := placer.WatchedServers(n.VM, nodes, servers, test.k)
 				require.GreaterOrEqual(t, len(watched), min(test.k, test.servers)/3, n.VM)
 				for _, s := range watched {
 					watchers[s]++
--- a/internal/placer/subset.go
+++ b/internal/placer/subset.go
@@ -9,14 +9,14 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// SubsetOfServers returns the servers that node self watches and routes to,
+// WatchedServers returns the servers that node self watches and routes to,
 // about k of them, sorted. With up to k servers these are all of them, at every
 // node. With more, each server is given to the same number of nodes, so that
 // the load of being polled does not grow with the number of nodes and no server
 // is left without work.
 //
 // Give it the servers of one pool at a time, so that each pool is covered.
-func SubsetOfServers(self identifier.VMID, nodes []gossiper.Node, servers []identifier.VMID, k int) []identifier.VMID {
+func WatchedServers(self identifier.VMID, nodes []gossiper.Node, servers []identifier.VMID, k int) []identifier.VMID {
 	if len(servers) <= k {
 		return slices.Sorted(slices.Values(servers))
 	}
--- a/internal/ranker/ranker.go
+++ b/internal/ranker/ranker.go
@@ -118,8 +118,8 @@
 	})
 }
 
-// FirstOf returns the first n nodes of an availability zone for a purpose.
-func (r *Ranking) FirstOf(zone identifier.Zone, purpose string, n int) []gossiper.Node {
+// FirstInZone returns the first n nodes of an availability zone for a purpose.
+func (r *Ranking) FirstInZone(zone identifier.Zone, purpose string, n int) []gossiper.Node {
 	return r.first(choice{
 		purpose: purpose,
 		zone:    zone,
@@ -129,7 +129,7 @@
 
 // Chosen reports whether this node is one of the first n for a purpose.
 func (r *Ranking) Chosen(purpose string, n int) bool {
-	return Has(r.First(purpose, n), r.config.Self)
+	return Contains(r.First(purpose, n), r.config.Self)
 }
 
 func (r *Ranking) first(c choice) []gossiper.Node {
@@ -178,7 +178,7 @@
 	return slices.Clip(first[:min(n, len(first))])
 }
 
-// Has reports whether a VM is one of nodes.
-func Has(nodes []gossiper.Node, vm identifier.VMID) bool {
+// Contains reports whether a VM is one of nodes.
+func Contains(nodes []gossiper.Node, vm identifier.VMID) bool {
 	return slices.ContainsFunc(nodes, func(n gossiper.Node) bool { return n.VM == vm })
 }
--- a/internal/ranker/ranker_test.go
+++ b/internal/ranker/ranker_test.go
@@ -51,7 +51,7 @@
 
 func ExampleRank() {
 	few := ranker.Rank("duties", []gossiper.Node{node(0, strong), node(1, weak), node(2, strong)}, 2)
-	fmt.Println(len(few), ranker.Has(few, "entry-1"))
+	fmt.Println(len(few), ranker.Contains(few, "entry-1"))
 	// Output: 2 false
 }
 
@@ -94,13 +94,13 @@
 		Zone:    "zone-0",
 		Members: m,
 	})
-	relays := r.FirstOf("zone-1", "relay", 2)
+	relays := r.FirstInZone("zone-1", "relay", 2)
 	require.Len(t, relays, 2)
 	for _, n := range relays {
 		require.Equal(t, identifier.Zone("zone-1"), n.Zone)
 	}
 	for range 100 {
-		require.Equal(t, relays, r.FirstOf("zone-1", "relay", 2))
+		require.Equal(t, relays, r.FirstInZone("zone-1", "relay", 2))
 		require.Len(t, r.Peers(), 11)
 	}
 	require.Equal(t, 1, m.reads)
@@ -118,7 +118,7 @@
 		left = append(left, n)
 	}
 	m.change(left)
-	after := r.FirstOf("zone-1", "relay", 2)
+	after := r.FirstInZone("zone-1", "relay", 2)
 	require.Len(t, after, 1)
 	require.NotContains(t, relays, after[0])
 	require.Len(t, r.Peers(), 10, "one that leaves still hears")
--- a/internal/reducer/following_test.go
+++ b/internal/reducer/following_test.go
@@ -87,7 +87,7 @@
 		f.run(400 * timekeeper.Millisecond)
 		told := 0
 		for _, id := range f.ids {
-			if f.nodes[id].gateway.exchanges.HearsRelays(f.now) {
+			if f.nodes[id].gateway.exchanges.UsesRelayReports(f.now) {
 				told++
 			}
 		}
@@ -109,7 +109,7 @@
 		for _, e := range f.nodes["entry-60"].shareNow(w) {
 			share, ok := e.(messenger.SendShare)
 			require.True(t, ok)
-			reports := ranker.Has(duties, share.Peer)
+			reports := ranker.Contains(duties, share.Peer)
 			require.Equal(t, reports, len(share.Share.Usage) > 0, "to %s", share.Peer)
 			if reports {
 				told++
--- a/internal/reducer/gateway.go
+++ b/internal/reducer/gateway.go
@@ -295,32 +295,32 @@
 		return []messenger.Effect{
 			messenger.AnswerLimit{
 				Ticket: b.Ticket,
-				Answer: dispatcher.Grant(r.exchangeWorld(w), b.Account, b.Tokens),
+				Answer: dispatcher.GrantLimit(r.exchangeWorld(w), b.Account, b.Tokens),
 			},
 		}
 	}
 	return nil
 }
 
-func (r *Reducer) exchangeWorld(w *conductor.World) dispatcher.World {
+func (r *Reducer) exchangeWorld(w *conductor.World) dispatcher.Env {
 	g := r.gateway
-	out := dispatcher.World{
-		Now:        w.Now,
-		Catalog:    g.catalog,
-		Servers:    g.servers,
-		Local:      g.local,
-		Retries:    g.retries,
-		Suspicions: r.suspicions,
-		Quarantine: r.quarantine,
-		Versions:   g.versions,
-		OrdersAsOf: g.confirmed,
-		Rand:       r.rand,
-		Began:      func(a identifier.AccountID) { g.usage.Began(w.Now, a) },
-		Limits:     g.limits,
-		Permits:    g.permits,
-		PermitsOf:  func(server identifier.VMID) *dispatcher.Granter { return r.permitsOf(w, server) },
-		Stale:      w.Now.Sub(g.confirmed) > configDoubt,
-		Basis: messenger.Basis{
+	out := dispatcher.Env{
+		Now:             w.Now,
+		Catalog:         g.catalog,
+		Servers:         g.servers,
+		Local:           g.local,
+		Retries:         g.retries,
+		Suspicions:      r.suspicions,
+		Quarantine:      r.quarantine,
+		Versions:        g.versions,
+		OrdersAsOf:      g.confirmed,
+		Rand:            r.rand,
+		OnBegan:         func(a identifier.AccountID) { g.usage.Began(w.Now, a) },
+		Limits:          g.limits,
+		Permits:         g.permits,
+		PermitAllocator: func(server identifier.VMID) *dispatcher.Allocator { return r.permitsOf(w, server) },
+		ConfigStale:     w.Now.Sub(g.confirmed) > configDoubt,
+		Inputs: messenger.Basis{
 			Revision:    g.revision(),
 			RevisionAge: age(w.Now, g.confirmed),
 			ServersAge:  age(w.Now, g.servers.AsOf()),
@@ -330,10 +330,10 @@
 		out.Central = g.central
 		return out
 	}
-	if out.Granter = r.granterNow(w); out.Granter != nil {
+	if out.Allocator = r.granterNow(w); out.Allocator != nil {
 		return out
 	}
-	out.GranterDue = max(g.granterDue().Sub(w.Now), 0)
+	out.AllocatorDue = max(g.granterDue().Sub(w.Now), 0)
 	return out
 }
 
@@ -391,10 +391,10 @@
 		case messenger.ServerReady:
 			r.gateway.versions.Seen(w.Now, s.Service, s.Version)
 		case messenger.ServerLeaving:
-			r.gateway.exchanges.Leaving(s.Server)
+			r.gateway.exchanges.ServerLeaving(s.Server)
 		case messenger.ServerRemoved:
 			r.suspicions.Forget(s.Server)
-			r.gateway.exchanges.Gone(r.exchangeWorld(w), s.Server)
+			r.gateway.exchanges.ServerRemoved(r.exchangeWorld(w), s.Server)
 			r.gateway.limits.Forget(s.Server)
 			r.gateway.permits.Forget(s.Server)
 		}
--- a/internal/reducer/granting.go
+++ b/internal/reducer/granting.go
@@ -59,7 +59,7 @@
 	g.retries.SetExtra(retryExtra/float64(nodes) + retryNodeExtra)
 	g.local.SetNodes(nodes, !held && !g.granterThere(w.Now))
 	if g.central != nil {
-		g.central.SetHeard(1+g.exchanges.Heard(w.Now, granteeAge), nodes)
+		g.central.SetHeard(1+g.exchanges.ReportingPeers(w.Now, granteeAge), nodes)
 	}
 }
 
@@ -99,13 +99,13 @@
 }
 
 // granterNow returns the peer that grants limits, or nil where none can be asked.
-func (r *Reducer) granterNow(w *conductor.World) *dispatcher.Granter {
+func (r *Reducer) granterNow(w *conductor.World) *dispatcher.Allocator {
 	g := r.gateway
 	node, known := r.members.Node(g.granter)
 	if !known || !g.granterThere(w.Now) {
 		return nil
 	}
-	return &dispatcher.Granter{
+	return &dispatcher.Allocator{
 		Node:    g.granter,
 		Address: node.PeerAddress,
 	}
--- a/internal/reducer/reducer.go
+++ b/internal/reducer/reducer.go
@@ -229,7 +229,7 @@
 	case messenger.LoadMissed:
 		return r.loadMissed(w, b)
 	case messenger.CacheReported:
-		r.hints.Learn(w.Now, b.Server, b.Held, b.Gone, b.Gap)
+		r.hints.Observe(w.Now, b.Server, b.Held, b.Gone, b.Gap)
 		return nil
 
 	case messenger.ShareReceived:
--- a/internal/reducer/relay.go
+++ b/internal/reducer/relay.go
@@ -46,7 +46,7 @@
 
 // relays returns the nodes of a zone that pass on what its nodes tell.
 func (r *Reducer) relays(zone identifier.Zone) []gossiper.Node {
-	return r.ranking.FirstOf(zone, "relay", relaysPerZone)
+	return r.ranking.FirstInZone(zone, "relay", relaysPerZone)
 }
 
 // fewPeers returns the peers that hear this node directly: the relays of its
@@ -79,7 +79,7 @@
 
 func (s *peerSet) add(nodes ...gossiper.Node) {
 	for _, n := range nodes {
-		if n.VM != s.self && !ranker.Has(s.nodes, n.VM) {
+		if n.VM != s.self && !ranker.Contains(s.nodes, n.VM) {
 			s.nodes = append(s.nodes, n)
 		}
 	}
@@ -94,7 +94,7 @@
 	}
 	g.nextRelay = w.Now.Add(relayEvery)
 	relays := r.relays(r.config.Zone)
-	if len(r.ranking.Peers()) <= sharePeers || !ranker.Has(relays, g.self) {
+	if len(r.ranking.Peers()) <= sharePeers || !ranker.Contains(relays, g.self) {
 		g.relaySince = 0
 		return nil
 	}
@@ -106,8 +106,8 @@
 		return nil
 	}
 	zone := g.exchanges.ZoneSum(w.Now, r.ranking.Neighbours())
-	all := g.exchanges.WithZones(w.Now, zone)
-	g.exchanges.PeerLoad(w.Now, g.self, r.sumWithout(w.Now, all, g.self))
+	all := g.exchanges.AddZones(w.Now, zone)
+	g.exchanges.MergePeerLoad(w.Now, g.self, r.sumWithout(w.Now, all, g.self))
 	if warm && !g.relayNews && !r.relayTurn(w.Now, relays) {
 		return nil
 	}
@@ -123,13 +123,13 @@
 // so twice a second to its relays, and seldom to others.
 func (r *Reducer) hearsZone(now timekeeper.Time) bool {
 	neighbours := r.ranking.Neighbours()
-	return r.gateway.exchanges.HeardOf(now, neighbours, regularNews) == len(neighbours)
+	return r.gateway.exchanges.CountReportingPeers(now, neighbours, regularNews) == len(neighbours)
 }
 
 // hearsZones reports whether a relay of each other zone reports to this one.
 func (r *Reducer) hearsZones(now timekeeper.Time) bool {
 	zones := r.ranking.OtherZones()
-	return r.gateway.exchanges.HeardOfZones(now, zones, regularNews) == len(zones)
+	return r.gateway.exchanges.CountReportingZones(now, zones, regularNews) == len(zones)
 }
 
 // relayTurn reports whether it is this relay's turn to tell sums: the relays of a
@@ -142,7 +142,7 @@
 }
 
 // tellNeighbours tells each node of this zone the sum over all others.
-func (r *Reducer) tellNeighbours(now timekeeper.Time, all dispatcher.Sum) []messenger.Effect {
+func (r *Reducer) tellNeighbours(now timekeeper.Time, all dispatcher.LoadSum) []messenger.Effect {
 	var out []messenger.Effect
 	for _, p := range r.ranking.Peers() {
 		if p.Zone == r.config.Zone {
@@ -154,15 +154,15 @@
 
 // sumWithout is what a relay tells one node: the sum over all others, of the servers
 // that the node chooses from.
-func (r *Reducer) sumWithout(now timekeeper.Time, all dispatcher.Sum, vm identifier.VMID) messenger.Share {
+func (r *Reducer) sumWithout(now timekeeper.Time, all dispatcher.LoadSum, vm identifier.VMID) messenger.Share {
 	g := r.gateway
-	tells := dispatcher.Tells(vm)
-	part := all.Of(func(server identifier.VMID) bool { return tells(server, g.servers.CountBeside(server)) })
-	return g.sums(now, messenger.ShareOthers, g.exchanges.Without(now, part, vm))
+	tells := dispatcher.SubsetFilter(vm)
+	part := all.ForServers(func(server identifier.VMID) bool { return tells(server, g.servers.CountBeside(server)) })
+	return g.sums(now, messenger.ShareOthers, g.exchanges.WithoutNode(now, part, vm))
 }
 
 // tellZones tells the relays of the other zones the sum over this one.
-func (r *Reducer) tellZones(now timekeeper.Time, zone dispatcher.Sum) []messenger.Effect {
+func (r *Reducer) tellZones(now timekeeper.Time, zone dispatcher.LoadSum) []messenger.Effect {
 	g := r.gateway
 	share := g.sums(now, messenger.ShareZone, zone)
 	share.Zone = r.config.Zone
@@ -177,9 +177,9 @@
 
 // sums is what a relay tells. It passes on who holds the lease; other nodes say
 // so only of themselves, so that hearsay does not go round.
-func (g *gateway) sums(now timekeeper.Time, scope messenger.ShareScope, sum dispatcher.Sum) messenger.Share {
+func (g *gateway) sums(now timekeeper.Time, scope messenger.ShareScope, sum dispatcher.LoadSum) messenger.Share {
 	s := g.news(now)
-	s.Kept = g.exchanges.RelayedKept(now)
+	s.Kept = g.exchanges.RelayedCachedPrefixUpdates(now)
 	s.Scope = scope
 	s.InFlight = sum.InFlight
 	s.Demand = sum.Demand
--- a/internal/reducer/serverlimit.go
+++ b/internal/reducer/serverlimit.go
@@ -18,7 +18,7 @@
 // does. That is the holder of the lease or, while none can be asked, the node that all
 // nodes rank first for the server: a server would get nothing for the seconds that a new
 // holder takes.
-func (r *Reducer) permitsOf(w *conductor.World, server identifier.VMID) *dispatcher.Granter {
+func (r *Reducer) permitsOf(w *conductor.World, server identifier.VMID) *dispatcher.Allocator {
 	if _, _, held := r.gateway.leases.Held(dutyLease, w.Now); held {
 		return nil
 	}
@@ -29,7 +29,7 @@
 	if len(first) == 0 || first[0].VM == r.config.Self {
 		return nil
 	}
-	return &dispatcher.Granter{
+	return &dispatcher.Allocator{
 		Node:    first[0].VM,
 		Address: first[0].PeerAddress,
 	}
--- a/internal/reducer/share.go
+++ b/internal/reducer/share.go
@@ -10,7 +10,7 @@
 
 // withNews adds to effects what peers hear of at once.
 func (r *Reducer) withNews(w *conductor.World, effects ...messenger.Effect) []messenger.Effect {
-	if !r.gateway.exchanges.TellPeers() {
+	if !r.gateway.exchanges.NotifyPeers() {
 		return effects
 	}
 	if len(r.ranking.Peers()) <= sharePeers {
@@ -32,7 +32,7 @@
 func (r *Reducer) shareReceived(w *conductor.World, e messenger.ShareReceived) []messenger.Effect {
 	g := r.gateway
 	s := e.Share
-	g.exchanges.PeerLoad(w.Now, e.From, s)
+	g.exchanges.MergePeerLoad(w.Now, e.From, s)
 	g.whole = g.whole || s.Whole
 	if s.Wants {
 		g.wanting[e.From] = true
@@ -51,7 +51,7 @@
 	changed := merge(w.Now, w.Now.Add(-s.ServersAge), s.Servers)
 	out := append(notes, r.noteRollouts(w)...)
 	out = append(out, r.serversChanged(w, changed, false)...)
-	g.exchanges.Kept(r.exchangeWorld(w), s.Kept, g.relaySince != 0)
+	g.exchanges.MergeCachedPrefixes(r.exchangeWorld(w), s.Kept, g.relaySince != 0)
 	if s.Revision == g.revision() {
 		g.confirmed = max(g.confirmed, w.Now.Add(-s.ConfigurationAge))
 	}
@@ -96,7 +96,7 @@
 	others.Versions = nil
 	var reporters, rest []gossiper.Node
 	for _, p := range peers {
-		if p.VM == r.gateway.granter || ranker.Has(duties, p.VM) {
+		if p.VM == r.gateway.granter || ranker.Contains(duties, p.VM) {
 			reporters = append(reporters, p)
 			continue
 		}
@@ -161,7 +161,7 @@
 		g.gathered = &entries{
 			at:       now,
 			servers:  g.servers.All(),
-			kept:     g.exchanges.AllKept(),
+			kept:     g.exchanges.CachedPrefixes(),
 			suspects: g.quarantine.All(now),
 		}
 	}
@@ -200,7 +200,7 @@
 		ServersAge:       now.Sub(g.servers.AsOf()),
 		ConfigurationAge: now.Sub(g.confirmed),
 		Revision:         g.revision(),
-		Kept:             g.exchanges.NewlyKept(now),
+		Kept:             g.exchanges.CachedPrefixUpdates(now),
 		Suspects:         g.quarantine.News(now, g.relaySince != 0),
 		Limits:           g.limits.News(now, g.relaySince != 0),
 		Rollouts:         g.versions.News(now),
--- a/internal/reducer/tick.go
+++ b/internal/reducer/tick.go
@@ -87,7 +87,7 @@
 	for _, s := range r.members.Servers(pool) {
 		all = append(all, s.VM)
 	}
-	return placer.SubsetOfServers(r.config.Self, r.members.Nodes(), all, watchedServers)
+	return placer.WatchedServers(r.config.Self, r.members.Nodes(), all, watchedServers)
 }
 
 // tickProvisioner renews leases and plans for the pools that this node holds.
--- a/internal/retrier/budget.go
+++ b/internal/retrier/budget.go
@@ -46,8 +46,8 @@
 	s.balance = min(s.balance+gain, s.ceiling(b.config.Floor))
 }
 
-// Left returns the number of retries that the service may make now.
-func (b *Budgets) Left(now timekeeper.Time, service identifier.ServiceName) int {
+// Remaining returns the number of retries that the service may make now.
+func (b *Budgets) Remaining(now timekeeper.Time, service identifier.ServiceName) int {
 	return int(b.service(now, service).balance)
 }
 
@@ -104,7 +104,7 @@
 
 // pause draws the wait before the next attempt and reports whether it ends
 // before the deadline.
-func (b *Budgets) pause(now timekeeper.Time, a Ask, s *budget, rng *rand.Rand) (timekeeper.Duration, bool) {
+func (b *Budgets) pause(now timekeeper.Time, a EndedAttempt, s *budget, rng *rand.Rand) (timekeeper.Duration, bool) {
 	left := a.Deadline.Sub(now)
 	longest := timekeeper.Duration(0)
 	if b.config.Rules.Backoff {
--- a/internal/retrier/classify.go
+++ b/internal/retrier/classify.go
@@ -35,7 +35,7 @@
 // A last attempt that did not run proves nothing of the earlier ones: an
 // idempotent request may have been broken off before. A non-idempotent one
 // has only attempts that did not run before its last, by Repeatable.
-func OutcomeOf(a Ask) messenger.Outcome {
+func OutcomeOf(a EndedAttempt) messenger.Outcome {
 	switch {
 	case a.Result == messenger.AttemptComplete:
 		return messenger.Done
--- a/internal/retrier/retrier.go
+++ b/internal/retrier/retrier.go
@@ -106,8 +106,8 @@
 	return c
 }
 
-// Ask describes the attempt that has ended and its request.
-type Ask struct {
+// EndedAttempt describes the attempt that has ended and its request.
+type EndedAttempt struct {
 	Service    identifier.ServiceName
 	Idempotent bool
 	Result     messenger.AttemptResult
@@ -140,7 +140,7 @@
 }
 
 // Next decides what follows the attempt.
-func (b *Budgets) Next(now timekeeper.Time, a Ask, rng *rand.Rand) Verdict {
+func (b *Budgets) Next(now timekeeper.Time, a EndedAttempt, rng *rand.Rand) Verdict {
 	if a.Result == messenger.AttemptComplete {
 		return Verdict{Outcome: messenger.Done}
 	}
@@ -161,7 +161,7 @@
 // A move whose next server refuses it too must not go round without end in
 // the meantime, so that later ones pause like retries, if not as long: their
 // request was accepted and is owed its answer.
-func (b *Budgets) move(now timekeeper.Time, a Ask, rng *rand.Rand) Verdict {
+func (b *Budgets) move(now timekeeper.Time, a EndedAttempt, rng *rand.Rand) Verdict {
 	if !b.config.Rules.PlannedFree {
 		return b.retry(now, a, rng)
 	}
@@ -175,7 +175,7 @@
 	}
 }
 
-func (b *Budgets) retry(now timekeeper.Time, a Ask, rng *rand.Rand) Verdict {
+func (b *Budgets) retry(now timekeeper.Time, a EndedAttempt, rng *rand.Rand) Verdict {
 	s := b.service(now, a.Service)
 	if a.Attempts >= b.config.MaxAttempts {
 		return final(a, b.spentReason(a), b.comeBack(s, rng))
@@ -196,7 +196,7 @@
 
 // spentReason names the server's refusal rather than the spent budget where
 // that is what the caller met.
-func (b *Budgets) spentReason(a Ask) messenger.Reason {
+func (b *Budgets) spentReason(a EndedAttempt) messenger.Reason {
 	switch a.Result {
 	case messenger.AttemptRefused:
 		return messenger.ReasonServerRefusedWork
@@ -207,7 +207,7 @@
 	}
 }
 
-func final(a Ask, reason messenger.Reason, retryAfter timekeeper.Duration) Verdict {
+func final(a EndedAttempt, reason messenger.Reason, retryAfter timekeeper.Duration) Verdict {
 	return Verdict{
 		Outcome:    OutcomeOf(a),
 		Reason:     reason,
--- a/internal/retrier/retrier_test.go
+++ b/internal/retrier/retrier_test.go
@@ -16,8 +16,8 @@
 func seeded(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, seed)) }
 
 // broken is an idempotent request whose first attempt broke off.
-func broken(edit func(*Ask)) Ask {
-	a := Ask{
+func broken(edit func(*EndedAttempt)) EndedAttempt {
+	a := EndedAttempt{
 		Service:    "report",
 		Idempotent: true,
 		Result:     messenger.AttemptBroken,
@@ -35,7 +35,7 @@
 	// and what the caller is told when they don't.
 	check := func(result messenger.AttemptResult, idempotent, again bool, outcome messenger.Outcome) {
 		t.Helper()
-		a := broken(func(a *Ask) { a.Result, a.Idempotent = result, idempotent })
+		a := broken(func(a *EndedAttempt) { a.Result, a.Idempotent = result, idempotent })
 		require.Equal(t, again, New(Config{Rules: AllRules()}).Next(testNow, a, seeded(1)).Again)
 		late := New(Config{Rules: AllRules()}).Next(a.Deadline, a, seeded(1))
 		require.False(t, late.Again)
@@ -55,15 +55,15 @@
 // The caller is told not_run and sends the request again by hand. If the
 // attempt before the refused one had broken off, it may have run all the same.
 func TestNotRunIsSaidOnlyOfRequestsThatNeverRan(t *testing.T) {
-	last := func(edit func(*Ask)) messenger.Outcome {
-		a := broken(func(a *Ask) { a.Result, a.Attempts = messenger.AttemptRefused, DefaultMaxAttempts })
+	last := func(edit func(*EndedAttempt)) messenger.Outcome {
+		a := broken(func(a *EndedAttempt) { a.Result, a.Attempts = messenger.AttemptRefused, DefaultMaxAttempts })
 		edit(&a)
 		return New(Config{Rules: AllRules()}).Next(testNow, a, seeded(1)).Outcome
 	}
-	require.Equal(t, messenger.Unknown, last(func(*Ask) {}))
-	require.Equal(t, messenger.NotRun, last(func(a *Ask) { a.EarlierNotRun = true }))
-	require.Equal(t, messenger.Unknown, last(func(a *Ask) { a.EarlierNotRun, a.Delivered = true, 5 }))
-	require.Equal(t, messenger.NotRun, last(func(a *Ask) { a.Idempotent = false }))
+	require.Equal(t, messenger.Unknown, last(func(*EndedAttempt) {}))
+	require.Equal(t, messenger.NotRun, last(func(a *EndedAttempt) { a.EarlierNotRun = true }))
+	require.Equal(t, messenger.Unknown, last(func(a *EndedAttempt) { a.EarlierNotRun, a.Delivered = true, 5 }))
+	require.Equal(t, messenger.NotRun, last(func(a *EndedAttempt) { a.Idempotent = false }))
 }
 
 func TestNextProperties(t *testing.T) {
@@ -76,7 +76,7 @@
 		now := testNow
 		for range rapid.IntRange(1, 50).Draw(t, "steps") {
 			now = now.Add(timekeeper.Duration(rapid.IntRange(0, 2000).Draw(t, "pause")))
-			a := broken(func(a *Ask) {
+			a := broken(func(a *EndedAttempt) {
 				a.Result = rapid.SampledFrom(results).Draw(t, "result")
 				a.Idempotent = rapid.Bool().Draw(t, "idempotent")
 				a.Planned = rapid.Bool().Draw(t, "planned")
@@ -94,7 +94,7 @@
 			} else {
 				require.NotEmpty(t, v.Outcome)
 			}
-			require.GreaterOrEqual(t, b.Left(now, a.Service), 0)
+			require.GreaterOrEqual(t, b.Remaining(now, a.Service), 0)
 		}
 	})
 }
@@ -106,7 +106,7 @@
 	for i := range 10 * perSecond {
 		now := testNow.Add(timekeeper.Duration(i * 1000 / perSecond))
 		b.Requested(now, "report", percent)
-		a := broken(func(a *Ask) { a.Deadline = now.Add(timekeeper.Minute) })
+		a := broken(func(a *EndedAttempt) { a.Deadline = now.Add(timekeeper.Minute) })
 		if b.Next(now, a, rng).Again {
 			count++
 		}
@@ -134,8 +134,8 @@
 		for range 20 {
 			b.Next(testNow, broken(nil), seeded(1))
 		}
-		require.Zero(t, b.Left(testNow, "report"))
-		return b.Next(testNow, broken(func(a *Ask) { a.Planned = true }), seeded(1))
+		require.Zero(t, b.Remaining(testNow, "report"))
+		return b.Next(testNow, broken(func(a *EndedAttempt) { a.Planned = true }), seeded(1))
 	}
 	rules := AllRules()
 	require.Equal(t, Verdict{Again: true}, moved(rules))
@@ -145,7 +145,7 @@
 	b, rng := New(Config{Rules: AllRules()}), seeded(1)
 	pause := timekeeper.Duration(0)
 	for range 20 {
-		pause = max(pause, b.Next(testNow, broken(func(a *Ask) {
+		pause = max(pause, b.Next(testNow, broken(func(a *EndedAttempt) {
 			a.Planned, a.Attempts, a.Result = true, 5, messenger.AttemptRefused
 		}), rng).After)
 	}
@@ -161,7 +161,7 @@
 	}), seeded(1)
 	longest := timekeeper.Duration(0)
 	for range count {
-		v := b.Next(testNow, broken(func(a *Ask) { a.Attempts = attempts }), rng)
+		v := b.Next(testNow, broken(func(a *EndedAttempt) { a.Attempts = attempts }), rng)
 		longest = max(longest, v.After)
 	}
 	return longest
--- a/internal/router/choose.go
+++ b/internal/router/choose.go
@@ -75,9 +75,9 @@
 		}
 	}
 	return Choice{
-		Server:    cs[winner.index].Server,
-		Predicted: winner.predicted.rounded(),
-		Why:       explain(winner, &cs[winner.index], best),
+		Server:      cs[winner.index].Server,
+		Predicted:   winner.predicted.rounded(),
+		Explanation: explain(winner, &cs[winner.index], best),
 	}, true
 }
 
--- a/internal/router/choose_test.go
+++ b/internal/router/choose_test.go
@@ -163,11 +163,11 @@
 			cs := []Candidate{tc.worse, tc.better}
 			chosen, ok := Choose(testNow, tc.job, cs, rules, seeded(1))
 			require.True(t, ok)
-			require.Equal(t, tc.better.Server, chosen.Server, chosen.Why)
+			require.Equal(t, tc.better.Server, chosen.Server, chosen.Explanation)
 			tc.off(&rules)
 			chosen, ok = Choose(testNow, tc.job, cs, rules, seeded(1))
 			require.True(t, ok)
-			require.Equal(t, tc.worse.Server, chosen.Server, chosen.Why)
+			require.Equal(t, tc.worse.Server, chosen.Server, chosen.Explanation)
 		})
 	}
 }
@@ -180,7 +180,7 @@
 	chosen, ok := Choose(testNow, lookup(), []Candidate{leaving, suspect}, AllRules(), seeded(1))
 	require.True(t, ok)
 	require.Equal(t, identifier.VMID("b"), chosen.Server)
-	require.Contains(t, chosen.Why, "only=doubtful")
+	require.Contains(t, chosen.Explanation, "only=doubtful")
 }
 
 // Callers see first tokens come late in bursts. Each of eight nodes finds ten
--- a/internal/router/hints.go
+++ b/internal/router/hints.go
@@ -14,7 +14,7 @@
 // The defaults of a HintsConfig.
 const (
 	DefaultHintsPerServer = 2048
-	DefaultHintsInAll     = 16384
+	DefaultHintsTotal     = 16384
 	DefaultHintHalfLife   = 5 * timekeeper.Minute
 )
 
@@ -34,7 +34,7 @@
 type HintsConfig struct {
 	// PerServer and InAll bound the number of blocks remembered.
 	PerServer int
-	InAll     int
+	Total     int
 	// HalfLife is the age at which a hint counts half.
 	HalfLife timekeeper.Duration
 }
@@ -43,8 +43,8 @@
 	if c.PerServer <= 0 {
 		c.PerServer = DefaultHintsPerServer
 	}
-	if c.InAll <= 0 {
-		c.InAll = DefaultHintsInAll
+	if c.Total <= 0 {
+		c.Total = DefaultHintsTotal
 	}
 	if c.HalfLife <= 0 {
 		c.HalfLife = DefaultHintHalfLife
@@ -86,9 +86,9 @@
 	}
 }
 
-// Learn takes in a server's cache events. A gap before them halves the
+// Observe takes in a server's cache events. A gap before them halves the
 // confidence in all that was known of the server.
-func (h *Hints) Learn(now timekeeper.Time, server identifier.VMID, held, gone []identifier.PrefixHash, gap bool) {
+func (h *Hints) Observe(now timekeeper.Time, server identifier.VMID, held, gone []identifier.PrefixHash, gap bool) {
 	s := h.server(server)
 	if gap {
 		s.gaps++
@@ -109,10 +109,10 @@
 	}
 }
 
-// Hit returns the expected number of leading prompt tokens that the server
+// CachedTokens returns the expected number of leading prompt tokens that the server
 // has cached. A block counts no more than the block before it: an engine can
 // use only an unbroken prefix.
-func (h *Hints) Hit(now timekeeper.Time, server identifier.VMID, prefix []identifier.PrefixHash) identifier.Tokens {
+func (h *Hints) CachedTokens(now timekeeper.Time, server identifier.VMID, prefix []identifier.PrefixHash) identifier.Tokens {
 	s, ok := h.servers[server]
 	if !ok {
 		return 0
@@ -172,7 +172,7 @@
 	if len(s.blocks) > h.config.PerServer {
 		h.dropOldest(s)
 	}
-	if h.count > h.config.InAll {
+	if h.count > h.config.Total {
 		h.dropOldest(h.largest())
 	}
 }
--- a/internal/router/hints_test.go
+++ b/internal/router/hints_test.go
@@ -18,35 +18,35 @@
 
 func TestHintsDecayAndGaps(t *testing.T) {
 	h := NewHints(HintsConfig{})
-	h.Learn(testNow, "a", blocks(0, 10), nil, false)
-	require.Equal(t, 10*BlockTokens, h.Hit(testNow, "a", blocks(0, 12)))
-	require.Zero(t, h.Hit(testNow, "b", blocks(0, 12)))
+	h.Observe(testNow, "a", blocks(0, 10), nil, false)
+	require.Equal(t, 10*BlockTokens, h.CachedTokens(testNow, "a", blocks(0, 12)))
+	require.Zero(t, h.CachedTokens(testNow, "b", blocks(0, 12)))
 	later := testNow.Add(DefaultHintHalfLife)
-	require.Equal(t, 5*BlockTokens, h.Hit(later, "a", blocks(0, 12)), "half after a half-life")
+	require.Equal(t, 5*BlockTokens, h.CachedTokens(later, "a", blocks(0, 12)), "half after a half-life")
 
-	h.Learn(testNow, "a", nil, nil, true)
-	require.Equal(t, 5*BlockTokens, h.Hit(testNow, "a", blocks(0, 12)), "a gap halves what was known")
-	h.Learn(testNow, "a", blocks(0, 10), nil, false)
-	require.Equal(t, 10*BlockTokens, h.Hit(testNow, "a", blocks(0, 12)), "what is heard after the gap is whole")
+	h.Observe(testNow, "a", nil, nil, true)
+	require.Equal(t, 5*BlockTokens, h.CachedTokens(testNow, "a", blocks(0, 12)), "a gap halves what was known")
+	h.Observe(testNow, "a", blocks(0, 10), nil, false)
+	require.Equal(t, 10*BlockTokens, h.CachedTokens(testNow, "a", blocks(0, 12)), "what is heard after the gap is whole")
 
-	h.Learn(testNow, "a", nil, blocks(4, 5), false)
-	require.Equal(t, 4*BlockTokens, h.Hit(testNow, "a", blocks(0, 12)), "a prefix ends at its first missing block")
+	h.Observe(testNow, "a", nil, blocks(4, 5), false)
+	require.Equal(t, 4*BlockTokens, h.CachedTokens(testNow, "a", blocks(0, 12)), "a prefix ends at its first missing block")
 	h.Routed(testNow, "a", blocks(0, 5))
-	require.Greater(t, h.Hit(testNow, "a", blocks(0, 12)), 4*BlockTokens)
+	require.Greater(t, h.CachedTokens(testNow, "a", blocks(0, 12)), 4*BlockTokens)
 	h.Forget("a")
-	require.Zero(t, h.Hit(testNow, "a", blocks(0, 12)))
+	require.Zero(t, h.CachedTokens(testNow, "a", blocks(0, 12)))
 	require.Zero(t, h.Len())
 }
 
 func TestHintsAreBounded(t *testing.T) {
 	h := NewHints(HintsConfig{
 		PerServer: 100,
-		InAll:     150,
+		Total:     150,
 	})
-	h.Learn(testNow, "a", blocks(0, 500), nil, false)
+	h.Observe(testNow, "a", blocks(0, 500), nil, false)
 	require.Equal(t, 100, h.Len())
 	h.Routed(testNow, "b", blocks(0, 500))
 	require.Equal(t, 150, h.Len())
 	require.EqualValues(t, 850, h.Dropped())
-	require.Equal(t, BlockTokens, h.Hit(testNow, "a", blocks(499, 500)), "the newest stay")
+	require.Equal(t, BlockTokens, h.CachedTokens(testNow, "a", blocks(499, 500)), "the newest stay")
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -64,7 +64,7 @@
 
 // Choice is the server chosen and the reason in short.
 type Choice struct {
-	Server    identifier.VMID
-	Predicted Prediction
-	Why       string
+	Server      identifier.VMID
+	Predicted   Prediction
+	Explanation string
 }
