--- a/cmd/dotterelhollow/gateway.go
+++ b/cmd/dotterelhollow/gateway.go
@@ -163,7 +163,7 @@
 		LogRetention:  s.Gateway.LogRetention,
 		Safeguards:    conductor.AllSafeguards(),
 		Gateway: &reducer.GatewayConfig{
-			Duties:      s.Gateway.Cloud.IsValid(),
+			LeaderTasks: s.Gateway.Cloud.IsValid(),
 			UsageWindow: s.Gateway.UsageWindow,
 			UsageLate:   s.Gateway.UsageLate,
 			Share:       s.Gateway.ExposureShare,
--- a/internal/bencher/node.go
+++ b/internal/bencher/node.go
@@ -155,7 +155,7 @@
 		return
 	}
 	free, slots, waiting := n.poolLoad(r.kind.Service.Pool)
-	verdict := n.limits.Admit(now, limiter.Ask{
+	verdict := n.limits.Admit(now, limiter.Request{
 		Account:   r.account,
 		Service:   r.kind.Service.Name,
 		Priority:  r.kind.Service.Priority,
--- a/internal/conductor/ended.go
+++ b/internal/conductor/ended.go
@@ -22,7 +22,7 @@
 		return
 	}
 	if ran || r.joins {
-		w.Quarantine.Ended(w.Now, fingerprint(r.spec), r.server)
+		w.Quarantine.ServerEnded(w.Now, fingerprint(r.spec), r.server)
 	}
 }
 
--- a/internal/conductor/ended_test.go
+++ b/internal/conductor/ended_test.go
@@ -16,7 +16,7 @@
 // endElsewhere lets peers report that servers ended under the request.
 func (f *fixture) endElsewhere(servers ...identifier.VMID) {
 	for _, s := range servers {
-		f.w.Quarantine.Ended(f.w.Now, quarantiner.FingerprintOf("agent", deadly), s)
+		f.w.Quarantine.ServerEnded(f.w.Now, quarantiner.FingerprintOf("agent", deadly), s)
 	}
 }
 
@@ -69,7 +69,7 @@
 	if next, sent := find[messenger.SendAttempt](out); sent {
 		require.NotEqual(t, messenger.StartResume, next.Mode)
 	}
-	news := f.w.Quarantine.News(f.w.Now, false)
+	news := f.w.Quarantine.Updates(f.w.Now, false)
 	require.Len(t, news, 1)
 	require.Len(t, news[0].Ends, 1)
 	require.Equal(t, attempt.Server, news[0].Ends[0].Server)
--- a/internal/conductor/receive.go
+++ b/internal/conductor/receive.go
@@ -59,7 +59,7 @@
 	}
 	free, slots, queued := c.poolLoad(w, r.service.Pool)
 	r.reserved = r.spec.PromptTokens + r.spec.MaxTokens
-	verdict := w.Limits.Admit(w.Now, limiter.Ask{
+	verdict := w.Limits.Admit(w.Now, limiter.Request{
 		Account:   r.spec.Account,
 		Service:   r.spec.Service,
 		Priority:  r.service.Priority,
--- a/internal/dispatcher/choose.go
+++ b/internal/dispatcher/choose.go
@@ -247,7 +247,7 @@
 			continue
 		}
 		k.tokens[i] = d.index.CachedTokens(s.Server, prefix)
-		if _, limited := env.Limits.Of(s.Server); limited {
+		if _, limited := env.Limits.Rate(s.Server); limited {
 			continue // A copy from it would be one more request.
 		}
 		if k.tokens[i] > 0 && (k.most < 0 || k.tokens[i] > k.tokens[k.most]) {
--- a/internal/dispatcher/ended.go
+++ b/internal/dispatcher/ended.go
@@ -30,7 +30,7 @@
 		}
 	case result != messenger.AttemptBroken && result != messenger.AttemptSilent:
 	case serverEnded:
-		env.Quarantine.Ended(env.Now, x.request, server)
+		env.Quarantine.ServerEnded(env.Now, x.request, server)
 	default:
 		d.unexplained.note(env.Now, server, x.request)
 	}
@@ -72,7 +72,7 @@
 func (u unexplained) ended(env Env, server identifier.VMID) {
 	for _, s := range u[server] {
 		if env.Now.Sub(s.at) <= lapseTime {
-			env.Quarantine.Ended(env.Now, s.request, server)
+			env.Quarantine.ServerEnded(env.Now, s.request, server)
 		}
 	}
 	delete(u, server)
--- a/internal/dispatcher/ended_test.go
+++ b/internal/dispatcher/ended_test.go
@@ -243,7 +243,7 @@
 	ask, ok := n.Receive(n.world, spec).(messenger.AskLimit)
 	require.True(t, ok)
 	for i := range 3 {
-		n.world.Quarantine.Ended(n.world.Now, quarantiner.FingerprintOf("agency", 7), serverID(i))
+		n.world.Quarantine.ServerEnded(n.world.Now, quarantiner.FingerprintOf("agency", 7), serverID(i))
 	}
 	got := refusal(t, n.LimitAnswered(n.world, messenger.LimitAnswered{
 		Exchange: ask.Exchange,
--- a/internal/dispatcher/permit.go
+++ b/internal/dispatcher/permit.go
@@ -32,7 +32,7 @@
 			return nil, false
 		}
 		server := c.server.Server
-		rate, limited := env.Limits.Of(server)
+		rate, limited := env.Limits.Rate(server)
 		if !limited {
 			return d.send(env, x, c), true
 		}
@@ -72,7 +72,7 @@
 	var out []identifier.VMID
 	for _, o := range others {
 		server := o.server.Server
-		if _, limited := env.Limits.Of(server); !limited {
+		if _, limited := env.Limits.Rate(server); !limited {
 			return nil
 		}
 		if g := env.PermitAllocator(server); g != nil && g.Node == allocator.Node && len(out) < maxAsked-1 {
--- a/internal/dispatcher/permit_test.go
+++ b/internal/dispatcher/permit_test.go
@@ -13,7 +13,7 @@
 
 // limit lets a server state a limit.
 func (n *node) limit(server identifier.VMID, rate identifier.RequestRate) {
-	n.world.Limits.Heard(n.world.Now, messenger.ServerLimitHeard{
+	n.world.Limits.Observe(n.world.Now, messenger.ServerLimitHeard{
 		Server: server,
 		Sent:   n.world.Now,
 		Limit: messenger.NamedLimit{
--- a/internal/dispatcher/receive.go
+++ b/internal/dispatcher/receive.go
@@ -222,7 +222,7 @@
 	if c.copyFrom != nil {
 		copyFrom = c.copyFrom.Address
 	}
-	_, limited := env.Limits.Of(c.server.Server)
+	_, limited := env.Limits.Rate(c.server.Server)
 	return messenger.SendExchange{
 		CopyFrom:     copyFrom,
 		Limited:      limited,
--- a/internal/limiter/central.go
+++ b/internal/limiter/central.go
@@ -98,15 +98,16 @@
 	}
 }
 
-// SetHeard tells the central node how many of the nodes, itself included, it
-// heard of lately. What it does not hear of may be cut off from it and granting
-// by itself, so that part of the limits is not its own to grant.
+// SetReachable sets the number of nodes, the central node included, from which the
+// central node recently received a message, and the number of all nodes. A node that
+// it does not hear from may be cut off and granting its own part, so the central node
+// must not grant that part.
 //
 // A node grants alone only once it has not heard of the central node for longer
 // than the central node waits before it takes the node's part off. So the parts
 // never sum to more than the larger of alonePart and centralPart + localPart,
 // also while nodes are cut off, killed and restarted.
-func (b *Buckets) SetHeard(heard, nodes int) {
+func (b *Buckets) SetReachable(heard, nodes int) {
 	b.part = centralPart * float64(heard) / float64(max(nodes, heard, 1))
 	b.burst = b.part
 }
--- a/internal/limiter/central_test.go
+++ b/internal/limiter/central_test.go
@@ -77,7 +77,7 @@
 		if g.heardAll {
 			heard = nodes
 		}
-		g.central.SetHeard(heard, nodes)
+		g.central.SetReachable(heard, nodes)
 		for i, local := range g.local {
 			alone := i < cut || !central
 			local.SetNodes(nodes, alone)
@@ -278,7 +278,7 @@
 		span   = 60
 	)
 	central := limiter.NewCentral()
-	central.SetHeard(1, 1)
+	central.SetReachable(1, 1)
 	lookups, refused, tokens := 0, 0, identifier.Tokens(0)
 	for now := grantStart; now.Before(grantStart.Add(span * timekeeper.Second)); now = now.Add(500) {
 		if _, ok := central.Take(now, account, prompt); ok {
@@ -307,7 +307,7 @@
 	}
 	const prompt = identifier.Tokens(9_000)
 	central := limiter.NewCentral()
-	central.SetHeard(grantNodes, grantNodes)
+	central.SetReachable(grantNodes, grantNodes)
 	var nodes []*limiter.Buckets
 	for range grantNodes {
 		nodes = append(nodes, limiter.NewLocal())
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -76,8 +76,8 @@
 	Rules Rules
 }
 
-// Ask is a request that wants to be admitted.
-type Ask struct {
+// Request is a request to admit.
+type Request struct {
 	Account  identifier.AccountID
 	Service  identifier.ServiceName
 	Priority catalog.Priority
@@ -94,7 +94,7 @@
 	Waiting   int
 }
 
-// Verdict is the answer to an Ask. RetryAfter is set on refusal; zero means
+// Verdict is the answer to a Request. RetryAfter is set on refusal; zero means
 // that coming back makes no sense.
 type Verdict struct {
 	OK         bool
@@ -146,7 +146,7 @@
 
 // Admit decides on a request, and takes what it may use from its account's
 // limits if it is admitted.
-func (l *Limits) Admit(now timekeeper.Time, a Ask) Verdict {
+func (l *Limits) Admit(now timekeeper.Time, a Request) Verdict {
 	if l.catalog == nil {
 		return Verdict{
 			Reason:     messenger.ReasonNoConfiguration,
@@ -194,7 +194,7 @@
 	acc.tokens.giveBack(float64(reserved - used))
 }
 
-func (l *Limits) checkDeadline(now timekeeper.Time, a Ask, p *pool) Verdict {
+func (l *Limits) checkDeadline(now timekeeper.Time, a Request, p *pool) Verdict {
 	if !l.rules.Deadline || !now.Add(a.Predicted).After(a.Deadline) {
 		return Verdict{OK: true}
 	}
@@ -205,7 +205,7 @@
 	return v
 }
 
-func (l *Limits) checkAccount(acc *account, spec catalog.Account, a Ask) Verdict {
+func (l *Limits) checkAccount(acc *account, spec catalog.Account, a Request) Verdict {
 	if !l.rules.AccountLimits {
 		return Verdict{OK: true}
 	}
@@ -223,7 +223,7 @@
 	}
 }
 
-func (l *Limits) checkPool(now timekeeper.Time, a Ask, p *pool, e *entry) Verdict {
+func (l *Limits) checkPool(now timekeeper.Time, a Request, p *pool, e *entry) Verdict {
 	if a.Slots <= 0 {
 		return Verdict{OK: true}
 	}
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -44,8 +44,8 @@
 }
 
 // ask is a lookup of account id against an idle pool, changed by edit.
-func ask(id identifier.AccountID, edit func(*Ask)) Ask {
-	a := Ask{
+func ask(id identifier.AccountID, edit func(*Request)) Request {
+	a := Request{
 		Account:   id,
 		Service:   "portal",
 		Priority:  catalog.Interactive,
@@ -64,8 +64,8 @@
 
 func TestRefusalsNameTheirReason(t *testing.T) {
 	require.Equal(t, messenger.ReasonNoConfiguration, New(Config{}).Admit(testNow, ask("a0", nil)).Reason)
-	tight := func(a *Ask) { a.Deadline = testNow.Add(a.Predicted - 1) }
-	check := func(name string, want messenger.Reason, back bool, off func(*Rules), edit func(*Ask)) {
+	tight := func(a *Request) { a.Deadline = testNow.Add(a.Predicted - 1) }
+	check := func(name string, want messenger.Reason, back bool, off func(*Rules), edit func(*Request)) {
 		t.Helper()
 		rules := AllRules()
 		l := newLimits(rules, testCatalog(1, 100, 100))
@@ -84,19 +84,19 @@
 		tight)
 	check("deadline out of reach of a full pool", messenger.ReasonDeadline, true,
 		func(r *Rules) { r.Deadline, r.Shed = false, false },
-		func(a *Ask) { tight(a); a.FreeSlots = 0 })
+		func(a *Request) { tight(a); a.FreeSlots = 0 })
 	check("batch work asks for the reserve", messenger.ReasonOverload, true,
 		func(r *Rules) { r.Reserve = false },
-		func(a *Ask) { a.Priority, a.FreeSlots = catalog.Batch, 10 })
+		func(a *Request) { a.Priority, a.FreeSlots = catalog.Batch, 10 })
 	check("everything is shed when the queue is as long as the pool", messenger.ReasonOverload, true,
 		func(r *Rules) { r.Shed = false },
-		func(a *Ask) { a.FreeSlots, a.Waiting = 0, 80 })
+		func(a *Request) { a.FreeSlots, a.Waiting = 0, 80 })
 }
 
 func TestRefusedWorkTakesNothingFromTheLimit(t *testing.T) {
 	l := newLimits(AllRules(), testCatalog(1, 1, 2))
 	for range 20 {
-		v := l.Admit(testNow, ask("a0", func(a *Ask) { a.FreeSlots, a.Waiting = 0, 80 }))
+		v := l.Admit(testNow, ask("a0", func(a *Request) { a.FreeSlots, a.Waiting = 0, 80 }))
 		require.Equal(t, messenger.ReasonOverload, v.Reason)
 	}
 	require.True(t, l.Admit(testNow, ask("a0", nil)).OK)
@@ -108,14 +108,14 @@
 
 func TestSettleGivesUnusedTokensBack(t *testing.T) {
 	l := newLimits(AllRules(), testCatalog(1, 10, 10))
-	whole := ask("a0", func(a *Ask) { a.Tokens = 10_000 })
+	whole := ask("a0", func(a *Request) { a.Tokens = 10_000 })
 	require.True(t, l.Admit(testNow, whole).OK)
 	require.False(t, l.Admit(testNow, whole).OK)
 	l.Settle(testNow, "a0", 10_000, 0)
 	require.True(t, l.Admit(testNow, whole).OK)
 	l.Settle(testNow, "a0", 10_000, 500)
 	require.True(t, l.Admit(testNow, whole).OK, "a bucket that is not empty goes into debt by one request")
-	v := l.Admit(testNow, ask("a0", func(a *Ask) { a.Tokens = 1 }))
+	v := l.Admit(testNow, ask("a0", func(a *Request) { a.Tokens = 1 }))
 	require.Equal(t, messenger.ReasonAccountLimit, v.Reason)
 	// 501 tokens are missing, at 10,000 a second and a tenth more.
 	require.InDelta(t, 0.0456, float64(l.accounts["a0"].tokens.wait(1, 0))/1000, 0.001)
@@ -157,10 +157,10 @@
 	for _, n := range []int{5, 400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			l := newLimits(AllRules(), testCatalog(n, 1000, 1000))
-			asks := make([]Ask, n)
+			asks := make([]Request, n)
 			peers := make(map[identifier.VMID]map[identifier.AccountID]Demand)
 			for i := range asks {
-				asks[i] = ask(identifier.AccountID(fmt.Sprintf("a%d", i)), func(a *Ask) { a.FreeSlots, a.Waiting = 0, 20 })
+				asks[i] = ask(identifier.AccountID(fmt.Sprintf("a%d", i)), func(a *Request) { a.FreeSlots, a.Waiting = 0, 20 })
 				peers[identifier.VMID(fmt.Sprintf("peer%d", i))] = map[identifier.AccountID]Demand{asks[i].Account: {Requests: 1}}
 			}
 			l.SetPeers(testNow, peers)
--- a/internal/limiter/pool.go
+++ b/internal/limiter/pool.go
@@ -100,7 +100,7 @@
 
 // note adds an ask to the pool's use. What the account's limit refuses never
 // gets here: shedding it would relieve the pool of nothing.
-func (p *pool) note(now timekeeper.Time, a Ask) *entry {
+func (p *pool) note(now timekeeper.Time, a Request) *entry {
 	key := entryKey{
 		account: a.Account,
 		service: a.Service,
@@ -144,7 +144,7 @@
 
 // valueOf is the penalty that admitting the request saves, by second of slot
 // time: one that will be late anyway saves nothing.
-func valueOf(a Ask) float64 {
+func valueOf(a Request) float64 {
 	work := max(a.Predicted.Seconds(), timekeeper.Millisecond.Seconds())
 	return float64(a.Target.Penalty) * onTime(a.Predicted, a.Target.Completion) / work
 }
@@ -164,7 +164,7 @@
 // Long batch requests hold a slot for minutes. Filling the last slots with
 // them makes lookups wait for one to end, which their callers take for an
 // outage; so the last slots stay free for what is short and urgent.
-func (p *pool) reserved(a Ask) bool {
+func (p *pool) reserved(a Request) bool {
 	if a.Priority >= catalog.Interactive || p.interactive == 0 {
 		return false
 	}
@@ -180,7 +180,7 @@
 // An overload lasts as long as new servers take to load. Work with minutes to
 // spare that is told the time in which a queue drains is back at once, is
 // refused again, and its caller gives up while it could still be in time.
-func patience(a Ask) timekeeper.Duration {
+func patience(a Request) timekeeper.Duration {
 	spare := a.Target.Completion - a.Predicted
 	if a.Target.FirstToken > 0 {
 		spare = min(spare, a.Target.FirstToken)
@@ -189,13 +189,13 @@
 }
 
 // drainTime is the time in which the pool works off what waits.
-func (p *pool) drainTime(a Ask) timekeeper.Duration {
+func (p *pool) drainTime(a Request) timekeeper.Duration {
 	ms := float64(a.Waiting+1) / float64(max(a.Slots, 1)) * p.serviceTime
 	return min(max(timekeeper.Duration(ms), minRetry, patience(a)), maxRetry)
 }
 
 // sheds reports whether overload costs this request its admission.
-func (p *pool) sheds(now timekeeper.Time, l *Limits, a Ask, e *entry) bool {
+func (p *pool) sheds(now timekeeper.Time, l *Limits, a Request, e *entry) bool {
 	pressure := float64(a.Slots-a.FreeSlots+a.Waiting) / float64(a.Slots)
 	part := min(max((pressure-shedFrom)/(shedAll-shedFrom), 0), 1)
 	if part == 0 {
--- a/internal/limiter/pool_test.go
+++ b/internal/limiter/pool_test.go
@@ -37,7 +37,7 @@
 		at := testNow.Add(timekeeper.Duration(round) * 50)
 		for _, o := range work {
 			for range o.each {
-				v := l.Admit(at, ask(o.account, func(a *Ask) {
+				v := l.Admit(at, ask(o.account, func(a *Request) {
 					a.FreeSlots, a.Waiting = 0, waiting
 					a.Target.Penalty = o.penalty
 				}))
@@ -95,7 +95,7 @@
 		for range 200 {
 			at = at.Add(timekeeper.Duration(rapid.IntRange(0, 100).Draw(t, "pause")))
 			priority := catalog.Priority(rapid.IntRange(0, 2).Draw(t, "priority"))
-			v := l.Admit(at, ask("a1", func(a *Ask) {
+			v := l.Admit(at, ask("a1", func(a *Request) {
 				a.Priority, a.FreeSlots = priority, slots-busy
 				a.Predicted = 10 * timekeeper.Second
 			}))
--- a/internal/limiter/share.go
+++ b/internal/limiter/share.go
@@ -221,7 +221,7 @@
 }
 
 // note adds one request to the demand.
-func (a *account) note(ask Ask) {
+func (a *account) note(ask Request) {
 	a.demand.Requests += 1 / demandWindow.Seconds()
 	a.demand.Tokens += float64(ask.Tokens) / demandWindow.Seconds()
 	worth := worthOf(ask)
@@ -242,6 +242,6 @@
 // The requests of one account compete for its limit, and the limit says nothing
 // of which to refuse. In a crowd of lookups a report would be refused like any
 // of them, at a hundred times the penalty.
-func (a *account) costly(ask Ask) bool { return worthOf(ask) >= a.worth+math.Log(costlyRatio) }
+func (a *account) costly(ask Request) bool { return worthOf(ask) >= a.worth+math.Log(costlyRatio) }
 
-func worthOf(ask Ask) float64 { return math.Log(max(float64(ask.Target.Penalty), 1)) }
+func worthOf(ask Request) float64 { return math.Log(max(float64(ask.Target.Penalty), 1)) }
--- a/internal/limiter/share_test.go
+++ b/internal/limiter/share_test.go
@@ -73,7 +73,7 @@
 	admitted := 0
 	for _, l := range c.nodes {
 		for range each {
-			if l.Admit(c.at, ask("a0", func(a *Ask) { a.Tokens = identifier.Tokens(tokens) })).OK {
+			if l.Admit(c.at, ask("a0", func(a *Request) { a.Tokens = identifier.Tokens(tokens) })).OK {
 				admitted++
 			}
 		}
@@ -90,7 +90,7 @@
 		for i, l := range c.nodes {
 			due := perSecond[i]*int(passed+step)/1000 - perSecond[i]*int(passed)/1000
 			for range due {
-				if l.Admit(c.at, ask("a0", func(a *Ask) { a.Tokens = 1 })).OK {
+				if l.Admit(c.at, ask("a0", func(a *Request) { a.Tokens = 1 })).OK {
 					admitted[i]++
 				}
 			}
@@ -222,7 +222,7 @@
 func TestPlainCallsPassWithoutTokens(t *testing.T) {
 	l := newLimits(AllRules(), testCatalog(1, 10, 10))
 	tokens := func(n identifier.Tokens) Verdict {
-		return l.Admit(testNow, ask("a0", func(a *Ask) { a.Tokens = n }))
+		return l.Admit(testNow, ask("a0", func(a *Request) { a.Tokens = n }))
 	}
 	require.True(t, tokens(50_000).OK)
 	require.Equal(t, messenger.ReasonAccountLimit, tokens(1).Reason)
@@ -238,7 +238,7 @@
 		for i := range 2000 {
 			at = at.Add(10)
 			l.Admit(at, ask("a0", nil))
-			if i%20 == 0 && l.Admit(at, ask("a0", func(a *Ask) { a.Target.Penalty = 100 * identifier.Coin })).OK {
+			if i%20 == 0 && l.Admit(at, ask("a0", func(a *Request) { a.Target.Penalty = 100 * identifier.Coin })).OK {
 				served++
 			}
 		}
--- a/internal/prover/exchange_world_test.go
+++ b/internal/prover/exchange_world_test.go
@@ -327,7 +327,7 @@
 			LogRetention:  20 * timekeeper.Second,
 			Safeguards:    conductor.AllSafeguards(),
 			Gateway: &reducer.GatewayConfig{
-				Duties:      true,
+				LeaderTasks: true,
 				UsageWindow: 2 * timekeeper.Second,
 				UsageLate:   8 * timekeeper.Second,
 				Share:       exposureShare,
--- a/internal/quarantiner/cost_test.go
+++ b/internal/quarantiner/cost_test.go
@@ -14,7 +14,7 @@
 	q := quarantiner.New()
 	for r := range 1024 {
 		for s := range 8 {
-			q.Ended(start.Add(timekeeper.Duration(s)), identifier.Fingerprint(r+1), server(s+8*(r%100)))
+			q.ServerEnded(start.Add(timekeeper.Duration(s)), identifier.Fingerprint(r+1), server(s+8*(r%100)))
 		}
 	}
 	return q
@@ -43,7 +43,7 @@
 		q.Refuses(now, 1)
 		for i := 0; b.Loop(); i++ {
 			now = now.Add(1)
-			q.Ended(now, identifier.Fingerprint(i%1024+1), server(10_000+i))
+			q.ServerEnded(now, identifier.Fingerprint(i%1024+1), server(10_000+i))
 			q.Refuses(now, 1)
 		}
 	})
@@ -52,7 +52,7 @@
 		now := start.Add(timekeeper.Minute)
 		for b.Loop() {
 			now = now.Add(500)
-			q.News(now, true)
+			q.Updates(now, true)
 		}
 	})
 }
--- a/internal/quarantiner/news.go
+++ b/internal/quarantiner/news.go
@@ -28,22 +28,22 @@
 	seenStep = 15 * timekeeper.Second
 )
 
-// ToTell reports whether peers should hear soon of what this node found, and forgets
-// that.
-func (q *Quarantine) ToTell() bool {
+// PendingUpdates reports whether this node found something since the last call that
+// peers should receive soon.
+func (q *Quarantine) PendingUpdates() bool {
 	tell := q.toTell
 	q.toTell = false
 	return tell
 }
 
-// News returns what peers are told now: what changed lately, of what this node found
+// Updates returns what peers are told now: what changed lately, of what this node found
 // itself, or of all where it passes on news for others; and some of the requests under
 // which several servers ended.
 //
 // Of more than a message has, those told least come first: where a fixed order said
 // which, a query of death among sixty requests of each server that ended could stay
 // untold by every node.
-func (q *Quarantine) News(now timekeeper.Time, passOn bool) []messenger.SuspectRequest {
+func (q *Quarantine) Updates(now timekeeper.Time, passOn bool) []messenger.SuspectRequest {
 	if len(q.records) == 0 {
 		return nil
 	}
@@ -136,14 +136,14 @@
 	return s
 }
 
-// Learn takes in what a peer knows.
-func (q *Quarantine) Learn(now timekeeper.Time, suspects []messenger.SuspectRequest) {
+// Merge applies what a peer reported.
+func (q *Quarantine) Merge(now timekeeper.Time, suspects []messenger.SuspectRequest) {
 	for _, s := range suspects {
-		q.learn(now, s)
+		q.merge(now, s)
 	}
 }
 
-func (q *Quarantine) learn(now timekeeper.Time, s messenger.SuspectRequest) {
+func (q *Quarantine) merge(now timekeeper.Time, s messenger.SuspectRequest) {
 	known := q.records[s.Request] != nil
 	old := s.SeenAge >= forgetAfter
 	if s.Request == 0 || old || !known && len(s.Ends) == 0 {
--- a/internal/quarantiner/quarantiner.go
+++ b/internal/quarantiner/quarantiner.go
@@ -109,8 +109,8 @@
 	return identifier.Fingerprint(h.Sum64())
 }
 
-// Ended notes that a server of this node's ended under a request.
-func (q *Quarantine) Ended(now timekeeper.Time, request identifier.Fingerprint, server identifier.VMID) {
+// ServerEnded records that a server ended while it ran a request of this node.
+func (q *Quarantine) ServerEnded(now timekeeper.Time, request identifier.Fingerprint, server identifier.VMID) {
 	if request == 0 {
 		return
 	}
--- a/internal/quarantiner/quarantiner_test.go
+++ b/internal/quarantiner/quarantiner_test.go
@@ -29,7 +29,7 @@
 func endUnder(q *quarantiner.Quarantine, now timekeeper.Time, f identifier.Fingerprint, servers ...int) timekeeper.Time {
 	for _, i := range servers {
 		now = now.Add(timekeeper.Second)
-		q.Ended(now, f, server(i))
+		q.ServerEnded(now, f, server(i))
 	}
 	return now
 }
@@ -38,7 +38,7 @@
 	q := quarantiner.New()
 	book := quarantiner.FingerprintOf("agency", 42)
 	for i := range 3 {
-		q.Ended(start, book, server(i))
+		q.ServerEnded(start, book, server(i))
 	}
 	again, refused := q.Refuses(start, book)
 	fmt.Println(refused, again)
@@ -57,7 +57,7 @@
 func TestThirdServerIsOneTooMany(t *testing.T) {
 	q := quarantiner.New()
 	now := endUnder(q, start, query, 1, 2)
-	q.Ended(now, query, server(2))
+	q.ServerEnded(now, query, server(2))
 	require.False(t, refuses(q, now, query), "the same server counts once")
 	now = endUnder(q, now, query, 3)
 	require.True(t, refuses(q, now, query))
@@ -80,7 +80,7 @@
 	q := quarantiner.New()
 	now := endUnder(q, start, query, 1, 2, 3, 4)
 	for i := 2; i <= 4; i++ {
-		q.Ended(now, other, server(i))
+		q.ServerEnded(now, other, server(i))
 	}
 	require.False(t, refuses(q, now, other))
 	require.True(t, refuses(q, now, query))
@@ -103,7 +103,7 @@
 
 	peer := quarantiner.New()
 	endUnder(peer, start, query, 1, 2, 3)
-	peer.Learn(now, q.News(now, false))
+	peer.Merge(now, q.Updates(now, false))
 	require.False(t, refuses(peer, now, query), "a peer hears that it was answered")
 }
 
@@ -112,19 +112,19 @@
 func TestEndsCountOverAllNodes(t *testing.T) {
 	nodes := []*quarantiner.Quarantine{quarantiner.New(), quarantiner.New(), quarantiner.New()}
 	for i, q := range nodes {
-		q.Ended(start, query, server(i))
-		require.True(t, q.ToTell())
-		require.False(t, q.ToTell())
+		q.ServerEnded(start, query, server(i))
+		require.True(t, q.PendingUpdates())
+		require.False(t, q.PendingUpdates())
 	}
 	now := start.Add(100)
 	for _, from := range nodes {
 		for _, to := range nodes {
-			to.Learn(now, from.News(now, false))
+			to.Merge(now, from.Updates(now, false))
 		}
 	}
 	for _, q := range nodes {
 		require.True(t, refuses(q, now, query))
-		require.False(t, q.ToTell(), "what a peer told needs not be told at once")
+		require.False(t, q.PendingUpdates(), "what a peer told needs not be told at once")
 	}
 }
 
@@ -133,9 +133,9 @@
 func TestNewsReachesNodeThatWasCutOff(t *testing.T) {
 	q, cut, third := quarantiner.New(), quarantiner.New(), quarantiner.New()
 	now := endUnder(q, start, query, 1, 2, 3).Add(timekeeper.Minute)
-	cut.Learn(now, q.News(now, false))
+	cut.Merge(now, q.Updates(now, false))
 	require.True(t, refuses(cut, now, query))
-	third.Learn(now, cut.News(now, false))
+	third.Merge(now, cut.Updates(now, false))
 	require.True(t, refuses(third, now, query))
 }
 
@@ -148,8 +148,8 @@
 	const way = 20 * timekeeper.Millisecond
 	for range 1300 {
 		now = now.Add(500)
-		b.Learn(now.Add(way), a.News(now, true))
-		a.Learn(now.Add(2*way), b.News(now.Add(way), true))
+		b.Merge(now.Add(way), a.Updates(now, true))
+		a.Merge(now.Add(2*way), b.Updates(now.Add(way), true))
 		a.Tick(now)
 		b.Tick(now)
 	}
@@ -177,14 +177,14 @@
 	now := endUnder(q, start, query, 1, 2, 3)
 	for s := range 100 {
 		for r := range 60 {
-			q.Ended(now, identifier.Fingerprint(1000+60*s+r), server(100+s))
+			q.ServerEnded(now, identifier.Fingerprint(1000+60*s+r), server(100+s))
 		}
 	}
-	require.LessOrEqual(t, len(q.News(now, true)), 34)
+	require.LessOrEqual(t, len(q.Updates(now, true)), 34)
 	require.LessOrEqual(t, len(q.All(now)), 256)
 	require.True(t, refuses(q, now, query))
 	later := now.Add(5 * timekeeper.Second)
-	require.Len(t, q.News(later, true), 1, "old single ends are not told again and again")
+	require.Len(t, q.Updates(later, true), 1, "old single ends are not told again and again")
 	for i := range 200 {
 		f := identifier.Fingerprint(50_000 + i)
 		endUnder(q, now, f, 1000+3*i, 1001+3*i, 1002+3*i)
@@ -193,7 +193,7 @@
 	later = later.Add(5 * timekeeper.Second)
 	for range 20 {
 		later = later.Add(500)
-		news := q.News(later, true)
+		news := q.Updates(later, true)
 		require.LessOrEqual(t, len(news), 34)
 		for _, s := range news {
 			told[s.Request] = true
@@ -209,11 +209,11 @@
 func TestAllRequestsOfAServerAreTold(t *testing.T) {
 	q := quarantiner.New()
 	for r := range 60 {
-		q.Ended(start, identifier.Fingerprint(1000+r), server(1))
+		q.ServerEnded(start, identifier.Fingerprint(1000+r), server(1))
 	}
 	told := map[identifier.Fingerprint]bool{}
 	for tell := range timekeeper.Duration(4) {
-		for _, s := range q.News(start.Add(500*tell), false) {
+		for _, s := range q.Updates(start.Add(500*tell), false) {
 			told[s.Request] = true
 		}
 	}
@@ -228,7 +228,7 @@
 		{Server: "i-2"},
 		{Server: "i-3"},
 	}
-	q.Learn(start, []messenger.SuspectRequest{
+	q.Merge(start, []messenger.SuspectRequest{
 		{
 			Ends: ends,
 		},
@@ -250,24 +250,24 @@
 func TestSnapshot(t *testing.T) {
 	q := quarantiner.New()
 	q.Tick(start)
-	_, due, err := q.StoreDue(start)
+	_, due, err := q.SnapshotDue(start)
 	require.NoError(t, err)
 	require.False(t, due, "nothing is refused")
 	now := endUnder(q, start, query, 1, 2, 3)
 	q.Tick(now)
-	data, due, err := q.StoreDue(now)
+	data, due, err := q.SnapshotDue(now)
 	require.NoError(t, err)
 	require.True(t, due)
-	_, due, _ = q.StoreDue(now)
+	_, due, _ = q.SnapshotDue(now)
 	require.False(t, due, "one is on its way")
 	now = now.Add(2 * timekeeper.Second)
-	_, due, _ = q.StoreDue(now)
+	_, due, _ = q.SnapshotDue(now)
 	require.True(t, due, "that one may have been lost")
-	q.Stored()
+	q.SnapshotStored()
 	for range 100 {
 		now = now.Add(2 * timekeeper.Second)
 		refuses(q, now, query)
-		_, due, _ = q.StoreDue(now)
+		_, due, _ = q.SnapshotDue(now)
 		require.False(t, due, "it stands")
 	}
 
@@ -277,12 +277,12 @@
 		Appended: start.Add(3 * timekeeper.Second),
 		Data:     data,
 	}
-	require.NoError(t, again.Absorb(now, []messenger.Record{record}))
+	require.NoError(t, again.ApplyRecords(now, []messenger.Record{record}))
 	require.True(t, refuses(again, now, query))
 	late := quarantiner.New()
-	require.NoError(t, late.Absorb(start.Add(timekeeper.Hour), []messenger.Record{record}))
+	require.NoError(t, late.ApplyRecords(start.Add(timekeeper.Hour), []messenger.Record{record}))
 	require.False(t, refuses(late, start.Add(timekeeper.Hour), query), "nobody has asked for it since")
 	record.Data = []byte("[")
-	require.Error(t, again.Absorb(now, []messenger.Record{record}))
+	require.Error(t, again.ApplyRecords(now, []messenger.Record{record}))
 	require.True(t, refuses(again, now, query))
 }
--- a/internal/quarantiner/snapshot.go
+++ b/internal/quarantiner/snapshot.go
@@ -47,9 +47,9 @@
 	SeenAgoMS int64    `json:"seen_ago_ms"`
 }
 
-// StoreDue returns a record of the requests that are refused, where the log does not
-// have one that says the same.
-func (q *Quarantine) StoreDue(now timekeeper.Time) ([]byte, bool, error) {
+// SnapshotDue returns a record of the refused requests if the newest one in the log
+// differs.
+func (q *Quarantine) SnapshotDue(now timekeeper.Time) ([]byte, bool, error) {
 	if now.Before(q.kept.next) {
 		return nil, false, nil
 	}
@@ -71,8 +71,8 @@
 	return data, err == nil, err
 }
 
-// Stored notes that the record sent last stands.
-func (q *Quarantine) Stored() { q.kept.stored = q.kept.sent }
+// SnapshotStored records that the snapshot sent last was appended.
+func (q *Quarantine) SnapshotStored() { q.kept.stored = q.kept.sent }
 
 // Restored takes in that the log may have lost the newest record: it is due again.
 func (q *Quarantine) Restored() {
@@ -106,8 +106,8 @@
 	return s
 }
 
-// Absorb takes in the records of the stream, of which the newest counts.
-func (q *Quarantine) Absorb(now timekeeper.Time, records []messenger.Record) error {
+// ApplyRecords applies records of the stream. Only the newest counts.
+func (q *Quarantine) ApplyRecords(now timekeeper.Time, records []messenger.Record) error {
 	if len(records) == 0 {
 		return nil
 	}
@@ -120,7 +120,7 @@
 	q.kept.stored = map[identifier.Fingerprint]timekeeper.Time{}
 	for _, s := range saved[:min(len(saved), maxStored)] {
 		suspect := s.suspect(since)
-		q.learn(now, suspect)
+		q.merge(now, suspect)
 		q.kept.stored[suspect.Request] = now.Add(-suspect.SeenAge)
 	}
 	return nil
--- a/internal/reducer/duty.go
+++ b/internal/reducer/duty.go
@@ -57,7 +57,7 @@
 		})
 	}
 	out = append(out, r.noteTenure(w)...)
-	if !g.config.Duties {
+	if !g.config.LeaderTasks {
 		return out
 	}
 	out = append(out, r.tickUsage(w)...)
@@ -93,7 +93,7 @@
 
 func (r *Reducer) tickUsage(w *conductor.World) []messenger.Effect {
 	g := r.gateway
-	if !g.config.Duties {
+	if !g.config.LeaderTasks {
 		return nil
 	}
 	out := g.usage.Rewrite(w.Now)
--- a/internal/reducer/gateway.go
+++ b/internal/reducer/gateway.go
@@ -104,9 +104,9 @@
 
 // GatewayConfig sets up a node that serves opaque exchanges.
 type GatewayConfig struct {
-	// Duties tells that the platform takes orders for servers and reports of
-	// usage.
-	Duties      bool
+	// LeaderTasks makes the holder of the lease order servers from the platform and
+	// report usage to it.
+	LeaderTasks bool
 	UsageWindow timekeeper.Duration
 	UsageLate   timekeeper.Duration
 	// Share is the part of a service's requests that a version which is not trusted
--- a/internal/reducer/quarantine.go
+++ b/internal/reducer/quarantine.go
@@ -19,7 +19,7 @@
 // tellEndsSoon lets peers hear soon of a server that ended under a request: by then
 // its caller may have sent it to one of them.
 func (r *Reducer) tellEndsSoon(w *conductor.World) {
-	if !r.quarantine.ToTell() {
+	if !r.quarantine.PendingUpdates() {
 		return
 	}
 	next := &r.timers.nextSuspects
@@ -39,7 +39,7 @@
 	peers := slices.Clone(r.ranking.Peers())
 	// Where nodes are many, what a node hears it passes on.
 	passOn := len(peers) > sharePeers
-	suspects := r.quarantine.News(w.Now, passOn)
+	suspects := r.quarantine.Updates(w.Now, passOn)
 	if len(suspects) == 0 {
 		return nil
 	}
@@ -77,7 +77,7 @@
 	if !r.keepsQuarantine(w.Now) {
 		return out
 	}
-	data, due, err := r.quarantine.StoreDue(w.Now)
+	data, due, err := r.quarantine.SnapshotDue(w.Now)
 	if err != nil {
 		return append(out, r.quarantineUnreadable(err))
 	}
@@ -128,7 +128,7 @@
 
 // quarantineRead takes in the requests that were refused before this node started.
 func (r *Reducer) quarantineRead(w *conductor.World, e messenger.LogRead) []messenger.Effect {
-	if err := r.quarantine.Absorb(w.Now, e.Records); err != nil {
+	if err := r.quarantine.ApplyRecords(w.Now, e.Records); err != nil {
 		return []messenger.Effect{r.quarantineUnreadable(err)}
 	}
 	return nil
@@ -136,6 +136,6 @@
 
 func (r *Reducer) quarantineAppended(e messenger.AppendEnded) {
 	if e.Stream == quarantiner.Stream && e.OK {
-		r.quarantine.Stored()
+		r.quarantine.SnapshotStored()
 	}
 }
--- a/internal/reducer/reducer.go
+++ b/internal/reducer/reducer.go
@@ -233,7 +233,7 @@
 		return nil
 
 	case messenger.ShareReceived:
-		r.quarantine.Learn(w.Now, b.Share.Suspects)
+		r.quarantine.Merge(w.Now, b.Share.Suspects)
 		return r.gatewayEvent(w, b)
 	case messenger.ExchangeReceived, messenger.ExchangeBegan, messenger.ExchangeAttemptEnded,
 		messenger.ExchangeEnded, messenger.CatalogPublished, messenger.CatalogConfirmed,
--- a/internal/reducer/serverlimit.go
+++ b/internal/reducer/serverlimit.go
@@ -37,7 +37,7 @@
 
 // serverLimitHeard takes in what a server's answer to this node states of its limit.
 func (r *Reducer) serverLimitHeard(w *conductor.World, e messenger.ServerLimitHeard) []messenger.Effect {
-	change, changed := r.gateway.limits.Heard(w.Now, e)
+	change, changed := r.gateway.limits.Observe(w.Now, e)
 	if !changed {
 		return nil
 	}
@@ -52,7 +52,7 @@
 		if s, known := r.gateway.servers.Server(l.Server); !known || s.State == messenger.ServerRemoved {
 			continue
 		}
-		if change, changed := r.gateway.limits.Learn(w.Now, l); changed {
+		if change, changed := r.gateway.limits.Merge(w.Now, l); changed {
 			out = append(out, limitNote(change))
 		}
 	}
@@ -80,12 +80,12 @@
 		return messenger.Note{
 			Kind:   "server_limit_lifted",
 			VM:     c.Server,
-			Detail: fmt.Sprintf("direct=%t", c.Found),
+			Detail: fmt.Sprintf("direct=%t", c.Direct),
 		}
 	}
 	return messenger.Note{
 		Kind:   "server_limited",
 		VM:     c.Server,
-		Detail: fmt.Sprintf("requests_per_second=%g direct=%t", c.Rate, c.Found),
+		Detail: fmt.Sprintf("requests_per_second=%g direct=%t", c.Rate, c.Direct),
 	}
 }
--- a/internal/reducer/share.go
+++ b/internal/reducer/share.go
@@ -201,8 +201,8 @@
 		ConfigurationAge: now.Sub(g.confirmed),
 		Revision:         g.revision(),
 		Kept:             g.exchanges.CachedPrefixUpdates(now),
-		Suspects:         g.quarantine.News(now, g.relaySince != 0),
-		Limits:           g.limits.News(now, g.relaySince != 0),
+		Suspects:         g.quarantine.Updates(now, g.relaySince != 0),
+		Limits:           g.limits.Updates(now, g.relaySince != 0),
 		Rollouts:         g.versions.News(now),
 	}
 	if fence, _, held := g.leases.Held(dutyLease, now); held {
--- a/internal/reducer/suspects_test.go
+++ b/internal/reducer/suspects_test.go
@@ -39,7 +39,7 @@
 			cut := f.ids[nodes-1]
 			f.down[cut] = true
 			for i := range 3 {
-				f.nodes[f.ids[i]].quarantine.Ended(f.now, query, identifier.VMID(fmt.Sprintf("i-%d", i)))
+				f.nodes[f.ids[i]].quarantine.ServerEnded(f.now, query, identifier.VMID(fmt.Sprintf("i-%d", i)))
 			}
 			f.run(suspectNews)
 			require.Equal(t, nodes-1, f.refusing(query))
@@ -61,7 +61,7 @@
 	for server := range 20 {
 		for request := range 60 {
 			n := f.nodes[f.ids[request%nodes]]
-			n.quarantine.Ended(f.now, identifier.Fingerprint(1000+60*server+request), identifier.VMID(fmt.Sprintf("i-%d", server)))
+			n.quarantine.ServerEnded(f.now, identifier.Fingerprint(1000+60*server+request), identifier.VMID(fmt.Sprintf("i-%d", server)))
 		}
 	}
 	most, told := 0, 0
--- a/internal/reducer/view.go
+++ b/internal/reducer/view.go
@@ -14,9 +14,9 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// AddressKeep is how long a caller may keep a list of addresses. It bounds how
-// long callers still come to a node that has left.
-const AddressKeep = 5 * timekeeper.Second
+// AddressMaxAge is the time for which a caller may cache a list of addresses. It bounds
+// the time for which callers still connect to a node that has left.
+const AddressMaxAge = 5 * timekeeper.Second
 
 // View is what this node sees of the system, for operators.
 type View struct {
--- a/internal/runner/addresses.go
+++ b/internal/runner/addresses.go
@@ -33,7 +33,7 @@
 	r.ask(context.Background(), func() {
 		nodes = r.config.Reducer.Addresses(r.clock.Now(), account)
 	})
-	return nodeAddresses(shardOf(nodes, rand.Shuffle)), reducer.AddressKeep
+	return nodeAddresses(shardOf(nodes, rand.Shuffle)), reducer.AddressMaxAge
 }
 
 // shardOf returns the part of an account's nodes, best first, that its callers
--- a/internal/throttler/news.go
+++ b/internal/throttler/news.go
@@ -26,9 +26,9 @@
 	limits []messenger.ServerLimit
 }
 
-// News returns the report to peers: what changed lately, of what answers to this node
+// Updates returns the report to peers: what changed lately, of what answers to this node
 // state, or of all where it passes on news for others; and some of the rest in turn.
-func (t *Table) News(now timekeeper.Time, passOn bool) []messenger.ServerLimit {
+func (t *Table) Updates(now timekeeper.Time, passOn bool) []messenger.ServerLimit {
 	if len(t.servers) == 0 {
 		return nil
 	}
@@ -96,10 +96,10 @@
 	return out
 }
 
-// Learn takes in what a peer knows of a server, and reports a change. What says the same
-// as is known is passed over: the time that a message takes would make it look newer
-// each time that two nodes tell one another.
-func (t *Table) Learn(now timekeeper.Time, l messenger.ServerLimit) (Change, bool) {
+// Merge applies a server's limit that a peer reported, and reports whether it is a
+// change. A report that repeats a known limit is ignored: the transit time of the
+// message would make the limit look newer with each exchange between two nodes.
+func (t *Table) Merge(now timekeeper.Time, l messenger.ServerLimit) (Change, bool) {
 	next := record{
 		server:  l.Server,
 		limited: l.Limited,
--- a/internal/throttler/permits.go
+++ b/internal/throttler/permits.go
@@ -59,7 +59,7 @@
 func (p *Permits) TakeAny(now timekeeper.Time, t *Table, limits []messenger.ServerLimit) messenger.PermitAnswered {
 	answer := messenger.PermitAnswered{RetryAfter: timekeeper.Minute}
 	for _, l := range limits {
-		rate, limited := t.Of(l.Server)
+		rate, limited := t.Rate(l.Server)
 		if !limited {
 			return messenger.PermitAnswered{Server: l.Server}
 		}
--- a/internal/throttler/permits_test.go
+++ b/internal/throttler/permits_test.go
@@ -96,15 +96,15 @@
 func TestOlderNewsChangesNothing(t *testing.T) {
 	table := throttler.New()
 	now := start.Add(timekeeper.Second)
-	_, changed := table.Learn(now, reported("i-1", true, 500))
+	_, changed := table.Merge(now, reported("i-1", true, 500))
 	require.True(t, changed)
-	_, changed = table.Learn(now, reported("i-1", false, 600))
+	_, changed = table.Merge(now, reported("i-1", false, 600))
 	require.False(t, changed)
-	_, changed = table.Learn(now, reported("i-1", false, 400))
+	_, changed = table.Merge(now, reported("i-1", false, 400))
 	require.True(t, changed)
-	_, changed = table.Learn(now, reported("i-1", true, 450))
+	_, changed = table.Merge(now, reported("i-1", true, 450))
 	require.False(t, changed)
-	_, limited := table.Of("i-1")
+	_, limited := table.Rate("i-1")
 	require.False(t, limited)
 }
 
@@ -114,7 +114,7 @@
 	const servers = 90
 	for i := range servers {
 		server := identifier.VMID(rune('a'+i%26)) + identifier.VMID(rune('a'+i/26))
-		table.Heard(start, messenger.ServerLimitHeard{
+		table.Observe(start, messenger.ServerLimitHeard{
 			Server: server,
 			Limit: messenger.NamedLimit{
 				Named: true,
@@ -126,7 +126,7 @@
 	heard := map[identifier.VMID]bool{}
 	for range 12 {
 		now = now.Add(500)
-		news := table.News(now, false)
+		news := table.Updates(now, false)
 		require.LessOrEqual(t, len(news), 8)
 		for _, l := range news {
 			heard[l.Server] = true
@@ -137,20 +137,20 @@
 
 func TestNewsOfChanges(t *testing.T) {
 	table := throttler.New()
-	table.Learn(start, reported("i-1", true, 0))
-	table.Heard(start, messenger.ServerLimitHeard{
+	table.Merge(start, reported("i-1", true, 0))
+	table.Observe(start, messenger.ServerLimitHeard{
 		Server: "i-2",
 		Limit:  messenger.NamedLimit{Named: true},
 	})
-	require.Len(t, table.News(start.Add(1), true), 2)
-	table.Heard(start.Add(10), messenger.ServerLimitHeard{
+	require.Len(t, table.Updates(start.Add(1), true), 2)
+	table.Observe(start.Add(10), messenger.ServerLimitHeard{
 		Server: "i-2",
 		Sent:   start.Add(5),
 	})
-	require.Contains(t, table.News(start.Add(11), false), messenger.ServerLimit{
+	require.Contains(t, table.Updates(start.Add(11), false), messenger.ServerLimit{
 		Server: "i-2",
 		Age:    6,
 	})
 	table.Tick(start.Add(timekeeper.Minute))
-	require.Len(t, table.News(start.Add(timekeeper.Minute), true), 1, "what was lifted long ago is forgotten")
+	require.Len(t, table.Updates(start.Add(timekeeper.Minute), true), 1, "what was lifted long ago is forgotten")
 }
--- a/internal/throttler/table.go
+++ b/internal/throttler/table.go
@@ -33,8 +33,7 @@
 	// is when the request was sent whose answer states none: the server was asked no
 	// earlier than that.
 	at timekeeper.Time
-	// changed is when this node learned of it, and found tells that an answer to this
-	// node states it.
+	// changed is when this node learned of the limit.
 	changed timekeeper.Time
 	found   bool
 	// paused is until when there is no permit for this node.
@@ -46,8 +45,8 @@
 	Server  identifier.VMID
 	Limited bool
 	Rate    identifier.RequestRate
-	// Found tells that an answer to this node states it.
-	Found bool
+	// Direct reports whether an answer to this node stated the limit.
+	Direct bool
 }
 
 // New returns an empty table.
@@ -55,11 +54,12 @@
 	return &Table{servers: map[identifier.VMID]*record{}}
 }
 
-// Heard takes in what an answer states, and reports a change.
+// Observe applies what a server's answer states of its limit, and reports whether it
+// is a change.
 //
 // An answer without a limit lifts one only if its request was sent after the limit was
 // last stated: the answers of a server overtake one another.
-func (t *Table) Heard(now timekeeper.Time, e messenger.ServerLimitHeard) (Change, bool) {
+func (t *Table) Observe(now timekeeper.Time, e messenger.ServerLimitHeard) (Change, bool) {
 	if e.Limit.Named {
 		return t.put(now, record{
 			server:  e.Server,
@@ -101,7 +101,7 @@
 		Server:  next.server,
 		Limited: next.limited,
 		Rate:    next.rate,
-		Found:   next.found,
+		Direct:  next.found,
 	}, true
 }
 
@@ -110,8 +110,8 @@
 	return r.limited != other.limited || max(r.rate, other.rate) > min(r.rate, other.rate)*(1+rateStep)
 }
 
-// Of returns the rate that a server accepts from all nodes, and whether it states one.
-func (t *Table) Of(server identifier.VMID) (identifier.RequestRate, bool) {
+// Rate returns the rate that a server accepts from all nodes, and whether it states one.
+func (t *Table) Rate(server identifier.VMID) (identifier.RequestRate, bool) {
 	r := t.servers[server]
 	if r == nil || !r.limited {
 		return 0, false
--- a/internal/throttler/table_test.go
+++ b/internal/throttler/table_test.go
@@ -28,46 +28,46 @@
 
 func TestHeard(t *testing.T) {
 	table := throttler.New()
-	_, changed := table.Heard(start.Add(20), answer(10, -1))
+	_, changed := table.Observe(start.Add(20), answer(10, -1))
 	require.False(t, changed, "nothing is known")
-	change, changed := table.Heard(start.Add(30), answer(10, 1))
+	change, changed := table.Observe(start.Add(30), answer(10, 1))
 	require.True(t, changed)
 	require.Equal(t, throttler.Change{
 		Server:  "i-1",
 		Limited: true,
 		Rate:    1,
-		Found:   true,
+		Direct:  true,
 	}, change)
-	_, changed = table.Heard(start.Add(40), answer(30, 1.05))
+	_, changed = table.Observe(start.Add(40), answer(30, 1.05))
 	require.False(t, changed, "about the same rate")
-	_, changed = table.Heard(start.Add(50), answer(45, 4))
+	_, changed = table.Observe(start.Add(50), answer(45, 4))
 	require.True(t, changed)
-	rate, limited := table.Of("i-1")
+	rate, limited := table.Rate("i-1")
 	require.True(t, limited)
 	require.InDelta(t, 4, float64(rate), 1e-9)
-	change, changed = table.Heard(start.Add(70), answer(60, -1))
+	change, changed = table.Observe(start.Add(70), answer(60, -1))
 	require.True(t, changed)
 	require.False(t, change.Limited)
-	_, limited = table.Of("i-1")
+	_, limited = table.Rate("i-1")
 	require.False(t, limited)
 }
 
 // A slow answer from before the limit arrives after one that states it, and would lift it.
 func TestOvertakenAnswerLiftsNothing(t *testing.T) {
 	table := throttler.New()
-	table.Heard(start.Add(30), answer(10, 1))
-	_, changed := table.Heard(start.Add(40), answer(5, -1))
+	table.Observe(start.Add(30), answer(10, 1))
+	_, changed := table.Observe(start.Add(40), answer(5, -1))
 	require.False(t, changed)
-	_, changed = table.Heard(start.Add(45), answer(30, -1))
+	_, changed = table.Observe(start.Add(45), answer(30, -1))
 	require.False(t, changed)
-	_, limited := table.Of("i-1")
+	_, limited := table.Rate("i-1")
 	require.True(t, limited)
 }
 
 func TestForget(t *testing.T) {
 	table := throttler.New()
-	table.Heard(start, answer(0, 1))
+	table.Observe(start, answer(0, 1))
 	table.Forget("i-1")
-	_, limited := table.Of("i-1")
+	_, limited := table.Rate("i-1")
 	require.False(t, limited)
 }
