--- a/internal/bencher/cloud.go
+++ b/internal/bencher/cloud.go
@@ -73,7 +73,7 @@
 		for _, a := range c.scalers[p.Name].Plan(0, in, c.world.rng) {
 			s := c.create(p.Name, a)
 			s.readyAt = 0
-			c.scalers[p.Name].Ended(0, a.ClientToken, scaler.Result{VM: s.state.VM})
+			c.scalers[p.Name].PurchaseEnded(0, a.ClientToken, scaler.PurchaseResult{VM: s.state.VM})
 		}
 	}
 }
@@ -91,7 +91,7 @@
 			prompt := float64(k.Prompt[0]+k.Prompt[1]) / 2
 			busy = k.Rate * (answer/expectedPace + prompt/p.PrefillPerSecond)
 		}
-		d.Busy += busy
+		d.InFlight += busy
 		if k.Service.Priority == catalog.Interactive {
 			d.Interactive += busy
 		}
@@ -121,7 +121,7 @@
 			Servers:   c.list(p.Name),
 			Demand:    c.demand(p.Name),
 		}
-		c.watchers[p.Name].Watch(c.world.now, in)
+		c.watchers[p.Name].Observe(c.world.now, in)
 		for _, a := range s.Plan(c.world.now, in, c.world.rng) {
 			c.carryOut(p.Name, a)
 		}
@@ -150,12 +150,12 @@
 	var d scaler.Demand
 	for _, s := range c.world.pools[pool] {
 		if load, ok := s.load(c.world.now); ok && s.ready(c.world.now) {
-			d.Busy += float64(load.Running + load.Waiting)
+			d.InFlight += float64(load.Running + load.Waiting)
 		}
 	}
 	for _, n := range c.world.nodes {
 		d.Arrivals += n.arrived[pool]
-		d.AtStake += n.atStake[pool]
+		d.TotalPenalty += n.atStake[pool]
 		n.arrived[pool], n.atStake[pool] = 0, 0
 		for _, r := range n.live {
 			if r.kind.Service.Pool == pool && r.kind.Service.Priority == catalog.Interactive {
@@ -176,16 +176,16 @@
 	lost := c.world.rng.IntN(100) < lostPercent
 	c.world.after(buyTime, func() {
 		if refused {
-			asker.Ended(c.world.now, a.ClientToken, scaler.Result{Refused: true})
+			asker.PurchaseEnded(c.world.now, a.ClientToken, scaler.PurchaseResult{Refused: true})
 			c.world.tally.refusedVMs++
 			return
 		}
 		s := c.create(pool, a)
 		if lost {
-			asker.Ended(c.world.now, a.ClientToken, scaler.Result{Ambiguous: true})
+			asker.PurchaseEnded(c.world.now, a.ClientToken, scaler.PurchaseResult{Ambiguous: true})
 			return
 		}
-		asker.Ended(c.world.now, a.ClientToken, scaler.Result{VM: s.state.VM})
+		asker.PurchaseEnded(c.world.now, a.ClientToken, scaler.PurchaseResult{VM: s.state.VM})
 	})
 }
 
--- a/internal/bencher/wave.go
+++ b/internal/bencher/wave.go
@@ -33,7 +33,7 @@
 // planPool plans for this node's streams on the leaving servers of a pool.
 func (n *node) planPool(pool identifier.PoolName) {
 	leaving := make(map[identifier.VMID]timekeeper.Time)
-	var rooms []planner.Room
+	var rooms []planner.Headroom
 	running := 0
 	for _, s := range n.world.pools[pool] {
 		if !n.knows(s) {
@@ -55,7 +55,7 @@
 	rules := n.world.variant.Planner
 	if n.world.variant.ShareWave {
 		part := n.part(len(streams), running)
-		rooms = part.Rooms(rooms)
+		rooms = part.Headroom(rooms)
 		rules.LinkShare = part.LinkShare()
 	}
 	for _, m := range planner.PlanWave(n.world.now, leaving, rate, streams, rooms, rules) {
@@ -63,11 +63,11 @@
 	}
 }
 
-func (n *node) part(own, running int) planner.Part {
-	p := planner.Part{
-		Self:    n.id,
-		Own:     own,
-		Running: running,
+func (n *node) part(own, running int) planner.NodeShare {
+	p := planner.NodeShare{
+		Self:         n.id,
+		OwnStreams:   own,
+		TotalStreams: running,
 	}
 	for _, peer := range n.world.nodes {
 		p.Nodes = append(p.Nodes, peer.id)
@@ -75,8 +75,8 @@
 	return p
 }
 
-func (n *node) room(s *server, v *view) planner.Room {
-	return planner.Room{
+func (n *node) room(s *server, v *view) planner.Headroom {
+	return planner.Headroom{
 		Server:   s.state.VM,
 		Zone:     s.state.Zone,
 		Slots:    max(0, s.pool.Slots-max(v.own, v.load.Running)-v.load.Waiting),
@@ -118,10 +118,10 @@
 		Server:           s.state.VM,
 		Zone:             s.state.Zone,
 		Remaining:        max(r.max-delivered, 0),
-		Pace:             s.pace(),
+		TokensPerSecond:  s.pace(),
 		PrefillPerSecond: s.pool.PrefillPerSecond,
 		Context:          r.context(),
-		KV:               identifier.Bytes(r.context()) * s.pool.KVBytesPerToken,
+		KVBytes:          identifier.Bytes(r.context()) * s.pool.KVBytesPerToken,
 		Penalty:          r.kind.Target.Penalty,
 		Target:           r.arrival.Add(r.kind.Target.Completion),
 		Deadline:         r.deadline,
--- a/internal/conductor/adopt.go
+++ b/internal/conductor/adopt.go
@@ -9,25 +9,25 @@
 
 // NodeDead adopts the requests of a dead owner whose copies this node holds,
 // and finds new holders for the requests whose copies died with the node.
-func (c *Conductor) NodeDead(w *World, vm identifier.VMID) []messenger.Effect {
+func (c *Conductor) NodeDead(env *Env, vm identifier.VMID) []messenger.Effect {
 	var out []messenger.Effect
 	if c.config.Safeguards.AdoptCopies {
 		for _, held := range c.copiesOf(vm) {
-			out = append(out, c.adopt(w, held)...)
+			out = append(out, c.adopt(env, held)...)
 		}
 	}
-	return append(out, c.holderLost(w, vm)...)
+	return append(out, c.holderLost(env, vm)...)
 }
 
 // NodeLeaving finds new holders before the holder goes.
-func (c *Conductor) NodeLeaving(w *World, vm identifier.VMID) []messenger.Effect {
-	return c.holderLost(w, vm)
+func (c *Conductor) NodeLeaving(env *Env, vm identifier.VMID) []messenger.Effect {
+	return c.holderLost(env, vm)
 }
 
 // adopt makes this node the owner of a request whose owner died. It resumes
 // the engine's stream, whose name the copy carries, so that nothing is
 // computed twice where the engine lives.
-func (c *Conductor) adopt(w *World, held *heldCopy) []messenger.Effect {
+func (c *Conductor) adopt(env *Env, held *heldCopy) []messenger.Effect {
 	c.counters.Adopted++
 	epoch := held.epoch + takeoverStep
 	out := []messenger.Effect{
@@ -36,7 +36,7 @@
 			Epoch:   epoch,
 		},
 	}
-	return append(out, c.takeOver(w, takenRequest{
+	return append(out, c.takeOver(env, takenRequest{
 		spec:      held.spec,
 		epoch:     epoch,
 		attempt:   held.attempt,
@@ -62,20 +62,20 @@
 }
 
 // takeOver makes this node the owner of t and goes on with it.
-func (c *Conductor) takeOver(w *World, t takenRequest) []messenger.Effect {
+func (c *Conductor) takeOver(env *Env, t takenRequest) []messenger.Effect {
 	delete(c.copies, t.spec.Request)
-	r := c.own(w, t)
+	r := c.own(env, t)
 	out := []messenger.Effect{c.note(t.how, r, fmt.Sprintf("from=%s delivered=%d", t.from, t.delivered))}
-	out = append(out, c.protect(w, r)...)
-	if w.Catalog == nil {
+	out = append(out, c.protect(env, r)...)
+	if env.Catalog == nil {
 		return out // advanceWaiting starts it once the configuration is known.
 	}
-	server, known := w.Members.Server(t.server)
+	server, known := env.Members.Server(t.server)
 	if !known || !r.model() {
-		return append(out, c.startAttempt(w, r)...)
+		return append(out, c.startAttempt(env, r)...)
 	}
 	r.markRejoined()
-	return append(out, c.sendAttempt(w, r, plannedAttempt{
+	return append(out, c.sendAttempt(env, r, plannedAttempt{
 		server:     server,
 		mode:       messenger.StartResume,
 		stream:     t.stream,
@@ -85,8 +85,8 @@
 
 // own puts t into the table of this node's requests. Another node may have
 // sent it, so it is taken to have run.
-func (c *Conductor) own(w *World, t takenRequest) *request {
-	s, _ := service(w, t.spec.Service)
+func (c *Conductor) own(env *Env, t takenRequest) *request {
+	s, _ := service(env, t.spec.Service)
 	r := newRequest(t.spec, s)
 	r.accepted = true
 	r.mayHaveRun = true
@@ -94,7 +94,7 @@
 	r.becomeOwner(t.epoch, t.attempt)
 	r.hold.confirm = t.confirm
 	r.delivered = t.delivered
-	r.retryAt = w.Now
+	r.retryAt = env.Now
 	c.requests[t.spec.Request] = r
 	return r
 }
@@ -102,13 +102,13 @@
 // protect gives a request that was taken over a holder of this node's own. The
 // peer that handed a long request over is told so only once the copy stands:
 // were it told before, the death of this node would lose the request.
-func (c *Conductor) protect(w *World, r *request) []messenger.Effect {
+func (c *Conductor) protect(env *Env, r *request) []messenger.Effect {
 	if !r.spec.Long {
 		return c.confirm(r)
 	}
-	out, ok := c.sendHold(w, r)
+	out, ok := c.sendHold(env, r)
 	if !ok {
-		r.hold.againAt = w.Now.Add(holdAgain)
+		r.hold.againAt = env.Now.Add(holdAgain)
 		return c.goUnprotected(r)
 	}
 	return out
--- a/internal/conductor/attempt.go
+++ b/internal/conductor/attempt.go
@@ -38,22 +38,22 @@
 
 // startAttempt sends the next attempt to the server that the router chooses. A request
 // that waited, or was taken over, may be refused everywhere by now.
-func (c *Conductor) startAttempt(w *World, r *request) []messenger.Effect {
-	if after, refused := w.Quarantine.Refuses(w.Now, fingerprint(r.spec)); refused {
-		return c.endQuarantined(w, r, after)
+func (c *Conductor) startAttempt(env *Env, r *request) []messenger.Effect {
+	if after, refused := env.Quarantine.Refuses(env.Now, fingerprint(r.spec)); refused {
+		return c.endQuarantined(env, r, after)
 	}
 	if r.service.Name == "" {
 		// A request taken over before this node knew its configuration.
-		r.service, _ = service(w, r.spec.Service)
+		r.service, _ = service(env, r.spec.Service)
 	}
-	choice, ok := c.choose(w, r)
+	choice, ok := c.choose(env, r)
 	if !ok {
-		return c.pause(w, r)
+		return c.pause(env, r)
 	}
 	r.expected = choice.Predicted.Completion
 	r.perToken = choice.Predicted.PerToken
-	server, _ := w.Members.Server(choice.Server)
-	out := c.sendAttempt(w, r, plannedAttempt{
+	server, _ := env.Members.Server(choice.Server)
+	out := c.sendAttempt(env, r, plannedAttempt{
 		server:     server,
 		mode:       r.startMode(),
 		stream:     identifier.Stream(r.spec.Request, r.attempt+1),
@@ -72,22 +72,22 @@
 }
 
 // pause waits for a server to come back, or for the list to show a new one.
-func (c *Conductor) pause(w *World, r *request) []messenger.Effect {
+func (c *Conductor) pause(env *Env, r *request) []messenger.Effect {
 	r.phase = waiting
 	r.server = ""
-	jitter := timekeeper.Duration(w.Rand.Int64N(int64(noServerPause)))
-	r.retryAt = w.Now.Add(noServerPause + jitter)
+	jitter := timekeeper.Duration(env.Rand.Int64N(int64(noServerPause)))
+	r.retryAt = env.Now.Add(noServerPause + jitter)
 	r.failedServers = map[identifier.VMID]bool{}
 	r.failedZones = map[identifier.Zone]bool{}
 	return nil
 }
 
 // sendAttempt makes p the current attempt of r.
-func (c *Conductor) sendAttempt(w *World, r *request, p plannedAttempt) []messenger.Effect {
-	r.begin(w.Now, p)
+func (c *Conductor) sendAttempt(env *Env, r *request, p plannedAttempt) []messenger.Effect {
+	r.begin(env.Now, p)
 	c.countAttempt(r, p)
-	c.observe(w, r, detector.Sent, 0, 0)
-	w.Hints.Routed(w.Now, r.server, r.spec.Prefix)
+	c.observe(env, r, detector.Sent, 0, 0)
+	env.Hints.Routed(env.Now, r.server, r.spec.Prefix)
 	return []messenger.Effect{
 		messenger.SendAttempt{
 			Request:      r.spec.Request,
@@ -99,7 +99,7 @@
 			From:         r.delivered,
 			Priority:     r.service.Priority,
 			Deadline:     r.spec.Deadline,
-			FirstSilence: c.firstSilence(w, r, p.firstToken),
+			FirstSilence: c.firstSilence(env, r, p.firstToken),
 			NextSilence:  detector.NextSilence(r.perToken),
 		},
 		c.note("attempt_sent", r, fmt.Sprintf("mode=%s from=%d stream=%s", p.mode, r.delivered, r.stream)),
@@ -128,9 +128,9 @@
 // firstSilence bounds the wait for the first byte. A plain call that may not
 // be repeated is waited for to its deadline: to give it up earlier would turn
 // a slow answer into an unknown one, with nothing else to try.
-func (c *Conductor) firstSilence(w *World, r *request, firstToken timekeeper.Duration) timekeeper.Duration {
+func (c *Conductor) firstSilence(env *Env, r *request, firstToken timekeeper.Duration) timekeeper.Duration {
 	if !r.model() && !r.spec.Idempotent {
-		return r.spec.Deadline.Sub(w.Now)
+		return r.spec.Deadline.Sub(env.Now)
 	}
 	return detector.FirstSilence(firstToken)
 }
--- a/internal/conductor/caller.go
+++ b/internal/conductor/caller.go
@@ -6,16 +6,16 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// CallerGone notes that no caller follows the request any more.
-func (c *Conductor) CallerGone(w *World, id identifier.RequestID) []messenger.Effect {
+// CallerDisconnected records that the request's last caller has disconnected.
+func (c *Conductor) CallerDisconnected(env *Env, id identifier.RequestID) []messenger.Effect {
 	if r, known := c.requests[id]; known {
-		r.callerGoneAt = w.Now
+		r.callerGoneAt = env.Now
 	}
 	return nil
 }
 
-// CallerAttached notes that a caller follows the request again.
-func (c *Conductor) CallerAttached(_ *World, id identifier.RequestID) []messenger.Effect {
+// CallerAttached records that a caller is connected to the request again.
+func (c *Conductor) CallerAttached(_ *Env, id identifier.RequestID) []messenger.Effect {
 	if r, known := c.requests[id]; known {
 		r.callerGoneAt = timekeeper.Never
 	}
--- a/internal/conductor/claim.go
+++ b/internal/conductor/claim.go
@@ -32,24 +32,24 @@
 // beginClaim appends the claim of a request's key. Nothing leaves for a
 // backend server before the claim was read back as the first of its key:
 // another node may have been asked for the same key, and both would run it.
-func (c *Conductor) beginClaim(w *World, r *request) []messenger.Effect {
-	if entry, known := w.Claims.Lookup(r.spec.Account, r.spec.Key); known && c.settles(entry) {
-		return c.answerFromEntry(w, r, entry)
+func (c *Conductor) beginClaim(env *Env, r *request) []messenger.Effect {
+	if entry, known := env.Claims.Lookup(r.spec.Account, r.spec.Key); known && c.settles(entry) {
+		return c.answerFromEntry(env, r, entry)
 	}
 	c.nonces++
 	nonce := identifier.Nonce(fmt.Sprintf("%s.%d.%d", c.config.Self, c.config.Incarnation, c.nonces))
-	stream, record, err := w.Claims.Begin(w.Now, r.spec.Request, r.spec.Account, r.spec.Key, nonce, r.service.KeyWindow)
+	stream, record, err := env.Claims.Begin(env.Now, r.spec.Request, r.spec.Account, r.spec.Key, nonce, r.service.KeyWindow)
 	if err != nil {
 		// The table is full or the log is out. Running unclaimed could run
 		// the key twice, and holding the caller would not help it.
-		return c.refuse(w, r, notRun(messenger.ReasonLogUnavailable, retryAfterLogOut))
+		return c.refuse(env, r, notRun(messenger.ReasonLogUnavailable, retryAfterLogOut))
 	}
 	r.phase = claiming
 	r.claim = claimState{
 		nonce:    nonce,
 		stream:   stream,
-		giveUpAt: w.Now.Add(claimPatience),
-		againAt:  w.Now.Add(claimAgain),
+		giveUpAt: env.Now.Add(claimPatience),
+		againAt:  env.Now.Add(claimAgain),
 	}
 	return []messenger.Effect{
 		messenger.AppendRecord{
@@ -68,18 +68,18 @@
 }
 
 // retryClaim appends an unanswered claim again and gives up an overdue one.
-func (c *Conductor) retryClaim(w *World, r *request) []messenger.Effect {
-	if !w.Now.Before(r.claim.giveUpAt) || w.Claims.Out(w.Now, r.claim.stream) {
-		return c.refuse(w, r, notRun(messenger.ReasonLogUnavailable, retryAfterLogOut))
+func (c *Conductor) retryClaim(env *Env, r *request) []messenger.Effect {
+	if !env.Now.Before(r.claim.giveUpAt) || env.Claims.Out(env.Now, r.claim.stream) {
+		return c.refuse(env, r, notRun(messenger.ReasonLogUnavailable, retryAfterLogOut))
 	}
-	if w.Now.Before(r.claim.againAt) {
+	if env.Now.Before(r.claim.againAt) {
 		return nil
 	}
-	again, ok := w.Claims.Again(r.spec.Request)
+	again, ok := env.Claims.Again(r.spec.Request)
 	if !ok {
 		return nil
 	}
-	r.claim.againAt = w.Now.Add(claimAgain)
+	r.claim.againAt = env.Now.Add(claimAgain)
 	return []messenger.Effect{
 		messenger.AppendRecord{
 			Stream: again.Stream,
@@ -89,23 +89,23 @@
 }
 
 // ClaimsDecided goes on with requests whose claims the log has settled.
-func (c *Conductor) ClaimsDecided(w *World, decisions []claimer.Decision) []messenger.Effect {
+func (c *Conductor) ClaimsDecided(env *Env, decisions []claimer.Decision) []messenger.Effect {
 	var out []messenger.Effect
 	for _, d := range decisions {
 		r, known := c.requests[d.Request]
 		if !known || r.phase != claiming {
 			continue
 		}
-		out = append(out, c.claimDecided(w, r, d)...)
+		out = append(out, c.claimDecided(env, r, d)...)
 	}
 	return out
 }
 
-func (c *Conductor) claimDecided(w *World, r *request, d claimer.Decision) []messenger.Effect {
+func (c *Conductor) claimDecided(env *Env, r *request, d claimer.Decision) []messenger.Effect {
 	if d.Unsettled {
 		// An earlier claim of the key may have expired unread, and may have
 		// run: the request is neither sent nor called not_run.
-		return c.refuse(w, r, messenger.Refusal{
+		return c.refuse(env, r, messenger.Refusal{
 			Reason:     messenger.ReasonLogUnavailable,
 			Outcome:    messenger.Unknown,
 			RetryAfter: retryAfterLogOut,
@@ -120,19 +120,19 @@
 			},
 			c.note("claim_lost", r, fmt.Sprintf("winner=%s", d.Winner)),
 		}
-		c.remove(w, r, 0)
+		c.remove(env, r, 0)
 		return out
 	}
 	r.claim.won = true
 	out := []messenger.Effect{c.note("claim_won", r, "")}
 	if c.draining {
-		return append(out, c.refuse(w, r, notRun(messenger.ReasonLeaving, retryAfterLeaving))...)
+		return append(out, c.refuse(env, r, notRun(messenger.ReasonLeaving, retryAfterLeaving))...)
 	}
-	return append(out, c.afterClaim(w, r)...)
+	return append(out, c.afterClaim(env, r)...)
 }
 
 // answerFromEntry answers a request whose key the log has already given away.
-func (c *Conductor) answerFromEntry(w *World, r *request, e claimer.Entry) []messenger.Effect {
+func (c *Conductor) answerFromEntry(env *Env, r *request, e claimer.Entry) []messenger.Effect {
 	out := []messenger.Effect{
 		messenger.AnswerFrom{
 			Request:  r.spec.Request,
@@ -141,7 +141,7 @@
 		},
 		c.note("claim_known", r, fmt.Sprintf("winner=%s", e.Winner)),
 	}
-	c.remove(w, r, 0)
+	c.remove(env, r, 0)
 	return out
 }
 
@@ -149,8 +149,8 @@
 // anything ran, so that the caller's next try is not blocked by it. Only the
 // claimant may do so: it alone knows that nothing ran. The table of claims
 // appends the release itself, until it is read back.
-func (c *Conductor) releaseClaim(w *World, r *request) {
+func (c *Conductor) releaseClaim(env *Env, r *request) {
 	if r.claim.nonce != "" {
-		w.Claims.Release(r.spec.Request)
+		env.Claims.Release(r.spec.Request)
 	}
 }
--- a/internal/conductor/conductor.go
+++ b/internal/conductor/conductor.go
@@ -26,7 +26,7 @@
 //
 // The package decides and does nothing: its methods change the Conductor's
 // tables and return effects. It reads the other slices of the state through a
-// World, which the reducer fills for each event.
+// Env, which the reducer fills for each event.
 package conductor
 
 import (
@@ -130,53 +130,53 @@
 }
 
 // Tick moves every request whose time has come.
-func (c *Conductor) Tick(w *World) []messenger.Effect {
+func (c *Conductor) Tick(env *Env) []messenger.Effect {
 	var out []messenger.Effect
 	for _, r := range c.sortedRequests() {
-		out = append(out, c.advance(w, r)...)
+		out = append(out, c.advance(env, r)...)
 	}
-	out = append(out, c.dropOverdueCopies(w)...)
-	out = append(out, c.adoptOrphans(w)...)
-	return append(out, c.advanceDrain(w)...)
+	out = append(out, c.dropOverdueCopies(env)...)
+	out = append(out, c.adoptOrphans(env)...)
+	return append(out, c.advanceDrain(env)...)
 }
 
 // advance does what is due for r: its deadline first, then the work of its
 // phase.
-func (c *Conductor) advance(w *World, r *request) []messenger.Effect {
-	if !w.Now.Before(r.spec.Deadline) {
-		return c.expire(w, r)
+func (c *Conductor) advance(env *Env, r *request) []messenger.Effect {
+	if !env.Now.Before(r.spec.Deadline) {
+		return c.expire(env, r)
 	}
 	switch r.phase {
 	case claiming:
-		return c.retryClaim(w, r)
+		return c.retryClaim(env, r)
 	case holding:
-		return c.checkFirstHold(w, r)
+		return c.checkFirstHold(env, r)
 	case waiting:
-		return c.advanceWaiting(w, r)
+		return c.advanceWaiting(env, r)
 	case running:
-		return c.advanceRunning(w, r)
+		return c.advanceRunning(env, r)
 	}
 	return nil
 }
 
-func (c *Conductor) advanceWaiting(w *World, r *request) []messenger.Effect {
-	out := c.keepHeld(w, r)
-	if yielded := c.yieldLongStall(w, r); yielded != nil {
+func (c *Conductor) advanceWaiting(env *Env, r *request) []messenger.Effect {
+	out := c.keepHeld(env, r)
+	if yielded := c.yieldLongStall(env, r); yielded != nil {
 		return append(out, yielded...)
 	}
-	if w.Now.Before(r.retryAt) {
+	if env.Now.Before(r.retryAt) {
 		return out
 	}
-	return append(out, c.startAttempt(w, r)...)
+	return append(out, c.startAttempt(env, r)...)
 }
 
-func (c *Conductor) advanceRunning(w *World, r *request) []messenger.Effect {
-	if r.abandoned(w.Now) {
-		return c.cancel(w, r)
+func (c *Conductor) advanceRunning(env *Env, r *request) []messenger.Effect {
+	if r.abandoned(env.Now) {
+		return c.cancel(env, r)
 	}
-	out := c.keepHeld(w, r)
-	if yielded := c.yieldLongStall(w, r); yielded != nil {
+	out := c.keepHeld(env, r)
+	if yielded := c.yieldLongStall(env, r); yielded != nil {
 		return append(out, yielded...)
 	}
-	return append(out, c.startDueMove(w, r)...)
+	return append(out, c.startDueMove(env, r)...)
 }
--- a/internal/conductor/copy.go
+++ b/internal/conductor/copy.go
@@ -28,14 +28,14 @@
 // itself for the owner, the peer came after it: two nodes that both went on
 // would answer one caller from different states, and two that both yielded
 // would leave it without an answer, so the larger epoch decides.
-func (c *Conductor) CopyHeld(w *World, e messenger.CopyHeld) []messenger.Effect {
+func (c *Conductor) CopyHeld(env *Env, e messenger.CopyHeld) []messenger.Effect {
 	var out []messenger.Effect
 	if r, own := c.requests[e.Spec.Request]; own {
 		if !c.config.Safeguards.LaterOwner {
 			return nil
 		}
 		out = append(out, c.note("superseded", r, fmt.Sprintf("owner=%s", e.Owner)))
-		out = append(out, c.leaveTo(w, r, e.Owner)...)
+		out = append(out, c.leaveTo(env, r, e.Owner)...)
 	}
 	if c.copies[e.Spec.Request] == nil && len(c.copies) >= c.config.MaxCopies {
 		c.counters.CopiesRefused++
@@ -49,13 +49,13 @@
 		server:    e.Server,
 		stream:    e.Stream,
 		delivered: e.Delivered,
-		heldAt:    w.Now,
+		heldAt:    env.Now,
 	}
 	return out
 }
 
 // CopyDropped forgets the copy of a request that has ended.
-func (c *Conductor) CopyDropped(_ *World, e messenger.CopyDropped) []messenger.Effect {
+func (c *Conductor) CopyDropped(_ *Env, e messenger.CopyDropped) []messenger.Effect {
 	delete(c.copies, e.Request)
 	return nil
 }
@@ -79,19 +79,19 @@
 //   - Those of an owner that is silent while this node itself is leaving. By
 //     the time that the owner is declared dead, they would be gone with this
 //     node.
-func (c *Conductor) adoptOrphans(w *World) []messenger.Effect {
+func (c *Conductor) adoptOrphans(env *Env) []messenger.Effect {
 	if !c.config.Safeguards.AdoptCopies {
 		return nil
 	}
-	rescue := c.draining && w.Now.Add(rescueTime).After(c.drainBy)
+	rescue := c.draining && env.Now.Add(rescueTime).After(c.drainBy)
 	var out []messenger.Effect
 	for _, id := range slices.Sorted(maps.Keys(c.copies)) {
 		held := c.copies[id]
-		owner, known := w.Members.Node(held.owner)
-		dead := known && owner.State == gossiper.Dead && w.Now.Sub(held.heldAt) >= copyGrace
-		silent := known && rescue && w.Now.Sub(max(owner.LastHeard, held.heldAt)) >= rescueSilence
+		owner, known := env.Members.Node(held.owner)
+		dead := known && owner.State == gossiper.Dead && env.Now.Sub(held.heldAt) >= copyGrace
+		silent := known && rescue && env.Now.Sub(max(owner.LastHeard, held.heldAt)) >= rescueSilence
 		if dead || silent {
-			out = append(out, c.adopt(w, held)...)
+			out = append(out, c.adopt(env, held)...)
 		}
 	}
 	return out
@@ -101,10 +101,10 @@
 // Nothing is owed of them any more, and an owner that died after its answer
 // had ended, or whose word to drop the copy was lost, would leave its copies
 // here until the table is full.
-func (c *Conductor) dropOverdueCopies(w *World) []messenger.Effect {
+func (c *Conductor) dropOverdueCopies(env *Env) []messenger.Effect {
 	var out []messenger.Effect
 	for _, id := range slices.Sorted(maps.Keys(c.copies)) {
-		if w.Now.Before(c.copies[id].spec.Deadline) {
+		if env.Now.Before(c.copies[id].spec.Deadline) {
 			continue
 		}
 		delete(c.copies, id)
--- a/internal/conductor/drain.go
+++ b/internal/conductor/drain.go
@@ -12,7 +12,7 @@
 const drainMargin = 1 * timekeeper.Second
 
 // Drain begins this node's end: by a reclaim notice, or as a planned stop.
-func (c *Conductor) Drain(w *World, deadline timekeeper.Time, planned bool) []messenger.Effect {
+func (c *Conductor) Drain(env *Env, deadline timekeeper.Time, planned bool) []messenger.Effect {
 	if c.draining {
 		c.drainBy = min(c.drainBy, deadline)
 		c.planned = c.planned || planned
@@ -29,30 +29,30 @@
 		},
 	}
 	for _, r := range c.sortedRequests() {
-		out = append(out, c.drainUnaccepted(w, r)...)
+		out = append(out, c.drainUnaccepted(env, r)...)
 	}
-	return append(out, c.advanceDrain(w)...)
+	return append(out, c.advanceDrain(env)...)
 }
 
 // drainUnaccepted refuses what was not yet promised. A claim that is still
 // being read back is given up and released.
-func (c *Conductor) drainUnaccepted(w *World, r *request) []messenger.Effect {
+func (c *Conductor) drainUnaccepted(env *Env, r *request) []messenger.Effect {
 	if r.accepted {
 		return nil
 	}
-	return c.refuseHeld(w, r)
+	return c.refuseHeld(env, r)
 }
 
 // advanceDrain hands over what cannot end here in time, and ends a planned stop
 // when nothing is left.
-func (c *Conductor) advanceDrain(w *World) []messenger.Effect {
+func (c *Conductor) advanceDrain(env *Env) []messenger.Effect {
 	if !c.draining {
 		return nil
 	}
 	var out []messenger.Effect
 	if c.config.Safeguards.HandOver {
 		for _, r := range c.sortedRequests() {
-			out = append(out, c.handOverIfDue(w, r)...)
+			out = append(out, c.handOverIfDue(env, r)...)
 		}
 	}
 	if c.planned && !c.exited && len(c.requests) == 0 {
--- a/internal/conductor/end_test.go
+++ b/internal/conductor/end_test.go
@@ -171,7 +171,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
 			f.run(test.service)
-			f.c.CallerGone(f.w, id)
+			f.c.CallerDisconnected(f.w, id)
 			if test.comesBack {
 				f.c.CallerAttached(f.w, id)
 			}
--- a/internal/conductor/ended.go
+++ b/internal/conductor/ended.go
@@ -16,24 +16,24 @@
 // noteEnd notes where a server ended under r. One that was leaving, or is taken away
 // already, did not end for what it had, and one that r never reached not for r. An
 // attempt that joins a stream finds that its server has ended since.
-func (c *Conductor) noteEnd(w *World, r *request, e messenger.AttemptEnded, ran bool) {
-	server, known := w.Members.Server(r.server)
+func (c *Conductor) noteEnd(env *Env, r *request, e messenger.AttemptEnded, ran bool) {
+	server, known := env.Members.Server(r.server)
 	if !e.ServerEnded || !known || server.Leaving {
 		return
 	}
 	if ran || r.joins {
-		w.Quarantine.ServerEnded(w.Now, fingerprint(r.spec), r.server)
+		env.Quarantine.ServerEnded(env.Now, fingerprint(r.spec), r.server)
 	}
 }
 
 // endQuarantined ends a request under which too many servers ended, so that it takes
 // no further ones.
-func (c *Conductor) endQuarantined(w *World, r *request, after timekeeper.Duration) []messenger.Effect {
+func (c *Conductor) endQuarantined(env *Env, r *request, after timekeeper.Duration) []messenger.Effect {
 	outcome := messenger.Unknown
 	if r.untouched() {
 		outcome = messenger.NotRun
 	}
-	return c.finish(w, r, ending{
+	return c.finish(env, r, ending{
 		outcome:    outcome,
 		reason:     messenger.ReasonServersEnded,
 		retryAfter: after,
--- a/internal/conductor/world.go
+++ b/internal/conductor/env.go
@@ -16,9 +16,9 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// World is what the conductor reads and updates of the rest of the state
-// while it handles one event.
-type World struct {
+// Env is the environment of one event: the state outside the conductor that it
+// reads and updates while it handles the event.
+type Env struct {
 	Now        timekeeper.Time
 	Catalog    *catalog.Catalog // nil until the first configuration is known
 	Members    *gossiper.Members
@@ -27,7 +27,7 @@
 	Suspicions *detector.Suspicions
 	Hints      *router.Hints
 	Claims     *claimer.Table
-	// Quarantine knows the requests under which servers ended.
+	// Quarantine records which requests were running on servers that failed.
 	Quarantine *quarantiner.Quarantine
 	Loads      map[identifier.VMID]messenger.ServerLoad
 	Rand       *rand.Rand
--- a/internal/conductor/finish.go
+++ b/internal/conductor/finish.go
@@ -16,7 +16,7 @@
 }
 
 // finish ends an accepted request.
-func (c *Conductor) finish(w *World, r *request, e ending) []messenger.Effect {
+func (c *Conductor) finish(env *Env, r *request, e ending) []messenger.Effect {
 	out := []messenger.Effect{
 		messenger.Finish{
 			Request:    r.spec.Request,
@@ -26,26 +26,26 @@
 		},
 		c.note("finished", r, fmt.Sprintf("outcome=%s reason=%s", e.outcome, e.reason)),
 	}
-	out = append(out, c.settleClaim(w, r, e.outcome)...)
+	out = append(out, c.settleClaim(env, r, e.outcome)...)
 	out = append(out, c.releaseAnswer(r)...)
 	if e.outcome == messenger.Done {
 		c.counters.Done++
 	}
-	c.remove(w, r, r.spec.PromptTokens+r.delivered)
+	c.remove(env, r, r.spec.PromptTokens+r.delivered)
 	return out
 }
 
 // settleClaim records the outcome of a claimed request for those who repeat
 // its key, or frees the key where nothing ran.
-func (c *Conductor) settleClaim(w *World, r *request, outcome messenger.Outcome) []messenger.Effect {
+func (c *Conductor) settleClaim(env *Env, r *request, outcome messenger.Outcome) []messenger.Effect {
 	if !r.claim.won {
 		return nil
 	}
 	if outcome == messenger.NotRun {
-		c.releaseClaim(w, r)
+		c.releaseClaim(env, r)
 		return nil
 	}
-	w.Claims.Drop(r.spec.Request)
+	env.Claims.Drop(r.spec.Request)
 	return []messenger.Effect{
 		messenger.AppendOutcome{
 			Request: r.spec.Request,
@@ -59,49 +59,49 @@
 }
 
 // remove forgets r, and returns to its account the tokens it did not use.
-func (c *Conductor) remove(w *World, r *request, used identifier.Tokens) {
+func (c *Conductor) remove(env *Env, r *request, used identifier.Tokens) {
 	c.leaveServer(r)
 	if r.reserved > 0 {
-		w.Limits.Settle(w.Now, r.spec.Account, r.reserved, used)
+		env.Limits.Settle(env.Now, r.spec.Account, r.reserved, used)
 	}
 	delete(c.requests, r.spec.Request)
 }
 
 // expire ends a request whose deadline has come.
-func (c *Conductor) expire(w *World, r *request) []messenger.Effect {
-	return c.giveUp(w, r, messenger.ReasonDeadlineExpired, messenger.Unknown)
+func (c *Conductor) expire(env *Env, r *request) []messenger.Effect {
+	return c.giveUp(env, r, messenger.ReasonDeadlineExpired, messenger.Unknown)
 }
 
 // Cancel ends a request that its caller gave up.
-func (c *Conductor) Cancel(w *World, id identifier.RequestID) []messenger.Effect {
+func (c *Conductor) Cancel(env *Env, id identifier.RequestID) []messenger.Effect {
 	r, known := c.requests[id]
 	if !known {
 		return nil
 	}
-	return c.cancel(w, r)
+	return c.cancel(env, r)
 }
 
-func (c *Conductor) cancel(w *World, r *request) []messenger.Effect {
+func (c *Conductor) cancel(env *Env, r *request) []messenger.Effect {
 	outcome := messenger.Unknown
 	if r.spec.Idempotent {
 		outcome = messenger.Cancelled
 	}
-	return c.giveUp(w, r, messenger.ReasonCancelled, outcome)
+	return c.giveUp(env, r, messenger.ReasonCancelled, outcome)
 }
 
 // giveUp ends r early: as not_run where nothing can have run, else with the
 // given outcome.
-func (c *Conductor) giveUp(w *World, r *request, reason messenger.Reason, ran messenger.Outcome) []messenger.Effect {
+func (c *Conductor) giveUp(env *Env, r *request, reason messenger.Reason, ran messenger.Outcome) []messenger.Effect {
 	if r.untouched() || !c.config.Safeguards.TruthfulNotRun {
 		ran = messenger.NotRun
 	}
 	out := c.stop(r)
 	if r.accepted {
-		return append(out, c.finish(w, r, ending{
+		return append(out, c.finish(env, r, ending{
 			outcome: ran,
 			reason:  reason,
 		})...)
 	}
 	out = append(out, c.unhold(r)...)
-	return append(out, c.refuse(w, r, notRun(reason, 0))...)
+	return append(out, c.refuse(env, r, notRun(reason, 0))...)
 }
--- a/internal/conductor/handover.go
+++ b/internal/conductor/handover.go
@@ -37,13 +37,13 @@
 }
 
 // handOverIfDue gives r to a successor where it can't end here in time.
-func (c *Conductor) handOverIfDue(w *World, r *request) []messenger.Effect {
-	if !c.needsHandover(w, r) || w.Now.Before(r.handover.againAt) {
+func (c *Conductor) handOverIfDue(env *Env, r *request) []messenger.Effect {
+	if !c.needsHandover(env, r) || env.Now.Before(r.handover.againAt) {
 		return nil
 	}
 	before := r.handover.successor
-	successor, ok := c.successor(w, r)
-	r.handover.againAt = w.Now.Add(handoverAgain)
+	successor, ok := c.successor(env, r)
+	r.handover.againAt = env.Now.Add(handoverAgain)
 	if !ok {
 		r.handover.failed = nil
 		return nil
@@ -55,7 +55,7 @@
 	r.handover.successor = successor.VM
 	r.handover.asked++
 	r.handover.pending = true
-	r.handover.overdueAt = w.Now.Add(handoverPatience)
+	r.handover.overdueAt = env.Now.Add(handoverPatience)
 	return []messenger.Effect{
 		r.handOverTo(successor.VM, successor.PeerAddress),
 		c.note("handover_sent", r, fmt.Sprintf("successor=%s", successor.VM)),
@@ -78,8 +78,8 @@
 
 // needsHandover reports whether r is to be handed over. What may not be
 // repeated stays: its one attempt is bound to this node's connection.
-func (c *Conductor) needsHandover(w *World, r *request) bool {
-	asked := r.handover.pending && w.Now.Before(r.handover.overdueAt)
+func (c *Conductor) needsHandover(env *Env, r *request) bool {
+	asked := r.handover.pending && env.Now.Before(r.handover.overdueAt)
 	if !r.accepted || !r.spec.Idempotent || asked {
 		return false
 	}
@@ -92,9 +92,9 @@
 
 // successor stays with the node asked last while it may still answer, then
 // prefers the holder, which has the copy already.
-func (c *Conductor) successor(w *World, r *request) (gossiper.Node, bool) {
+func (c *Conductor) successor(env *Env, r *request) (gossiper.Node, bool) {
 	leavingZones := map[identifier.Zone]bool{c.config.Zone: true}
-	nodes := placer.Successors(r.spec.Request, w.Members.Nodes(), c.config.Self, leavingZones)
+	nodes := placer.Successors(r.spec.Request, env.Members.Nodes(), c.config.Self, leavingZones)
 	if n, ok := find(nodes, r.handover.successor); ok && r.handover.asked < handoverTries {
 		return n, true
 	}
@@ -132,7 +132,7 @@
 }
 
 // HandoverAcked ends this node's part in a request that a successor has.
-func (c *Conductor) HandoverAcked(w *World, e messenger.HandoverAcked) []messenger.Effect {
+func (c *Conductor) HandoverAcked(env *Env, e messenger.HandoverAcked) []messenger.Effect {
 	r, known := c.requests[e.Request]
 	if !known || r.handover.successor != e.Successor {
 		return nil
@@ -142,11 +142,11 @@
 	if r.hold.holder != e.Successor {
 		out = append(out, c.unhold(r)...)
 	}
-	return append(out, c.leaveTo(w, r, e.Successor)...)
+	return append(out, c.leaveTo(env, r, e.Successor)...)
 }
 
 // HandoverFailed lets the request be handed over again.
-func (c *Conductor) HandoverFailed(_ *World, e messenger.HandoverFailed) []messenger.Effect {
+func (c *Conductor) HandoverFailed(_ *Env, e messenger.HandoverFailed) []messenger.Effect {
 	if r, known := c.requests[e.Request]; known && r.handover.successor == e.Successor {
 		r.handover.pending = false
 	}
@@ -154,7 +154,7 @@
 }
 
 // RequestHandedOver goes on with a request of a leaving peer.
-func (c *Conductor) RequestHandedOver(w *World, e messenger.RequestHandedOver) []messenger.Effect {
+func (c *Conductor) RequestHandedOver(env *Env, e messenger.RequestHandedOver) []messenger.Effect {
 	if r, own := c.requests[e.Spec.Request]; own {
 		// The peer's first message took effect and its answer was lost.
 		r.epoch = max(r.epoch, e.Epoch+takeoverStep)
@@ -164,7 +164,7 @@
 		}
 		return c.confirm(r)
 	}
-	return c.takeOver(w, takenRequest{
+	return c.takeOver(env, takenRequest{
 		spec:      e.Spec,
 		epoch:     e.Epoch + takeoverStep,
 		confirm:   true,
--- a/internal/conductor/harness_test.go
+++ b/internal/conductor/harness_test.go
@@ -88,7 +88,7 @@
 // fixture is a conductor with the slices of the state that it reads.
 type fixture struct {
 	t     *testing.T
-	w     *conductor.World
+	w     *conductor.Env
 	c     *conductor.Conductor
 	count identifier.Offset
 }
@@ -130,8 +130,8 @@
 	return f
 }
 
-func newWorld() *conductor.World {
-	return &conductor.World{
+func newWorld() *conductor.Env {
+	return &conductor.Env{
 		Now:     start,
 		Catalog: newCatalog(),
 		Members: gossiper.New(gossiper.Config{
--- a/internal/conductor/hold.go
+++ b/internal/conductor/hold.go
@@ -48,18 +48,18 @@
 // beginHold gives a peer in another zone a copy before the request is
 // accepted: this node may die without notice right after it promised the
 // answer, and then nobody else would know of the request.
-func (c *Conductor) beginHold(w *World, r *request) []messenger.Effect {
+func (c *Conductor) beginHold(env *Env, r *request) []messenger.Effect {
 	r.phase = holding
-	out, ok := c.sendHold(w, r)
+	out, ok := c.sendHold(env, r)
 	if !ok {
-		return c.refuse(w, r, notRun(messenger.ReasonUnprotected, retryAfterNoHolder))
+		return c.refuse(env, r, notRun(messenger.ReasonUnprotected, retryAfterNoHolder))
 	}
 	return out
 }
 
 // sendHold asks the next possible holder.
-func (c *Conductor) sendHold(w *World, r *request) ([]messenger.Effect, bool) {
-	holder, ok := c.nextHolder(w, r)
+func (c *Conductor) sendHold(env *Env, r *request) ([]messenger.Effect, bool) {
+	holder, ok := c.nextHolder(env, r)
 	if !ok {
 		return nil, false
 	}
@@ -67,7 +67,7 @@
 	r.hold.address = holder.PeerAddress
 	r.hold.acked = false
 	r.hold.tries++
-	r.hold.askedAt = w.Now
+	r.hold.askedAt = env.Now
 	return []messenger.Effect{
 		messenger.Hold{
 			Request: r.spec.Request,
@@ -86,13 +86,13 @@
 // With another holder this node would go on while that node serves the caller
 // from a different state as soon as this one dies; only its own answer tells
 // who has the request.
-func (c *Conductor) nextHolder(w *World, r *request) (gossiper.Node, bool) {
+func (c *Conductor) nextHolder(env *Env, r *request) (gossiper.Node, bool) {
 	if r.hold.stalledAt != timekeeper.Never {
-		if n, known := w.Members.Node(r.hold.exposed); known && n.State == gossiper.Alive {
+		if n, known := env.Members.Node(r.hold.exposed); known && n.State == gossiper.Alive {
 			return n, !r.hold.failed[n.VM]
 		}
 	}
-	for _, n := range placer.Holders(r.spec.Request, w.Members.Nodes(), c.config.Self) {
+	for _, n := range placer.Holders(r.spec.Request, env.Members.Nodes(), c.config.Self) {
 		if !r.hold.failed[n.VM] {
 			return n, true
 		}
@@ -101,15 +101,15 @@
 }
 
 // checkFirstHold moves on when a holder does not answer at all.
-func (c *Conductor) checkFirstHold(w *World, r *request) []messenger.Effect {
-	if w.Now.Sub(r.hold.askedAt) < holdPatience {
+func (c *Conductor) checkFirstHold(env *Env, r *request) []messenger.Effect {
+	if env.Now.Sub(r.hold.askedAt) < holdPatience {
 		return nil
 	}
-	return c.holdFailed(w, r)
+	return c.holdFailed(env, r)
 }
 
 // HoldAcked accepts a request whose copy now stands off the node.
-func (c *Conductor) HoldAcked(w *World, e messenger.HoldAcked) []messenger.Effect {
+func (c *Conductor) HoldAcked(env *Env, e messenger.HoldAcked) []messenger.Effect {
 	r, known := c.requests[e.Request]
 	if !known || r.hold.holder != e.Holder {
 		return nil
@@ -122,20 +122,20 @@
 		return c.confirm(r)
 	}
 	if c.draining {
-		return c.refuseHeld(w, r)
+		return c.refuseHeld(env, r)
 	}
-	return c.accept(w, r)
+	return c.accept(env, r)
 }
 
 // refuseHeld refuses a request that a holder has a copy of, and takes the
 // copy back: the holder must not adopt what was refused.
-func (c *Conductor) refuseHeld(w *World, r *request) []messenger.Effect {
+func (c *Conductor) refuseHeld(env *Env, r *request) []messenger.Effect {
 	out := c.unhold(r)
-	return append(out, c.refuse(w, r, notRun(messenger.ReasonLeaving, retryAfterLeaving))...)
+	return append(out, c.refuse(env, r, notRun(messenger.ReasonLeaving, retryAfterLeaving))...)
 }
 
 // HoldFailed looks for another holder.
-func (c *Conductor) HoldFailed(w *World, e messenger.HoldFailed) []messenger.Effect {
+func (c *Conductor) HoldFailed(env *Env, e messenger.HoldFailed) []messenger.Effect {
 	r, known := c.requests[e.Request]
 	if !known {
 		return nil
@@ -146,10 +146,10 @@
 	if r.hold.holder != e.Holder {
 		return nil
 	}
-	return c.holdFailed(w, r)
+	return c.holdFailed(env, r)
 }
 
-func (c *Conductor) holdFailed(w *World, r *request) []messenger.Effect {
+func (c *Conductor) holdFailed(env *Env, r *request) []messenger.Effect {
 	if r.hold.acked {
 		r.epoch += renewalStep
 	}
@@ -161,21 +161,21 @@
 	// refused it must be told, so that it does not adopt it.
 	out := c.unhold(r)
 	if r.phase == holding && r.hold.tries >= holdTries {
-		return append(out, c.refuse(w, r, notRun(messenger.ReasonUnprotected, retryAfterNoHolder))...)
+		return append(out, c.refuse(env, r, notRun(messenger.ReasonUnprotected, retryAfterNoHolder))...)
 	}
-	sent, ok := c.sendHold(w, r)
+	sent, ok := c.sendHold(env, r)
 	if ok {
 		return append(out, sent...)
 	}
 	if r.phase == holding {
-		return append(out, c.refuse(w, r, notRun(messenger.ReasonUnprotected, retryAfterNoHolder))...)
+		return append(out, c.refuse(env, r, notRun(messenger.ReasonUnprotected, retryAfterNoHolder))...)
 	}
 	r.hold.holder = ""
 	r.hold.acked = false
 	r.hold.failed = nil
-	r.hold.againAt = w.Now.Add(holdAgain)
+	r.hold.againAt = env.Now.Add(holdAgain)
 	if r.hold.exposed != "" && c.config.Safeguards.StallAlone {
-		return append(out, c.stall(w, r)...)
+		return append(out, c.stall(env, r)...)
 	}
 	return append(out, c.goUnprotected(r)...)
 }
@@ -183,42 +183,42 @@
 // HoldRefused ends this node's part in a request that its holder has adopted.
 // This node was frozen or cut off for so long that it was taken for dead; were
 // it to go on, two nodes would answer one caller from different states.
-func (c *Conductor) HoldRefused(w *World, e messenger.HoldRefused) []messenger.Effect {
+func (c *Conductor) HoldRefused(env *Env, e messenger.HoldRefused) []messenger.Effect {
 	r, known := c.requests[e.Request]
 	if !known || r.hold.holder != e.Holder || !c.config.Safeguards.YieldToHolder {
 		return nil
 	}
 	out := []messenger.Effect{c.note("yielded", r, fmt.Sprintf("owner=%s", e.Holder))}
-	return append(out, c.leaveTo(w, r, e.Holder)...)
+	return append(out, c.leaveTo(env, r, e.Holder)...)
 }
 
 // holderLost moves the copies that stood with a node that is dead or leaving.
-func (c *Conductor) holderLost(w *World, vm identifier.VMID) []messenger.Effect {
+func (c *Conductor) holderLost(env *Env, vm identifier.VMID) []messenger.Effect {
 	var out []messenger.Effect
 	for _, r := range c.sortedRequests() {
 		if r.hold.holder == vm && vm != "" {
-			out = append(out, c.holdFailed(w, r)...)
+			out = append(out, c.holdFailed(env, r)...)
 		}
 	}
 	return out
 }
 
 // keepHeld finds a holder for an accepted long request without one.
-func (c *Conductor) keepHeld(w *World, r *request) []messenger.Effect {
-	if !r.spec.Long || r.hold.holder != "" || w.Now.Before(r.hold.againAt) {
-		return c.dropSilentHolder(w, r)
+func (c *Conductor) keepHeld(env *Env, r *request) []messenger.Effect {
+	if !r.spec.Long || r.hold.holder != "" || env.Now.Before(r.hold.againAt) {
+		return c.dropSilentHolder(env, r)
 	}
-	r.hold.againAt = w.Now.Add(holdAgain)
-	out, _ := c.sendHold(w, r)
+	r.hold.againAt = env.Now.Add(holdAgain)
+	out, _ := c.sendHold(env, r)
 	return out
 }
 
 // dropSilentHolder gives up a holder of which nothing is heard at all.
-func (c *Conductor) dropSilentHolder(w *World, r *request) []messenger.Effect {
-	if r.hold.holder == "" || r.hold.acked || w.Now.Sub(r.hold.askedAt) < holdPatience {
+func (c *Conductor) dropSilentHolder(env *Env, r *request) []messenger.Effect {
+	if r.hold.holder == "" || r.hold.acked || env.Now.Sub(r.hold.askedAt) < holdPatience {
 		return nil
 	}
-	return c.holdFailed(w, r)
+	return c.holdFailed(env, r)
 }
 
 // unhold takes the copy back from the holder, if there is one.
--- a/internal/conductor/move.go
+++ b/internal/conductor/move.go
@@ -19,24 +19,24 @@
 }
 
 // startDueMove carries out the planned move of a stream when its time has come.
-func (c *Conductor) startDueMove(w *World, r *request) []messenger.Effect {
-	if r.move.action == "" || r.move.sent || w.Now.Before(r.move.startAt) {
+func (c *Conductor) startDueMove(env *Env, r *request) []messenger.Effect {
+	if r.move.action == "" || r.move.sent || env.Now.Before(r.move.startAt) {
 		return nil
 	}
 	switch r.move.action {
 	case planner.Export:
-		return c.startExport(w, r)
+		return c.startExport(env, r)
 	case planner.Prefill:
-		return c.moveByPrefill(w, r)
+		return c.moveByPrefill(env, r)
 	}
 	r.move = moveState{}
 	return nil
 }
 
-func (c *Conductor) startExport(w *World, r *request) []messenger.Effect {
-	to, known := w.Members.Server(r.move.to)
+func (c *Conductor) startExport(env *Env, r *request) []messenger.Effect {
+	to, known := env.Members.Server(r.move.to)
 	if !known || to.Leaving {
-		return c.moveByPrefill(w, r)
+		return c.moveByPrefill(env, r)
 	}
 	r.move.sent = true
 	return []messenger.Effect{
@@ -54,26 +54,26 @@
 
 // moveByPrefill ends the attempt on the leaving server and resumes elsewhere
 // from the prompt and the tokens delivered so far.
-func (c *Conductor) moveByPrefill(w *World, r *request) []messenger.Effect {
+func (c *Conductor) moveByPrefill(env *Env, r *request) []messenger.Effect {
 	r.move = moveState{}
 	r.rejoined = false
 	out := c.stop(r)
-	return append(out, c.startAttempt(w, r)...)
+	return append(out, c.startAttempt(env, r)...)
 }
 
 // KVMoved continues a stream where its KV cache went, or by prefill.
-func (c *Conductor) KVMoved(w *World, e messenger.KVMoved) []messenger.Effect {
+func (c *Conductor) KVMoved(env *Env, e messenger.KVMoved) []messenger.Effect {
 	r, ok := c.current(e.Request, e.Attempt)
 	if !ok || r.phase != running || !r.move.sent {
 		return nil
 	}
-	to, known := w.Members.Server(e.To)
+	to, known := env.Members.Server(e.To)
 	if !e.OK || !known || to.Leaving {
-		return c.moveByPrefill(w, r)
+		return c.moveByPrefill(env, r)
 	}
 	r.rejoined = false
 	out := c.stop(r)
-	return append(out, c.sendAttempt(w, r, plannedAttempt{
+	return append(out, c.sendAttempt(env, r, plannedAttempt{
 		server:     to,
 		mode:       messenger.StartImported,
 		stream:     r.stream,
@@ -81,10 +81,11 @@
 	})...)
 }
 
-// ServerGone ends the attempts on a server that the platform took away.
-func (c *Conductor) ServerGone(w *World, vm identifier.VMID) []messenger.Effect {
-	w.Suspicions.Forget(vm)
-	w.Hints.Forget(vm)
+// ServerRemoved restarts the idempotent requests that were running on a server
+// that the platform removed.
+func (c *Conductor) ServerRemoved(env *Env, vm identifier.VMID) []messenger.Effect {
+	env.Suspicions.Forget(vm)
+	env.Hints.Forget(vm)
 	var out []messenger.Effect
 	for _, r := range c.sortedRequests() {
 		if r.phase != running || r.server != vm || !r.spec.Idempotent {
@@ -93,7 +94,7 @@
 		r.failedServers[vm] = true
 		out = append(out, c.stop(r)...)
 		r.mayHaveRun = true
-		out = append(out, c.startAttempt(w, r)...)
+		out = append(out, c.startAttempt(env, r)...)
 	}
 	return out
 }
--- a/internal/conductor/move_test.go
+++ b/internal/conductor/move_test.go
@@ -79,7 +79,7 @@
 	first := f.run("tag")
 	f.progress(first, 20)
 	move := one[messenger.MoveKV](t, f.reclaim(first.Server))
-	one[messenger.SendAttempt](t, f.c.ServerGone(f.w, first.Server))
+	one[messenger.SendAttempt](t, f.c.ServerRemoved(f.w, first.Server))
 	require.Empty(t, f.c.KVMoved(f.w, messenger.KVMoved{
 		Request: id,
 		Attempt: first.Attempt,
--- a/internal/conductor/pool.go
+++ b/internal/conductor/pool.go
@@ -17,7 +17,7 @@
 		if r.service.Pool != name {
 			continue
 		}
-		d.Busy++
+		d.InFlight++
 		if r.service.Priority == catalog.Interactive {
 			d.Interactive++
 		}
@@ -29,8 +29,8 @@
 const loadTooOld = 10 * timekeeper.Second
 
 // choose picks a server for the next attempt of r.
-func (c *Conductor) choose(w *World, r *request) (router.Choice, bool) {
-	if w.Catalog == nil {
+func (c *Conductor) choose(env *Env, r *request) (router.Choice, bool) {
+	if env.Catalog == nil {
 		return router.Choice{}, false
 	}
 	job := router.Job{
@@ -38,35 +38,35 @@
 		MaxTokens:    r.spec.MaxTokens - r.delivered,
 		Priority:     r.service.Priority,
 		Deadline:     r.spec.Deadline,
-		Target:       w.Catalog.Target(r.spec.Account, r.spec.Service),
+		Target:       env.Catalog.Target(r.spec.Account, r.spec.Service),
 		AvoidZones:   r.failedZones,
 		AvoidServers: r.failedServers,
 	}
-	return router.Choose(w.Now, job, c.candidates(w, r), c.config.RoutingRules, w.Rand)
+	return router.Choose(env.Now, job, c.candidates(env, r), c.config.RoutingRules, env.Rand)
 }
 
 // candidates describes the servers of the request's pool to the router.
-func (c *Conductor) candidates(w *World, r *request) []router.Candidate {
-	pool := w.Catalog.Pools[r.service.Pool]
-	servers := w.Members.Servers(pool.Name)
+func (c *Conductor) candidates(env *Env, r *request) []router.Candidate {
+	pool := env.Catalog.Pools[r.service.Pool]
+	servers := env.Members.Servers(pool.Name)
 	out := make([]router.Candidate, 0, len(servers))
 	for _, s := range servers {
-		out = append(out, c.candidate(w, r, pool, s))
+		out = append(out, c.candidate(env, r, pool, s))
 	}
 	return out
 }
 
-func (c *Conductor) candidate(w *World, r *request, pool catalog.Pool, s gossiper.Server) router.Candidate {
+func (c *Conductor) candidate(env *Env, r *request, pool catalog.Pool, s gossiper.Server) router.Candidate {
 	return router.Candidate{
 		Server:           s.VM,
 		Zone:             s.Zone,
 		Market:           s.Market,
 		Leaving:          s.Leaving && c.config.Safeguards.AvoidLeaving,
-		Suspect:          w.Suspicions.Suspect(w.Now, s.VM),
+		Suspect:          env.Suspicions.Suspect(env.Now, s.VM),
 		OwnInFlight:      c.onServer[s.VM],
 		OwnPrefill:       c.prefilling[s.VM],
-		Load:             w.Loads[s.VM],
-		PrefixHit:        w.Hints.CachedTokens(w.Now, s.VM, r.spec.Prefix),
+		Load:             env.Loads[s.VM],
+		PrefixHit:        env.Hints.CachedTokens(env.Now, s.VM, r.spec.Prefix),
 		Slots:            pool.Slots,
 		TokensPerSecond:  pool.TokensPerSecond,
 		PrefillPerSecond: pool.PrefillPerSecond,
@@ -76,15 +76,15 @@
 
 // poolLoad sums the free slots, all slots and the queue of a pool's servers
 // that take work.
-func (c *Conductor) poolLoad(w *World, name identifier.PoolName) (free, slots, queued int) {
-	pool := w.Catalog.Pools[name]
-	for _, s := range w.Members.Servers(name) {
+func (c *Conductor) poolLoad(env *Env, name identifier.PoolName) (free, slots, queued int) {
+	pool := env.Catalog.Pools[name]
+	for _, s := range env.Members.Servers(name) {
 		if s.Leaving {
 			continue
 		}
 		busy := c.onServer[s.VM]
-		load, known := w.Loads[s.VM]
-		if known && w.Now.Sub(load.AsOf) < loadTooOld {
+		load, known := env.Loads[s.VM]
+		if known && env.Now.Sub(load.AsOf) < loadTooOld {
 			busy = max(busy, load.Running)
 			queued += load.Waiting
 		}
--- a/internal/conductor/progress.go
+++ b/internal/conductor/progress.go
@@ -26,18 +26,18 @@
 }
 
 // AttemptStarted records that the server took the attempt.
-func (c *Conductor) AttemptStarted(w *World, e messenger.AttemptStarted) []messenger.Effect {
+func (c *Conductor) AttemptStarted(env *Env, e messenger.AttemptStarted) []messenger.Effect {
 	r, ok := c.current(e.Request, e.Attempt)
 	if !ok {
 		return nil
 	}
 	r.mayHaveRun = true
-	c.observe(w, r, detector.Started, 0, 0)
+	c.observe(env, r, detector.Started, 0, 0)
 	return nil
 }
 
 // AttemptProgress records how much of the answer stands with this node.
-func (c *Conductor) AttemptProgress(w *World, e messenger.AttemptProgress) []messenger.Effect {
+func (c *Conductor) AttemptProgress(env *Env, e messenger.AttemptProgress) []messenger.Effect {
 	r, ok := c.current(e.Request, e.Attempt)
 	if !ok {
 		return nil
@@ -45,19 +45,19 @@
 	r.mayHaveRun = true
 	r.delivered = max(r.delivered, e.Delivered)
 	if r.firstAt == 0 {
-		r.firstAt = w.Now
-		c.firstToken(w, r)
+		r.firstAt = env.Now
+		c.firstToken(env, r)
 	}
 	return nil
 }
 
-func (c *Conductor) firstToken(w *World, r *request) {
+func (c *Conductor) firstToken(env *Env, r *request) {
 	c.prefilling[r.server] = max(0, c.prefilling[r.server]-r.spec.PromptTokens)
-	c.observe(w, r, detector.FirstToken, w.Now.Sub(r.began), r.awaited)
+	c.observe(env, r, detector.FirstToken, env.Now.Sub(r.began), r.awaited)
 }
 
 // AttemptEnded decides what follows an attempt.
-func (c *Conductor) AttemptEnded(w *World, e messenger.AttemptEnded) []messenger.Effect {
+func (c *Conductor) AttemptEnded(env *Env, e messenger.AttemptEnded) []messenger.Effect {
 	r, ok := c.current(e.Request, e.Attempt)
 	if !ok {
 		return nil
@@ -69,26 +69,26 @@
 	r.phase = waiting
 	out := []messenger.Effect{c.note("attempt_ended", r, fmt.Sprintf("result=%s delivered=%d", e.Result, r.delivered))}
 	if e.Result == messenger.AttemptComplete {
-		w.Quarantine.Completed(w.Now, fingerprint(r.spec))
-		c.completed(w, r)
-		return append(out, c.finish(w, r, ending{outcome: messenger.Done})...)
+		env.Quarantine.Completed(env.Now, fingerprint(r.spec))
+		c.completed(env, r)
+		return append(out, c.finish(env, r, ending{outcome: messenger.Done})...)
 	}
-	c.noteEnd(w, r, e, ranNow)
-	if after, refused := w.Quarantine.Refuses(w.Now, fingerprint(r.spec)); refused {
-		return append(out, c.endQuarantined(w, r, after)...)
+	c.noteEnd(env, r, e, ranNow)
+	if after, refused := env.Quarantine.Refuses(env.Now, fingerprint(r.spec)); refused {
+		return append(out, c.endQuarantined(env, r, after)...)
 	}
-	if effects, ok := c.rejoin(w, r, e); ok {
+	if effects, ok := c.rejoin(env, r, e); ok {
 		return append(out, effects...)
 	}
-	c.blame(w, r, e.Result)
-	return append(out, c.afterFailure(w, r, e)...)
+	c.blame(env, r, e.Result)
+	return append(out, c.afterFailure(env, r, e)...)
 }
 
 // rejoin resumes the stream on the same server over a new connection. An open
 // connection may be dead while new ones work: the stream then goes on at the
 // server and nothing need be computed again. It is tried once for each stretch
 // of progress, so that a server that is really gone costs one dial.
-func (c *Conductor) rejoin(w *World, r *request, e messenger.AttemptEnded) ([]messenger.Effect, bool) {
+func (c *Conductor) rejoin(env *Env, r *request, e messenger.AttemptEnded) ([]messenger.Effect, bool) {
 	cut := e.Result == messenger.AttemptBroken || e.Result == messenger.AttemptSilent
 	if !cut || e.ServerEnded || !r.model() {
 		return nil, false
@@ -96,12 +96,12 @@
 	if r.rejoined && r.rejoinedAt == r.delivered {
 		return nil, false // tried already, with no progress since
 	}
-	server, known := w.Members.Server(r.server)
+	server, known := env.Members.Server(r.server)
 	if !known {
 		return nil, false
 	}
 	r.markRejoined()
-	return c.sendAttempt(w, r, plannedAttempt{
+	return c.sendAttempt(env, r, plannedAttempt{
 		server:     server,
 		mode:       messenger.StartResume,
 		stream:     r.stream,
@@ -116,8 +116,8 @@
 }
 
 // afterFailure asks the retrier whether there is a next attempt.
-func (c *Conductor) afterFailure(w *World, r *request, e messenger.AttemptEnded) []messenger.Effect {
-	verdict := w.Budgets.Next(w.Now, retrier.EndedAttempt{
+func (c *Conductor) afterFailure(env *Env, r *request, e messenger.AttemptEnded) []messenger.Effect {
+	verdict := env.Budgets.Next(env.Now, retrier.EndedAttempt{
 		Service:       r.spec.Service,
 		Idempotent:    r.spec.Idempotent || !c.config.Safeguards.RepeatOnlySafe,
 		Result:        e.Result,
@@ -126,11 +126,11 @@
 		Delivered:     r.delivered,
 		Model:         r.model(),
 		RetryAfter:    e.RetryAfter,
-		Planned:       c.budgetFree(w, r),
+		Planned:       c.budgetFree(env, r),
 		EarlierNotRun: !r.mayHaveRun,
-	}, w.Rand)
+	}, env.Rand)
 	if !verdict.Again {
-		return c.finish(w, r, ending{
+		return c.finish(env, r, ending{
 			outcome:    c.truthful(r, verdict.Outcome),
 			reason:     verdict.Reason,
 			retryAfter: verdict.RetryAfter,
@@ -140,9 +140,9 @@
 	if e.Result != messenger.AttemptRefused {
 		r.failedZones[r.zone] = true
 	}
-	r.retryAt = w.Now.Add(verdict.After)
+	r.retryAt = env.Now.Add(verdict.After)
 	if verdict.After == 0 {
-		return c.startAttempt(w, r)
+		return c.startAttempt(env, r)
 	}
 	return nil
 }
@@ -150,8 +150,8 @@
 // budgetFree reports whether the next attempt costs no retry budget: its server
 // was taken away, or the request is long. Both were accepted before, and a wave
 // of reclaims that used the budget up would end them.
-func (c *Conductor) budgetFree(w *World, r *request) bool {
-	server, known := w.Members.Server(r.server)
+func (c *Conductor) budgetFree(env *Env, r *request) bool {
+	server, known := env.Members.Server(r.server)
 	return r.spec.Long || !known || server.Leaving
 }
 
@@ -164,31 +164,31 @@
 }
 
 // blame tells the detector what the server did.
-func (c *Conductor) blame(w *World, r *request, result messenger.AttemptResult) {
+func (c *Conductor) blame(env *Env, r *request, result messenger.AttemptResult) {
 	switch result {
 	case messenger.AttemptNotSent:
-		c.observe(w, r, detector.NotSent, 0, 0)
+		c.observe(env, r, detector.NotSent, 0, 0)
 	case messenger.AttemptBroken:
-		c.observe(w, r, detector.Broken, 0, 0)
+		c.observe(env, r, detector.Broken, 0, 0)
 	case messenger.AttemptSilent:
-		c.observe(w, r, detector.Silent, 0, 0)
+		c.observe(env, r, detector.Silent, 0, 0)
 	case messenger.AttemptFailed:
-		c.observe(w, r, detector.Failed, 0, 0)
+		c.observe(env, r, detector.Failed, 0, 0)
 	}
 }
 
 // completed tells the detector of a whole answer. Only a plain one is timed: a
 // model's length is the request's doing, not the server's.
-func (c *Conductor) completed(w *World, r *request) {
+func (c *Conductor) completed(env *Env, r *request) {
 	if r.model() {
-		c.observe(w, r, detector.Completed, 0, 0)
+		c.observe(env, r, detector.Completed, 0, 0)
 		return
 	}
-	c.observe(w, r, detector.Completed, w.Now.Sub(r.began), r.expected)
+	c.observe(env, r, detector.Completed, env.Now.Sub(r.began), r.expected)
 }
 
-func (c *Conductor) observe(w *World, r *request, kind detector.Kind, latency, predicted timekeeper.Duration) {
-	w.Suspicions.Observe(w.Now, r.server, detector.Observation{
+func (c *Conductor) observe(env *Env, r *request, kind detector.Kind, latency, predicted timekeeper.Duration) {
+	env.Suspicions.Observe(env.Now, r.server, detector.Observation{
 		Kind:             kind,
 		Latency:          latency,
 		PredictedLatency: predicted,
--- a/internal/conductor/receive.go
+++ b/internal/conductor/receive.go
@@ -8,43 +8,43 @@
 )
 
 // Receive admits or refuses a request. What is refused ends here and at once.
-func (c *Conductor) Receive(w *World, spec messenger.RequestSpec) []messenger.Effect {
+func (c *Conductor) Receive(env *Env, spec messenger.RequestSpec) []messenger.Effect {
 	if _, known := c.requests[spec.Request]; known {
 		return nil
 	}
-	service, refusal := c.screen(w, spec)
+	service, refusal := c.screen(env, spec)
 	if refusal.Reason != messenger.ReasonNone {
 		return c.refuseNew(spec, refusal)
 	}
 	c.arrivals[service.Pool]++
 	r := newRequest(spec, service)
-	if refusal := c.admit(w, r); refusal.Reason != messenger.ReasonNone {
+	if refusal := c.admit(env, r); refusal.Reason != messenger.ReasonNone {
 		return c.refuseNew(spec, refusal)
 	}
 	c.requests[spec.Request] = r
 	if r.claimed() && c.config.Safeguards.ClaimFirst {
-		return c.beginClaim(w, r)
+		return c.beginClaim(env, r)
 	}
-	return c.afterClaim(w, r)
+	return c.afterClaim(env, r)
 }
 
 // screen refuses what needs no look at the backend servers.
-func (c *Conductor) screen(w *World, spec messenger.RequestSpec) (catalog.Service, messenger.Refusal) {
+func (c *Conductor) screen(env *Env, spec messenger.RequestSpec) (catalog.Service, messenger.Refusal) {
 	switch {
-	case w.Catalog == nil:
+	case env.Catalog == nil:
 		return catalog.Service{}, notRun(messenger.ReasonNoConfiguration, retryAfterStart)
 	case c.draining:
 		return catalog.Service{}, notRun(messenger.ReasonLeaving, retryAfterLeaving)
-	case !w.Now.Before(spec.Deadline):
+	case !env.Now.Before(spec.Deadline):
 		return catalog.Service{}, notRun(messenger.ReasonDeadlineExpired, 0)
 	case len(c.requests) >= c.config.MaxRequests:
 		return catalog.Service{}, notRun(messenger.ReasonOverload, retryAfterNoServer)
 	}
-	service, ok := w.Catalog.Services[spec.Service]
+	service, ok := env.Catalog.Services[spec.Service]
 	if !ok {
 		return catalog.Service{}, notRun(messenger.ReasonUnknownService, 0)
 	}
-	if after, refused := w.Quarantine.Refuses(w.Now, fingerprint(spec)); refused {
+	if after, refused := env.Quarantine.Refuses(env.Now, fingerprint(spec)); refused {
 		return catalog.Service{}, notRun(messenger.ReasonServersEnded, after)
 	}
 	return service, messenger.Refusal{}
@@ -52,21 +52,21 @@
 
 // admit asks the router whether the request can be served in time, and the
 // limiter whether its account may have it served now.
-func (c *Conductor) admit(w *World, r *request) messenger.Refusal {
-	choice, ok := c.choose(w, r)
+func (c *Conductor) admit(env *Env, r *request) messenger.Refusal {
+	choice, ok := c.choose(env, r)
 	if !ok {
 		return notRun(messenger.ReasonNoServer, retryAfterNoServer)
 	}
-	free, slots, queued := c.poolLoad(w, r.service.Pool)
+	free, slots, queued := c.poolLoad(env, r.service.Pool)
 	r.reserved = r.spec.PromptTokens + r.spec.MaxTokens
-	verdict := w.Limits.Admit(w.Now, limiter.Request{
+	verdict := env.Limits.Admit(env.Now, limiter.Request{
 		Account:   r.spec.Account,
 		Service:   r.spec.Service,
 		Priority:  r.service.Priority,
 		Tokens:    r.reserved,
 		Deadline:  r.spec.Deadline,
 		Predicted: choice.Predicted.Completion,
-		Target:    w.Catalog.Target(r.spec.Account, r.spec.Service),
+		Target:    env.Catalog.Target(r.spec.Account, r.spec.Service),
 		FreeSlots: free,
 		Slots:     slots,
 		Waiting:   queued,
@@ -74,34 +74,34 @@
 	if !verdict.OK {
 		return notRun(verdict.Reason, verdict.RetryAfter)
 	}
-	w.Budgets.Requested(w.Now, r.spec.Service, r.service.RetryPercent)
+	env.Budgets.Requested(env.Now, r.spec.Service, r.service.RetryPercent)
 	return messenger.Refusal{}
 }
 
 // afterClaim goes on with a request that needs no claim or has won it.
-func (c *Conductor) afterClaim(w *World, r *request) []messenger.Effect {
+func (c *Conductor) afterClaim(env *Env, r *request) []messenger.Effect {
 	if r.spec.Long && c.config.Safeguards.HoldFirst {
-		return c.beginHold(w, r)
+		return c.beginHold(env, r)
 	}
-	return c.accept(w, r)
+	return c.accept(env, r)
 }
 
 // accept promises the whole answer and sends the first attempt.
-func (c *Conductor) accept(w *World, r *request) []messenger.Effect {
+func (c *Conductor) accept(env *Env, r *request) []messenger.Effect {
 	r.accepted = true
 	c.counters.Accepted++
 	out := []messenger.Effect{
 		messenger.Accept{Request: r.spec.Request},
 		c.note("accepted", r, ""),
 	}
-	return append(out, c.startAttempt(w, r)...)
+	return append(out, c.startAttempt(env, r)...)
 }
 
 // service returns the present settings of a service that a peer speaks of.
-func service(w *World, name identifier.ServiceName) (catalog.Service, bool) {
-	if w.Catalog == nil {
+func service(env *Env, name identifier.ServiceName) (catalog.Service, bool) {
+	if env.Catalog == nil {
 		return catalog.Service{}, false
 	}
-	s, ok := w.Catalog.Services[name]
+	s, ok := env.Catalog.Services[name]
 	return s, ok
 }
--- a/internal/conductor/refuse.go
+++ b/internal/conductor/refuse.go
@@ -19,15 +19,15 @@
 // refuse ends a request that was not accepted and that nothing has run. The
 // holder of the claim alone knows that its key did not run: only it sends, and
 // it has just dropped the request for good.
-func (c *Conductor) refuse(w *World, r *request, refusal messenger.Refusal) []messenger.Effect {
+func (c *Conductor) refuse(env *Env, r *request, refusal messenger.Refusal) []messenger.Effect {
 	var out []messenger.Effect
 	if r.claim.won {
 		out = c.sayRefused(r.spec, refusal)
 	} else {
 		out = c.refuseNew(r.spec, refusal)
 	}
-	c.releaseClaim(w, r)
-	c.remove(w, r, 0)
+	c.releaseClaim(env, r)
+	c.remove(env, r, 0)
 	return out
 }
 
--- a/internal/conductor/stall.go
+++ b/internal/conductor/stall.go
@@ -17,26 +17,26 @@
 // a copy may be alive. This node is then likely to be the one that is cut off,
 // and taken for dead: what it gave its caller now would not be known to the
 // node that adopts the request, which would go on differently from there.
-func (c *Conductor) stall(w *World, r *request) []messenger.Effect {
+func (c *Conductor) stall(env *Env, r *request) []messenger.Effect {
 	if r.hold.stalledAt != timekeeper.Never {
 		return nil
 	}
-	r.hold.stalledAt = w.Now
+	r.hold.stalledAt = env.Now
 	return []messenger.Effect{c.note("stalled", r, fmt.Sprintf("copy=%s", r.hold.exposed))}
 }
 
 // yieldLongStall ends a stall that lasts: the node with the copy has adopted
 // the request by now, unless it hears this node; then it is told to take it
 // over.
-func (c *Conductor) yieldLongStall(w *World, r *request) []messenger.Effect {
-	if r.hold.stalledAt == timekeeper.Never || w.Now.Sub(r.hold.stalledAt) < stallPatience {
+func (c *Conductor) yieldLongStall(env *Env, r *request) []messenger.Effect {
+	if r.hold.stalledAt == timekeeper.Never || env.Now.Sub(r.hold.stalledAt) < stallPatience {
 		return nil
 	}
 	out := []messenger.Effect{
 		r.handOverTo(r.hold.exposed, r.hold.exposedAddress),
 		c.note("yielded", r, fmt.Sprintf("owner=%s", r.hold.exposed)),
 	}
-	return append(out, c.leaveTo(w, r, r.hold.exposed)...)
+	return append(out, c.leaveTo(env, r, r.hold.exposed)...)
 }
 
 // goUnprotected lets an accepted answer go out without a copy: no node can
@@ -62,12 +62,12 @@
 }
 
 // leaveTo ends this node's part in a request that another node has.
-func (c *Conductor) leaveTo(w *World, r *request, owner identifier.VMID) []messenger.Effect {
+func (c *Conductor) leaveTo(env *Env, r *request, owner identifier.VMID) []messenger.Effect {
 	out := c.leaveStream(r)
 	out = append(out, messenger.Redirect{
 		Request: r.spec.Request,
 		To:      owner,
 	})
-	c.remove(w, r, r.spec.PromptTokens+r.delivered)
+	c.remove(env, r, r.spec.PromptTokens+r.delivered)
 	return out
 }
--- a/internal/conductor/wave.go
+++ b/internal/conductor/wave.go
@@ -13,48 +13,48 @@
 // ServersLeaving plans once for all streams of this node that run on servers
 // that are leaving. It is called again when a further notice comes in the
 // middle; exports under way are left alone.
-func (c *Conductor) ServersLeaving(w *World) []messenger.Effect {
-	if w.Catalog == nil {
+func (c *Conductor) ServersLeaving(env *Env) []messenger.Effect {
+	if env.Catalog == nil {
 		return nil
 	}
 	byPool := map[identifier.PoolName][]planner.Stream{}
 	var pools []identifier.PoolName
 	var out []messenger.Effect
 	for _, r := range c.sortedRequests() {
-		if !r.onLeaving(w) {
+		if !r.onLeaving(env) {
 			continue
 		}
 		if !r.begun() {
 			// It waits in the server's queue, with nothing to export yet.
-			out = append(out, c.moveByPrefill(w, r)...)
+			out = append(out, c.moveByPrefill(env, r)...)
 			continue
 		}
 		if byPool[r.service.Pool] == nil {
 			pools = append(pools, r.service.Pool)
 		}
-		byPool[r.service.Pool] = append(byPool[r.service.Pool], plannerStream(w, r))
+		byPool[r.service.Pool] = append(byPool[r.service.Pool], plannerStream(env, r))
 	}
 	for _, pool := range pools {
-		out = append(out, c.planPool(w, pool, byPool[pool])...)
+		out = append(out, c.planPool(env, pool, byPool[pool])...)
 	}
 	return out
 }
 
-func (c *Conductor) planPool(w *World, pool identifier.PoolName, streams []planner.Stream) []messenger.Effect {
+func (c *Conductor) planPool(env *Env, pool identifier.PoolName, streams []planner.Stream) []messenger.Effect {
 	leaving := map[identifier.VMID]timekeeper.Time{}
-	var rooms []planner.Room
-	for _, s := range w.Members.Servers(pool) {
+	var rooms []planner.Headroom
+	for _, s := range env.Members.Servers(pool) {
 		if s.Leaving {
 			leaving[s.VM] = s.LeaveBy
 			continue
 		}
-		rooms = append(rooms, c.room(w, pool, s))
+		rooms = append(rooms, c.room(env, pool, s))
 	}
-	rate := w.Catalog.Pools[pool].TransferRate
-	part := c.partOfWave(w, leaving, len(streams))
+	rate := env.Catalog.Pools[pool].TransferRate
+	part := c.partOfWave(env, leaving, len(streams))
 	rules := c.config.PlanRules
 	rules.LinkShare = part.LinkShare()
-	moves := planner.PlanWave(w.Now, leaving, rate, streams, part.Rooms(rooms), rules)
+	moves := planner.PlanWave(env.Now, leaving, rate, streams, part.Headroom(rooms), rules)
 	var out []messenger.Effect
 	for _, m := range moves {
 		r := c.requests[m.Request]
@@ -64,36 +64,36 @@
 			startAt: m.Start,
 		}
 		out = append(out, c.note("move_planned", r, fmt.Sprintf("action=%s to=%s", m.Action, m.To)))
-		out = append(out, c.startDueMove(w, r)...)
+		out = append(out, c.startDueMove(env, r)...)
 	}
 	return out
 }
 
 // partOfWave says which part of the room and bandwidth this node plans with:
 // all nodes plan at the same moment, each for its own streams.
-func (c *Conductor) partOfWave(w *World, leaving map[identifier.VMID]timekeeper.Time, own int) planner.Part {
-	part := planner.Part{
-		Self: c.config.Self,
-		Own:  own,
+func (c *Conductor) partOfWave(env *Env, leaving map[identifier.VMID]timekeeper.Time, own int) planner.NodeShare {
+	part := planner.NodeShare{
+		Self:       c.config.Self,
+		OwnStreams: own,
 	}
-	for _, n := range w.Members.Nodes() {
+	for _, n := range env.Members.Nodes() {
 		if n.State == gossiper.Alive {
 			part.Nodes = append(part.Nodes, n.VM)
 		}
 	}
 	for vm := range leaving {
-		part.Running += w.Loads[vm].Running
+		part.TotalStreams += env.Loads[vm].Running
 	}
 	return part
 }
 
 // onLeaving reports whether the stream of r runs on a server that is leaving
 // and is not on its way to another.
-func (r *request) onLeaving(w *World) bool {
+func (r *request) onLeaving(env *Env) bool {
 	if r.phase != running || !r.model() || r.move.sent {
 		return false
 	}
-	server, known := w.Members.Server(r.server)
+	server, known := env.Members.Server(r.server)
 	return known && server.Leaving
 }
 
@@ -101,9 +101,9 @@
 func (r *request) begun() bool { return r.firstAt != 0 || r.delivered > 0 }
 
 // plannerStream describes the stream of r to the planner.
-func plannerStream(w *World, r *request) planner.Stream {
-	pool := w.Catalog.Pools[r.service.Pool]
-	target := w.Catalog.Target(r.spec.Account, r.spec.Service)
+func plannerStream(env *Env, r *request) planner.Stream {
+	pool := env.Catalog.Pools[r.service.Pool]
+	target := env.Catalog.Target(r.spec.Account, r.spec.Service)
 	context := r.spec.PromptTokens + r.delivered
 	return planner.Stream{
 		Request:          r.spec.Request,
@@ -111,9 +111,9 @@
 		Server:           r.server,
 		Zone:             r.zone,
 		Remaining:        r.spec.MaxTokens - r.delivered,
-		Pace:             r.pace(pool.TokensPerSecond),
+		TokensPerSecond:  r.pace(pool.TokensPerSecond),
 		Context:          context,
-		KV:               identifier.Bytes(context) * pool.KVBytesPerToken,
+		KVBytes:          identifier.Bytes(context) * pool.KVBytesPerToken,
 		Penalty:          target.Penalty,
 		Target:           r.spec.Received.Add(target.Completion),
 		Deadline:         r.spec.Deadline,
@@ -122,11 +122,11 @@
 	}
 }
 
-func (c *Conductor) room(w *World, name identifier.PoolName, s gossiper.Server) planner.Room {
-	pool := w.Catalog.Pools[name]
-	load := w.Loads[s.VM]
+func (c *Conductor) room(env *Env, name identifier.PoolName, s gossiper.Server) planner.Headroom {
+	pool := env.Catalog.Pools[name]
+	load := env.Loads[s.VM]
 	busy := max(c.onServer[s.VM], load.Running)
-	return planner.Room{
+	return planner.Headroom{
 		Server:   s.VM,
 		Zone:     s.Zone,
 		Slots:    max(0, pool.Slots-busy),
--- a/internal/planner/part.go
+++ b/internal/planner/part.go
@@ -6,22 +6,24 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// Part is one node's part of the room and bandwidth that all nodes plan with.
+// NodeShare determines one node's share of the headroom and bandwidth that all
+// nodes plan with.
 //
-// Each node knows only its own streams, and all plan at the same moment. If
-// each counted on every free slot and the whole link, the links would be sold
-// several times over and transfers cut at the deadline. Parts need no message:
-// they follow from the membership, which all nodes share, and from the load
-// reports. Where two nodes disagree for a moment, a slot is given twice or not
-// at all; the server then queues one stream or idles one slot.
-type Part struct {
+// Each node knows only its own streams, and all nodes plan at the same time. If
+// each planned with every free slot and the whole link, links would be
+// overcommitted and transfers cut off at the deadline. The shares need no
+// coordination: they are computed from the membership, which all nodes share,
+// and from the load reports. While two nodes disagree on the membership, a slot
+// may be assigned twice or not at all; the server then queues one stream or
+// leaves one slot idle.
+type NodeShare struct {
 	Self identifier.VMID
 	// Nodes are the live nodes in the order of their names, Self included.
 	Nodes []identifier.VMID
-	// Own counts this node's streams on the leaving servers, and Running all
-	// streams that these servers report.
-	Own     int
-	Running int
+	// OwnStreams is the number of this node's streams on the leaving servers,
+	// and TotalStreams the number of streams that these servers report.
+	OwnStreams   int
+	TotalStreams int
 }
 
 // linkExcess is how far the nodes together plan beyond the links' time. Many
@@ -33,21 +35,22 @@
 // LinkShare returns the part of the links' time to plan with. One stream more
 // than this node has is counted, because a part shorter than any transfer
 // would be of no use.
-func (p Part) LinkShare() float64 {
-	if linkExcess*(p.Own+1) >= p.Running {
+func (p NodeShare) LinkShare() float64 {
+	if linkExcess*(p.OwnStreams+1) >= p.TotalStreams {
 		return 1
 	}
-	return float64(linkExcess*(p.Own+1)) / float64(p.Running)
+	return float64(linkExcess*(p.OwnStreams+1)) / float64(p.TotalStreams)
 }
 
-// Rooms returns the part of each room. The free slots of a server go round
-// the nodes, from a node that follows from the server's name.
-func (p Part) Rooms(rooms []Room) []Room {
+// Headroom returns this node's share of each server's headroom. The free slots
+// of a server are dealt out in turn, starting at a node chosen by a hash of the
+// server's name.
+func (p NodeShare) Headroom(rooms []Headroom) []Headroom {
 	at, nodes := p.place(), len(p.Nodes)
 	if nodes < 2 || at < 0 {
 		return rooms
 	}
-	parts := make([]Room, 0, len(rooms))
+	parts := make([]Headroom, 0, len(rooms))
 	for _, r := range rooms {
 		first := int(xxhash.Sum64String(string(r.Server)) % uint64(nodes))
 		turn := (at - first + nodes) % nodes
@@ -62,7 +65,7 @@
 	return parts
 }
 
-func (p Part) place() int {
+func (p NodeShare) place() int {
 	for i, vm := range p.Nodes {
 		if vm == p.Self {
 			return i
--- a/internal/planner/part_test.go
+++ b/internal/planner/part_test.go
@@ -18,17 +18,17 @@
 		for i := range rapid.IntRange(1, 9).Draw(t, "nodes") {
 			nodes = append(nodes, identifier.VMID(fmt.Sprintf("n-%d", i)))
 		}
-		whole := Room{
+		whole := Headroom{
 			Server:   identifier.VMID(rapid.String().Draw(t, "server")),
 			Slots:    rapid.IntRange(0, 40).Draw(t, "slots"),
 			KVTokens: 100_000,
 		}
 		slots, tokens := 0, identifier.Tokens(0)
 		for _, self := range nodes {
-			for _, r := range (Part{
+			for _, r := range (NodeShare{
 				Self:  self,
 				Nodes: nodes,
-			}).Rooms([]Room{whole}) {
+			}).Headroom([]Headroom{whole}) {
 				slots += r.Slots
 				tokens += r.KVTokens
 			}
@@ -36,12 +36,12 @@
 		require.Equal(t, whole.Slots, slots)
 		require.LessOrEqual(t, tokens, whole.KVTokens)
 	})
-	require.InDelta(t, 0.5, Part{
-		Own:     1,
-		Running: 8,
+	require.InDelta(t, 0.5, NodeShare{
+		OwnStreams:   1,
+		TotalStreams: 8,
 	}.LinkShare(), 0)
-	require.InDelta(t, 1, Part{
-		Own:     2,
-		Running: 1,
+	require.InDelta(t, 1, NodeShare{
+		OwnStreams:   2,
+		TotalStreams: 1,
 	}.LinkShare(), 0)
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -41,17 +41,17 @@
 	// Zone is the availability zone of Server. A plan avoids the zones of
 	// the leaving servers as long as there is room elsewhere.
 	Zone identifier.Zone
-	// Remaining is how many tokens the stream may still generate, and Pace
-	// how many it generates in a second.
-	Remaining identifier.Tokens
-	Pace      float64
+	// Remaining is the maximum number of tokens that the stream may still
+	// generate, and TokensPerSecond is its current rate.
+	Remaining       identifier.Tokens
+	TokensPerSecond float64
 	// PrefillPerSecond is the pace at which another server would read the
 	// context again. Zero means unknown: the penalty counts as at stake.
 	PrefillPerSecond float64
-	// Context is the prompt and the tokens generated so far; KV is the size
-	// of its cache.
+	// Context is the number of tokens of the prompt and of the answer so far;
+	// KVBytes is the size of its KV cache.
 	Context identifier.Tokens
-	KV      identifier.Bytes
+	KVBytes identifier.Bytes
 	// Penalty is what a miss of Target costs.
 	Penalty  identifier.Money
 	Target   timekeeper.Time
@@ -64,8 +64,9 @@
 	MovingUntil timekeeper.Time
 }
 
-// Room is what one server has free, with exports under way not yet taken off.
-type Room struct {
+// Headroom is the unused capacity of one server. Exports in progress are not
+// yet subtracted.
+type Headroom struct {
 	Server   identifier.VMID
 	Zone     identifier.Zone
 	Slots    int
@@ -106,7 +107,7 @@
 	// TokenValue is what one recomputed token costs.
 	TokenValue identifier.Money
 	// LinkShare is the part of each link's time that the plan may use; see
-	// Part. Zero means all of it.
+	// NodeShare. Zero means all of it.
 	LinkShare float64
 }
 
--- a/internal/planner/rank.go
+++ b/internal/planner/rank.go
@@ -49,7 +49,7 @@
 	if s.Target == 0 || s.PrefillPerSecond <= 0 {
 		return true
 	}
-	generate := timekeeper.Duration(spanOf(float64(s.Remaining), s.Pace))
+	generate := timekeeper.Duration(spanOf(float64(s.Remaining), s.TokensPerSecond))
 	byExport := now.Add(transfer + generate)
 	byPrefill := now.Add(finishTime(s) + timekeeper.Duration(spanOf(float64(s.Context), s.PrefillPerSecond)))
 	return !byExport.After(s.Target) && byPrefill.After(s.Target)
--- a/internal/planner/room.go
+++ b/internal/planner/room.go
@@ -10,7 +10,7 @@
 
 // receiver is a server that may take streams, as the plan fills it.
 type receiver struct {
-	room Room
+	room Headroom
 	// shunned marks a server in a zone that loses servers: the next notice
 	// is likely to be its own.
 	shunned bool
@@ -29,7 +29,7 @@
 	now timekeeper.Time,
 	leaving map[identifier.VMID]timekeeper.Time,
 	zones map[identifier.Zone]bool,
-	rooms []Room,
+	rooms []Headroom,
 	rules Rules,
 ) *roomTable {
 	t := &roomTable{
--- a/internal/planner/wave.go
+++ b/internal/planner/wave.go
@@ -40,7 +40,7 @@
 	leaving map[identifier.VMID]timekeeper.Time,
 	rate identifier.BytesPerSecond,
 	streams []Stream,
-	rooms []Room,
+	rooms []Headroom,
 	rules Rules,
 ) []Move {
 	w := &wave{
@@ -203,15 +203,15 @@
 
 // finishTime returns how long the stream is expected to run.
 func finishTime(s Stream) timekeeper.Duration {
-	return timekeeper.Duration(finishReserve * spanOf(float64(s.Remaining), s.Pace))
+	return timekeeper.Duration(finishReserve * spanOf(float64(s.Remaining), s.TokensPerSecond))
 }
 
 // transferTime returns how long the export of s takes if it begins after the
 // given wait. The cache grows while the stream waits for its turn.
 func transferTime(s Stream, wait timekeeper.Duration, rate identifier.BytesPerSecond) timekeeper.Duration {
-	size := float64(s.KV)
+	size := float64(s.KVBytes)
 	if s.Context > 0 {
-		grown := min(s.Pace*wait.Seconds(), float64(s.Remaining))
+		grown := min(s.TokensPerSecond*wait.Seconds(), float64(s.Remaining))
 		size += size * grown / float64(s.Context)
 	}
 	return timekeeper.Duration(spanOf(size, float64(rate))) + timekeeper.Millisecond
--- a/internal/planner/wave_test.go
+++ b/internal/planner/wave_test.go
@@ -19,7 +19,7 @@
 type input struct {
 	leaving map[identifier.VMID]timekeeper.Time
 	streams []Stream
-	rooms   []Room
+	rooms   []Headroom
 }
 
 func drawInput(t *rapid.T) input {
@@ -30,7 +30,7 @@
 		if i == 0 || rapid.Bool().Draw(t, "leaves") {
 			in.leaving[vm] = testNow + timekeeper.Time(rapid.IntRange(0, 20_000).Draw(t, "notice"))
 		}
-		in.rooms = append(in.rooms, Room{
+		in.rooms = append(in.rooms, Headroom{
 			Server:   vm,
 			Zone:     identifier.Zone(fmt.Sprintf("zone-%d", i%3)),
 			Slots:    rapid.IntRange(0, 4).Draw(t, "slots"),
@@ -46,16 +46,16 @@
 func drawStream(t *rapid.T, i, servers int) Stream {
 	at := rapid.IntRange(0, servers-1).Draw(t, "server")
 	s := Stream{
-		Request:   identifier.RequestID(fmt.Sprintf("r-%02d", i)),
-		Attempt:   1,
-		Server:    identifier.VMID(fmt.Sprintf("vm-%d", at)),
-		Zone:      identifier.Zone(fmt.Sprintf("zone-%d", at%3)),
-		Remaining: identifier.Tokens(rapid.IntRange(0, 2000).Draw(t, "remaining")),
-		Pace:      50,
-		Context:   identifier.Tokens(rapid.IntRange(1, 4000).Draw(t, "context")),
-		Penalty:   identifier.Money(rapid.IntRange(0, 1_000_000).Draw(t, "penalty")),
+		Request:         identifier.RequestID(fmt.Sprintf("r-%02d", i)),
+		Attempt:         1,
+		Server:          identifier.VMID(fmt.Sprintf("vm-%d", at)),
+		Zone:            identifier.Zone(fmt.Sprintf("zone-%d", at%3)),
+		Remaining:       identifier.Tokens(rapid.IntRange(0, 2000).Draw(t, "remaining")),
+		TokensPerSecond: 50,
+		Context:         identifier.Tokens(rapid.IntRange(1, 4000).Draw(t, "context")),
+		Penalty:         identifier.Money(rapid.IntRange(0, 1_000_000).Draw(t, "penalty")),
 	}
-	s.KV = identifier.Bytes(s.Context)
+	s.KVBytes = identifier.Bytes(s.Context)
 	if rapid.IntRange(0, 4).Draw(t, "moving") == 0 {
 		s.MovingTo = identifier.VMID(fmt.Sprintf("vm-%d", rapid.IntRange(0, servers-1).Draw(t, "moving_to")))
 		s.MovingUntil = testNow + 500
@@ -149,15 +149,15 @@
 
 func stream(name string, remaining, context identifier.Tokens, penalty identifier.Money) Stream {
 	return Stream{
-		Request:   identifier.RequestID(name),
-		Attempt:   1,
-		Server:    "old",
-		Zone:      "a",
-		Remaining: remaining,
-		Pace:      100,
-		Context:   context,
-		KV:        identifier.Bytes(context),
-		Penalty:   penalty,
+		Request:         identifier.RequestID(name),
+		Attempt:         1,
+		Server:          "old",
+		Zone:            "a",
+		Remaining:       remaining,
+		TokensPerSecond: 100,
+		Context:         context,
+		KVBytes:         identifier.Bytes(context),
+		Penalty:         penalty,
 	}
 }
 
@@ -179,7 +179,7 @@
 		stream("dear", 5000, 3500, identifier.Coin),
 		stream("short", 100, 3500, identifier.Coin),
 	}
-	rooms := []Room{
+	rooms := []Headroom{
 		{
 			Server:   "near",
 			Zone:     "a",
@@ -241,13 +241,13 @@
 	} {
 		b.Run(fmt.Sprintf("%d_servers_%d_streams", size.servers, size.streams), func(b *testing.B) {
 			leaving := make(map[identifier.VMID]timekeeper.Time)
-			var rooms []Room
+			var rooms []Headroom
 			for i := range size.servers {
 				vm := identifier.VMID(fmt.Sprintf("vm-%d", i))
 				if i < size.leaving {
 					leaving[vm] = testNow + 20_000
 				}
-				rooms = append(rooms, Room{
+				rooms = append(rooms, Headroom{
 					Server:   vm,
 					Zone:     identifier.Zone(fmt.Sprintf("z-%d", i*10/size.servers)),
 					Slots:    32,
--- a/internal/provisioner/provisioner.go
+++ b/internal/provisioner/provisioner.go
@@ -85,9 +85,10 @@
 
 // Demand is what this node's callers ask of a pool.
 type Demand struct {
-	// Busy counts the requests in flight, Interactive those among them that
-	// are interactive, and Arrivals all that ever came.
-	Busy        int
+	// InFlight is the number of requests in flight, Interactive the number of
+	// these that are interactive, and Arrivals the number received since the
+	// process started.
+	InFlight    int
 	Interactive int
 	Arrivals    int
 }
@@ -158,7 +159,7 @@
 	if !held {
 		// The next holder may be this node: it has to know the demand and
 		// the reclaims that there were.
-		state.scaler.Watch(in.Now, p.scalerInput(in, name, state, commander.Lease{}))
+		state.scaler.Observe(in.Now, p.scalerInput(in, name, state, commander.Lease{}))
 		return nil
 	}
 	tenure := commander.Lease{
@@ -214,8 +215,8 @@
 	Pool   identifier.PoolName
 	Holder identifier.VMID
 	Fence  identifier.Fence
-	// Own tells that this process holds it now.
-	Own bool
+	// HeldHere reports whether this process holds the lease now.
+	HeldHere bool
 }
 
 // View returns the leases that the node follows, by pool.
@@ -228,10 +229,10 @@
 		}
 		_, _, own := p.leases.Held(leaseOf(name), now)
 		out = append(out, LeaseView{
-			Pool:   name,
-			Holder: holder,
-			Fence:  fence,
-			Own:    own,
+			Pool:     name,
+			Holder:   holder,
+			Fence:    fence,
+			HeldHere: own,
 		})
 	}
 	return out
--- a/internal/provisioner/provisioner_test.go
+++ b/internal/provisioner/provisioner_test.go
@@ -239,9 +239,9 @@
 func TestStopReleases(t *testing.T) {
 	f := newFixture("n1")
 	f.run(5 * timekeeper.Second)
-	require.True(t, f.p.View(f.in.Now)[0].Own)
+	require.True(t, f.p.View(f.in.Now)[0].HeldHere)
 	f.p.Stop()
-	require.False(t, f.p.View(f.in.Now)[0].Own)
+	require.False(t, f.p.View(f.in.Now)[0].HeldHere)
 	f.run(timekeeper.Second)
 	f.read()
 	require.Empty(t, f.p.View(f.in.Now), "the release was read back")
--- a/internal/provisioner/purchase.go
+++ b/internal/provisioner/purchase.go
@@ -74,7 +74,7 @@
 	if !known {
 		return nil
 	}
-	p.pool(t.pool).scaler.Ended(now, t.token, scaler.Result{
+	p.pool(t.pool).scaler.PurchaseEnded(now, t.token, scaler.PurchaseResult{
 		VM:        e.VM,
 		Refused:   e.Refused,
 		Ambiguous: e.Ambiguous,
@@ -107,15 +107,15 @@
 		load := in.Loads[s.VM]
 		busy += load.Running + load.Waiting
 	}
-	busy = max(busy, own.Busy)
+	busy = max(busy, own.InFlight)
 	interactive := 0.0
-	if own.Busy > 0 {
-		interactive = float64(busy) * float64(own.Interactive) / float64(own.Busy)
+	if own.InFlight > 0 {
+		interactive = float64(busy) * float64(own.Interactive) / float64(own.InFlight)
 	}
 	arrived := own.Arrivals - state.arrivals
 	state.arrivals = own.Arrivals
 	return scaler.Demand{
-		Busy:        float64(busy),
+		InFlight:    float64(busy),
 		Interactive: interactive,
 		Arrivals:    arrived * max(1, len(in.Members.Nodes())),
 	}
--- a/internal/reducer/duty.go
+++ b/internal/reducer/duty.go
@@ -17,7 +17,7 @@
 )
 
 // gatewayLogRead takes in records of the streams of the duties.
-func (r *Reducer) gatewayLogRead(w *conductor.World, e messenger.LogRead) []messenger.Effect {
+func (r *Reducer) gatewayLogRead(w *conductor.Env, e messenger.LogRead) []messenger.Effect {
 	g := r.gateway
 	switch e.Stream {
 	case leaser.Stream:
@@ -44,7 +44,7 @@
 
 // tickDuties tries for the lease of the duties and, while it is held, does
 // them.
-func (r *Reducer) tickDuties(w *conductor.World) []messenger.Effect {
+func (r *Reducer) tickDuties(w *conductor.Env) []messenger.Effect {
 	g := r.gateway
 	if !g.draining && g.settled && r.ranking.Chosen(string(dutyLease), dutyNodes) {
 		g.leases.Want(w.Now, dutyLease)
@@ -66,7 +66,7 @@
 
 // noteTenure tells the time line when this node comes to hold the lease, or no
 // longer does. Another holder may have ordered in between.
-func (r *Reducer) noteTenure(w *conductor.World) []messenger.Effect {
+func (r *Reducer) noteTenure(w *conductor.Env) []messenger.Effect {
 	g := r.gateway
 	fence, _, held := g.leases.Held(dutyLease, w.Now)
 	if !held {
@@ -91,7 +91,7 @@
 	}
 }
 
-func (r *Reducer) tickUsage(w *conductor.World) []messenger.Effect {
+func (r *Reducer) tickUsage(w *conductor.Env) []messenger.Effect {
 	g := r.gateway
 	if !g.config.LeaderTasks {
 		return nil
@@ -105,7 +105,7 @@
 }
 
 // tickSizes orders the backend servers that the demand takes.
-func (r *Reducer) tickSizes(w *conductor.World) []messenger.Effect {
+func (r *Reducer) tickSizes(w *conductor.Env) []messenger.Effect {
 	g := r.gateway
 	if g.catalog == nil || w.Now.Before(g.nextPlan) {
 		return nil
@@ -116,12 +116,12 @@
 	for _, service := range slices.Sorted(maps.Keys(g.catalog.Routing.Backends)) {
 		in := g.sizing(w.Now, service)
 		if !held {
-			g.sizes.Watch(in)
+			g.sizes.Observe(in)
 			continue
 		}
-		before := g.sizes.Need(service)
+		before := g.sizes.NeededServers(service)
 		orders := g.sizes.Plan(in)
-		if need := g.sizes.Need(service); need != before {
+		if need := g.sizes.NeededServers(service); need != before {
 			out = append(out, r.sized(in, need))
 		}
 		for _, o := range orders {
@@ -153,13 +153,13 @@
 		Servers: g.versions.Bearing(service, g.servers.Of(service)),
 		Demand:  g.exchanges.Demand(now, service),
 		// The fleet is ordered by number, whatever the versions of its servers.
-		OnlyMore: g.versions.Moving(service),
+		GrowOnly: g.versions.Moving(service),
 	}
 }
 
-func (r *Reducer) serversOrdered(w *conductor.World, e messenger.ServersOrdered) []messenger.Effect {
+func (r *Reducer) serversOrdered(w *conductor.Env, e messenger.ServersOrdered) []messenger.Effect {
 	g := r.gateway
-	g.sizes.Ordered(w.Now, e.Order, e.Result)
+	g.sizes.OrderEnded(w.Now, e.Order, e.Result)
 	r.fencedOff(e.Result)
 	return []messenger.Effect{
 		messenger.Note{
--- a/internal/reducer/gateway.go
+++ b/internal/reducer/gateway.go
@@ -247,7 +247,7 @@
 }
 
 // gatewayEvent hands an event to the parts that serve opaque exchanges.
-func (r *Reducer) gatewayEvent(w *conductor.World, body messenger.EventBody) []messenger.Effect {
+func (r *Reducer) gatewayEvent(w *conductor.Env, body messenger.EventBody) []messenger.Effect {
 	g := r.gateway
 	if g == nil {
 		return nil
@@ -302,7 +302,7 @@
 	return nil
 }
 
-func (r *Reducer) exchangeWorld(w *conductor.World) dispatcher.Env {
+func (r *Reducer) exchangeWorld(w *conductor.Env) dispatcher.Env {
 	g := r.gateway
 	out := dispatcher.Env{
 		Now:             w.Now,
@@ -347,7 +347,7 @@
 
 // catalogPublished puts a configuration in force if it is newer than the one
 // that is, whatever path it came by. An older one never comes back.
-func (r *Reducer) catalogPublished(w *conductor.World, e messenger.CatalogPublished) []messenger.Effect {
+func (r *Reducer) catalogPublished(w *conductor.Env, e messenger.CatalogPublished) []messenger.Effect {
 	g := r.gateway
 	if e.Direct {
 		g.confirmed = w.Now
@@ -373,7 +373,7 @@
 
 // serversChanged tells the time line, and the peers where this node heard of
 // the change first.
-func (r *Reducer) serversChanged(w *conductor.World, changed []messenger.PublishedServer, direct bool) []messenger.Effect {
+func (r *Reducer) serversChanged(w *conductor.Env, changed []messenger.PublishedServer, direct bool) []messenger.Effect {
 	if len(changed) == 0 {
 		return nil
 	}
@@ -406,7 +406,7 @@
 }
 
 // tickGateway lets time pass for the exchanges and the duties.
-func (r *Reducer) tickGateway(w *conductor.World) []messenger.Effect {
+func (r *Reducer) tickGateway(w *conductor.Env) []messenger.Effect {
 	g := r.gateway
 	out := r.serversChanged(w, g.servers.Tick(w.Now), true)
 	if g.startedAt == 0 {
@@ -442,7 +442,7 @@
 
 // gatewayDrain begins a planned stop: callers are sent elsewhere at once, and
 // the node stays until what it took has ended.
-func (r *Reducer) gatewayDrain(w *conductor.World, e messenger.DrainStarted) []messenger.Effect {
+func (r *Reducer) gatewayDrain(w *conductor.Env, e messenger.DrainStarted) []messenger.Effect {
 	g := r.gateway
 	g.draining = true
 	g.leaveAt = w.Now.Add(lingerLeaving)
--- a/internal/reducer/granting.go
+++ b/internal/reducer/granting.go
@@ -52,7 +52,7 @@
 
 // shareGrants sets this node's parts of the accounts' limits and of the retries
 // by whom it hears.
-func (r *Reducer) shareGrants(w *conductor.World) {
+func (r *Reducer) shareGrants(w *conductor.Env) {
 	g := r.gateway
 	nodes := r.nodesToShare(w)
 	_, _, held := g.leases.Held(dutyLease, w.Now)
@@ -69,7 +69,7 @@
 // of each limit for its own part. Where all nodes start at once each of them
 // does, for the quarter of a second until they hear of one another. Until those
 // that were killed would be forgotten, all that the platform's list names count.
-func (r *Reducer) nodesToShare(w *conductor.World) int {
+func (r *Reducer) nodesToShare(w *conductor.Env) int {
 	g := r.gateway
 	heard := r.members.Count(w.Now, cutMemory)
 	if g.startedAt != 0 && w.Now.Sub(g.startedAt) > cutMemory {
@@ -85,7 +85,7 @@
 // begins this node's parts of the limits: by then they were those of one of many,
 // with next to nothing to grant, and callers that come back after all nodes were
 // down would be refused until these had grown.
-func (r *Reducer) nodesListed(w *conductor.World, nodes int) {
+func (r *Reducer) nodesListed(w *conductor.Env, nodes int) {
 	g := r.gateway
 	if g == nil {
 		return
@@ -99,7 +99,7 @@
 }
 
 // granterNow returns the peer that grants limits, or nil where none can be asked.
-func (r *Reducer) granterNow(w *conductor.World) *dispatcher.Allocator {
+func (r *Reducer) granterNow(w *conductor.Env) *dispatcher.Allocator {
 	g := r.gateway
 	node, known := r.members.Node(g.granter)
 	if !known || !g.granterThere(w.Now) {
@@ -113,7 +113,7 @@
 
 // granterAnswered takes in that the peer that was asked did not answer, or that it grants
 // nothing any more.
-func (r *Reducer) granterAnswered(w *conductor.World, unknown, notGranting bool) {
+func (r *Reducer) granterAnswered(w *conductor.Env, unknown, notGranting bool) {
 	if notGranting {
 		// Nobody grants until a node has the lease. All nodes go on with
 		// equal parts at once: waiting until the old holder counts as silent
--- a/internal/reducer/membership.go
+++ b/internal/reducer/membership.go
@@ -43,7 +43,7 @@
 
 // membersChanged passes changes of the membership on. Servers that are
 // leaving are planned for once, for the whole wave that one event brought.
-func (r *Reducer) membersChanged(w *conductor.World, changes []gossiper.Change) []messenger.Effect {
+func (r *Reducer) membersChanged(w *conductor.Env, changes []gossiper.Change) []messenger.Effect {
 	var out []messenger.Effect
 	wave := false
 	for _, ch := range changes {
@@ -57,7 +57,7 @@
 	return out
 }
 
-func (r *Reducer) memberChanged(w *conductor.World, ch gossiper.Change) []messenger.Effect {
+func (r *Reducer) memberChanged(w *conductor.Env, ch gossiper.Change) []messenger.Effect {
 	if r.gateway != nil && ch.Kind != gossiper.NodeOutdated {
 		// Nothing of an opaque exchange stands with another node.
 		if ch.Kind == gossiper.NodeJoined || ch.Kind == gossiper.NodeAlive {
@@ -82,7 +82,7 @@
 		return []messenger.Effect{messenger.Exit{}}
 	case gossiper.ServerGone:
 		delete(r.loads, ch.VM)
-		return r.requests.ServerGone(w, ch.VM)
+		return r.requests.ServerRemoved(w, ch.VM)
 	}
 	return nil
 }
@@ -99,7 +99,7 @@
 	}
 }
 
-func (r *Reducer) gossipReceived(w *conductor.World, e messenger.GossipReceived) []messenger.Effect {
+func (r *Reducer) gossipReceived(w *conductor.Env, e messenger.GossipReceived) []messenger.Effect {
 	changes, err := r.members.Receive(w.Now, e.From, e.Data)
 	if err != nil {
 		return []messenger.Effect{
@@ -115,7 +115,7 @@
 
 // drainStarted begins a planned stop: peers learn of it by the same mark as
 // of a reclaim, so that callers are sent elsewhere and copies move away.
-func (r *Reducer) drainStarted(w *conductor.World, e messenger.DrainStarted) []messenger.Effect {
+func (r *Reducer) drainStarted(w *conductor.Env, e messenger.DrainStarted) []messenger.Effect {
 	if r.gateway != nil {
 		return r.gatewayDrain(w, e)
 	}
@@ -128,7 +128,7 @@
 }
 
 // tickGossip sends this node's news and takes up what silence says.
-func (r *Reducer) tickGossip(w *conductor.World) []messenger.Effect {
+func (r *Reducer) tickGossip(w *conductor.Env) []messenger.Effect {
 	r.members.SetNews(gossiper.News{
 		Revision: r.revision(),
 		Demand:   r.ownDemand(w.Now),
--- a/internal/reducer/platformlog.go
+++ b/internal/reducer/platformlog.go
@@ -52,7 +52,7 @@
 	return append([]identifier.LogStream{configStream, leaseStream, quarantiner.Stream}, r.claims.Streams()...)
 }
 
-func (r *Reducer) logRead(w *conductor.World, e messenger.LogRead) []messenger.Effect {
+func (r *Reducer) logRead(w *conductor.Env, e messenger.LogRead) []messenger.Effect {
 	if r.gateway != nil {
 		return r.gatewayLogRead(w, e)
 	}
@@ -68,7 +68,7 @@
 	return r.requests.ClaimsDecided(w, r.claims.Absorb(w.Now, e))
 }
 
-func (r *Reducer) configRead(w *conductor.World, e messenger.LogRead) []messenger.Effect {
+func (r *Reducer) configRead(w *conductor.Env, e messenger.LogRead) []messenger.Effect {
 	before := r.revision()
 	r.timers.configOut = timekeeper.Never
 	out := r.changesJudged(r.files.Absorb(w.Now, e))
@@ -96,7 +96,7 @@
 
 // configApplied lets the other slices see a configuration that just came into
 // force.
-func (r *Reducer) configApplied(w *conductor.World, before identifier.Revision) []messenger.Effect {
+func (r *Reducer) configApplied(w *conductor.Env, before identifier.Revision) []messenger.Effect {
 	now := r.revision()
 	if now == before {
 		return nil
@@ -121,7 +121,7 @@
 	return r.files.Catalog().Revision
 }
 
-func (r *Reducer) logUnavailable(w *conductor.World, e messenger.LogUnavailable) []messenger.Effect {
+func (r *Reducer) logUnavailable(w *conductor.Env, e messenger.LogUnavailable) []messenger.Effect {
 	if r.gateway != nil {
 		return nil // Leases lapse by themselves.
 	}
@@ -132,7 +132,7 @@
 	return nil
 }
 
-func (r *Reducer) changeProposed(w *conductor.World, e messenger.ChangeProposed) []messenger.Effect {
+func (r *Reducer) changeProposed(w *conductor.Env, e messenger.ChangeProposed) []messenger.Effect {
 	r.timers.proposals++
 	nonce := identifier.Nonce(fmt.Sprintf("%s.%d.%d", r.config.Self, r.config.Incarnation, r.timers.proposals))
 	record, err := r.proposal(w.Now, e, nonce)
@@ -163,7 +163,7 @@
 
 // tickChanges appends the changes without a verdict again: the log may have
 // failed the append or never had it. The nonce makes the copies count once.
-func (r *Reducer) tickChanges(w *conductor.World) []messenger.Effect {
+func (r *Reducer) tickChanges(w *conductor.Env) []messenger.Effect {
 	if w.Now.Before(r.timers.nextChange) {
 		return nil
 	}
@@ -190,7 +190,7 @@
 
 // tickConfig answers operators whose change the log does not settle, appends
 // a due snapshot, and asks a peer for the configuration while the log is out.
-func (r *Reducer) tickConfig(w *conductor.World) []messenger.Effect {
+func (r *Reducer) tickConfig(w *conductor.Env) []messenger.Effect {
 	var out []messenger.Effect
 	for _, a := range r.files.Timeouts(w.Now) {
 		out = append(out, messenger.ReplyOperator{
@@ -218,7 +218,7 @@
 // tickFetch asks a peer that has a newer configuration. A node that starts
 // while the log is out would otherwise refuse everything, and one that was cut
 // off from the log alone would serve by old settings.
-func (r *Reducer) tickFetch(w *conductor.World) []messenger.Effect {
+func (r *Reducer) tickFetch(w *conductor.Env) []messenger.Effect {
 	out := r.timers.configOut != timekeeper.Never && w.Now.Sub(r.timers.configOut) >= fetchAfter
 	if !out || w.Now.Before(r.timers.nextFetch) {
 		return nil
@@ -251,7 +251,7 @@
 	return found, found.VM != ""
 }
 
-func (r *Reducer) configurationReceived(w *conductor.World, e messenger.ConfigurationReceived) []messenger.Effect {
+func (r *Reducer) configurationReceived(w *conductor.Env, e messenger.ConfigurationReceived) []messenger.Effect {
 	before := r.revision()
 	applied, err := r.files.Import(w.Now, e.Data)
 	if err != nil {
--- a/internal/reducer/quarantine.go
+++ b/internal/reducer/quarantine.go
@@ -18,7 +18,7 @@
 
 // tellEndsSoon lets peers hear soon of a server that ended under a request: by then
 // its caller may have sent it to one of them.
-func (r *Reducer) tellEndsSoon(w *conductor.World) {
+func (r *Reducer) tellEndsSoon(w *conductor.Env) {
 	if !r.quarantine.PendingUpdates() {
 		return
 	}
@@ -31,7 +31,7 @@
 
 // tellSuspects tells peers of the requests under which servers ended, if there are any.
 // Nodes that serve opaque exchanges do so with what else they share.
-func (r *Reducer) tellSuspects(w *conductor.World) []messenger.Effect {
+func (r *Reducer) tellSuspects(w *conductor.Env) []messenger.Effect {
 	if w.Now.Before(r.timers.nextSuspects) {
 		return nil
 	}
@@ -71,7 +71,7 @@
 
 // tickQuarantine forgets what is old, tells the time line which requests are refused,
 // and keeps these in the log where that is for this node to do.
-func (r *Reducer) tickQuarantine(w *conductor.World) []messenger.Effect {
+func (r *Reducer) tickQuarantine(w *conductor.Env) []messenger.Effect {
 	r.quarantine.Tick(w.Now)
 	out := r.quarantineNotes()
 	if !r.keepsQuarantine(w.Now) {
@@ -127,7 +127,7 @@
 }
 
 // quarantineRead takes in the requests that were refused before this node started.
-func (r *Reducer) quarantineRead(w *conductor.World, e messenger.LogRead) []messenger.Effect {
+func (r *Reducer) quarantineRead(w *conductor.Env, e messenger.LogRead) []messenger.Effect {
 	if err := r.quarantine.ApplyRecords(w.Now, e.Records); err != nil {
 		return []messenger.Effect{r.quarantineUnreadable(err)}
 	}
--- a/internal/reducer/reducer.go
+++ b/internal/reducer/reducer.go
@@ -162,7 +162,7 @@
 	case messenger.RequestCancelled:
 		return r.requests.Cancel(w, b.Request)
 	case messenger.CallerGone:
-		return r.requests.CallerGone(w, b.Request)
+		return r.requests.CallerDisconnected(w, b.Request)
 	case messenger.CallerAttached:
 		return r.requests.CallerAttached(w, b.Request)
 
@@ -265,8 +265,8 @@
 }
 
 // world lends the slices of the state to the conductor for one event.
-func (r *Reducer) world(now timekeeper.Time) *conductor.World {
-	return &conductor.World{
+func (r *Reducer) world(now timekeeper.Time) *conductor.Env {
+	return &conductor.Env{
 		Now:        now,
 		Catalog:    r.Catalog(),
 		Members:    r.members,
--- a/internal/reducer/relay.go
+++ b/internal/reducer/relay.go
@@ -87,7 +87,7 @@
 
 // relayNow passes on what the nodes of this zone reported, where this node is one of
 // the zone's relays.
-func (r *Reducer) relayNow(w *conductor.World) []messenger.Effect {
+func (r *Reducer) relayNow(w *conductor.Env) []messenger.Effect {
 	g := r.gateway
 	if w.Now.Before(g.nextRelay) {
 		return nil
--- a/internal/reducer/restored.go
+++ b/internal/reducer/restored.go
@@ -10,7 +10,7 @@
 // storeRestored lets the parts that rest on the log know that its newest records are
 // gone. They go on by what they know, and write again what others have to find there:
 // one that acted on a record that is gone could contradict what it did.
-func (r *Reducer) storeRestored(w *conductor.World, e messenger.StoreRestored) []messenger.Effect {
+func (r *Reducer) storeRestored(w *conductor.Env, e messenger.StoreRestored) []messenger.Effect {
 	g := r.gateway
 	if g == nil {
 		return nil
--- a/internal/reducer/rollout.go
+++ b/internal/reducer/rollout.go
@@ -15,7 +15,7 @@
 const hurriedShare = 200 * timekeeper.Millisecond
 
 // tickRollouts leads the roll-outs while this node holds the lease.
-func (r *Reducer) tickRollouts(w *conductor.World) []messenger.Effect {
+func (r *Reducer) tickRollouts(w *conductor.Env) []messenger.Effect {
 	g := r.gateway
 	if g.versions.Hurried() {
 		g.nextShare = min(g.nextShare, w.Now.Add(hurriedShare))
@@ -53,7 +53,7 @@
 }
 
 // noteRollouts tells the time line how roll-outs go, and peers at once.
-func (r *Reducer) noteRollouts(w *conductor.World) []messenger.Effect {
+func (r *Reducer) noteRollouts(w *conductor.Env) []messenger.Effect {
 	changes := r.gateway.versions.Changes()
 	if len(changes) == 0 {
 		return nil
@@ -81,13 +81,13 @@
 	}
 }
 
-func (r *Reducer) rolloutsClaimed(w *conductor.World, e messenger.RolloutsClaimed) []messenger.Effect {
+func (r *Reducer) rolloutsClaimed(w *conductor.Env, e messenger.RolloutsClaimed) []messenger.Effect {
 	r.fencedOff(e.Result)
 	r.gateway.versions.Claimed(w.Now, e)
 	return r.noteRollouts(w)
 }
 
-func (r *Reducer) rolloutKept(w *conductor.World, e messenger.RolloutKept) []messenger.Effect {
+func (r *Reducer) rolloutKept(w *conductor.Env, e messenger.RolloutKept) []messenger.Effect {
 	r.fencedOff(e.Result)
 	r.gateway.versions.Kept(w.Now, e)
 	return r.noteRollouts(w)
--- a/internal/reducer/serverlimit.go
+++ b/internal/reducer/serverlimit.go
@@ -18,7 +18,7 @@
 // does. That is the holder of the lease or, while none can be asked, the node that all
 // nodes rank first for the server: a server would get nothing for the seconds that a new
 // holder takes.
-func (r *Reducer) permitsOf(w *conductor.World, server identifier.VMID) *dispatcher.Allocator {
+func (r *Reducer) permitsOf(w *conductor.Env, server identifier.VMID) *dispatcher.Allocator {
 	if _, _, held := r.gateway.leases.Held(dutyLease, w.Now); held {
 		return nil
 	}
@@ -36,7 +36,7 @@
 }
 
 // serverLimitHeard takes in what a server's answer to this node states of its limit.
-func (r *Reducer) serverLimitHeard(w *conductor.World, e messenger.ServerLimitHeard) []messenger.Effect {
+func (r *Reducer) serverLimitHeard(w *conductor.Env, e messenger.ServerLimitHeard) []messenger.Effect {
 	change, changed := r.gateway.limits.Observe(w.Now, e)
 	if !changed {
 		return nil
@@ -46,7 +46,7 @@
 }
 
 // learnLimits takes in what a peer knows of servers' limits.
-func (r *Reducer) learnLimits(w *conductor.World, limits []messenger.ServerLimit) []messenger.Effect {
+func (r *Reducer) learnLimits(w *conductor.Env, limits []messenger.ServerLimit) []messenger.Effect {
 	var out []messenger.Effect
 	for _, l := range limits {
 		if s, known := r.gateway.servers.Server(l.Server); !known || s.State == messenger.ServerRemoved {
@@ -61,7 +61,7 @@
 
 // permitAsked answers a peer that asks for a permit. What it knows of the limits may be
 // newer than what this node does.
-func (r *Reducer) permitAsked(w *conductor.World, e messenger.PermitAsked) []messenger.Effect {
+func (r *Reducer) permitAsked(w *conductor.Env, e messenger.PermitAsked) []messenger.Effect {
 	return append(r.learnLimits(w, e.Limits), messenger.AnswerPermit{
 		Ticket: e.Ticket,
 		Answer: dispatcher.GrantPermit(r.exchangeWorld(w), e.Limits),
@@ -69,7 +69,7 @@
 }
 
 // permitAnswered goes on with an exchange for which a permit was asked.
-func (r *Reducer) permitAnswered(w *conductor.World, e messenger.PermitAnswered) []messenger.Effect {
+func (r *Reducer) permitAnswered(w *conductor.Env, e messenger.PermitAnswered) []messenger.Effect {
 	r.granterAnswered(w, e.Unknown, e.NotGranting)
 	return r.withNews(w, r.gateway.exchanges.PermitAnswered(r.exchangeWorld(w), e))
 }
--- a/internal/reducer/share.go
+++ b/internal/reducer/share.go
@@ -9,7 +9,7 @@
 )
 
 // withNews adds to effects what peers hear of at once.
-func (r *Reducer) withNews(w *conductor.World, effects ...messenger.Effect) []messenger.Effect {
+func (r *Reducer) withNews(w *conductor.Env, effects ...messenger.Effect) []messenger.Effect {
 	if !r.gateway.exchanges.NotifyPeers() {
 		return effects
 	}
@@ -21,7 +21,7 @@
 
 // tellRelays tells the relays of this zone alone what this node has at the
 // servers. Its next share to others follows within shareEachTime.
-func (r *Reducer) tellRelays(w *conductor.World) []messenger.Effect {
+func (r *Reducer) tellRelays(w *conductor.Env) []messenger.Effect {
 	relays := peerSet{self: r.gateway.self}
 	relays.add(r.relays(r.config.Zone)...)
 	return r.tellFew(relays.nodes, r.gateway.share(w.Now))
@@ -29,7 +29,7 @@
 
 // shareReceived takes in what a peer knows, and fetches its configuration where
 // that is newer.
-func (r *Reducer) shareReceived(w *conductor.World, e messenger.ShareReceived) []messenger.Effect {
+func (r *Reducer) shareReceived(w *conductor.Env, e messenger.ShareReceived) []messenger.Effect {
 	g := r.gateway
 	s := e.Share
 	g.exchanges.MergePeerLoad(w.Now, e.From, s)
@@ -71,7 +71,7 @@
 
 // shareNow tells peers what this node knows: all of them, or where they are many
 // those that pass it on.
-func (r *Reducer) shareNow(w *conductor.World) []messenger.Effect {
+func (r *Reducer) shareNow(w *conductor.Env) []messenger.Effect {
 	g := r.gateway
 	g.nextShare = w.Now.Add(shareEachTime)
 	peers := r.ranking.Peers()
--- a/internal/reducer/tick.go
+++ b/internal/reducer/tick.go
@@ -42,7 +42,7 @@
 }
 
 // tick lets time pass in every slice of the state.
-func (r *Reducer) tick(w *conductor.World) []messenger.Effect {
+func (r *Reducer) tick(w *conductor.Env) []messenger.Effect {
 	out := r.tickGossip(w)
 	if r.gateway != nil {
 		return append(out, r.tickGateway(w)...)
@@ -62,7 +62,7 @@
 }
 
 // tickPolls asks the watched servers for their load.
-func (r *Reducer) tickPolls(w *conductor.World) []messenger.Effect {
+func (r *Reducer) tickPolls(w *conductor.Env) []messenger.Effect {
 	if w.Catalog == nil || w.Now.Before(r.timers.nextPoll) {
 		return nil
 	}
@@ -91,7 +91,7 @@
 }
 
 // tickProvisioner renews leases and plans for the pools that this node holds.
-func (r *Reducer) tickProvisioner(w *conductor.World) []messenger.Effect {
+func (r *Reducer) tickProvisioner(w *conductor.Env) []messenger.Effect {
 	return r.provisioner.Tick(provisioner.Input{
 		Now:     w.Now,
 		Catalog: w.Catalog,
@@ -103,7 +103,7 @@
 }
 
 // tickClaims appends what the table of claims wants appended.
-func (r *Reducer) tickClaims(w *conductor.World) []messenger.Effect {
+func (r *Reducer) tickClaims(w *conductor.Env) []messenger.Effect {
 	var out []messenger.Effect
 	for _, a := range r.claims.Appends(w.Now) {
 		out = append(out, messenger.AppendRecord{
@@ -114,7 +114,7 @@
 	return out
 }
 
-func (r *Reducer) loadReported(w *conductor.World, e messenger.LoadReported) []messenger.Effect {
+func (r *Reducer) loadReported(w *conductor.Env, e messenger.LoadReported) []messenger.Effect {
 	if _, known := r.members.Server(e.Server); !known {
 		return nil
 	}
@@ -127,7 +127,7 @@
 	return nil
 }
 
-func (r *Reducer) loadMissed(w *conductor.World, e messenger.LoadMissed) []messenger.Effect {
+func (r *Reducer) loadMissed(w *conductor.Env, e messenger.LoadMissed) []messenger.Effect {
 	r.suspicions.Observe(w.Now, e.Server, detector.Observation{Kind: detector.LoadMissed})
 	return nil
 }
--- a/internal/scaler/forecast.go
+++ b/internal/scaler/forecast.go
@@ -58,7 +58,7 @@
 	if !f.started {
 		f.started = true
 		f.at = now
-		f.level = d.Busy
+		f.level = d.InFlight
 		f.interactive = d.Interactive
 		return
 	}
@@ -69,12 +69,12 @@
 	f.observeBusy(passed, d)
 	f.observeArrivals(passed, float64(d.Arrivals))
 	f.requests = follow(f.requests, float64(d.Arrivals)/passed.Seconds(), passed, stakeTime)
-	f.atStake = follow(f.atStake, float64(d.AtStake)/passed.Seconds(), passed, stakeTime)
+	f.atStake = follow(f.atStake, float64(d.TotalPenalty)/passed.Seconds(), passed, stakeTime)
 }
 
 func (f *forecast) observeBusy(passed timekeeper.Duration, d Demand) {
 	before := f.level
-	f.level = follow(f.level+f.slope*passed.Seconds(), d.Busy, passed, levelTime)
+	f.level = follow(f.level+f.slope*passed.Seconds(), d.InFlight, passed, levelTime)
 	f.slope = follow(f.slope, (f.level-before)/passed.Seconds(), passed, trendTime)
 	f.interactive = follow(f.interactive, d.Interactive, passed, levelTime)
 }
--- a/internal/scaler/plan.go
+++ b/internal/scaler/plan.go
@@ -15,7 +15,7 @@
 		s.fence = in.Fence
 		s.slots = newSlotTable()
 	}
-	s.Watch(now, in)
+	s.Observe(now, in)
 	if in.ListAsOf.Before(in.SafeAfter) {
 		return nil
 	}
--- a/internal/scaler/scaler.go
+++ b/internal/scaler/scaler.go
@@ -85,15 +85,16 @@
 
 // Demand is what the pool is asked for.
 type Demand struct {
-	// Busy is how many requests run or wait, over all servers.
-	Busy float64
-	// Interactive is how many of these are interactive.
+	// InFlight is the number of requests that run or wait, over all servers.
+	InFlight float64
+	// Interactive is the number of these that are interactive.
 	Interactive float64
 	// Arrivals counts the requests that arrived since the previous Plan.
 	Arrivals int
-	// AtStake sums the penalties that their targets carry. Zero means
-	// unknown: the mean penalty of the pool's targets is assumed.
-	AtStake identifier.Money
+	// TotalPenalty is the sum of the penalties for missing the targets of these
+	// arrivals. Zero means unknown: the mean penalty of the pool's targets is
+	// assumed.
+	TotalPenalty identifier.Money
 }
 
 // Input is what one Plan is made from.
@@ -136,9 +137,9 @@
 	Market      catalog.Market
 }
 
-// Result is the end of a purchase. Without VM it was refused or, with
-// Ambiguous set, nobody knows.
-type Result struct {
+// PurchaseResult is the result of a purchase. Without a VM, it was refused or,
+// if Ambiguous is set, it is unknown whether it succeeded.
+type PurchaseResult struct {
 	VM        identifier.VMID
 	Refused   bool
 	Ambiguous bool
@@ -163,17 +164,18 @@
 	}
 }
 
-// Watch takes in what Plan would, without planning. Nodes that do not hold the
-// lease call it, so that a new holder knows the demand and what reclaims there
-// were: without that, each change of the holder forgets why the mix was chosen.
-func (s *Scaler) Watch(now timekeeper.Time, in Input) {
+// Observe updates the forecast and the reclaim statistics without planning.
+// Nodes that do not hold the lease call it, so that a new holder knows the
+// demand and the past reclaims; otherwise each change of the holder would lose
+// them.
+func (s *Scaler) Observe(now timekeeper.Time, in Input) {
 	s.forecast.observe(now, in.Demand)
 	s.market.observe(now, in.Servers, s.releasing)
 }
 
-// Ended tells the Scaler how the purchase under a client token ended. A
-// purchase under an earlier lease changes nothing.
-func (s *Scaler) Ended(now timekeeper.Time, clientToken string, r Result) {
+// PurchaseEnded records the result of the purchase with the given client token.
+// Purchases made under an earlier lease are ignored.
+func (s *Scaler) PurchaseEnded(now timekeeper.Time, clientToken string, r PurchaseResult) {
 	slot, ok := s.slots.byToken(clientToken)
 	if !ok {
 		return
--- a/internal/scaler/scaler_test.go
+++ b/internal/scaler/scaler_test.go
@@ -75,7 +75,7 @@
 		ListAsOf:  asOf,
 		Servers:   c.vms[:c.listed],
 		Demand: Demand{
-			Busy:        35,
+			InFlight:    35,
 			Interactive: 10,
 		},
 	}
@@ -87,7 +87,7 @@
 	for i := range 3 {
 		now := start.Add(timekeeper.Duration(i) * timekeeper.Second)
 		for _, a := range s.Plan(now, c.input(1, 0, now), testRand()) {
-			s.Ended(now, a.ClientToken, Result{VM: c.buy(a)})
+			s.PurchaseEnded(now, a.ClientToken, PurchaseResult{VM: c.buy(a)})
 			all = append(all, a)
 		}
 	}
@@ -127,12 +127,12 @@
 			_, repeated := c.byToken[a.ClientToken]
 			switch answer := rapid.IntRange(0, 3).Draw(t, "answer"); {
 			case answer == 0 && !repeated:
-				s.Ended(now, a.ClientToken, Result{Refused: true})
+				s.PurchaseEnded(now, a.ClientToken, PurchaseResult{Refused: true})
 			case answer == 1:
 				c.buy(a)
-				s.Ended(now, a.ClientToken, Result{Ambiguous: true})
+				s.PurchaseEnded(now, a.ClientToken, PurchaseResult{Ambiguous: true})
 			default:
-				s.Ended(now, a.ClientToken, Result{VM: c.buy(a)})
+				s.PurchaseEnded(now, a.ClientToken, PurchaseResult{VM: c.buy(a)})
 			}
 		}
 	}
@@ -212,19 +212,19 @@
 			in.Catalog.Pools["p"] = pool
 			for _, a := range s.Plan(now, in, testRand()) {
 				asked[a.Market]++
-				s.Ended(now, a.ClientToken, Result{Refused: a.Market == catalog.Reclaimable})
+				s.PurchaseEnded(now, a.ClientToken, PurchaseResult{Refused: a.Market == catalog.Reclaimable})
 			}
 		}
 		return asked
 	}
 	calm := refuse(Demand{
-		Busy:     40,
+		InFlight: 40,
 		Arrivals: 50,
 	})
 	require.NotZero(t, calm[catalog.Reclaimable])
 	require.Zero(t, calm[catalog.OnDemand])
 	require.NotZero(t, refuse(Demand{
-		Busy:     90,
+		InFlight: 90,
 		Arrivals: 50,
 	})[catalog.OnDemand])
 }
@@ -241,7 +241,7 @@
 	for i := range 400 {
 		after := timekeeper.Duration(10+i*3) * timekeeper.Second
 		in := c.input(1, 0, start.Add(after))
-		in.Demand = Demand{Busy: 15}
+		in.Demand = Demand{InFlight: 15}
 		for _, a := range s.Plan(start.Add(after), in, testRand()) {
 			require.Equal(t, Release, a.Kind)
 			if _, again := released[a.VM]; !again {
@@ -268,7 +268,7 @@
 			}
 		}
 		f.observe(now, Demand{
-			Busy:     20,
+			InFlight: 20,
 			Arrivals: n,
 		})
 	}
--- a/internal/scaler/swap_test.go
+++ b/internal/scaler/swap_test.go
@@ -36,7 +36,7 @@
 		if i%60 == 30 && i < 200 {
 			reclaimOne(c)
 		}
-		next.Watch(now, in)
+		next.Observe(now, in)
 		for _, a := range s.Plan(now, in, testRand()) {
 			if a.Kind == Release {
 				c.take(a.VM)
@@ -44,7 +44,7 @@
 			}
 			vm := c.buy(a)
 			boughtAt[vm] = now
-			s.Ended(now, a.ClientToken, Result{VM: vm})
+			s.PurchaseEnded(now, a.ClientToken, PurchaseResult{VM: vm})
 		}
 		if i > 100 {
 			require.GreaterOrEqual(t, c.serving(now.Add(-load), boughtAt), 4, "at step %d", i)
--- a/internal/sizer/size.go
+++ b/internal/sizer/size.go
@@ -43,10 +43,10 @@
 	return n.onDemand
 }
 
-// Watch takes in the servers and the demand of a service. A node calls it also
-// while it does not hold the lease: one that comes to hold it goes on with the
-// size that the service has, where it would else size it anew by what is allowed.
-func (s *Sizer) Watch(in Input) {
+// Observe updates the size of a service from its servers and its demand. Nodes
+// that do not hold the lease call it too, so that a new holder continues with
+// the service's current size instead of a new estimate.
+func (s *Sizer) Observe(in Input) {
 	if in.Fleet != nil && (len(in.Servers) > 0 || s.services[in.Service] != nil) {
 		s.size(in)
 	}
--- a/internal/sizer/sizer.go
+++ b/internal/sizer/sizer.go
@@ -89,10 +89,10 @@
 	Fleet   *catalog.Fleet
 	Servers []*registrar.Server
 	Demand  messenger.ServiceDemand
-	// OnlyMore tells that no servers may be given up now. While a service moves to
-	// another version there are servers of both, and an order for fewer could take
-	// those away that are about to bear the load.
-	OnlyMore bool
+	// GrowOnly forbids orders for fewer servers. While a service moves to
+	// another version it has servers of both, and such an order could remove
+	// the servers that are about to take over the load.
+	GrowOnly bool
 }
 
 // idle reports whether no caller asks for anything: servers are given up then
@@ -138,9 +138,9 @@
 	clear(s.outUntil)
 }
 
-// Need returns how many servers a service is taken to need; zero before its
-// first ones are known.
-func (s *Sizer) Need(service identifier.ServiceName) int {
+// NeededServers returns the number of servers that a service is estimated to
+// need, or zero before its first servers are known.
+func (s *Sizer) NeededServers(service identifier.ServiceName) int {
 	if n := s.services[service]; n != nil {
 		return n.servers
 	}
@@ -149,7 +149,7 @@
 
 // Plan returns the orders to give now.
 func (s *Sizer) Plan(in Input) []messenger.ServerOrder {
-	s.Watch(in)
+	s.Observe(in)
 	size := s.services[in.Service]
 	if size == nil {
 		// Without its first servers a service's size is not known yet.
@@ -193,7 +193,7 @@
 		market:  market,
 	}
 	have := countReady(in.Servers, zone, market)
-	if in.OnlyMore && count <= have {
+	if in.GrowOnly && count <= have {
 		return nil
 	}
 	o := s.orders[k]
@@ -251,8 +251,8 @@
 	return o.count != count || have != count && age >= f.BootTime+bootSlack
 }
 
-// Ordered takes in the end of an order.
-func (s *Sizer) Ordered(now timekeeper.Time, e messenger.ServerOrder, result messenger.DutyResult) {
+// OrderEnded records the result of an order.
+func (s *Sizer) OrderEnded(now timekeeper.Time, e messenger.ServerOrder, result messenger.DutyResult) {
 	k := key{
 		service: e.Service,
 		zone:    e.Zone,
--- a/internal/sizer/sizer_test.go
+++ b/internal/sizer/sizer_test.go
@@ -112,11 +112,11 @@
 			},
 		}
 		if c.watcher != nil {
-			c.watcher.Watch(in)
+			c.watcher.Observe(in)
 		}
 		orders := c.sizer.Plan(in)
 		for _, o := range orders {
-			c.sizer.Ordered(c.now, o, c.order(o))
+			c.sizer.OrderEnded(c.now, o, c.order(o))
 		}
 	}
 }
