--- a/internal/throttler/permits_test.go
+++ b/internal/throttler/permits_test.go
@@ -15,8 +15,8 @@
 	for _, test := range []struct {
 		name string
 		rate identifier.RequestRate
-		// want is how many of the requests of twenty seconds, one each 10 ms, are
-		// granted.
+		// want is the number of requests granted within 20 s, with an attempt every
+		// 10 ms.
 		want int
 	}{
 		{
@@ -35,7 +35,7 @@
 			want: 600,
 		},
 		{
-			name: "none, so that its end shows",
+			name: "zero, raised to the minimum rate",
 			want: 2,
 		},
 	} {
@@ -52,7 +52,7 @@
 	}
 }
 
-// A server that had no request for long gets a burst of all that was saved up.
+// Guards against permits that accumulate without bound while a server is idle.
 func TestIdleServerGetsNoBurst(t *testing.T) {
 	p := throttler.NewPermits()
 	_, ok := p.Take(start, "i-1", 8)
@@ -66,8 +66,9 @@
 	require.Equal(t, 2, granted)
 }
 
-// The wait that is returned is too short by a rounding error, and a caller comes back in vain.
-func TestWaitIsLongEnough(t *testing.T) {
+// Guards against a retry time that is too short by a rounding error, so that the retry is
+// rejected.
+func TestPermitIsAvailableAfterWait(t *testing.T) {
 	for _, rate := range []identifier.RequestRate{0, 0.3, 1, 3, 7, 49} {
 		p := throttler.NewPermits()
 		now := start
@@ -82,7 +83,7 @@
 	}
 }
 
-// reported is what a peer reports of one server.
+// reported returns a peer's report of one server.
 func reported(server identifier.VMID, limited bool, age timekeeper.Duration) messenger.ServerLimit {
 	return messenger.ServerLimit{
 		Server:  server,
@@ -92,8 +93,9 @@
 	}
 }
 
-// Older news of a peer brings a lifted limit back, or lifts one that was stated since.
-func TestOlderNewsChangesNothing(t *testing.T) {
+// Guards against an older update of a peer that restores a lifted limit, or lifts one that
+// was stated since.
+func TestMergeIgnoresOlderUpdates(t *testing.T) {
 	table := throttler.New()
 	now := start.Add(timekeeper.Second)
 	_, changed := table.Merge(now, reported("i-1", true, 500))
@@ -108,8 +110,9 @@
 	require.False(t, limited)
 }
 
-// All servers state a limit at once, and a node that joins later has heard of none.
-func TestNewsReachesANodeThatJoinsLater(t *testing.T) {
+// All servers state a limit at once, long before another node joins. The node must receive
+// all of the limits.
+func TestUpdatesReachNodeThatJoinsLater(t *testing.T) {
 	table := throttler.New()
 	const servers = 90
 	for i := range servers {
@@ -123,19 +126,19 @@
 		})
 	}
 	now := start.Add(timekeeper.Minute)
-	heard := map[identifier.VMID]bool{}
+	received := map[identifier.VMID]bool{}
 	for range 12 {
 		now = now.Add(500)
-		news := table.Updates(now, false)
-		require.LessOrEqual(t, len(news), 8)
-		for _, l := range news {
-			heard[l.Server] = true
+		updates := table.Updates(now, false)
+		require.LessOrEqual(t, len(updates), 8)
+		for _, l := range updates {
+			received[l.Server] = true
 		}
 	}
-	require.Len(t, heard, servers)
+	require.Len(t, received, servers)
 }
 
-func TestNewsOfChanges(t *testing.T) {
+func TestUpdates(t *testing.T) {
 	table := throttler.New()
 	table.Merge(start, reported("i-1", true, 0))
 	table.Observe(start, messenger.ServerLimitHeard{
@@ -152,5 +155,5 @@
 		Age:    6,
 	})
 	table.Tick(start.Add(timekeeper.Minute))
-	require.Len(t, table.Updates(start.Add(timekeeper.Minute), true), 1, "what was lifted long ago is forgotten")
+	require.Len(t, table.Updates(start.Add(timekeeper.Minute), true), 1, "a limit lifted long ago is dropped")
 }
--- a/internal/throttler/table.go
+++ b/internal/throttler/table.go
@@ -7,40 +7,40 @@
 )
 
 const (
-	// maxServers bounds the table.
 	maxServers = 8192
-	// rateStep is the relative difference from which on a rate is a new one.
-	rateStep = 0.1
-	// liftedKeep is how long a limit that was lifted is remembered, so that older news
-	// of peers does not bring it back.
-	liftedKeep = 30 * timekeeper.Second
+	// minRateChange is the relative difference from which a rate counts as changed.
+	minRateChange = 0.1
+	// liftedRetention is the time for which a lifted limit is remembered, so that an
+	// older update of a peer does not restore it.
+	liftedRetention = 30 * timekeeper.Second
 )
 
-// Table is the limits of backend servers as one node knows them.
+// Table holds the limits of backend servers that one node knows.
 type Table struct {
 	servers map[identifier.VMID]*record
-	// turn is the last server without news that was reported to peers.
-	turn identifier.VMID
-	news news
+	// lastRepeated is the last server whose unchanged entry was sent to peers.
+	lastRepeated identifier.VMID
+	last         updates
 }
 
-// record is what is known of one server.
+// record is the known limit of one server.
 type record struct {
 	server  identifier.VMID
 	limited bool
 	rate    identifier.RequestRate
-	// at is when an answer that states the limit arrived. Once the limit is lifted it
-	// is when the request was sent whose answer states none: the server was asked no
-	// earlier than that.
-	at timekeeper.Time
-	// changed is when this node learned of the limit.
-	changed timekeeper.Time
-	found   bool
-	// paused is until when there is no permit for this node.
-	paused timekeeper.Time
+	// statedAt is the arrival time of the last answer that stated the limit. Once the
+	// limit is lifted, it is the time at which the request was sent whose answer stated
+	// no limit: the server decided on it no earlier than that.
+	statedAt timekeeper.Time
+	// changedAt is the time at which this node learned of the last change.
+	changedAt timekeeper.Time
+	// direct reports whether an answer to this node stated the limit.
+	direct bool
+	// pausedUntil is the time before which this node gets no permit.
+	pausedUntil timekeeper.Time
 }
 
-// Change is a limit that is new, differs from what was known, or is lifted.
+// Change is a limit that is new, changed or lifted.
 type Change struct {
 	Server  identifier.VMID
 	Limited bool
@@ -54,33 +54,33 @@
 	return &Table{servers: map[identifier.VMID]*record{}}
 }
 
-// Observe applies what a server's answer states of its limit, and reports whether it
-// is a change.
+// Observe applies the limit, or its absence, in a server's answer to this node, and
+// reports whether it is a change.
 //
 // An answer without a limit lifts one only if its request was sent after the limit was
-// last stated: the answers of a server overtake one another.
+// last stated: answers of a server may arrive out of order.
 func (t *Table) Observe(now timekeeper.Time, e messenger.ServerLimitHeard) (Change, bool) {
 	if e.Limit.Named {
 		return t.put(now, record{
-			server:  e.Server,
-			limited: true,
-			rate:    e.Limit.Rate,
-			at:      now,
-			found:   true,
+			server:   e.Server,
+			limited:  true,
+			rate:     e.Limit.Rate,
+			statedAt: now,
+			direct:   true,
 		})
 	}
 	known := t.servers[e.Server]
-	if known == nil || !known.limited || !e.Sent.After(known.at) {
+	if known == nil || !known.limited || !e.Sent.After(known.statedAt) {
 		return Change{}, false
 	}
 	return t.put(now, record{
-		server: e.Server,
-		at:     e.Sent,
-		found:  true,
+		server:   e.Server,
+		statedAt: e.Sent,
+		direct:   true,
 	})
 }
 
-// put replaces what is known of a server, and reports whether that is a change.
+// put replaces the record of a server, and reports whether it is a change.
 func (t *Table) put(now timekeeper.Time, next record) (Change, bool) {
 	known := t.servers[next.server]
 	if known == nil {
@@ -91,23 +91,23 @@
 		t.servers[next.server] = known
 	}
 	if !known.differs(next) {
-		known.at = next.at
+		known.statedAt = next.statedAt
 		return Change{}, false
 	}
-	next.changed = now
-	next.paused = known.paused
+	next.changedAt = now
+	next.pausedUntil = known.pausedUntil
 	*known = next
 	return Change{
 		Server:  next.server,
 		Limited: next.limited,
 		Rate:    next.rate,
-		Direct:  next.found,
+		Direct:  next.direct,
 	}, true
 }
 
-// differs reports whether other says something else of the server.
+// differs reports whether other is a limit that differs from r's.
 func (r *record) differs(other record) bool {
-	return r.limited != other.limited || max(r.rate, other.rate) > min(r.rate, other.rate)*(1+rateStep)
+	return r.limited != other.limited || max(r.rate, other.rate) > min(r.rate, other.rate)*(1+minRateChange)
 }
 
 // Rate returns the rate that a server accepts from all nodes, and whether it states one.
@@ -119,30 +119,30 @@
 	return r.rate, true
 }
 
-// Pause notes that there is no permit to send to a server before an instant.
+// Pause records that this node gets no permit for the server before the given time.
 func (t *Table) Pause(server identifier.VMID, until timekeeper.Time) {
 	if r := t.servers[server]; r != nil {
-		r.paused = until
+		r.pausedUntil = until
 	}
 }
 
-// PausedUntil returns until when there is no permit to send to a server that states a
-// limit, or zero where one may be had.
+// PausedUntil returns the time before which this node gets no permit for a limited
+// server, or zero if it may ask for one.
 func (t *Table) PausedUntil(now timekeeper.Time, server identifier.VMID) timekeeper.Time {
 	r := t.servers[server]
-	if r == nil || !r.limited || !now.Before(r.paused) {
+	if r == nil || !r.limited || !now.Before(r.pausedUntil) {
 		return 0
 	}
-	return r.paused
+	return r.pausedUntil
 }
 
-// Forget drops a server that is no more.
+// Forget drops a server that was removed.
 func (t *Table) Forget(server identifier.VMID) { delete(t.servers, server) }
 
-// Tick forgets limits that were lifted long ago.
+// Tick drops limits that were lifted longer ago than liftedRetention.
 func (t *Table) Tick(now timekeeper.Time) {
 	for server, r := range t.servers {
-		if !r.limited && now.Sub(r.changed) > liftedKeep {
+		if !r.limited && now.Sub(r.changedAt) > liftedRetention {
 			delete(t.servers, server)
 		}
 	}
--- a/internal/throttler/table_test.go
+++ b/internal/throttler/table_test.go
@@ -13,8 +13,8 @@
 
 const start timekeeper.Time = 1_000_000
 
-// answer is an answer of one server, to a request that was sent at an instant. A
-// negative rate stands for no limit.
+// answer returns what a server's answer states, by the time at which the request was sent
+// and the stated rate. A negative rate means no limit.
 func answer(sent timekeeper.Duration, rate identifier.RequestRate) messenger.ServerLimitHeard {
 	return messenger.ServerLimitHeard{
 		Server: "i-1",
@@ -26,10 +26,10 @@
 	}
 }
 
-func TestHeard(t *testing.T) {
+func TestObserve(t *testing.T) {
 	table := throttler.New()
 	_, changed := table.Observe(start.Add(20), answer(10, -1))
-	require.False(t, changed, "nothing is known")
+	require.False(t, changed, "no limit is known")
 	change, changed := table.Observe(start.Add(30), answer(10, 1))
 	require.True(t, changed)
 	require.Equal(t, throttler.Change{
@@ -52,8 +52,9 @@
 	require.False(t, limited)
 }
 
-// A slow answer from before the limit arrives after one that states it, and would lift it.
-func TestOvertakenAnswerLiftsNothing(t *testing.T) {
+// Guards against an answer that the server sent before the limit but that arrives after
+// one that states it: it must not lift the limit.
+func TestOvertakenAnswerDoesNotLiftLimit(t *testing.T) {
 	table := throttler.New()
 	table.Observe(start.Add(30), answer(10, 1))
 	_, changed := table.Observe(start.Add(40), answer(5, -1))
--- a/internal/throttler/throttler.go
+++ b/internal/throttler/throttler.go
@@ -1,12 +1,12 @@
-// Package throttler keeps the request rates that backend servers accept, for all
-// nodes together.
+// Package throttler enforces the request rates that backend servers accept, summed over
+// all nodes.
 //
-// A server that is short of capacity states in its answers how many requests a second
-// it accepts from all nodes. A node that kept such a limit for itself alone would
-// exceed it as many times as there are nodes, and where nodes outnumber a server's
-// requests no node has a whole request of its own. So a Table on each node knows which
-// servers state a limit (table.go, news.go), and requests to these need a permit from
-// the one node that grants them (permits.go).
+// A server that is short of capacity states in its answers the rate of requests that it
+// accepts from all nodes. If each node applied that limit by itself, n nodes together
+// would exceed it n times, and an equal part of it may be less than one request per
+// node. So a Table on each node records which servers state a limit (table.go,
+// updates.go), and each request to such a server needs a permit from the one node that
+// grants them (permits.go).
 //
-// Everything is pure: time is an argument. Nothing is safe for concurrent use.
+// The package is pure: time is an argument. Nothing is safe for concurrent use.
 package throttler
