--- a/docs/operations_test.go
+++ b/docs/operations_test.go
@@ -155,7 +155,7 @@
 
 // passedOn are the expressions that stand for a kind which is set elsewhere:
 // by a call of note, by takenRequest.how, and by a constant of ChangeKind.
-var passedOn = []string{"kind", "t.how", "messenger.NoteKind"}
+var passedOn = []string{"kind", "t.how", "messenger.TimelineKind"}
 
 // noteKinds returns the kinds of the events that the decisions put on the time
 // line. A kind that it cannot read from the source fails the test.
@@ -180,12 +180,12 @@
 	return kinds
 }
 
-// kindIn returns the expression that sets a NoteKind at n, or nil.
+// kindIn returns the expression that sets a TimelineKind at n, or nil.
 func kindIn(n ast.Node) ast.Expr {
 	switch n := n.(type) {
 	case *ast.CompositeLit:
 		switch text(n.Type) {
-		case "messenger.Note":
+		case "messenger.TimelineEntry":
 			return field(n, "Kind")
 		case "takenRequest":
 			return field(n, "how")
@@ -318,4 +318,4 @@
 
 func (*oneAttempt) Ended(messenger.ExchangeEnded) {}
 
-func (*oneAttempt) LimitHeard(context.Context, messenger.ServerLimitHeard) {}
+func (*oneAttempt) LimitHeard(context.Context, messenger.ServerLimitReceived) {}
--- a/internal/accountant/accountant.go
+++ b/internal/accountant/accountant.go
@@ -76,7 +76,7 @@
 	began     timekeeper.Time
 	lostUntil timekeeper.Time
 	// era is that of the last record that was read.
-	era identifier.Era
+	era identifier.StoreGeneration
 	// ignored counts records that could not be read.
 	ignored int
 }
@@ -232,7 +232,7 @@
 
 // noteEra notes a record after which older ones may be missing.
 func (a *Accountant) noteEra(r messenger.Record) {
-	if era := r.Offset.Era(); era > a.era {
+	if era := r.Offset.Generation(); era > a.era {
 		a.era = era
 		a.lostUntil = max(a.lostUntil, r.Appended)
 	}
@@ -333,8 +333,8 @@
 }
 
 // Reported takes in the end of a report.
-func (a *Accountant) Reported(w identifier.UsageWindow, result messenger.DutyResult) {
-	if result == messenger.DutyDone || result == messenger.DutyRefused {
+func (a *Accountant) Reported(w identifier.UsageWindow, result messenger.LeaderTaskResult) {
+	if result == messenger.LeaderTaskDone || result == messenger.LeaderTaskRefused {
 		a.done[w] = true
 	}
 }
--- a/internal/accountant/accountant_test.go
+++ b/internal/accountant/accountant_test.go
@@ -88,7 +88,7 @@
 	require.Len(t, reports(holderTick(a, end.Add(3200))), 1)
 	require.Empty(t, holderTick(a, end.Add(3300)))
 	require.Len(t, reports(holderTick(a, end.Add(4300))), 1, "no answer came")
-	a.Reported(first, messenger.DutyDone)
+	a.Reported(first, messenger.LeaderTaskDone)
 	require.Empty(t, holderTick(a, end.Add(9000)))
 
 	late := newAccountant()
--- a/internal/adapter/engine_test.go
+++ b/internal/adapter/engine_test.go
@@ -130,7 +130,7 @@
 		Next:  200,
 	}
 	err := client.Start(context.Background(), address, s, short, &sink)
-	require.Equal(t, messenger.AttemptSilent, adapter.Result(err))
+	require.Equal(t, messenger.AttemptTimedOut, adapter.Result(err))
 	sink.on = nil
 	have := identifier.Tokens(len(sink.tokens))
 	require.NoError(t, client.Resume(context.Background(), address, s.Stream, have, patience, &sink))
@@ -145,7 +145,7 @@
 	client := adapter.NewEngine(adapter.ServerConfig{})
 	short := adapter.Patience{First: 500}
 	err := client.Start(context.Background(), address, start("a.1", 5), short, &recorder{})
-	require.Equal(t, messenger.AttemptSilent, adapter.Result(err))
+	require.Equal(t, messenger.AttemptTimedOut, adapter.Result(err))
 }
 
 func TestStartsThatDidNotRun(t *testing.T) {
--- a/internal/adapter/errors.go
+++ b/internal/adapter/errors.go
@@ -187,7 +187,7 @@
 	case errors.As(err, &refused):
 		return messenger.AttemptRefused
 	case errors.As(err, &silent):
-		return messenger.AttemptSilent
+		return messenger.AttemptTimedOut
 	case errors.As(err, &failed):
 		return messenger.AttemptFailed
 	default:
--- a/internal/adapter/plain_test.go
+++ b/internal/adapter/plain_test.go
@@ -67,7 +67,7 @@
 		{
 			name:   "slow",
 			faults: responder.Faults{RunSlowMS: 60_000},
-			result: messenger.AttemptSilent,
+			result: messenger.AttemptTimedOut,
 			runs:   1,
 		},
 	}
--- a/internal/bencher/node.go
+++ b/internal/bencher/node.go
@@ -320,14 +320,14 @@
 	if !n.world.variant.Silence || a.server.plain() {
 		return plainSilence
 	}
-	return detector.FirstSilence(a.predicted.FirstToken)
+	return detector.FirstEventTimeout(a.predicted.FirstToken)
 }
 
 func (n *node) nextSilence(a *attempt) timekeeper.Duration {
 	if !n.world.variant.Silence {
 		return plainSilence
 	}
-	return detector.NextSilence(a.predicted.PerToken)
+	return detector.NextEventTimeout(a.predicted.PerToken)
 }
 
 // silent rejoins the stream of an attempt of which nothing is heard, as the
@@ -337,11 +337,11 @@
 		return
 	}
 	delivered := a.request.delivered
-	n.world.after(detector.FirstSilence(rejoinWait), func() {
+	n.world.after(detector.FirstEventTimeout(rejoinWait), func() {
 		a.server.advance()
 		if a.request.current == a && a.phase != phaseOver && a.request.delivered == delivered {
 			a.server.remove(a)
-			n.failed(a, messenger.AttemptSilent)
+			n.failed(a, messenger.AttemptTimedOut)
 		}
 	})
 }
@@ -453,9 +453,9 @@
 
 func (n *node) blame(a *attempt, result messenger.AttemptResult) {
 	kinds := map[messenger.AttemptResult]detector.Kind{
-		messenger.AttemptNotSent: detector.NotSent,
-		messenger.AttemptBroken:  detector.Broken,
-		messenger.AttemptSilent:  detector.Silent,
+		messenger.AttemptNotSent:  detector.NotSent,
+		messenger.AttemptBroken:   detector.Broken,
+		messenger.AttemptTimedOut: detector.TimedOut,
 	}
 	n.suspicions.Observe(n.world.now, a.server.state.VM, detector.Observation{Kind: kinds[result]})
 }
--- a/internal/claimer/claimer.go
+++ b/internal/claimer/claimer.go
@@ -343,7 +343,7 @@
 	if len(read.Records) > 0 {
 		s.unplacedSince = timekeeper.Never
 	}
-	batch := s.position.Absorb(now, read)
+	batch := s.position.ApplyRecords(now, read)
 	if batch.Gap {
 		t.gapSeen(s)
 	}
--- a/internal/conductor/adopt.go
+++ b/internal/conductor/adopt.go
@@ -58,7 +58,7 @@
 	stream    identifier.StreamName
 	delivered identifier.Tokens
 	from      identifier.VMID
-	how       messenger.NoteKind
+	how       messenger.TimelineKind
 }
 
 // takeOver makes this node the owner of t and goes on with it.
--- a/internal/conductor/attempt.go
+++ b/internal/conductor/attempt.go
@@ -90,17 +90,17 @@
 	env.Hints.Routed(env.Now, r.server, r.spec.Prefix)
 	return []messenger.Effect{
 		messenger.SendAttempt{
-			Request:      r.spec.Request,
-			Attempt:      r.attempt,
-			Server:       r.server,
-			Address:      r.address,
-			Mode:         p.mode,
-			Stream:       r.stream,
-			From:         r.delivered,
-			Priority:     r.service.Priority,
-			Deadline:     r.spec.Deadline,
-			FirstSilence: c.firstSilence(env, r, p.firstToken),
-			NextSilence:  detector.NextSilence(r.perToken),
+			Request:           r.spec.Request,
+			Attempt:           r.attempt,
+			Server:            r.server,
+			Address:           r.address,
+			Mode:              p.mode,
+			Stream:            r.stream,
+			From:              r.delivered,
+			Priority:          r.service.Priority,
+			Deadline:          r.spec.Deadline,
+			FirstEventTimeout: c.firstSilence(env, r, p.firstToken),
+			NextEventTimeout:  detector.NextEventTimeout(r.perToken),
 		},
 		c.note("attempt_sent", r, fmt.Sprintf("mode=%s from=%d stream=%s", p.mode, r.delivered, r.stream)),
 	}
@@ -132,7 +132,7 @@
 	if !r.model() && !r.spec.Idempotent {
 		return r.spec.Deadline.Sub(env.Now)
 	}
-	return detector.FirstSilence(firstToken)
+	return detector.FirstEventTimeout(firstToken)
 }
 
 // countAttempt counts the attempt at its server, and what it makes the server
--- a/internal/conductor/copy.go
+++ b/internal/conductor/copy.go
@@ -89,7 +89,7 @@
 		held := c.copies[id]
 		owner, known := env.Members.Node(held.owner)
 		dead := known && owner.State == gossiper.Dead && env.Now.Sub(held.heldAt) >= copyGrace
-		silent := known && rescue && env.Now.Sub(max(owner.LastHeard, held.heldAt)) >= rescueSilence
+		silent := known && rescue && env.Now.Sub(max(owner.LastSeen, held.heldAt)) >= rescueSilence
 		if dead || silent {
 			out = append(out, c.adopt(env, held)...)
 		}
--- a/internal/conductor/drain.go
+++ b/internal/conductor/drain.go
@@ -22,7 +22,7 @@
 	c.drainBy = deadline
 	c.planned = planned
 	out := []messenger.Effect{
-		messenger.Note{
+		messenger.TimelineEntry{
 			Kind:   "drain_started",
 			VM:     c.config.Self,
 			Detail: fmt.Sprintf("deadline=%s planned=%t requests=%d", deadline, planned, len(c.requests)),
--- a/internal/conductor/harness_test.go
+++ b/internal/conductor/harness_test.go
@@ -112,7 +112,7 @@
 	}
 	f.meetPeer()
 	f.w.Limits.SetCatalog(start, f.w.Catalog)
-	f.w.Members.ListRead(start, start, []messenger.VMState{
+	f.w.Members.MergeList(start, start, []messenger.VMState{
 		server("e1", "reading"),
 		server("e2", "reading"),
 		server("e3", "reading"),
@@ -207,7 +207,7 @@
 		Service:      name,
 		Idempotent:   services[name].Idempotent,
 		Long:         services[name].Long,
-		Home:         self,
+		EntryNode:    self,
 		Received:     start,
 		Deadline:     start.Add(life),
 		PromptTokens: 100,
@@ -300,9 +300,9 @@
 	require.False(t, ok, "%v", found)
 }
 
-func noted(effects []messenger.Effect, kind messenger.NoteKind) bool {
+func noted(effects []messenger.Effect, kind messenger.TimelineKind) bool {
 	for _, e := range effects {
-		if n, ok := e.(messenger.Note); ok && n.Kind == kind {
+		if n, ok := e.(messenger.TimelineEntry); ok && n.Kind == kind {
 			return true
 		}
 	}
--- a/internal/conductor/hold.go
+++ b/internal/conductor/hold.go
@@ -140,7 +140,7 @@
 	if !known {
 		return nil
 	}
-	if e.Gone && r.hold.exposed == e.Holder {
+	if e.HolderEnded && r.hold.exposed == e.Holder {
 		r.hold.exposed = ""
 	}
 	if r.hold.holder != e.Holder {
--- a/internal/conductor/note.go
+++ b/internal/conductor/note.go
@@ -5,12 +5,12 @@
 )
 
 // note puts an event of request r on the time line.
-func (c *Conductor) note(kind messenger.NoteKind, r *request, detail string) messenger.Note {
+func (c *Conductor) note(kind messenger.TimelineKind, r *request, detail string) messenger.TimelineEntry {
 	vm := r.server
 	if vm == "" {
 		vm = c.config.Self
 	}
-	return messenger.Note{
+	return messenger.TimelineEntry{
 		Kind:    kind,
 		Request: r.spec.Request,
 		Attempt: r.attempt,
--- a/internal/conductor/progress.go
+++ b/internal/conductor/progress.go
@@ -89,7 +89,7 @@
 // server and nothing need be computed again. It is tried once for each stretch
 // of progress, so that a server that is really gone costs one dial.
 func (c *Conductor) rejoin(env *Env, r *request, e messenger.AttemptEnded) ([]messenger.Effect, bool) {
-	cut := e.Result == messenger.AttemptBroken || e.Result == messenger.AttemptSilent
+	cut := e.Result == messenger.AttemptBroken || e.Result == messenger.AttemptTimedOut
 	if !cut || e.ServerEnded || !r.model() {
 		return nil, false
 	}
@@ -170,8 +170,8 @@
 		c.observe(env, r, detector.NotSent, 0, 0)
 	case messenger.AttemptBroken:
 		c.observe(env, r, detector.Broken, 0, 0)
-	case messenger.AttemptSilent:
-		c.observe(env, r, detector.Silent, 0, 0)
+	case messenger.AttemptTimedOut:
+		c.observe(env, r, detector.TimedOut, 0, 0)
 	case messenger.AttemptFailed:
 		c.observe(env, r, detector.Failed, 0, 0)
 	}
--- a/internal/conductor/refuse.go
+++ b/internal/conductor/refuse.go
@@ -50,7 +50,7 @@
 			Request: spec.Request,
 			Refusal: refusal,
 		},
-		messenger.Note{
+		messenger.TimelineEntry{
 			Kind:    "refused",
 			Request: spec.Request,
 			VM:      c.config.Self,
--- a/internal/conductor/stall_test.go
+++ b/internal/conductor/stall_test.go
@@ -12,9 +12,9 @@
 // fail reports that the holder did not take a push.
 func (f *fixture) fail(gone bool) []messenger.Effect {
 	return f.c.HoldFailed(f.w, messenger.HoldFailed{
-		Request: id,
-		Holder:  peer,
-		Gone:    gone,
+		Request:     id,
+		Holder:      peer,
+		HolderEnded: gone,
 	})
 }
 
--- a/internal/conductor/takeover_test.go
+++ b/internal/conductor/takeover_test.go
@@ -13,7 +13,7 @@
 // handOver gives the node a running request of a leaving peer.
 func (f *fixture) handOver(name identifier.ServiceName) []messenger.Effect {
 	s := spec(name)
-	s.Home = "n3"
+	s.EntryNode = "n3"
 	return f.c.RequestHandedOver(f.w, messenger.RequestHandedOver{
 		Spec:      s,
 		Epoch:     2,
--- a/internal/configurer/harness_test.go
+++ b/internal/configurer/harness_test.go
@@ -118,11 +118,11 @@
 
 func proposalOf(s *State, file identifier.FileName, content string) messenger.ChangeProposed {
 	return messenger.ChangeProposed{
-		Ticket:  7,
-		File:    file,
-		Content: []byte(content),
-		Delete:  content == "",
-		Saw:     s.Files()[file].Revision,
+		Ticket:       7,
+		File:         file,
+		Content:      []byte(content),
+		Delete:       content == "",
+		BaseRevision: s.Files()[file].Revision,
 	}
 }
 
--- a/internal/configurer/property_test.go
+++ b/internal/configurer/property_test.go
@@ -105,7 +105,7 @@
 	}
 	proposed := proposalOf(n.state, file, text)
 	if p.draw(4) == 0 {
-		proposed.Saw = identifier.Offset(p.draw(int(p.log.next)))
+		proposed.BaseRevision = identifier.Offset(p.draw(int(p.log.next)))
 	}
 	data, nonce := p.log.propose(n.state, proposed)
 	if data == nil {
@@ -117,7 +117,7 @@
 		ClientId: i,
 		Input: swap{
 			file: file,
-			saw:  proposed.Saw,
+			saw:  proposed.BaseRevision,
 		},
 		Call:   p.tick(),
 		Output: swapped{unknown: true},
--- a/internal/configurer/proposal.go
+++ b/internal/configurer/proposal.go
@@ -39,7 +39,7 @@
 			File:       p.File,
 			Content:    p.Content,
 			Delete:     p.Delete,
-			Saw:        p.Saw,
+			Saw:        p.BaseRevision,
 			Generation: s.view.generation,
 		},
 	})
--- a/internal/detector/detector.go
+++ b/internal/detector/detector.go
@@ -40,7 +40,7 @@
 	// Broken: a connection ended early.
 	Broken Kind = "broken"
 	// Silent: a connection went silent.
-	Silent Kind = "silent"
+	TimedOut Kind = "silent"
 	// Failed: the server said that it failed.
 	Failed Kind = "failed"
 )
--- a/internal/detector/detector_test.go
+++ b/internal/detector/detector_test.go
@@ -25,8 +25,8 @@
 		require.False(t, s.Suspect(now, "b"), name)
 	}
 	check("one lost connection is no evidence", false, 0, Broken)
-	check("one silence is no evidence", false, 0, Silent)
-	check("two silences", true, 0, Silent, Silent)
+	check("one silence is no evidence", false, 0, TimedOut)
+	check("two silences", true, 0, TimedOut, TimedOut)
 	check("refused connections", true, 0, NotSent, NotSent)
 	check("broken connections", true, 0, Broken, Broken, Broken)
 	check("failures", true, 0, Failed, Failed, Failed, Failed)
@@ -169,12 +169,12 @@
 }
 
 func TestSilenceBounds(t *testing.T) {
-	require.Equal(t, minFirstSilence, FirstSilence(0))
-	require.Equal(t, 8*timekeeper.Second, FirstSilence(2*timekeeper.Second))
-	require.Equal(t, maxFirstSilence, FirstSilence(timekeeper.Duration(1<<62)))
-	require.Equal(t, minNextSilence, NextSilence(0))
-	require.Equal(t, 2*timekeeper.Second, NextSilence(50))
-	require.Equal(t, maxNextSilence, NextSilence(timekeeper.Hour))
+	require.Equal(t, minFirstSilence, FirstEventTimeout(0))
+	require.Equal(t, 8*timekeeper.Second, FirstEventTimeout(2*timekeeper.Second))
+	require.Equal(t, maxFirstSilence, FirstEventTimeout(timekeeper.Duration(1<<62)))
+	require.Equal(t, minNextSilence, NextEventTimeout(0))
+	require.Equal(t, 2*timekeeper.Second, NextEventTimeout(50))
+	require.Equal(t, maxNextSilence, NextEventTimeout(timekeeper.Hour))
 }
 
 func TestServersAreBounded(t *testing.T) {
--- a/internal/detector/evidence.go
+++ b/internal/detector/evidence.go
@@ -44,7 +44,7 @@
 		return notSentWeight
 	case Broken:
 		return brokenWeight
-	case Silent:
+	case TimedOut:
 		return silentWeight
 	case Failed:
 		return failedWeight
--- a/internal/detector/silence.go
+++ b/internal/detector/silence.go
@@ -15,12 +15,12 @@
 // FirstSilence bounds the wait for the first byte of an answer. A connection
 // that something between the two ends has lost track of stays open and silent
 // for good; the bound turns that into an ending that can be acted on.
-func FirstSilence(predicted timekeeper.Duration) timekeeper.Duration {
+func FirstEventTimeout(predicted timekeeper.Duration) timekeeper.Duration {
 	return bounded(predicted, firstSilenceFactor, minFirstSilence, maxFirstSilence)
 }
 
 // NextSilence bounds the wait between bytes, from the stream's own pace.
-func NextSilence(perToken timekeeper.Duration) timekeeper.Duration {
+func NextEventTimeout(perToken timekeeper.Duration) timekeeper.Duration {
 	return bounded(perToken, nextSilenceFactor, minNextSilence, maxNextSilence)
 }
 
--- a/internal/dispatcher/choose.go
+++ b/internal/dispatcher/choose.go
@@ -129,7 +129,7 @@
 	if !relayed || !env.Catalog.Routing.Backends[service].Model {
 		return 0
 	}
-	return d.Demand(env.Now, service).Busy * float64(age) / float64(max(servers, 1))
+	return d.Demand(env.Now, service).OfferedLoad * float64(age) / float64(max(servers, 1))
 }
 
 // draw returns one of the choices. Those that are about as good as the best are
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -86,7 +86,7 @@
 	// ConfigStale tells that a newer configuration may be in force elsewhere.
 	ConfigStale bool
 	// Inputs is what the node knows, for its log.
-	Inputs messenger.Basis
+	Inputs messenger.DecisionInputs
 }
 
 // about returns w with what an exchange is, for the log of its decision.
@@ -269,7 +269,7 @@
 		Elapsed:         env.Now.Sub(x.current.sent),
 		Predicted:       x.current.usual,
 		Events:          e.Events,
-		EventsDuration:  e.EventsTook,
+		EventsDuration:  e.EventsDuration,
 		ServerEnded:     e.ServerEnded,
 	})
 	d.land(x)
@@ -303,7 +303,7 @@
 
 // MergeCachedPrefixes takes in which parts of prompts servers keep, as a peer reported. A node that
 // relays passes on what is new.
-func (d *Dispatcher) MergeCachedPrefixes(env Env, parts []messenger.KeptPart, passOn bool) {
+func (d *Dispatcher) MergeCachedPrefixes(env Env, parts []messenger.CachedPrefix, passOn bool) {
 	for _, p := range parts {
 		if s, ok := env.Servers.Server(p.Server); ok && s.State != messenger.ServerRemoved {
 			d.index.Merge(env.Now, p, env.keeps(p.Server), passOn)
@@ -313,18 +313,18 @@
 
 // CachedPrefixUpdates returns the parts of prompts of which peers hear that servers
 // keep them.
-func (d *Dispatcher) CachedPrefixUpdates(now timekeeper.Time) []messenger.KeptPart {
+func (d *Dispatcher) CachedPrefixUpdates(now timekeeper.Time) []messenger.CachedPrefix {
 	return d.index.Updates(now)
 }
 
 // RelayedCachedPrefixUpdates returns those of them that a relay passes on.
-func (d *Dispatcher) RelayedCachedPrefixUpdates(now timekeeper.Time) []messenger.KeptPart {
+func (d *Dispatcher) RelayedCachedPrefixUpdates(now timekeeper.Time) []messenger.CachedPrefix {
 	return d.index.RelayedUpdates(now)
 }
 
 // CachedPrefixes returns all that is remembered of what servers keep, for a peer that
 // joined.
-func (d *Dispatcher) CachedPrefixes() []messenger.KeptPart { return d.index.All() }
+func (d *Dispatcher) CachedPrefixes() []messenger.CachedPrefix { return d.index.All() }
 
 // ServerRemoved forgets what a server kept that is no more.
 func (d *Dispatcher) ServerRemoved(env Env, server identifier.VMID) {
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -158,7 +158,7 @@
 		Path:         path,
 		Key:          "secret",
 		Received:     n.world.Now,
-		Patience:     10 * timekeeper.Second,
+		TimeLimit:    10 * timekeeper.Second,
 		PromptTokens: 1000,
 		MaxTokens:    100,
 	}
@@ -226,7 +226,7 @@
 		},
 		{
 			name:    "no time left",
-			prepare: func(_ *node, s *messenger.ExchangeSpec) { s.Patience = 3 },
+			prepare: func(_ *node, s *messenger.ExchangeSpec) { s.TimeLimit = 3 },
 			want:    messenger.ReasonDeadline,
 		},
 		{
@@ -311,7 +311,7 @@
 		},
 		{
 			path:   "/book/",
-			result: messenger.AttemptSilent,
+			result: messenger.AttemptTimedOut,
 			want:   ended,
 		},
 		{
@@ -353,7 +353,7 @@
 		},
 		{
 			path:   "/report/",
-			result: messenger.AttemptSilent,
+			result: messenger.AttemptTimedOut,
 			want:   again,
 		},
 	}
@@ -597,7 +597,7 @@
 // until what the peer told is old.
 func TestPeersLoad(t *testing.T) {
 	n := newNode(2)
-	n.MergePeerLoad(start, "entry-2", messenger.Share{
+	n.MergePeerLoad(start, "entry-2", messenger.StateUpdate{
 		InFlight: map[identifier.VMID]messenger.InFlight{
 			serverID(0): {Running: 50},
 		},
@@ -620,9 +620,9 @@
 	require.True(t, ok)
 	require.True(t, peer.NotifyPeers())
 	require.False(t, peer.NotifyPeers())
-	told := func() messenger.Share {
+	told := func() messenger.StateUpdate {
 		running, _ := peer.OwnLoad(start)
-		return messenger.Share{InFlight: running}
+		return messenger.StateUpdate{InFlight: running}
 	}
 	n.MergePeerLoad(start, "entry-2", told())
 	for range 5 {
@@ -655,7 +655,7 @@
 // centrally decides, and one that can't be asked is no reason to hold the
 // request.
 func TestAskingTheCentralNode(t *testing.T) {
-	ask := func(t *testing.T) (*node, messenger.AskLimit) {
+	ask := func(t *testing.T) (*node, messenger.RequestLimit) {
 		n := newNode(2)
 		n.world.Local = limiter.NewLocal()
 		n.world.Local.SetNodes(1_000_000_000, false)
@@ -663,7 +663,7 @@
 			Node:    "entry-2",
 			Address: "10.0.1.2:7000",
 		}
-		asked, ok := n.receive("/ping/1").(messenger.AskLimit)
+		asked, ok := n.receive("/ping/1").(messenger.RequestLimit)
 		require.True(t, ok)
 		require.Equal(t, identifier.Tokens(1100), asked.Tokens)
 		return n, asked
@@ -765,7 +765,7 @@
 	n := newNode(3)
 	results := []messenger.AttemptResult{
 		messenger.AttemptNotSent, messenger.AttemptRefused, messenger.AttemptBroken,
-		messenger.AttemptSilent, messenger.AttemptFailed,
+		messenger.AttemptTimedOut, messenger.AttemptFailed,
 	}
 	paths := []string{"/ping/1", "/book/1", "/report/1", "/draft/1"}
 	for i := range 200 {
@@ -810,11 +810,11 @@
 func TestLongPromptsAreWaitedFor(t *testing.T) {
 	n := newNode(2)
 	short := n.sent(t, "/report/1")
-	require.Equal(t, 1500*timekeeper.Millisecond, short.FirstSilence)
+	require.Equal(t, 1500*timekeeper.Millisecond, short.FirstEventTimeout)
 	long := n.spec("/report/2")
 	long.PromptTokens = 62_000
 	send, ok := n.Receive(n.world, long).(messenger.SendExchange)
 	require.True(t, ok)
-	require.Greater(t, send.Basis.Predicted, 1300*timekeeper.Millisecond)
-	require.Equal(t, 2*send.Basis.Predicted, send.FirstSilence)
+	require.Greater(t, send.Inputs.Predicted, 1300*timekeeper.Millisecond)
+	require.Equal(t, 2*send.Inputs.Predicted, send.FirstEventTimeout)
 }
--- a/internal/dispatcher/ended.go
+++ b/internal/dispatcher/ended.go
@@ -28,7 +28,7 @@
 		if serverEnded {
 			d.unexplained.ended(env, server)
 		}
-	case result != messenger.AttemptBroken && result != messenger.AttemptSilent:
+	case result != messenger.AttemptBroken && result != messenger.AttemptTimedOut:
 	case serverEnded:
 		env.Quarantine.ServerEnded(env.Now, x.request, server)
 	default:
--- a/internal/dispatcher/ended_test.go
+++ b/internal/dispatcher/ended_test.go
@@ -113,7 +113,7 @@
 // Connections break, and servers answer that they failed, but live on. None of that is
 // the end of a server.
 func TestServersThatLiveHaveNotEnded(t *testing.T) {
-	for _, result := range []messenger.AttemptResult{messenger.AttemptBroken, messenger.AttemptFailed, messenger.AttemptSilent} {
+	for _, result := range []messenger.AttemptResult{messenger.AttemptBroken, messenger.AttemptFailed, messenger.AttemptTimedOut} {
 		n := newNode(12)
 		for range 6 {
 			n.ended(n.send(t, n.asked("/book/1", 7)), result, false)
@@ -152,7 +152,7 @@
 			var gone []identifier.VMID
 			for range 3 {
 				send := n.send(t, n.asked("/book/1", 7))
-				n.ended(send, messenger.AttemptSilent, false)
+				n.ended(send, messenger.AttemptTimedOut, false)
 				gone = append(gone, send.Server)
 				n.publishServer(send.Server, messenger.ServerRemoved)
 			}
@@ -240,7 +240,7 @@
 	}
 	spec := n.asked("/book/1", 7)
 	spec.PromptTokens = 100_000
-	ask, ok := n.Receive(n.world, spec).(messenger.AskLimit)
+	ask, ok := n.Receive(n.world, spec).(messenger.RequestLimit)
 	require.True(t, ok)
 	for i := range 3 {
 		n.world.Quarantine.ServerEnded(n.world.Now, quarantiner.FingerprintOf("agency", 7), serverID(i))
--- a/internal/dispatcher/limit.go
+++ b/internal/dispatcher/limit.go
@@ -60,7 +60,7 @@
 		return d.refuseAlone(env, x, after)
 	}
 	x.limit = messenger.LimitPeer
-	return messenger.AskLimit{
+	return messenger.RequestLimit{
 		Exchange: x.spec.Exchange,
 		Peer:     env.Allocator.Node,
 		Address:  env.Allocator.Address,
@@ -92,7 +92,7 @@
 	case e.NotGranting:
 		return d.admitAlone(env, x)
 	case e.Unknown:
-		x.limit = messenger.LimitPeerSilent
+		x.limit = messenger.LimitPeerTimedOut
 		return d.refuseOverLimit(env, x, unaskedRetry)
 	}
 	return d.refuseOverLimit(env, x, e.RetryAfter)
--- a/internal/dispatcher/load.go
+++ b/internal/dispatcher/load.go
@@ -161,18 +161,18 @@
 }
 
 // MergePeerLoad takes in what a peer reported of its requests, or of those of others.
-func (d *Dispatcher) MergePeerLoad(now timekeeper.Time, peer identifier.VMID, s messenger.Share) {
+func (d *Dispatcher) MergePeerLoad(now timekeeper.Time, peer identifier.VMID, s messenger.StateUpdate) {
 	report := peerLoad{
 		at:      now,
 		servers: s.InFlight,
 		demand:  s.Demand,
 	}
 	switch s.Scope {
-	case messenger.ShareZone:
+	case messenger.ScopeZone:
 		if _, known := d.loads.zones[s.Zone]; known || len(d.loads.zones) < maxPeers {
 			d.loads.zones[s.Zone] = report
 		}
-	case messenger.ShareOthers:
+	case messenger.ScopeOthers:
 		d.loads.others = report
 	default:
 		if _, known := d.loads.peers[peer]; known || len(d.loads.peers) < maxPeers {
@@ -239,8 +239,8 @@
 func (s *demand) report(now timekeeper.Time) messenger.ServiceDemand {
 	s.decay(now)
 	return messenger.ServiceDemand{
-		Running: s.running,
-		Busy:    s.busy,
+		Running:     s.running,
+		OfferedLoad: s.busy,
 	}
 }
 
@@ -250,7 +250,7 @@
 	for p := range d.loads.reports(now) {
 		one := p.demand[service]
 		sum.Running += one.Running
-		sum.Busy += one.Busy
+		sum.OfferedLoad += one.OfferedLoad
 	}
 	return sum
 }
--- a/internal/dispatcher/permit.go
+++ b/internal/dispatcher/permit.go
@@ -55,7 +55,7 @@
 	for _, s := range c.among {
 		x.among = append(x.among, s.Server)
 	}
-	return messenger.AskPermit{
+	return messenger.RequestPermit{
 		Exchange: x.spec.Exchange,
 		Peer:     allocator.Node,
 		Address:  allocator.Address,
--- a/internal/dispatcher/permit_test.go
+++ b/internal/dispatcher/permit_test.go
@@ -13,12 +13,12 @@
 
 // limit lets a server state a limit.
 func (n *node) limit(server identifier.VMID, rate identifier.RequestRate) {
-	n.world.Limits.Observe(n.world.Now, messenger.ServerLimitHeard{
+	n.world.Limits.Observe(n.world.Now, messenger.ServerLimitReceived{
 		Server: server,
 		Sent:   n.world.Now,
-		Limit: messenger.NamedLimit{
-			Named: true,
-			Rate:  rate,
+		Limit: messenger.StatedLimit{
+			Stated: true,
+			Rate:   rate,
 		},
 	})
 }
@@ -34,16 +34,16 @@
 }
 
 // askedPermit receives a request that needs a permit.
-func (n *node) askedPermit(t *testing.T) messenger.AskPermit {
+func (n *node) askedPermit(t *testing.T) messenger.RequestPermit {
 	t.Helper()
-	ask, ok := n.receive("/ping/1").(messenger.AskPermit)
+	ask, ok := n.receive("/ping/1").(messenger.RequestPermit)
 	require.True(t, ok)
 	return ask
 }
 
 // All servers state a limit, so that one permit is asked for any of them.
 func TestPermitOfAPeer(t *testing.T) {
-	ask := func(t *testing.T) (*node, messenger.AskPermit) {
+	ask := func(t *testing.T) (*node, messenger.RequestPermit) {
 		n := newNode(2)
 		n.limit(serverID(0), 1)
 		n.limit(serverID(1), 2)
@@ -94,7 +94,7 @@
 		next, ok := n.PermitAnswered(n.world, messenger.PermitAnswered{
 			Exchange: asked.Exchange,
 			Server:   asked.Limits[0].Server,
-		}).(messenger.AskPermit)
+		}).(messenger.RequestPermit)
 		require.True(t, ok)
 		require.Equal(t, asked.Limits[1].Server, next.Limits[0].Server)
 	})
@@ -124,10 +124,10 @@
 	}, false)
 	n.world.Versions.ApplyOrders(n.world.Now, []messenger.RolloutOrder{
 		{
-			Service: "reader",
-			Offset:  60,
-			To:      "v2",
-			Limit:   timekeeper.Minute,
+			Service:   "reader",
+			Offset:    60,
+			To:        "v2",
+			TimeLimit: timekeeper.Minute,
 		},
 	})
 	for _, server := range []identifier.VMID{serverID(0), serverID(1), "i-new"} {
@@ -154,7 +154,7 @@
 		n.limit(serverID(i), 1)
 	}
 	n.grantedBy("entry-2")
-	asked, ok := n.ended(first, messenger.AttemptBroken, false).(messenger.AskPermit)
+	asked, ok := n.ended(first, messenger.AttemptBroken, false).(messenger.RequestPermit)
 	require.True(t, ok)
 	require.Len(t, asked.Limits, 1)
 	end, ok := n.PermitAnswered(n.world, messenger.PermitAnswered{
--- a/internal/dispatcher/prompts_test.go
+++ b/internal/dispatcher/prompts_test.go
@@ -234,10 +234,10 @@
 		return
 	}
 	inFlight, demand := n.OwnLoad(w.now)
-	share := messenger.Share{
-		InFlight: inFlight,
-		Demand:   demand,
-		Kept:     n.CachedPrefixUpdates(w.now),
+	share := messenger.StateUpdate{
+		InFlight:       inFlight,
+		Demand:         demand,
+		CachedPrefixes: n.CachedPrefixUpdates(w.now),
 	}
 	from := identifier.VMID(rune('a' + slices.Index(w.nodes, n)))
 	for _, peer := range w.nodes {
@@ -247,7 +247,7 @@
 		w.after(1, func() {
 			peer.world.Now = w.now
 			peer.MergePeerLoad(w.now, from, share)
-			peer.MergeCachedPrefixes(peer.world, share.Kept, false)
+			peer.MergeCachedPrefixes(peer.world, share.CachedPrefixes, false)
 		})
 	}
 }
@@ -270,12 +270,12 @@
 
 // relay tells each node the sum over all others, as it is now, after a delay.
 func (w *promptWorld) relay(delay timekeeper.Duration) {
-	all := make([]messenger.Share, len(w.nodes))
-	sum := messenger.Share{
+	all := make([]messenger.StateUpdate, len(w.nodes))
+	sum := messenger.StateUpdate{
 		InFlight: map[identifier.VMID]messenger.InFlight{},
 		Demand:   map[identifier.ServiceName]messenger.ServiceDemand{},
 	}
-	add := func(to, from messenger.Share, sign int) {
+	add := func(to, from messenger.StateUpdate, sign int) {
 		for server, load := range from.InFlight {
 			at := to.InFlight[server]
 			at.Running += sign * load.Running
@@ -285,19 +285,19 @@
 		for service, asked := range from.Demand {
 			at := to.Demand[service]
 			at.Running += sign * asked.Running
-			at.Busy += float64(sign) * asked.Busy
+			at.OfferedLoad += float64(sign) * asked.OfferedLoad
 			to.Demand[service] = at
 		}
 	}
-	var kept []messenger.KeptPart
+	var kept []messenger.CachedPrefix
 	for i, n := range w.nodes {
 		all[i].InFlight, all[i].Demand = n.OwnLoad(w.now)
 		add(sum, all[i], 1)
 		kept = append(kept, n.CachedPrefixUpdates(w.now)...)
 	}
 	for i, n := range w.nodes {
-		others := messenger.Share{
-			Scope:    messenger.ShareOthers,
+		others := messenger.StateUpdate{
+			Scope:    messenger.ScopeOthers,
 			InFlight: maps.Clone(sum.InFlight),
 			Demand:   maps.Clone(sum.Demand),
 		}
--- a/internal/dispatcher/receive.go
+++ b/internal/dispatcher/receive.go
@@ -186,8 +186,8 @@
 
 func deadline(spec messenger.ExchangeSpec, route *catalog.Route) timekeeper.Time {
 	wait := route.Timeout
-	if spec.Patience > 0 && (wait <= 0 || spec.Patience < wait) {
-		wait = spec.Patience
+	if spec.TimeLimit > 0 && (wait <= 0 || spec.TimeLimit < wait) {
+		wait = spec.TimeLimit
 	}
 	return spec.Received.Add(wait)
 }
@@ -224,19 +224,19 @@
 	}
 	_, limited := env.Limits.Rate(c.server.Server)
 	return messenger.SendExchange{
-		CopyFrom:     copyFrom,
-		Limited:      limited,
-		Basis:        basis,
-		Exchange:     x.spec.Exchange,
-		Attempt:      x.attempt,
-		Server:       c.server.Server,
-		Address:      c.server.Address,
-		Account:      x.account,
-		Route:        x.route,
-		Urgency:      x.urgency,
-		Deadline:     x.deadline,
-		FirstSilence: first,
-		NextSilence:  next,
+		CopyFrom:          copyFrom,
+		Limited:           limited,
+		Inputs:            basis,
+		Exchange:          x.spec.Exchange,
+		Attempt:           x.attempt,
+		Server:            c.server.Server,
+		Address:           c.server.Address,
+		Account:           x.account,
+		Route:             x.route,
+		Urgency:           x.urgency,
+		Deadline:          x.deadline,
+		FirstEventTimeout: first,
+		NextEventTimeout:  next,
 	}
 }
 
@@ -245,7 +245,7 @@
 	return messenger.RefuseExchange{
 		Exchange: id,
 		Refusal:  *r,
-		Basis:    env.Inputs,
+		Inputs:   env.Inputs,
 	}
 }
 
--- a/internal/dispatcher/repeat.go
+++ b/internal/dispatcher/repeat.go
@@ -28,10 +28,10 @@
 
 // kinds maps the ends of attempts to the evidence that they are.
 var kinds = map[messenger.AttemptResult]detector.Kind{
-	messenger.AttemptNotSent: detector.NotSent,
-	messenger.AttemptBroken:  detector.Broken,
-	messenger.AttemptSilent:  detector.Silent,
-	messenger.AttemptFailed:  detector.Failed,
+	messenger.AttemptNotSent:  detector.NotSent,
+	messenger.AttemptBroken:   detector.Broken,
+	messenger.AttemptTimedOut: detector.TimedOut,
+	messenger.AttemptFailed:   detector.Failed,
 }
 
 // AttemptEnded decides what follows an attempt that brought no whole answer.
@@ -58,7 +58,7 @@
 		return d.end(env, x, e, messenger.ReasonNoServer)
 	}
 	if e.Result != messenger.AttemptNotSent && !env.Retries.Spend(env.Now, x.service) {
-		return d.end(env, x, e, messenger.ReasonRetriesSpent)
+		return d.end(env, x, e, messenger.ReasonRetriesExhausted)
 	}
 	x.ended = e
 	effect, ok := d.place(env, x)
--- a/internal/dispatcher/subset_test.go
+++ b/internal/dispatcher/subset_test.go
@@ -51,7 +51,7 @@
 	for range 200 {
 		sent := n.sent(t, "/report/1")
 		require.True(t, tells(sent.Server, servers), "sent to %s", sent.Server)
-		require.InDelta(t, 160, sent.Basis.Candidates, 60)
+		require.InDelta(t, 160, sent.Inputs.Candidates, 60)
 	}
 }
 
--- a/internal/dispatcher/sum.go
+++ b/internal/dispatcher/sum.go
@@ -34,7 +34,7 @@
 	for service, asked := range p.demand {
 		sum := s.Demand[service]
 		sum.Running += sign * asked.Running
-		sum.Busy += float64(sign) * asked.Busy
+		sum.OfferedLoad += float64(sign) * asked.OfferedLoad
 		s.Demand[service] = sum
 	}
 }
--- a/internal/dispatcher/sum_test.go
+++ b/internal/dispatcher/sum_test.go
@@ -11,8 +11,8 @@
 )
 
 // told is what a node or a relay tells of one server.
-func told(scope messenger.ShareScope, zone identifier.Zone, server string, running int, prefill timekeeper.Duration) messenger.Share {
-	return messenger.Share{
+func told(scope messenger.UpdateScope, zone identifier.Zone, server string, running int, prefill timekeeper.Duration) messenger.StateUpdate {
+	return messenger.StateUpdate{
 		Scope: scope,
 		Zone:  zone,
 		InFlight: map[identifier.VMID]messenger.InFlight{
@@ -33,10 +33,10 @@
 func TestSumsOfARelay(t *testing.T) {
 	n := newNode(0)
 	now := start.Add(200)
-	n.MergePeerLoad(start, "entry-2", told(messenger.ShareOwn, "", "i-1", 3, 500))
-	n.MergePeerLoad(start, "entry-3", told(messenger.ShareOwn, "", "i-2", 4, 0))
-	n.MergePeerLoad(start.Add(-3*timekeeper.Second), "entry-4", told(messenger.ShareOwn, "", "i-3", 9, 0))
-	n.MergePeerLoad(start, "relay-9", told(messenger.ShareZone, "zone-1", "i-1", 10, 100))
+	n.MergePeerLoad(start, "entry-2", told(messenger.ScopeOwn, "", "i-1", 3, 500))
+	n.MergePeerLoad(start, "entry-3", told(messenger.ScopeOwn, "", "i-2", 4, 0))
+	n.MergePeerLoad(start.Add(-3*timekeeper.Second), "entry-4", told(messenger.ScopeOwn, "", "i-3", 9, 0))
+	n.MergePeerLoad(start, "relay-9", told(messenger.ScopeZone, "zone-1", "i-1", 10, 100))
 
 	zone := n.ZoneSum(now, []identifier.VMID{"entry-2", "entry-3", "entry-4"})
 	require.Equal(t, map[identifier.VMID]messenger.InFlight{
@@ -64,9 +64,9 @@
 // long as it is fresh.
 func TestSumReplacesSinglePeers(t *testing.T) {
 	n := newNode(0)
-	n.MergePeerLoad(start, "entry-2", told(messenger.ShareOwn, "", "i-1", 3, 0))
+	n.MergePeerLoad(start, "entry-2", told(messenger.ScopeOwn, "", "i-1", 3, 0))
 	require.Equal(t, 3, n.Demand(start, "reader").Running)
-	n.MergePeerLoad(start, "relay-9", told(messenger.ShareOthers, "", "i-1", 40, 0))
+	n.MergePeerLoad(start, "relay-9", told(messenger.ScopeOthers, "", "i-1", 40, 0))
 	require.Equal(t, 40, n.Demand(start, "reader").Running)
 	require.Equal(t, 3, n.Demand(start.Add(1500), "reader").Running)
 }
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -43,7 +43,7 @@
 }
 
 // Absorb takes in one read of the stream.
-func (s *Stream) Absorb(now timekeeper.Time, read messenger.LogRead) Batch {
+func (s *Stream) ApplyRecords(now timekeeper.Time, read messenger.LogRead) Batch {
 	b := Batch{
 		Records: nil,
 		Gap:     s.gap(now, read),
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -80,7 +80,7 @@
 			replay: true,
 		},
 	} {
-		b := s.Absorb(step.now, step.read)
+		b := s.ApplyRecords(step.now, step.read)
 		require.Len(t, b.Records, step.fresh, step.name)
 		require.Equal(t, step.gap, b.Gap, step.name)
 		require.Equal(t, step.replay, s.Replayed(), step.name)
--- a/internal/forwarder/answer.go
+++ b/internal/forwarder/answer.go
@@ -195,7 +195,7 @@
 
 // limitText is the limit that the server of the last attempt stated, empty for none.
 func (x *exchange) limitText() string {
-	if !x.limit.Named {
+	if !x.limit.Stated {
 		return ""
 	}
 	return strconv.FormatFloat(float64(x.limit.Rate), 'f', -1, 64)
--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -55,8 +55,8 @@
 		cancel()
 	})
 	w.stop = deadline.Stop
-	if s.FirstSilence > 0 {
-		w.timer = time.AfterFunc(s.FirstSilence.Std(), func() {
+	if s.FirstEventTimeout > 0 {
+		w.timer = time.AfterFunc(s.FirstEventTimeout.Std(), func() {
 			w.silent.Store(true)
 			cancel()
 		})
@@ -149,14 +149,14 @@
 		return
 	}
 	lifted := s.Limited && reply.Signed
-	if !reply.Limit.Named && !lifted {
+	if !reply.Limit.Stated && !lifted {
 		return
 	}
 	x.limit = reply.Limit
-	if reply.Limit.Named {
+	if reply.Limit.Stated {
 		x.forwarder.config.Metrics.limited()
 	}
-	x.forwarder.config.Decider.LimitHeard(ctx, messenger.ServerLimitHeard{
+	x.forwarder.config.Decider.LimitHeard(ctx, messenger.ServerLimitReceived{
 		Server: s.Server,
 		Sent:   sent,
 		Limit:  reply.Limit,
@@ -180,7 +180,7 @@
 	case bound.expired.Load():
 		return x.expire()
 	case bound.silent.Load():
-		e.result = messenger.AttemptSilent
+		e.result = messenger.AttemptTimedOut
 	}
 	if !e.over && !t.written.Load() {
 		e.result = messenger.AttemptNotSent
@@ -205,7 +205,7 @@
 // expire answers a caller whose time, or whose route's, is over.
 func (x *exchange) expire() ending {
 	e := ending{
-		result: messenger.AttemptSilent,
+		result: messenger.AttemptTimedOut,
 		reason: string(messenger.ReasonDeadlineExpired),
 		over:   true,
 		abort:  x.answering,
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -64,7 +64,7 @@
 	Began(ctx context.Context, e messenger.ExchangeBegan)
 	AttemptEnded(ctx context.Context, e messenger.ExchangeAttemptEnded) messenger.Effect
 	Ended(e messenger.ExchangeEnded)
-	LimitHeard(ctx context.Context, e messenger.ServerLimitHeard)
+	LimitHeard(ctx context.Context, e messenger.ServerLimitReceived)
 }
 
 // Head is what a request says of itself.
@@ -91,7 +91,7 @@
 	Signed      bool
 	RetryAfter  timekeeper.Duration
 	// Limit is what the server says of the requests that it accepts.
-	Limit messenger.NamedLimit
+	Limit messenger.StatedLimit
 }
 
 // Protocol knows the names that callers and servers use. Its methods are
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -40,7 +40,7 @@
 	ended   chan messenger.ExchangeEnded
 	began   int
 	attempt int
-	limits  []messenger.ServerLimitHeard
+	limits  []messenger.ServerLimitReceived
 }
 
 func newScript(servers ...string) *script {
@@ -73,15 +73,15 @@
 	}
 	s.attempt++
 	return messenger.SendExchange{
-		Exchange:     id,
-		Attempt:      identifier.AttemptNumber(s.attempt),
-		Server:       "i-1",
-		Address:      s.servers[s.attempt-1],
-		Account:      "agency",
-		Route:        &s.route,
-		Deadline:     timekeeper.System{}.Now().Add(s.patience),
-		FirstSilence: s.first,
-		NextSilence:  s.next,
+		Exchange:          id,
+		Attempt:           identifier.AttemptNumber(s.attempt),
+		Server:            "i-1",
+		Address:           s.servers[s.attempt-1],
+		Account:           "agency",
+		Route:             &s.route,
+		Deadline:          timekeeper.System{}.Now().Add(s.patience),
+		FirstEventTimeout: s.first,
+		NextEventTimeout:  s.next,
 	}
 }
 
@@ -98,7 +98,7 @@
 	return s.send(e.Exchange)
 }
 
-func (s *script) LimitHeard(_ context.Context, e messenger.ServerLimitHeard) {
+func (s *script) LimitHeard(_ context.Context, e messenger.ServerLimitReceived) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits = append(s.limits, e)
@@ -147,7 +147,7 @@
 		Request: identifier.RequestID(h.Get("Id")),
 		NotRun:  h.Get("Not-Run") != "",
 		Signed:  h.Get("Signature") != "",
-		Limit:   messenger.NamedLimit{Named: h.Get("Limit") != ""},
+		Limit:   messenger.StatedLimit{Stated: h.Get("Limit") != ""},
 	}
 }
 
@@ -495,7 +495,7 @@
 			answer := do(t, request(t, http.MethodGet, "http://"+front(t, s)+"/", nil))
 			require.NoError(t, answer.err)
 			require.Equal(t, test.before+"id: 2\ndata: b\n\n", answer.body)
-			require.Equal(t, []messenger.AttemptResult{messenger.AttemptSilent}, s.results())
+			require.Equal(t, []messenger.AttemptResult{messenger.AttemptTimedOut}, s.results())
 		})
 	}
 }
@@ -513,7 +513,7 @@
 	answer := do(t, request(t, http.MethodGet, "http://"+front(t, s)+"/", nil))
 	require.Equal(t, http.StatusGatewayTimeout, answer.status)
 	<-stopped
-	require.Equal(t, messenger.AttemptSilent, (<-s.ended).Result)
+	require.Equal(t, messenger.AttemptTimedOut, (<-s.ended).Result)
 }
 
 // The caller leaves in the middle. The server must not go on working for it.
--- a/internal/forwarder/request.go
+++ b/internal/forwarder/request.go
@@ -34,11 +34,11 @@
 	// nothing better comes.
 	failure *held
 	// limit is what the server of the last attempt states to accept.
-	limit  messenger.NamedLimit
+	limit  messenger.StatedLimit
 	began  bool
 	status int
 	// basis is what the last decision was made on.
-	basis messenger.Basis
+	basis messenger.DecisionInputs
 	// first is the time to the first byte or event, lastAt when the last event
 	// arrived, and gap the longest pause between two events.
 	first  timekeeper.Duration
@@ -103,7 +103,7 @@
 		Path:         pathOf(x.r),
 		Key:          x.head.Key,
 		Received:     x.received,
-		Patience:     x.head.Patience,
+		TimeLimit:    x.head.Patience,
 		PromptTokens: x.head.PromptTokens,
 		MaxTokens:    x.head.MaxTokens,
 		Prefix:       x.head.Prefix,
@@ -144,16 +144,16 @@
 		}
 		x.attempts++
 		x.server = send.Server
-		x.limit = messenger.NamedLimit{}
-		x.basis = send.Basis
+		x.limit = messenger.StatedLimit{}
+		x.basis = send.Inputs
 		end := x.attempt(ctx, send)
 		if end.over {
 			f.config.Decider.Ended(messenger.ExchangeEnded{
-				Exchange:    x.id,
-				Result:      end.result,
-				ServerEnded: end.serverEnded,
-				Events:      x.events,
-				EventsTook:  x.lastAt.Sub(x.eventsFrom),
+				Exchange:       x.id,
+				Result:         end.result,
+				ServerEnded:    end.serverEnded,
+				Events:         x.events,
+				EventsDuration: x.lastAt.Sub(x.eventsFrom),
 			})
 			x.log(end.result, end.reason)
 			if end.abort {
@@ -177,7 +177,7 @@
 func (x *exchange) close(decision messenger.Effect) {
 	switch d := decision.(type) {
 	case messenger.RefuseExchange:
-		x.basis = d.Basis
+		x.basis = d.Inputs
 		x.refuse(d.Refusal)
 	case messenger.EndExchange:
 		x.fail(d.Reason)
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -46,7 +46,7 @@
 				started = true
 				x.beganNow(ctx, s)
 			}
-			bound.heard(s.NextSilence)
+			bound.heard(s.NextEventTimeout)
 			x.heardEvents(pending[:cut])
 			if end, failed := x.passOn(response, pending[:cut], resumed); failed {
 				return end
--- a/internal/gauger/configuration.go
+++ b/internal/gauger/configuration.go
@@ -76,10 +76,10 @@
 
 func propose(d *driver, f file, content string) (messenger.AppendRecord, error) {
 	effects := d.apply(messenger.ChangeProposed{
-		Ticket:  1,
-		File:    f.name,
-		Content: []byte(content),
-		Saw:     d.reducer.Files()[f.name].Revision,
+		Ticket:       1,
+		File:         f.name,
+		Content:      []byte(content),
+		BaseRevision: d.reducer.Files()[f.name].Revision,
 	})
 	for _, e := range effects {
 		if record, ok := e.(messenger.AppendRecord); ok {
--- a/internal/gauger/fleet.go
+++ b/internal/gauger/fleet.go
@@ -189,7 +189,7 @@
 		Account:      accountName((i + m.asked%shardAccounts) % accountCount(f.size)),
 		Service:      shortService,
 		Idempotent:   true,
-		Home:         m.config.Self,
+		EntryNode:    m.config.Self,
 		Received:     f.now,
 		Deadline:     f.now.Add(timekeeper.Minute),
 		PromptTokens: promptTokens,
--- a/internal/gauger/request.go
+++ b/internal/gauger/request.go
@@ -166,7 +166,7 @@
 		Service:      service,
 		Idempotent:   service != plainService,
 		Long:         service == longService,
-		Home:         d.fleet.members[0].config.Self,
+		EntryNode:    d.fleet.members[0].config.Self,
 		Received:     d.now,
 		Deadline:     d.now.Add(10 * timekeeper.Minute),
 		BodySize:     8 << 10,
--- a/internal/gossiper/change.go
+++ b/internal/gossiper/change.go
@@ -19,14 +19,14 @@
 	// older one had in memory is lost.
 	NodeDead ChangeKind = "node_dead"
 	// NodeThawed: this process itself was frozen for a while.
-	NodeThawed ChangeKind = "node_thawed"
+	NodeResumed ChangeKind = "node_thawed"
 	// NodeOutdated: peers know a later incarnation of this very node, so they
 	// ignore this process for good.
 	NodeOutdated ChangeKind = "node_outdated"
 	ServerJoined ChangeKind = "server_joined"
 	// ServerLeaving comes again when the deadline turns out to be earlier.
 	ServerLeaving ChangeKind = "server_leaving"
-	ServerGone    ChangeKind = "server_gone"
+	ServerRemoved ChangeKind = "server_gone"
 )
 
 // Change is one change in the membership.
@@ -53,23 +53,23 @@
 
 // SenderError is the cause of a DecodeError for a message whose sender is not
 // the peer that it came from.
-type SenderError struct {
-	Named identifier.VMID
+type SenderMismatchError struct {
+	Sender identifier.VMID
 }
 
-func (e *SenderError) Error() string { return "message names sender " + string(e.Named) }
+func (e *SenderMismatchError) Error() string { return "message names sender " + string(e.Sender) }
 
 // ColumnError is the cause of a DecodeError for a message whose parallel
 // columns differ in length.
-type ColumnError struct {
+type ColumnLengthError struct {
 	Keys   int
 	Values int
 }
 
-func (e *ColumnError) Error() string { return "columns of a message differ in length" }
+func (e *ColumnLengthError) Error() string { return "columns of a message differ in length" }
 
 var (
 	_ error = (*DecodeError)(nil)
-	_ error = (*SenderError)(nil)
-	_ error = (*ColumnError)(nil)
+	_ error = (*SenderMismatchError)(nil)
+	_ error = (*ColumnLengthError)(nil)
 )
--- a/internal/gossiper/cluster_test.go
+++ b/internal/gossiper/cluster_test.go
@@ -107,7 +107,7 @@
 		c.add(New(configOf(i)))
 	}
 	for _, m := range c.members {
-		c.note(m, m.ListRead(c.now, c.now, listOf(n, engines)))
+		c.note(m, m.MergeList(c.now, c.now, listOf(n, engines)))
 	}
 	c.until("all know all", 30*timekeeper.Second, func() bool {
 		return c.all(func(m *Members) bool { return len(m.Nodes()) == n && !m.wantSync })
--- a/internal/gossiper/failure_test.go
+++ b/internal/gossiper/failure_test.go
@@ -74,9 +74,9 @@
 	revived := func(guarded bool) bool {
 		m := New(configOf(0))
 		m.guard.marksForGood = guarded
-		m.ListRead(start, start, listOf(2, 2))
+		m.MergeList(start, start, listOf(2, 2))
 		m.MarkLeaving(start, engineVM(0), start.Add(timekeeper.Minute))
-		m.ListRead(start+1000, start+1000, listOf(2, 2))
+		m.MergeList(start+1000, start+1000, listOf(2, 2))
 		return !isLeaving(m, engineVM(0))
 	}
 	require.False(t, revived(true))
@@ -93,10 +93,10 @@
 	remaining := func(guarded bool) int {
 		m := New(configOf(0))
 		m.guard.newerListOnly = guarded
-		m.ListRead(start, start, listOf(2, 2))
-		m.ListRead(start+4000, start+4000, listOf(2, 1))
-		m.ListRead(start+8000, start+8000, listOf(2, 1))
-		m.ListRead(start+8100, start+2000, older)
+		m.MergeList(start, start, listOf(2, 2))
+		m.MergeList(start+4000, start+4000, listOf(2, 1))
+		m.MergeList(start+8000, start+8000, listOf(2, 1))
+		m.MergeList(start+8100, start+2000, older)
 		require.True(t, isLeaving(m, engineVM(0)))
 		return len(m.Servers("readers"))
 	}
@@ -109,11 +109,11 @@
 func TestMissingFromList(t *testing.T) {
 	c := newCluster(t, 3, 2)
 	m := c.members[0]
-	m.ListRead(c.now, c.now, listOf(2, 2))
+	m.MergeList(c.now, c.now, listOf(2, 2))
 	for i := range 3 {
 		require.Len(t, m.Servers("readers"), 2, "read %d", i)
 		c.run(2 * timekeeper.Second)
-		m.ListRead(c.now, c.now, listOf(2, 1))
+		m.MergeList(c.now, c.now, listOf(2, 1))
 	}
 	_, known := m.Server(engineVM(1))
 	require.False(t, known, "missed in several reads over some time")
@@ -149,7 +149,7 @@
 		return isLeaving(frozen, engineVM(3))
 	})
 	t.Logf("alive everywhere after %v, the missed notice after %v more", back, learned)
-	require.True(t, c.saw(frozen.self.VM, NodeThawed, frozen.self.VM))
+	require.True(t, c.saw(frozen.self.VM, NodeResumed, frozen.self.VM))
 	for _, m := range c.members {
 		if c.saw(frozen.self.VM, NodeDead, m.self.VM) {
 			return true
@@ -276,7 +276,7 @@
 	m := c.members[0]
 	list := listOf(4, 2)
 	list[4].Leaving = true
-	m.ListRead(c.now, c.now, list)
+	m.MergeList(c.now, c.now, list)
 	for _, left := range []timekeeper.Duration{60, 20, 40} {
 		m.MarkReclaimed(c.now, engineVM(0), c.now.Add(left*timekeeper.Second))
 	}
@@ -307,7 +307,7 @@
 				a.MarkLeaving(now, engineVM(i), now.Add(timekeeper.Minute))
 			case 2:
 				lag := timekeeper.Duration(rapid.IntRange(0, 20000).Draw(t, "lag"))
-				a.ListRead(now, now.Add(-lag), listOf(2, 4-i))
+				a.MergeList(now, now.Add(-lag), listOf(2, 4-i))
 			case 3:
 				sent, _ := b.Tick(now, rng)
 				messages = append(messages, sent...)
@@ -332,7 +332,7 @@
 func TestTablesAreBounded(t *testing.T) {
 	m := New(configOf(0))
 	m.marks.limit, m.servers.limit = 2, 2
-	m.ListRead(start, start, listOf(1, 5))
+	m.MergeList(start, start, listOf(1, 5))
 	for i := range 5 {
 		m.MarkLeaving(start, engineVM(9-i), start.Add(timekeeper.Duration(i)*timekeeper.Minute))
 	}
@@ -347,13 +347,13 @@
 // Marks are kept while the list is out or shows the VM, and dropped long after.
 func TestMarksExpire(t *testing.T) {
 	m := New(configOf(0))
-	m.ListRead(start, start, listOf(1, 1))
+	m.MergeList(start, start, listOf(1, 1))
 	m.MarkLeaving(start, engineVM(0), start.Add(timekeeper.Minute))
 	rng := rand.New(rand.NewPCG(seedOfTests, 3))
 	later := start.Add(3 * timekeeper.Hour)
 	m.Tick(later, rng)
 	require.Equal(t, 1, m.marks.len(), "the list was not read since")
-	m.ListRead(later, later, listOf(1, 0))
+	m.MergeList(later, later, listOf(1, 0))
 	m.Tick(later+1000, rng)
 	require.Zero(t, m.marks.len())
 }
@@ -365,9 +365,9 @@
 	require.ErrorAs(t, err, &decodeError)
 
 	other := New(configOf(1))
-	other.ListRead(start, start, []messenger.VMState{listOf(1, 0)[0]})
+	other.MergeList(start, start, []messenger.VMState{listOf(1, 0)[0]})
 	messages, _ := other.Tick(start, rand.New(rand.NewPCG(seedOfTests, 4)))
-	var senderError *SenderError
+	var senderError *SenderMismatchError
 	_, err = m.Receive(start, entryVM(2), messages[0].Data)
 	require.ErrorAs(t, err, &senderError)
 }
@@ -378,16 +378,16 @@
 		Requests: 2.5,
 		Tokens:   1000,
 	}}
-	c.members[0].SetNews(News{
+	c.members[0].SetStatus(Status{
 		Revision: 7,
 		Demand:   demand,
 	})
 	c.run(2 * timekeeper.Second)
 	for _, m := range c.members[1:] {
-		require.Equal(t, demand, m.NewsOf()[entryVM(0)].Demand)
-		require.Equal(t, identifier.Revision(7), m.NewsOf()[entryVM(0)].Revision)
+		require.Equal(t, demand, m.Statuses()[entryVM(0)].Demand)
+		require.Equal(t, identifier.Revision(7), m.Statuses()[entryVM(0)].Revision)
 	}
 	c.off[entryVM(0)] = true
 	c.run(10 * timekeeper.Second)
-	require.Empty(t, c.members[1].NewsOf(), "it has aged")
+	require.Empty(t, c.members[1].Statuses(), "it has aged")
 }
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -32,7 +32,7 @@
 
 // Defaults of Config.
 const (
-	DefaultEvery        = 250 * timekeeper.Millisecond
+	DefaultPeriod       = 250 * timekeeper.Millisecond
 	DefaultSuspectAfter = 1500 * timekeeper.Millisecond
 	DefaultDeadAfter    = 4 * timekeeper.Second
 	DefaultFanout       = 2
@@ -66,7 +66,7 @@
 	// Seeds are peer addresses to try while the node knows no peer.
 	Seeds []string
 	// Every is the gossip period.
-	Every timekeeper.Duration
+	Period timekeeper.Duration
 	// SuspectAfter and DeadAfter bound the age of a peer's last heartbeat,
 	// beside the time that it may need on its way through others.
 	SuspectAfter timekeeper.Duration
@@ -78,8 +78,8 @@
 }
 
 func (c Config) withDefaults() Config {
-	if c.Every <= 0 {
-		c.Every = DefaultEvery
+	if c.Period <= 0 {
+		c.Period = DefaultPeriod
 	}
 	if c.SuspectAfter <= 0 {
 		c.SuspectAfter = DefaultSuspectAfter
@@ -228,7 +228,7 @@
 func (m *Members) stretch() timekeeper.Duration {
 	room := max(1, (m.config.ByteBudget-headSize)*heartbeatPercent/100/(keySize+heartbeatSize))
 	peers := max(room, m.nodes.len()-1)
-	return stretchIntervals * m.config.Every * timekeeper.Duration(peers) / timekeeper.Duration(room*m.config.Fanout)
+	return stretchIntervals * m.config.Period * timekeeper.Duration(peers) / timekeeper.Duration(room*m.config.Fanout)
 }
 
 func (m *Members) suspectAfter() timekeeper.Duration {
--- a/internal/gossiper/news.go
+++ b/internal/gossiper/news.go
@@ -11,7 +11,7 @@
 const maxDemands = 256
 
 // News is what a node tells its peers about itself.
-type News struct {
+type Status struct {
 	// Revision is the configuration that the node has applied.
 	Revision identifier.Revision
 	// Demand is what client accounts ask of the node.
@@ -25,7 +25,7 @@
 }
 
 // SetNews sets what this node tells its peers. Only a change is sent on.
-func (m *Members) SetNews(n News) {
+func (m *Members) SetStatus(n Status) {
 	n = n.rounded()
 	r := m.self
 	if r.news.Revision == n.Revision && maps.Equal(r.news.Demand, n.Demand) {
@@ -38,8 +38,8 @@
 
 // NewsOf returns the news of the other live nodes. That of a node whose
 // heartbeat is late has aged and is left out.
-func (m *Members) NewsOf() map[identifier.VMID]News {
-	found := map[identifier.VMID]News{}
+func (m *Members) Statuses() map[identifier.VMID]Status {
+	found := map[identifier.VMID]Status{}
 	for _, r := range m.nodes.values() {
 		if r != m.self && r.newsVersion > 0 && (r.State == Alive || r.State == Leaving) {
 			found[r.VM] = r.news
@@ -49,7 +49,7 @@
 }
 
 // rounded returns n as it arrives at a peer: rates take four bytes.
-func (n News) rounded() News {
+func (n Status) rounded() Status {
 	demand := make(map[identifier.AccountID]Demand, len(n.Demand))
 	for account, d := range n.Demand {
 		demand[account] = Demand{
--- a/internal/gossiper/node.go
+++ b/internal/gossiper/node.go
@@ -43,7 +43,7 @@
 	// LeaveBy is the end of a leaving node, else Never.
 	LeaveBy timekeeper.Time
 	// LastHeard is when news of it last arrived, directly or through others.
-	LastHeard timekeeper.Time
+	LastSeen timekeeper.Time
 }
 
 // nodeRecord is a node with what gossip needs to know of it. The counts of
@@ -57,7 +57,7 @@
 	heartbeatSent bool
 	sentRound     uint64
 	lateSends     int
-	news          News
+	news          Status
 	newsVersion   uint64
 	newsSends     int
 }
@@ -96,7 +96,7 @@
 func (m *Members) Count(now timekeeper.Time, within timekeeper.Duration) int {
 	n := 0
 	for _, r := range m.nodes.values() {
-		if r == m.self || now.Sub(r.LastHeard) <= within {
+		if r == m.self || now.Sub(r.LastSeen) <= within {
 			n++
 		}
 	}
@@ -146,7 +146,7 @@
 func (m *Members) join(now timekeeper.Time, n Node, heartbeat uint64) []Change {
 	n.State = Alive
 	n.LeaveBy = timekeeper.Never
-	n.LastHeard = now
+	n.LastSeen = now
 	r := &nodeRecord{
 		Node:      n,
 		key:       keyOf(n.VM, n.Incarnation),
@@ -169,7 +169,7 @@
 	r.heartbeat = heartbeat
 	r.heartbeatSent = false
 	r.lateSends = 0
-	r.LastHeard = now
+	r.LastSeen = now
 	return m.judge(now, r)
 }
 
@@ -200,7 +200,7 @@
 	suspect, dead := m.suspectAfter(), m.deadAfter()
 	var changes []Change
 	for _, r := range m.nodes.values() {
-		age := now.Sub(r.LastHeard)
+		age := now.Sub(r.LastSeen)
 		same := r.State == Alive && age < suspect || r.State == Dead && age >= dead
 		if !same || r == m.self {
 			changes = append(changes, m.judge(now, r)...)
@@ -216,7 +216,7 @@
 	if leaving {
 		r.LeaveBy = mk.deadline
 	}
-	age := now.Sub(r.LastHeard)
+	age := now.Sub(r.LastSeen)
 	switch {
 	case r != m.self && age >= m.deadAfter():
 		return Dead
@@ -243,7 +243,7 @@
 // forgetNodes drops nodes that are long dead and not in the list.
 func (m *Members) forgetNodes(now timekeeper.Time) {
 	for _, r := range m.nodes.values() {
-		gone := r.State == Dead && now.Sub(r.LastHeard) >= forgetAfter
+		gone := r.State == Dead && now.Sub(r.LastSeen) >= forgetAfter
 		if gone && m.seeds.get(r.VM) == nil {
 			delete(m.keys, r.key)
 			m.nodes.remove(r.VM)
--- a/internal/gossiper/pack.go
+++ b/internal/gossiper/pack.go
@@ -232,7 +232,7 @@
 
 // old reports whether the heartbeat of a node is on its way to being late.
 func (m *Members) old(now timekeeper.Time, r *nodeRecord) bool {
-	return r != m.self && now.Sub(r.LastHeard) >= m.suspectAfter()/2
+	return r != m.self && now.Sub(r.LastSeen) >= m.suspectAfter()/2
 }
 
 func (m *Members) encodeNode(r *nodeRecord) *pb.Node {
--- a/internal/gossiper/receive.go
+++ b/internal/gossiper/receive.go
@@ -52,7 +52,7 @@
 		return nil, err
 	}
 	if named := identifier.VMID(message.GetSender().GetVm()); named != from {
-		return nil, &SenderError{Named: named}
+		return nil, &SenderMismatchError{Sender: named}
 	}
 	if err := sameLength(message.GetAliveKeys(), message.GetAliveHeartbeats()); err != nil {
 		return nil, err
@@ -64,7 +64,7 @@
 	if len(keys) == len(values) {
 		return nil
 	}
-	return &ColumnError{
+	return &ColumnLengthError{
 		Keys:   len(keys),
 		Values: len(values),
 	}
@@ -141,8 +141,8 @@
 	return k
 }
 
-func decodeNews(e *pb.News) News {
-	n := News{
+func decodeNews(e *pb.News) Status {
+	n := Status{
 		Revision: identifier.Revision(e.GetRevision()),
 		Demand:   map[identifier.AccountID]Demand{},
 	}
--- a/internal/gossiper/server.go
+++ b/internal/gossiper/server.go
@@ -58,7 +58,7 @@
 // ListRead takes in the platform's list of VMs as of an instant. Entries
 // without a pool are entry VMs, which serve as seeds of the gossip. Of an old
 // list only the leaving VMs count: lists come late and cross one another.
-func (m *Members) ListRead(now, asOf timekeeper.Time, vms []messenger.VMState) []Change {
+func (m *Members) MergeList(now, asOf timekeeper.Time, vms []messenger.VMState) []Change {
 	changes := m.wake(now)
 	vms = slices.SortedFunc(slices.Values(vms), func(a, b messenger.VMState) int {
 		return cmp.Compare(a.VM, b.VM)
@@ -173,7 +173,7 @@
 
 func (m *Members) gone(s *serverRecord) Change {
 	m.servers.remove(s.VM)
-	return s.change(ServerGone)
+	return s.change(ServerRemoved)
 }
 
 // told takes in a server that a peer knows of. A server that this node's own
--- a/internal/gossiper/size_test.go
+++ b/internal/gossiper/size_test.go
@@ -37,7 +37,7 @@
 			Tokens:   rng.Float64() * 10000,
 		}
 	}
-	m.SetNews(News{
+	m.SetStatus(Status{
 		Revision: 12345,
 		Demand:   demand,
 	})
@@ -85,7 +85,7 @@
 	var oldest timekeeper.Duration
 	for _, m := range c.members {
 		for _, n := range m.Nodes() {
-			oldest = max(oldest, c.now.Sub(n.LastHeard))
+			oldest = max(oldest, c.now.Sub(n.LastSeen))
 		}
 	}
 	return oldest
@@ -101,7 +101,7 @@
 			for b.Loop() {
 				now++
 				for _, r := range m.nodes.values() {
-					r.LastHeard = now
+					r.LastSeen = now
 					r.heartbeatSent = false
 				}
 				m.nextDue = now
--- a/internal/gossiper/tick.go
+++ b/internal/gossiper/tick.go
@@ -49,7 +49,7 @@
 	var messages []Message
 	switch {
 	case now >= m.nextDue:
-		m.nextDue = now.Add(m.config.Every)
+		m.nextDue = now.Add(m.config.Period)
 		m.forgetNodes(now)
 		m.forgetMarks(now)
 		messages = m.round(now, rng, false)
@@ -73,7 +73,7 @@
 		m.startedAt = now
 	}
 	m.lastNow = max(now, m.lastNow)
-	m.self.LastHeard = m.lastNow
+	m.self.LastSeen = m.lastNow
 	if first || gap < m.config.SuspectAfter/2 {
 		return nil
 	}
@@ -83,12 +83,12 @@
 	m.self.heartbeat++
 	m.wantSync = true
 	m.askedAt = 0
-	return []Change{m.self.change(NodeThawed)}
+	return []Change{m.self.change(NodeResumed)}
 }
 
 func (m *Members) excuse(now timekeeper.Time, gap timekeeper.Duration) {
 	for _, r := range m.nodes.values() {
-		r.LastHeard = min(now, r.LastHeard.Add(gap))
+		r.LastSeen = min(now, r.LastSeen.Add(gap))
 	}
 }
 
--- a/internal/historian/entry.go
+++ b/internal/historian/entry.go
@@ -30,7 +30,7 @@
 // Entry is an event on the time line.
 type Entry struct {
 	Stamp   `json:"stamp"`
-	Kind    messenger.NoteKind       `json:"kind"`
+	Kind    messenger.TimelineKind   `json:"kind"`
 	Request identifier.RequestID     `json:"request,omitempty"`
 	Attempt identifier.AttemptNumber `json:"attempt,omitempty"`
 	// VM is the VM that the event is about; Stamp.VM is the node that saw it.
@@ -43,7 +43,7 @@
 	Request identifier.RequestID
 	// VM is the VM that the event is about, or the node that saw it.
 	VM   identifier.VMID
-	Kind messenger.NoteKind
+	Kind messenger.TimelineKind
 	// After leaves out entries up to and with this stamp.
 	After Stamp
 }
--- a/internal/historian/historian.go
+++ b/internal/historian/historian.go
@@ -60,7 +60,7 @@
 }
 
 // Record puts an event on the time line and returns the entry made of it.
-func (h *Historian) Record(n messenger.Note) Entry {
+func (h *Historian) Record(n messenger.TimelineEntry) Entry {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	e := Entry{
--- a/internal/historian/historian_test.go
+++ b/internal/historian/historian_test.go
@@ -19,8 +19,8 @@
 	})
 }
 
-func kinds(entries []Entry) []messenger.NoteKind {
-	var ks []messenger.NoteKind
+func kinds(entries []Entry) []messenger.TimelineKind {
+	var ks []messenger.TimelineKind
 	for _, e := range entries {
 		ks = append(ks, e.Kind)
 	}
@@ -35,14 +35,14 @@
 	fast := line("fast", 40_000, 8)
 	slow := line("slow", 10_000, 8)
 
-	fast.Record(messenger.Note{Kind: "sent"})
+	fast.Record(messenger.TimelineEntry{Kind: "sent"})
 	slow.Observe(fast.Stamp())
-	slow.Record(messenger.Note{Kind: "received"})
+	slow.Record(messenger.TimelineEntry{Kind: "received"})
 	fast.Observe(slow.Stamp())
-	fast.Record(messenger.Note{Kind: "answered"})
+	fast.Record(messenger.TimelineEntry{Kind: "answered"})
 
 	merged := Merge([][]Entry{fast.Entries(Filter{}), slow.Entries(Filter{}), slow.Entries(Filter{})})
-	require.Equal(t, []messenger.NoteKind{"sent", "received", "answered"}, kinds(merged))
+	require.Equal(t, []messenger.TimelineKind{"sent", "received", "answered"}, kinds(merged))
 }
 
 // One VM's wall clock stands a day ahead. Its stamps must not drag the clocks
@@ -59,58 +59,58 @@
 
 func TestRingDropsOldest(t *testing.T) {
 	h := line("a", 1000, 2)
-	for _, k := range []messenger.NoteKind{"one", "two", "three"} {
-		h.Record(messenger.Note{Kind: k})
+	for _, k := range []messenger.TimelineKind{"one", "two", "three"} {
+		h.Record(messenger.TimelineEntry{Kind: k})
 	}
-	require.Equal(t, []messenger.NoteKind{"two", "three"}, kinds(h.Entries(Filter{})))
+	require.Equal(t, []messenger.TimelineKind{"two", "three"}, kinds(h.Entries(Filter{})))
 	require.Equal(t, uint64(1), h.Counts().Dropped)
 }
 
 func TestFilter(t *testing.T) {
 	h := line("node", 1000, 8)
-	first := h.Record(messenger.Note{
+	first := h.Record(messenger.TimelineEntry{
 		Kind:    "sent",
 		Request: "r1",
 		VM:      "server",
 	})
-	h.Record(messenger.Note{
+	h.Record(messenger.TimelineEntry{
 		Kind:    "done",
 		Request: "r2",
 	})
 	tests := []struct {
 		name   string
 		filter Filter
-		want   []messenger.NoteKind
+		want   []messenger.TimelineKind
 	}{
 		{
 			name:   "all",
 			filter: Filter{},
-			want:   []messenger.NoteKind{"sent", "done"},
+			want:   []messenger.TimelineKind{"sent", "done"},
 		},
 		{
 			name:   "request",
 			filter: Filter{Request: "r2"},
-			want:   []messenger.NoteKind{"done"},
+			want:   []messenger.TimelineKind{"done"},
 		},
 		{
 			name:   "subject",
 			filter: Filter{VM: "server"},
-			want:   []messenger.NoteKind{"sent"},
+			want:   []messenger.TimelineKind{"sent"},
 		},
 		{
 			name:   "witness",
 			filter: Filter{VM: "node"},
-			want:   []messenger.NoteKind{"sent", "done"},
+			want:   []messenger.TimelineKind{"sent", "done"},
 		},
 		{
 			name:   "kind",
 			filter: Filter{Kind: "done"},
-			want:   []messenger.NoteKind{"done"},
+			want:   []messenger.TimelineKind{"done"},
 		},
 		{
 			name:   "after",
 			filter: Filter{After: first.Stamp},
-			want:   []messenger.NoteKind{"done"},
+			want:   []messenger.TimelineKind{"done"},
 		},
 	}
 	for _, test := range tests {
@@ -121,7 +121,7 @@
 }
 
 func TestEntryJSON(t *testing.T) {
-	e := line("node", 1000, 1).Record(messenger.Note{
+	e := line("node", 1000, 1).Record(messenger.TimelineEntry{
 		Kind:    "sent",
 		Request: "r1",
 		Attempt: 2,
--- a/internal/indexer/indexer.go
+++ b/internal/indexer/indexer.go
@@ -57,7 +57,7 @@
 // item is a part that peers hear of.
 type item struct {
 	at   timekeeper.Time
-	part messenger.KeptPart
+	part messenger.CachedPrefix
 }
 
 // New returns an Index that remembers nothing.
@@ -79,7 +79,7 @@
 
 // Merge takes in what a peer reported. With passOn set this node's own peers
 // hear of it too, if it is new.
-func (x *Index) Merge(now timekeeper.Time, p messenger.KeptPart, capacity identifier.Tokens, passOn bool) {
+func (x *Index) Merge(now timekeeper.Time, p messenger.CachedPrefix, capacity identifier.Tokens, passOn bool) {
 	if x.add(p.Server, p.Part, capacity) && passOn {
 		x.queueUpdate(now, p.Server, p.Part)
 	}
@@ -123,7 +123,7 @@
 func (x *Index) queueUpdate(now timekeeper.Time, server identifier.VMID, p messenger.PromptPart) {
 	x.updates = append(x.updates, item{
 		at: now,
-		part: messenger.KeptPart{
+		part: messenger.CachedPrefix{
 			Server: server,
 			Part:   p,
 		},
@@ -163,7 +163,7 @@
 func (x *Index) Forget(server identifier.VMID) { delete(x.servers, server) }
 
 // Updates returns what peers hear of, the newest last.
-func (x *Index) Updates(now timekeeper.Time) []messenger.KeptPart {
+func (x *Index) Updates(now timekeeper.Time) []messenger.CachedPrefix {
 	x.updates = slices.DeleteFunc(x.updates, func(i item) bool { return now.Sub(i.at) > newsTime })
 	x.updates = x.updates[max(len(x.updates)-maxNews, 0):]
 	return x.updatesWithin(now, newsTime)
@@ -172,12 +172,12 @@
 // RelayedUpdates returns the part of News that a relay passes on: each of its peers
 // hears of a part from two relays, so that each need tell it no longer than for one
 // of its turns.
-func (x *Index) RelayedUpdates(now timekeeper.Time) []messenger.KeptPart {
+func (x *Index) RelayedUpdates(now timekeeper.Time) []messenger.CachedPrefix {
 	return x.updatesWithin(now, relayedTime)
 }
 
-func (x *Index) updatesWithin(now timekeeper.Time, span timekeeper.Duration) []messenger.KeptPart {
-	out := make([]messenger.KeptPart, 0, len(x.updates))
+func (x *Index) updatesWithin(now timekeeper.Time, span timekeeper.Duration) []messenger.CachedPrefix {
+	out := make([]messenger.CachedPrefix, 0, len(x.updates))
 	for _, i := range x.updates {
 		if now.Sub(i.at) <= span {
 			out = append(out, i.part)
@@ -188,8 +188,8 @@
 
 // All returns what is remembered of all servers, up to a bound, for a peer that
 // remembers nothing.
-func (x *Index) All() []messenger.KeptPart {
-	var out []messenger.KeptPart
+func (x *Index) All() []messenger.CachedPrefix {
+	var out []messenger.CachedPrefix
 	for _, server := range slices.Sorted(maps.Keys(x.servers)) {
 		k := x.servers[server]
 		for _, hash := range k.parts.Keys() {
@@ -197,7 +197,7 @@
 				return out
 			}
 			tokens, _ := k.parts.Peek(hash)
-			out = append(out, messenger.KeptPart{
+			out = append(out, messenger.CachedPrefix{
 				Server: server,
 				Part: messenger.PromptPart{
 					Hash:   hash,
--- a/internal/indexer/indexer_test.go
+++ b/internal/indexer/indexer_test.go
@@ -128,7 +128,7 @@
 func TestBounded(t *testing.T) {
 	x := indexer.New()
 	for i := range 20_000 {
-		part := messenger.KeptPart{
+		part := messenger.CachedPrefix{
 			Server: identifier.VMID(rune('a' + i%3)),
 			Part: messenger.PromptPart{
 				Hash:   identifier.PrefixHash(i),
--- a/internal/leaser/leaser.go
+++ b/internal/leaser/leaser.go
@@ -282,7 +282,7 @@
 		return
 	}
 	ready := t.Ready()
-	batch := t.position.Absorb(now, read)
+	batch := t.position.ApplyRecords(now, read)
 	if batch.Gap || !t.started {
 		t.restart(read.First)
 		ready = false
--- a/internal/messenger/effect.go
+++ b/internal/messenger/effect.go
@@ -68,8 +68,8 @@
 		Deadline timekeeper.Time
 		// FirstSilence and NextSilence bound the wait for the first byte and
 		// between bytes; past them the runner reports AttemptSilent.
-		FirstSilence timekeeper.Duration
-		NextSilence  timekeeper.Duration
+		FirstEventTimeout timekeeper.Duration
+		NextEventTimeout  timekeeper.Duration
 	}
 	// StopAttempt ends this node's part in an attempt. With Cancel the server
 	// is told to drop the stream too; without, the stream lives on for
@@ -206,8 +206,8 @@
 		Address string
 	}
 	// Note puts an event on the time line.
-	Note struct {
-		Kind    NoteKind
+	TimelineEntry struct {
+		Kind    TimelineKind
 		Request identifier.RequestID
 		Attempt identifier.AttemptNumber
 		VM      identifier.VMID
@@ -229,7 +229,7 @@
 }
 
 // NoteKind is a kind of event on the time line.
-type NoteKind string
+type TimelineKind string
 
 func (Refuse) effect()             {}
 func (Accept) effect()             {}
@@ -254,5 +254,5 @@
 func (ReleaseVM) effect()          {}
 func (ReplyOperator) effect()      {}
 func (FetchConfiguration) effect() {}
-func (Note) effect()               {}
+func (TimelineEntry) effect()      {}
 func (Exit) effect()               {}
--- a/internal/messenger/event.go
+++ b/internal/messenger/event.go
@@ -12,7 +12,7 @@
 	// RequestCancelled: the caller gave the request up by name.
 	RequestCancelled struct{ Request identifier.RequestID }
 	// CallerGone: no caller is attached to the request any more.
-	CallerGone struct{ Request identifier.RequestID }
+	CallerDisconnected struct{ Request identifier.RequestID }
 	// CallerAttached: a caller attached to a request of this node again.
 	CallerAttached struct{ Request identifier.RequestID }
 )
@@ -62,9 +62,9 @@
 	// HoldFailed: the holder did not confirm. Gone tells that nothing listens
 	// at its address: the process that may have had the copy is no more.
 	HoldFailed struct {
-		Request identifier.RequestID
-		Holder  identifier.VMID
-		Gone    bool
+		Request     identifier.RequestID
+		Holder      identifier.VMID
+		HolderEnded bool
 	}
 	// HoldRefused: the holder owns the request itself, with a larger epoch.
 	HoldRefused struct {
@@ -125,7 +125,7 @@
 	}
 	// StoreRestored: the log came back from an older copy of itself. What was
 	// appended since that was made is gone.
-	StoreRestored struct{ Era identifier.Era }
+	StoreRestored struct{ Generation identifier.StoreGeneration }
 	// LogUnavailable: the log could not be read.
 	LogUnavailable struct{ Stream identifier.LogStream }
 	// AppendEnded: an append ended. With OK false it may still have taken
@@ -174,9 +174,9 @@
 	LoadMissed struct{ Server identifier.VMID }
 	// CacheReported: prefix blocks that a server now holds or has dropped.
 	CacheReported struct {
-		Server identifier.VMID
-		Held   []identifier.PrefixHash
-		Gone   []identifier.PrefixHash
+		Server  identifier.VMID
+		Cached  []identifier.PrefixHash
+		Evicted []identifier.PrefixHash
 		// Gap tells that events before these were lost.
 		Gap bool
 	}
@@ -200,7 +200,7 @@
 		Content []byte
 		Delete  bool
 		// Saw is the file's revision that the operator's change is based on.
-		Saw identifier.Revision
+		BaseRevision identifier.Revision
 		// Restore, where it is not nil, holds all files of the folder that is
 		// to replace a configuration that was lost. The fields above but
 		// Ticket are empty then.
@@ -222,7 +222,7 @@
 
 func (RequestReceived) eventBody()       {}
 func (RequestCancelled) eventBody()      {}
-func (CallerGone) eventBody()            {}
+func (CallerDisconnected) eventBody()    {}
 func (CallerAttached) eventBody()        {}
 func (AttemptStarted) eventBody()        {}
 func (AttemptProgress) eventBody()       {}
--- a/internal/messenger/exchange.go
+++ b/internal/messenger/exchange.go
@@ -18,7 +18,7 @@
 	// Received is when the head of the request arrived.
 	Received timekeeper.Time
 	// Patience is how long the caller waits, or zero where it did not say.
-	Patience timekeeper.Duration
+	TimeLimit timekeeper.Duration
 	// PromptTokens and MaxTokens are zero where the caller did not say.
 	PromptTokens identifier.Tokens
 	MaxTokens    identifier.Tokens
@@ -68,13 +68,13 @@
 		ServerEnded bool
 		// Events is how many events of a stream the last attempt brought, and
 		// EventsTook the time between the first and the last of them.
-		Events     int
-		EventsTook timekeeper.Duration
+		Events         int
+		EventsDuration timekeeper.Duration
 	}
 )
 
 // Basis is what the node knew when it decided on an exchange, for its log.
-type Basis struct {
+type DecisionInputs struct {
 	// Route and Account are empty where the request named none that is known.
 	Route   identifier.RouteName
 	Account identifier.AccountID
@@ -108,7 +108,7 @@
 	// LimitPeer: the node that grants centrally was asked.
 	LimitPeer LimitSource = "peer"
 	// LimitPeerSilent: it did not answer in time.
-	LimitPeerSilent LimitSource = "peer_silent"
+	LimitPeerTimedOut LimitSource = "peer_silent"
 	// LimitNoPeer: no node is known to grant centrally.
 	LimitNoPeer LimitSource = "no_peer"
 )
@@ -120,7 +120,7 @@
 	RefuseExchange struct {
 		Exchange identifier.ExchangeID
 		Refusal  Refusal
-		Basis    Basis
+		Inputs   DecisionInputs
 	}
 	// SendExchange sends the request to a backend server.
 	SendExchange struct {
@@ -142,9 +142,9 @@
 		// FirstSilence and NextSilence bound the wait for the first event and
 		// between events, where another server could go on; else they are
 		// zero.
-		FirstSilence timekeeper.Duration
-		NextSilence  timekeeper.Duration
-		Basis        Basis
+		FirstEventTimeout timekeeper.Duration
+		NextEventTimeout  timekeeper.Duration
+		Inputs            DecisionInputs
 	}
 	// EndExchange ends a request without a further attempt. Whether it ran is
 	// not known, or it ran and failed.
@@ -157,7 +157,7 @@
 // Asking the central node for a part of an account's limit.
 type (
 	// AskLimit asks the node that grants the limits of accounts centrally.
-	AskLimit struct {
+	RequestLimit struct {
 		Exchange identifier.ExchangeID
 		Peer     identifier.VMID
 		Address  string
@@ -175,7 +175,7 @@
 		RetryAfter  timekeeper.Duration
 	}
 	// LimitAsked: a peer asks this node for a part of an account's limit.
-	LimitAsked struct {
+	LimitRequested struct {
 		Ticket  identifier.Ticket
 		Account identifier.AccountID
 		Tokens  identifier.Tokens
@@ -220,15 +220,15 @@
 }
 
 // Share is what a node tells its peers beside the gossip of membership.
-type Share struct {
+type StateUpdate struct {
 	Incarnation identifier.Incarnation
 	// Servers are entries that changed lately, or all for a peer that may know
 	// none.
 	Servers []PublishedServer
 	// Whole tells that Servers are all entries, and Wants that the sender has not seen
 	// all of them yet.
-	Whole bool
-	Wants bool
+	AllServers         bool
+	RequestsAllServers bool
 	// ServersAge is how old the sender's knowledge of the entries is.
 	ServersAge timekeeper.Duration
 	// ConfigurationAge is how long ago the sender knew that no configuration
@@ -236,7 +236,7 @@
 	ConfigurationAge timekeeper.Duration
 	Revision         identifier.Revision
 	// Scope tells whose requests InFlight and Demand are.
-	Scope ShareScope
+	Scope UpdateScope
 	// Zone is the availability zone of a share over one.
 	Zone identifier.Zone
 	// InFlight is the requests at each server.
@@ -245,7 +245,7 @@
 	// Demand is what callers ask of each service.
 	Demand map[identifier.ServiceName]ServiceDemand
 	// Kept is parts of prompts that servers have read lately.
-	Kept []KeptPart
+	CachedPrefixes []CachedPrefix
 	// Suspects are requests under which servers ended.
 	Suspects []SuspectRequest
 	// Limits are the servers that state a limit.
@@ -257,26 +257,26 @@
 	// Holder is the node that holds the lease of the duties, as far as the
 	// sender knows, with its fence; HolderAge is how long ago it said so. It is
 	// empty where none is known.
-	Holder    identifier.VMID
+	Leader    identifier.VMID
 	Fence     identifier.Fence
-	HolderAge timekeeper.Duration
+	LeaderAge timekeeper.Duration
 }
 
 // ShareScope tells whose requests a share counts.
-type ShareScope string
+type UpdateScope string
 
 // The scopes of shares.
 const (
 	// ShareOwn: the sender's.
-	ShareOwn ShareScope = ""
+	ScopeOwn UpdateScope = ""
 	// ShareZone: those of all nodes of an availability zone.
-	ShareZone ShareScope = "zone"
+	ScopeZone UpdateScope = "zone"
 	// ShareOthers: those of all nodes but the receiver.
-	ShareOthers ShareScope = "others"
+	ScopeOthers UpdateScope = "others"
 )
 
 // KeptPart is a part of a prompt that a server keeps.
-type KeptPart struct {
+type CachedPrefix struct {
 	Server identifier.VMID
 	Part   PromptPart
 }
@@ -295,7 +295,7 @@
 	Running int
 	// Busy is how many servers the callers' requests keep busy, those included
 	// that were turned away for want of servers.
-	Busy float64
+	OfferedLoad float64
 }
 
 // UsageCount is the requests of an account that began in a window at a node.
@@ -313,7 +313,7 @@
 		// Data is the configuration as the store has it, for peers.
 		Data []byte
 		// Direct tells that it came from the store.
-		Direct bool
+		FromStore bool
 		// Orders are orders of roll-outs that were read with it, none of which need
 		// be new.
 		Orders []RolloutOrder
@@ -328,34 +328,34 @@
 		All bool
 	}
 	// ShareReceived: a peer told what it knows.
-	ShareReceived struct {
-		From  identifier.VMID
-		Share Share
+	StateUpdateReceived struct {
+		From   identifier.VMID
+		Update StateUpdate
 	}
 	// ServersOrdered: an order for servers ended.
 	ServersOrdered struct {
 		Order  ServerOrder
-		Result DutyResult
+		Result LeaderTaskResult
 	}
 	// UsageReported: a report of usage ended.
 	UsageReported struct {
 		Window identifier.UsageWindow
-		Result DutyResult
+		Result LeaderTaskResult
 	}
 )
 
 // DutyResult is what became of a call under a lease.
-type DutyResult string
+type LeaderTaskResult string
 
 // The results of duty calls.
 const (
-	DutyDone DutyResult = "done"
+	LeaderTaskDone LeaderTaskResult = "done"
 	// DutyFenced: a later holder was there first.
-	DutyFenced DutyResult = "fenced"
+	LeaderTaskFenced LeaderTaskResult = "fenced"
 	// DutyRefused: the call was understood and can't be met now.
-	DutyRefused DutyResult = "refused"
+	LeaderTaskRefused LeaderTaskResult = "refused"
 	// DutyUnknown: it may have been carried out, or may be yet.
-	DutyUnknown DutyResult = "unknown"
+	LeaderTaskUnknown LeaderTaskResult = "unknown"
 )
 
 // ServerOrder asks for a number of servers, whatever there are.
@@ -382,10 +382,10 @@
 		NotAfter timekeeper.Time
 	}
 	// SendShare tells a peer what this node knows.
-	SendShare struct {
+	SendStateUpdate struct {
 		Peer    identifier.VMID
 		Address string
-		Share   Share
+		Update  StateUpdate
 	}
 )
 
@@ -396,17 +396,17 @@
 func (CatalogPublished) eventBody()     {}
 func (CatalogConfirmed) eventBody()     {}
 func (ServersPublished) eventBody()     {}
-func (ShareReceived) eventBody()        {}
+func (StateUpdateReceived) eventBody()  {}
 func (ServersOrdered) eventBody()       {}
 func (UsageReported) eventBody()        {}
 func (LimitAnswered) eventBody()        {}
-func (LimitAsked) eventBody()           {}
+func (LimitRequested) eventBody()       {}
 
-func (RefuseExchange) effect() {}
-func (SendExchange) effect()   {}
-func (EndExchange) effect()    {}
-func (OrderServers) effect()   {}
-func (ReportUsage) effect()    {}
-func (SendShare) effect()      {}
-func (AskLimit) effect()       {}
-func (AnswerLimit) effect()    {}
+func (RefuseExchange) effect()  {}
+func (SendExchange) effect()    {}
+func (EndExchange) effect()     {}
+func (OrderServers) effect()    {}
+func (ReportUsage) effect()     {}
+func (SendStateUpdate) effect() {}
+func (RequestLimit) effect()    {}
+func (AnswerLimit) effect()     {}
--- a/internal/messenger/rollout.go
+++ b/internal/messenger/rollout.go
@@ -15,7 +15,7 @@
 	// To is empty where the order was withdrawn.
 	To identifier.Version
 	// Limit is the time within which the roll-out has to be over.
-	Limit timekeeper.Duration
+	TimeLimit timekeeper.Duration
 }
 
 // RolloutPhase tells how far a roll-out is.
@@ -47,14 +47,14 @@
 	Age timekeeper.Duration
 	// LedAge is how long ago the node that leads the roll-out said that it does;
 	// negative where none is known to.
-	LedAge timekeeper.Duration
+	LeaderAge timekeeper.Duration
 	// Pace is the part of the service's requests that the leader wants the new
 	// version to get now.
-	Pace float64
+	TrafficShare float64
 	// Focus is at how many of its servers it gets them at a time; zero for all.
-	Focus int
+	ActiveServers int
 	// Barred are versions of the service that were rolled back.
-	Barred []identifier.Version
+	RolledBackVersions []identifier.Version
 }
 
 // VersionCount is what became of the requests of a route at the servers of one
@@ -75,8 +75,8 @@
 	// First is the times to the first byte or event against what was predicted for
 	// the work at servers of the old version, and Pace the times between the events
 	// of streams, in steps as package assessor has them.
-	First []int
-	Pace  []int
+	FirstEventTimes []int
+	EventIntervals  []int
 	// Running is the requests in flight, and Waiting those of them whose answer has
 	// not begun; both may fall.
 	Running int
@@ -90,15 +90,15 @@
 	RolloutsClaimed struct {
 		Fence    identifier.Fence
 		Rollouts []Rollout
-		Result   DutyResult
+		Result   LeaderTaskResult
 	}
 	// RolloutKept: a write of a roll-out's state ended.
-	RolloutKept struct {
+	RolloutStored struct {
 		Service identifier.ServiceName
 		Order   identifier.Offset
 		Phase   RolloutPhase
 		Fence   identifier.Fence
-		Result  DutyResult
+		Result  LeaderTaskResult
 	}
 )
 
@@ -112,7 +112,7 @@
 	}
 	// KeepRollout writes the state of a roll-out, for the operators and for later
 	// holders of the lease.
-	KeepRollout struct {
+	StoreRollout struct {
 		Rollout  Rollout
 		Fence    identifier.Fence
 		NotAfter timekeeper.Time
@@ -120,7 +120,7 @@
 )
 
 func (RolloutsClaimed) eventBody() {}
-func (RolloutKept) eventBody()     {}
+func (RolloutStored) eventBody()   {}
 
 func (ClaimRollouts) effect() {}
-func (KeepRollout) effect()   {}
+func (StoreRollout) effect()  {}
--- a/internal/messenger/serverlimit.go
+++ b/internal/messenger/serverlimit.go
@@ -8,19 +8,19 @@
 // NamedLimit is the request rate that a backend server accepts from all nodes
 // together, as one of its answers states it. A server states it in each answer for as
 // long as it holds.
-type NamedLimit struct {
+type StatedLimit struct {
 	// Named is false where the answer states no limit.
-	Named bool
-	Rate  identifier.RequestRate
+	Stated bool
+	Rate   identifier.RequestRate
 }
 
 // ServerLimitHeard: an answer of a backend server arrived that states a limit, or that
 // states none although the node knew of one when it sent the request.
-type ServerLimitHeard struct {
+type ServerLimitReceived struct {
 	Server identifier.VMID
 	// Sent is when the request was sent that the answer is to.
 	Sent  timekeeper.Time
-	Limit NamedLimit
+	Limit StatedLimit
 }
 
 // ServerLimit is what a node knows of a server that states a limit, or did lately.
@@ -37,7 +37,7 @@
 type (
 	// AskPermit asks the node that grants permits for one to one of some servers, the
 	// most suitable first.
-	AskPermit struct {
+	RequestPermit struct {
 		Exchange identifier.ExchangeID
 		Peer     identifier.VMID
 		Address  string
@@ -54,7 +54,7 @@
 		NotGranting bool
 	}
 	// PermitAsked: a peer asks this node for a permit.
-	PermitAsked struct {
+	PermitRequested struct {
 		Ticket identifier.Ticket
 		Limits []ServerLimit
 	}
@@ -65,9 +65,9 @@
 	}
 )
 
-func (ServerLimitHeard) eventBody() {}
-func (PermitAnswered) eventBody()   {}
-func (PermitAsked) eventBody()      {}
+func (ServerLimitReceived) eventBody() {}
+func (PermitAnswered) eventBody()      {}
+func (PermitRequested) eventBody()     {}
 
-func (AskPermit) effect()    {}
-func (AnswerPermit) effect() {}
+func (RequestPermit) effect() {}
+func (AnswerPermit) effect()  {}
--- a/internal/messenger/vocabulary.go
+++ b/internal/messenger/vocabulary.go
@@ -17,8 +17,8 @@
 	Idempotent bool
 	Long       bool
 	// Home is the node that accepted the request from its caller.
-	Home     identifier.VMID
-	Received timekeeper.Time
+	EntryNode identifier.VMID
+	Received  timekeeper.Time
 	// Deadline is absolute, by the clock of the node that holds the spec; it
 	// travels as remaining time.
 	Deadline     timekeeper.Time
@@ -64,7 +64,7 @@
 	ReasonLogUnavailable    Reason = "log_unavailable"
 	ReasonDuplicate         Reason = "duplicate_key"
 	ReasonServerFailed      Reason = "server_failed"
-	ReasonRetriesSpent      Reason = "retries_spent"
+	ReasonRetriesExhausted  Reason = "retries_spent"
 	ReasonCancelled         Reason = "cancelled"
 	ReasonUnprotected       Reason = "no_off_node_record"
 	ReasonNoConfiguration   Reason = "no_configuration"
@@ -104,7 +104,7 @@
 	AttemptBroken AttemptResult = "broken"
 	// AttemptSilent: nothing arrived for longer than the stream's own pace
 	// allows; it may have run.
-	AttemptSilent AttemptResult = "silent"
+	AttemptTimedOut AttemptResult = "silent"
 	// AttemptFailed: the server ran it and said that it failed.
 	AttemptFailed AttemptResult = "failed"
 )
--- a/internal/promoter/count.go
+++ b/internal/promoter/count.go
@@ -167,7 +167,7 @@
 		of.pace[assessor.BucketOf(gap/paceUnit)]++
 	}
 	switch e.Result {
-	case messenger.AttemptFailed, messenger.AttemptBroken, messenger.AttemptSilent:
+	case messenger.AttemptFailed, messenger.AttemptBroken, messenger.AttemptTimedOut:
 		if e.ServerEnded {
 			break
 		}
@@ -198,17 +198,17 @@
 		for _, at := range slices.SortedFunc(maps.Keys(r.tallies.own), comparePlaces) {
 			of := r.tallies.own[at]
 			out = append(out, messenger.VersionCount{
-				Service: service,
-				Order:   r.order.Offset,
-				Route:   at.route,
-				Server:  at.server,
-				Sent:    of.sent,
-				Answers: of.answers,
-				Failed:  of.failed,
-				First:   slices.Clone(of.first[:]),
-				Pace:    slices.Clone(of.pace[:]),
-				Running: of.running,
-				Waiting: of.waiting,
+				Service:         service,
+				Order:           r.order.Offset,
+				Route:           at.route,
+				Server:          at.server,
+				Sent:            of.sent,
+				Answers:         of.answers,
+				Failed:          of.failed,
+				FirstEventTimes: slices.Clone(of.first[:]),
+				EventIntervals:  slices.Clone(of.pace[:]),
+				Running:         of.running,
+				Waiting:         of.waiting,
 			})
 		}
 	}
@@ -221,7 +221,7 @@
 
 // MergePeerCounts merges what a peer's process counted, and how far it follows the
 // roll-outs.
-func (p *Promoter) MergePeerCounts(now timekeeper.Time, vm identifier.VMID, i identifier.Incarnation, s messenger.Share) {
+func (p *Promoter) MergePeerCounts(now timekeeper.Time, vm identifier.VMID, i identifier.Incarnation, s messenger.StateUpdate) {
 	from := process{
 		vm:          vm,
 		incarnation: i,
@@ -271,8 +271,8 @@
 		failed:  max(c.Failed, known.failed),
 		running: c.Running,
 		waiting: c.Waiting,
-		first:   assessor.FromCounts(c.First),
-		pace:    assessor.FromCounts(c.Pace),
+		first:   assessor.FromCounts(c.FirstEventTimes),
+		pace:    assessor.FromCounts(c.EventIntervals),
 	}
 }
 
--- a/internal/promoter/lead.go
+++ b/internal/promoter/lead.go
@@ -134,7 +134,7 @@
 
 // Claimed takes in the states that earlier holders wrote.
 func (p *Promoter) Claimed(now timekeeper.Time, e messenger.RolloutsClaimed) {
-	if e.Fence != p.claim.fence || e.Result != messenger.DutyDone {
+	if e.Fence != p.claim.fence || e.Result != messenger.LeaderTaskDone {
 		return
 	}
 	p.claim.done = true
@@ -185,9 +185,9 @@
 	return []messenger.Effect{keep(in, p.tell(in.Now, r), want)}
 }
 
-func keep(in Input, r messenger.Rollout, phase messenger.RolloutPhase) messenger.KeepRollout {
+func keep(in Input, r messenger.Rollout, phase messenger.RolloutPhase) messenger.StoreRollout {
 	r.Phase = phase
-	return messenger.KeepRollout{
+	return messenger.StoreRollout{
 		Rollout:  r,
 		Fence:    in.Fence,
 		NotAfter: in.NotAfter,
@@ -204,9 +204,9 @@
 }
 
 // Stored processes the end of a write.
-func (p *Promoter) Stored(now timekeeper.Time, e messenger.RolloutKept) {
+func (p *Promoter) Stored(now timekeeper.Time, e messenger.RolloutStored) {
 	r := p.rollouts[e.Service]
-	if r == nil || e.Result != messenger.DutyDone {
+	if r == nil || e.Result != messenger.LeaderTaskDone {
 		return
 	}
 	if n := r.lead.superseded; len(n) > 0 && n[0].Order.Offset == e.Order {
@@ -235,7 +235,7 @@
 		return messenger.RolloutCompleted, r.lead.why
 	case r.order.To == "":
 		return messenger.RolloutRolledBack, "the order was withdrawn"
-	case r.order.Limit <= 0:
+	case r.order.TimeLimit <= 0:
 		return messenger.RolloutRolledBack, "the order leaves no time"
 	}
 	next, old := r.split(in.Servers(r.order.Service))
@@ -244,7 +244,7 @@
 	if v.Bad {
 		return messenger.RolloutRolledBack, "worse than the old version: " + v.Why
 	}
-	left := r.order.Limit - in.Now.Sub(r.ordered)
+	left := r.order.TimeLimit - in.Now.Sub(r.ordered)
 	if r.phase == messenger.RolloutPromoting {
 		if left <= lastCall || p.moved(in, r) {
 			return messenger.RolloutCompleted, fmt.Sprintf("moved, left=%s", left)
@@ -283,12 +283,12 @@
 // moveTime is the time that the move may take, and watchTime how long the version is
 // watched before.
 func (r *rollout) moveTime() timekeeper.Duration {
-	part := timekeeper.Duration(movePart * float64(r.order.Limit))
-	return min(max(part, min(moveLeast, r.order.Limit/2)), moveMost)
+	part := timekeeper.Duration(movePart * float64(r.order.TimeLimit))
+	return min(max(part, min(moveLeast, r.order.TimeLimit/2)), moveMost)
 }
 
 func (r *rollout) watchTime() timekeeper.Duration {
-	return min(timekeeper.Duration(earliest*float64(r.order.Limit)), r.order.Limit-r.moveTime())
+	return min(timekeeper.Duration(earliest*float64(r.order.TimeLimit)), r.order.TimeLimit-r.moveTime())
 }
 
 // judge takes in the answers since the last decision and returns what all say.
--- a/internal/promoter/promoter.go
+++ b/internal/promoter/promoter.go
@@ -122,7 +122,7 @@
 // applyOrder applies an order and returns the roll-out that it is about, or nil where
 // a newer one is known or there is no room.
 func (p *Promoter) applyOrder(now timekeeper.Time, o messenger.RolloutOrder) *rollout {
-	o.Limit = min(o.Limit, maxLimit)
+	o.TimeLimit = min(o.TimeLimit, maxLimit)
 	r := p.rollouts[o.Service]
 	switch {
 	case r != nil && o.Offset == r.order.Offset:
@@ -156,7 +156,7 @@
 // isAgain reports whether an order is one that is known, read from a store that came back
 // from a copy, or written there again.
 func (r *rollout) isAgain(o messenger.RolloutOrder) bool {
-	return o.Offset.Era() > r.first.Era() && o.Offset > r.order.Offset && o.To == r.order.To && o.Limit == r.order.Limit
+	return o.Offset.Generation() > r.first.Generation() && o.Offset > r.order.Offset && o.To == r.order.To && o.TimeLimit == r.order.TimeLimit
 }
 
 func (r *rollout) bar(v identifier.Version) {
@@ -193,15 +193,15 @@
 
 func (p *Promoter) mergeRollout(now timekeeper.Time, r *rollout, n messenger.Rollout) {
 	r.ordered = min(r.ordered, now.Add(-n.Age))
-	for _, v := range n.Barred[:min(len(n.Barred), maxBarred)] {
+	for _, v := range n.RolledBackVersions[:min(len(n.RolledBackVersions), maxBarred)] {
 		if v != r.order.To {
 			r.bar(v)
 		}
 	}
-	if led := now.Add(-n.LedAge); n.LedAge >= 0 && led.After(r.led) {
+	if led := now.Add(-n.LeaderAge); n.LeaderAge >= 0 && led.After(r.led) {
 		r.led = led
-		r.pace = n.Pace
-		r.focus = n.Focus
+		r.pace = n.TrafficShare
+		r.focus = n.ActiveServers
 	}
 	p.enter(now, r, n.Phase, "")
 }
@@ -258,16 +258,16 @@
 
 func (p *Promoter) tell(now timekeeper.Time, r *rollout) messenger.Rollout {
 	out := messenger.Rollout{
-		Order:  r.order,
-		Phase:  r.phase,
-		Age:    now.Sub(r.ordered),
-		LedAge: -1,
-		Pace:   r.pace,
-		Focus:  r.focus,
-		Barred: r.barred,
+		Order:              r.order,
+		Phase:              r.phase,
+		Age:                now.Sub(r.ordered),
+		LeaderAge:          -1,
+		TrafficShare:       r.pace,
+		ActiveServers:      r.focus,
+		RolledBackVersions: r.barred,
 	}
 	if r.led != 0 {
-		out.LedAge = now.Sub(r.led)
+		out.LeaderAge = now.Sub(r.led)
 	}
 	return out
 }
@@ -318,11 +318,11 @@
 			To:      string(n.Order.To),
 			Phase:   string(n.Phase),
 			AgeMS:   int64(n.Age),
-			LimitMS: int64(n.Order.Limit),
-			LedAgo:  int64(n.LedAge),
+			LimitMS: int64(n.Order.TimeLimit),
+			LedAgo:  int64(n.LeaderAge),
 			Why:     r.lead.why,
 		}
-		for _, v := range n.Barred {
+		for _, v := range n.RolledBackVersions {
 			s.Barred = append(s.Barred, string(v))
 		}
 		for at, of := range r.tallies.total() {
--- a/internal/promoter/promoter_test.go
+++ b/internal/promoter/promoter_test.go
@@ -43,7 +43,7 @@
 		name: "the leader freezes, and its last write arrives after its successor's",
 		do: func(w *world) {
 			old := w.nodes[w.leader]
-			late := messenger.KeepRollout{
+			late := messenger.StoreRollout{
 				Rollout: messenger.Rollout{
 					Order: old.rollouts["reader"].order,
 					Phase: messenger.RolloutCompleted,
@@ -61,10 +61,10 @@
 				w.nodes[i] = w.newNode(i)
 				// Those that read the store know the order, but not how far it is.
 				w.nodes[i].ApplyOrders(w.now, []messenger.RolloutOrder{{
-					Service: "reader",
-					Offset:  1,
-					To:      "v2",
-					Limit:   w.limit,
+					Service:   "reader",
+					Offset:    1,
+					To:        "v2",
+					TimeLimit: w.limit,
 				}})
 				w.nodes[i].ObserveVersion(w.now, "reader", "v1")
 				w.nodes[i].ObserveVersion(w.now, "reader", "v2")
@@ -313,10 +313,10 @@
 	}
 	n := w.newNode(0)
 	n.ApplyOrders(w.now, []messenger.RolloutOrder{{
-		Service: "reader",
-		Offset:  1,
-		To:      "v2",
-		Limit:   testLimit,
+		Service:   "reader",
+		Offset:    1,
+		To:        "v2",
+		TimeLimit: testLimit,
 	}})
 	require.NotNil(t, w.pick(n.Candidates(w.asks()).Preferred))
 }
@@ -326,10 +326,10 @@
 func TestOrderOfTheVersionThatThereIs(t *testing.T) {
 	w := newWorld(1, sizes[0], kinds[0], testLimit)
 	w.tell(messenger.RolloutOrder{
-		Service: "reader",
-		Offset:  1,
-		To:      "v1",
-		Limit:   testLimit,
+		Service:   "reader",
+		Offset:    1,
+		To:        "v1",
+		TimeLimit: testLimit,
 	})
 	for range 300 {
 		w.run(10)
@@ -358,10 +358,10 @@
 	require.Empty(t, n.Updates(worldStart))
 	for i := range 2 * maxRollouts {
 		n.ApplyOrders(worldStart, []messenger.RolloutOrder{{
-			Service: identifier.ServiceName(fmt.Sprint("service-", i)),
-			Offset:  1,
-			To:      "v2",
-			Limit:   testLimit,
+			Service:   identifier.ServiceName(fmt.Sprint("service-", i)),
+			Offset:    1,
+			To:        "v2",
+			TimeLimit: testLimit,
 		}})
 	}
 	require.Len(t, n.Updates(worldStart), maxRollouts)
--- a/internal/promoter/world_test.go
+++ b/internal/promoter/world_test.go
@@ -214,10 +214,10 @@
 // order gives the order, and the platform starts servers of the version.
 func (w *world) order(to identifier.Version, offset identifier.Offset) {
 	w.tell(messenger.RolloutOrder{
-		Service: "reader",
-		Offset:  offset,
-		To:      to,
-		Limit:   w.limit,
+		Service:   "reader",
+		Offset:    offset,
+		To:        to,
+		TimeLimit: w.limit,
 	})
 	w.after(w.boot, func() {
 		for i := range w.size.servers {
@@ -277,7 +277,7 @@
 
 // share tells the others what a node knows, and the leader what it counted.
 func (w *world) share(from int, n *worldNode) {
-	s := messenger.Share{
+	s := messenger.StateUpdate{
 		Rollouts: n.Updates(w.now),
 		Versions: n.Counts(),
 	}
@@ -335,29 +335,29 @@
 	switch e := effect.(type) {
 	case messenger.ClaimRollouts:
 		if e.Fence < w.claimed {
-			n.Claimed(w.now, messenger.RolloutsClaimed{Fence: e.Fence, Result: messenger.DutyFenced})
+			n.Claimed(w.now, messenger.RolloutsClaimed{Fence: e.Fence, Result: messenger.LeaderTaskFenced})
 			return
 		}
 		w.claimed = e.Fence
 		done := messenger.RolloutsClaimed{
 			Fence:  e.Fence,
-			Result: messenger.DutyDone,
+			Result: messenger.LeaderTaskDone,
 		}
 		for _, r := range w.store {
 			done.Rollouts = append(done.Rollouts, r)
 		}
 		n.Claimed(w.now, done)
-	case messenger.KeepRollout:
+	case messenger.StoreRollout:
 		if e.Fence < w.claimed && !w.unfenced {
 			return
 		}
 		w.keep(e.Rollout)
-		n.Stored(w.now, messenger.RolloutKept{
+		n.Stored(w.now, messenger.RolloutStored{
 			Service: e.Rollout.Order.Service,
 			Order:   e.Rollout.Order.Offset,
 			Phase:   e.Rollout.Phase,
 			Fence:   e.Fence,
-			Result:  messenger.DutyDone,
+			Result:  messenger.LeaderTaskDone,
 		})
 	}
 }
@@ -372,7 +372,7 @@
 	if len(w.told) == 0 || w.told[len(w.told)-1].Phase != r.Phase || w.told[len(w.told)-1].Order != r.Order {
 		w.told = append(w.told, r)
 	}
-	r.LedAge = -1
+	r.LeaderAge = -1
 	w.store[r.Order.Service] = r
 	for _, s := range w.servers {
 		if r.Phase == messenger.RolloutCompleted && s.Version != r.Order.To {
--- a/internal/prover/caller_test.go
+++ b/internal/prover/caller_test.go
@@ -100,7 +100,7 @@
 		Key:          c.key,
 		Idempotent:   service.Idempotent,
 		Long:         service.Long,
-		Home:         n.vm,
+		EntryNode:    n.vm,
 		Received:     c.w.now,
 		Deadline:     c.w.now.Add(service.Deadline),
 		PromptTokens: 400,
--- a/internal/prover/exchange_matrix_test.go
+++ b/internal/prover/exchange_matrix_test.go
@@ -114,7 +114,7 @@
 		},
 	},
 	serverFault(messenger.AttemptBroken),
-	serverFault(messenger.AttemptSilent),
+	serverFault(messenger.AttemptTimedOut),
 	serverFault(messenger.AttemptRefused),
 	serverFault(messenger.AttemptNotSent),
 	serverFault(messenger.AttemptFailed),
--- a/internal/prover/exchange_world_test.go
+++ b/internal/prover/exchange_world_test.go
@@ -68,7 +68,7 @@
 	read     map[identifier.LogStream]int
 	servers  int
 	// era is that of the store as the node knows it.
-	era      identifier.Era
+	era      identifier.StoreGeneration
 	revision identifier.Revision
 	began    timekeeper.Time
 	// troubled is when the node or its ways were last harmed.
@@ -91,7 +91,7 @@
 	storeDown bool
 	// era is the store's, entered when each entry was written, and shown the last
 	// state of each server by itself.
-	era     identifier.Era
+	era     identifier.StoreGeneration
 	entered []timekeeper.Time
 	// eraIgnored keeps nodes from hearing of it.
 	eraIgnored bool
@@ -390,10 +390,10 @@
 	}
 	w.noteEra(n)
 	w.apply(n, messenger.CatalogPublished{
-		Catalog: w.catalogs[len(w.catalogs)-1],
-		Data:    []byte{byte(len(w.catalogs) - 1)},
-		Direct:  true,
-		Orders:  w.orders(),
+		Catalog:   w.catalogs[len(w.catalogs)-1],
+		Data:      []byte{byte(len(w.catalogs) - 1)},
+		FromStore: true,
+		Orders:    w.orders(),
 	})
 }
 
@@ -447,11 +447,11 @@
 
 func (w *exchangeWorld) carryOut(n *gatewayNode, effect messenger.Effect) {
 	switch e := effect.(type) {
-	case messenger.SendShare:
+	case messenger.SendStateUpdate:
 		w.deliver(n, e.Address, func(*gatewayNode) messenger.EventBody {
-			return messenger.ShareReceived{
-				From:  n.vm,
-				Share: e.Share,
+			return messenger.StateUpdateReceived{
+				From:   n.vm,
+				Update: e.Update,
 			}
 		})
 	case messenger.SendGossip:
@@ -473,9 +473,9 @@
 			}
 			return messenger.Tick{}
 		})
-	case messenger.AskLimit:
+	case messenger.RequestLimit:
 		w.askLimit(n, e)
-	case messenger.AskPermit:
+	case messenger.RequestPermit:
 		w.askPermit(n, e)
 	case messenger.AppendRecord:
 		w.append(n, e)
@@ -487,7 +487,7 @@
 		}
 	case messenger.ClaimRollouts:
 		w.claimRollouts(n, e)
-	case messenger.KeepRollout:
+	case messenger.StoreRollout:
 		w.keepRollout(n, e)
 	case messenger.SendExchange:
 		w.serve(n, e)
@@ -531,10 +531,10 @@
 	w.after(150, func() { answer(q.silence) })
 }
 
-func (w *exchangeWorld) askLimit(n *gatewayNode, e messenger.AskLimit) {
+func (w *exchangeWorld) askLimit(n *gatewayNode, e messenger.RequestLimit) {
 	w.askPeer(n, question{
 		address: e.Address,
-		asked: messenger.LimitAsked{
+		asked: messenger.LimitRequested{
 			Account: e.Account,
 			Tokens:  e.Tokens,
 		},
@@ -562,7 +562,7 @@
 		}
 		era, place := n.era, len(w.streams[e.Stream])
 		if place > 0 {
-			era = max(era, w.streams[e.Stream][place-1].Offset.Era())
+			era = max(era, w.streams[e.Stream][place-1].Offset.Generation())
 		}
 		w.streams[e.Stream] = append(w.streams[e.Stream], messenger.Record{
 			Offset:   identifier.OffsetAt(era, uint64(place)),
@@ -647,7 +647,7 @@
 			Path:         "/" + string(kind) + "/1",
 			Key:          "secret",
 			Received:     w.now,
-			Patience:     5 * timekeeper.Second,
+			TimeLimit:    5 * timekeeper.Second,
 			PromptTokens: 100,
 			MaxTokens:    20,
 			Content:      content,
--- a/internal/prover/fault_test.go
+++ b/internal/prover/fault_test.go
@@ -70,7 +70,7 @@
 func watched(e messenger.Effect) (string, bool) {
 	name := reflect.TypeOf(e).Name()
 	switch e := e.(type) {
-	case messenger.Note, messenger.PollServer:
+	case messenger.TimelineEntry, messenger.PollServer:
 		return "", false
 	case messenger.AppendRecord:
 		stream, _, _ := strings.Cut(string(e.Stream), "-")
--- a/internal/prover/hold_test.go
+++ b/internal/prover/hold_test.go
@@ -55,9 +55,9 @@
 	case !ok:
 		to := n.w.node(holder)
 		n.apply(messenger.HoldFailed{
-			Request: id,
-			Holder:  holder,
-			Gone:    to.dead && n.w.passes(string(n.vm), string(to.vm)),
+			Request:     id,
+			Holder:      holder,
+			HolderEnded: to.dead && n.w.passes(string(n.vm), string(to.vm)),
 		})
 	default:
 		first := !a.acked
--- a/internal/prover/limit_test.go
+++ b/internal/prover/limit_test.go
@@ -107,12 +107,12 @@
 	if _, passed := w.limits.passed[server][n.vm]; limited && !passed {
 		w.limits.passed[server][n.vm] = w.now
 	}
-	w.apply(n, messenger.ServerLimitHeard{
+	w.apply(n, messenger.ServerLimitReceived{
 		Server: server,
 		Sent:   sent,
-		Limit: messenger.NamedLimit{
-			Named: limited,
-			Rate:  rate,
+		Limit: messenger.StatedLimit{
+			Stated: limited,
+			Rate:   rate,
 		},
 	})
 }
@@ -262,10 +262,10 @@
 }
 
 // askPermit asks a peer for a permit, and passes its answer on.
-func (w *exchangeWorld) askPermit(n *gatewayNode, e messenger.AskPermit) {
+func (w *exchangeWorld) askPermit(n *gatewayNode, e messenger.RequestPermit) {
 	w.askPeer(n, question{
 		address: e.Address,
-		asked:   messenger.PermitAsked{Limits: e.Limits},
+		asked:   messenger.PermitRequested{Limits: e.Limits},
 		answer: func(effect messenger.Effect) messenger.EventBody {
 			a, ok := effect.(messenger.AnswerPermit)
 			if !ok {
--- a/internal/prover/node_test.go
+++ b/internal/prover/node_test.go
@@ -243,7 +243,7 @@
 		}] = e.Verdict
 	case messenger.FetchConfiguration:
 		n.fetchConfiguration(e)
-	case messenger.Note:
+	case messenger.TimelineEntry:
 		n.w.tell("%s %-16s %s #%d %s %s", n.vm, e.Kind, e.Request, e.Attempt, e.VM, e.Detail)
 	case messenger.Exit:
 		n.exit()
--- a/internal/prover/restored_test.go
+++ b/internal/prover/restored_test.go
@@ -69,7 +69,7 @@
 	n.era = w.era
 	clear(n.read)
 	n.servers = 0
-	w.apply(n, messenger.StoreRestored{Era: w.era})
+	w.apply(n, messenger.StoreRestored{Generation: w.era})
 }
 
 // The store comes back from a copy at any step, beside each other fault and while a version
--- a/internal/prover/rollout_test.go
+++ b/internal/prover/rollout_test.go
@@ -65,10 +65,10 @@
 	w.rollouts.fails = fails
 	w.rollouts.kept = map[identifier.ServiceName]messenger.Rollout{}
 	w.rollouts.orders = append(w.rollouts.orders, messenger.RolloutOrder{
-		Service: "reader",
-		Offset:  9,
-		To:      "v2",
-		Limit:   rolloutLimit,
+		Service:   "reader",
+		Offset:    9,
+		To:        "v2",
+		TimeLimit: rolloutLimit,
 	})
 	w.after(1500, func() {
 		for i := range 6 {
@@ -89,12 +89,12 @@
 		w.apply(n, messenger.RolloutsClaimed{
 			Fence:    e.Fence,
 			Rollouts: slices.Collect(maps.Values(w.rollouts.kept)),
-			Result:   messenger.DutyDone,
+			Result:   messenger.LeaderTaskDone,
 		})
 	})
 }
 
-func (w *exchangeWorld) keepRollout(n *gatewayNode, e messenger.KeepRollout) {
+func (w *exchangeWorld) keepRollout(n *gatewayNode, e messenger.StoreRollout) {
 	w.after(8+w.lateWrite, func() {
 		if w.storeDown || n.offStore || e.Fence < w.rollouts.claimed {
 			return
@@ -108,19 +108,19 @@
 			r.ended = w.now
 			w.endRollout(e.Rollout.Phase)
 		}
-		e.Rollout.LedAge = -1
+		e.Rollout.LeaderAge = -1
 		r.kept[e.Rollout.Order.Service] = e.Rollout
 		r.history = append(r.history, keptState{
 			at:      w.now,
 			kept:    maps.Clone(r.kept),
 			claimed: r.claimed,
 		})
-		w.apply(n, messenger.RolloutKept{
+		w.apply(n, messenger.RolloutStored{
 			Service: e.Rollout.Order.Service,
 			Order:   e.Rollout.Order.Offset,
 			Phase:   e.Rollout.Phase,
 			Fence:   e.Fence,
-			Result:  messenger.DutyDone,
+			Result:  messenger.LeaderTaskDone,
 		})
 	})
 }
@@ -215,9 +215,9 @@
 	w.at(rolloutOrdered, func() { w.order(true) })
 	w.at(rolloutOrdered+6*timekeeper.Second, func() {
 		for _, n := range w.nodes {
-			w.apply(n, messenger.ShareReceived{
+			w.apply(n, messenger.StateUpdateReceived{
 				From: "entry-0",
-				Share: messenger.Share{Rollouts: []messenger.Rollout{
+				Update: messenger.StateUpdate{Rollouts: []messenger.Rollout{
 					{
 						Order: w.rollouts.orders[0],
 						Phase: messenger.RolloutCompleted,
--- a/internal/prover/stream_test.go
+++ b/internal/prover/stream_test.go
@@ -170,12 +170,12 @@
 		if c.closed {
 			return
 		}
-		bound := c.effect.NextSilence
+		bound := c.effect.NextEventTimeout
 		if c.sent == 0 || !c.started {
-			bound = c.effect.FirstSilence
+			bound = c.effect.FirstEventTimeout
 		}
 		if n.w.now.Sub(c.heard) > bound {
-			n.attemptOver(c, messenger.AttemptSilent)
+			n.attemptOver(c, messenger.AttemptTimedOut)
 			return
 		}
 		n.watchSilence(c)
--- a/internal/provisioner/order.go
+++ b/internal/provisioner/order.go
@@ -30,7 +30,7 @@
 			pool:  name,
 			fence: tenure.Fence,
 		})
-		out = append(out, o, messenger.Note{
+		out = append(out, o, messenger.TimelineEntry{
 			Kind:   "order_given",
 			VM:     o.Server,
 			Detail: fmt.Sprintf("kind=%s model=%s fence=%d", o.Order.Kind, o.Order.Model, o.Order.Fence),
--- a/internal/provisioner/provisioner_test.go
+++ b/internal/provisioner/provisioner_test.go
@@ -55,7 +55,7 @@
 		},
 		Rand: rand.New(rand.NewPCG(1, 1)),
 	}
-	f.in.Members.ListRead(start, start, []messenger.VMState{
+	f.in.Members.MergeList(start, start, []messenger.VMState{
 		{
 			VM:     "e1",
 			Zone:   "a",
--- a/internal/provisioner/purchase.go
+++ b/internal/provisioner/purchase.go
@@ -38,7 +38,7 @@
 				VM:       a.VM,
 				NotAfter: tenure.NotAfter,
 			},
-			messenger.Note{
+			messenger.TimelineEntry{
 				Kind:   "vm_released",
 				VM:     a.VM,
 				Detail: fmt.Sprintf("pool=%s fence=%d", name, tenure.Fence),
@@ -60,7 +60,7 @@
 			Pool:        name,
 			NotAfter:    tenure.NotAfter,
 		},
-		messenger.Note{
+		messenger.TimelineEntry{
 			Kind:   "vm_wanted",
 			VM:     p.config.Self,
 			Detail: fmt.Sprintf("pool=%s zone=%s market=%s token=%s", name, a.Zone, a.Market, a.ClientToken),
@@ -80,7 +80,7 @@
 		Ambiguous: e.Ambiguous,
 	})
 	return []messenger.Effect{
-		messenger.Note{
+		messenger.TimelineEntry{
 			Kind:   "vm_purchase_ended",
 			VM:     e.VM,
 			Detail: fmt.Sprintf("pool=%s token=%s refused=%t ambiguous=%t", t.pool, t.token, e.Refused, e.Ambiguous),
--- a/internal/reducer/duty.go
+++ b/internal/reducer/duty.go
@@ -31,7 +31,7 @@
 		g.usage.Absorb(w.Now, e)
 		out := r.tickUsage(w)
 		if n := g.usage.Ignored() - unreadable; n > 0 {
-			out = append(out, messenger.Note{
+			out = append(out, messenger.TimelineEntry{
 				Kind:   "usage_unreadable",
 				VM:     r.config.Self,
 				Detail: fmt.Sprintf("records=%d", n),
@@ -78,12 +78,12 @@
 	g.holding = fence
 	g.sizes.Forget()
 	g.central = limiter.NewCentral()
-	kind := messenger.NoteKind("duties_held")
+	kind := messenger.TimelineKind("duties_held")
 	if !held {
 		kind = "duties_lost"
 	}
 	return []messenger.Effect{
-		messenger.Note{
+		messenger.TimelineEntry{
 			Kind:   kind,
 			VM:     r.config.Self,
 			Detail: fmt.Sprintf("fence=%d", fence),
@@ -136,11 +136,11 @@
 }
 
 // sized tells the time line what a service's size follows from.
-func (r *Reducer) sized(in sizer.Input, need int) messenger.Note {
-	return messenger.Note{
+func (r *Reducer) sized(in sizer.Input, need int) messenger.TimelineEntry {
+	return messenger.TimelineEntry{
 		Kind:   "service_sized",
 		VM:     r.config.Self,
-		Detail: fmt.Sprintf("service=%s need=%d busy=%.2f running=%d", in.Service, need, in.Demand.Busy, in.Demand.Running),
+		Detail: fmt.Sprintf("service=%s need=%d busy=%.2f running=%d", in.Service, need, in.Demand.OfferedLoad, in.Demand.Running),
 	}
 }
 
@@ -162,7 +162,7 @@
 	g.sizes.OrderEnded(w.Now, e.Order, e.Result)
 	r.fencedOff(e.Result)
 	return []messenger.Effect{
-		messenger.Note{
+		messenger.TimelineEntry{
 			Kind: "servers_ordered",
 			VM:   r.config.Self,
 			Detail: fmt.Sprintf("service=%s zone=%s market=%s count=%d result=%s",
@@ -176,7 +176,7 @@
 	g.usage.Reported(e.Window, e.Result)
 	r.fencedOff(e.Result)
 	return []messenger.Effect{
-		messenger.Note{
+		messenger.TimelineEntry{
 			Kind:   "usage_reported",
 			VM:     r.config.Self,
 			Detail: fmt.Sprintf("window=%d result=%s", e.Window, e.Result),
--- a/internal/reducer/following.go
+++ b/internal/reducer/following.go
@@ -62,7 +62,7 @@
 
 // ReadyNodes returns the nodes that callers may be sent to.
 func (r *Reducer) ReadyNodes() []gossiper.Node {
-	news := r.members.NewsOf()
+	news := r.members.Statuses()
 	var out []gossiper.Node
 	for _, n := range r.members.Nodes() {
 		if n.State != gossiper.Alive {
--- a/internal/reducer/following_test.go
+++ b/internal/reducer/following_test.go
@@ -107,10 +107,10 @@
 	told := 0
 	for range shareRoundsOfAll {
 		for _, e := range f.nodes["entry-60"].shareNow(w) {
-			share, ok := e.(messenger.SendShare)
+			share, ok := e.(messenger.SendStateUpdate)
 			require.True(t, ok)
 			reports := ranker.Contains(duties, share.Peer)
-			require.Equal(t, reports, len(share.Share.Usage) > 0, "to %s", share.Peer)
+			require.Equal(t, reports, len(share.Update.Usage) > 0, "to %s", share.Peer)
 			if reports {
 				told++
 			}
--- a/internal/reducer/gateway.go
+++ b/internal/reducer/gateway.go
@@ -272,26 +272,26 @@
 	case messenger.ServersPublished:
 		g.whole = g.whole || b.All
 		return r.serversChanged(w, g.servers.ApplyRead(w.Now, b.Servers, b.All), true)
-	case messenger.ShareReceived:
+	case messenger.StateUpdateReceived:
 		return r.shareReceived(w, b)
 	case messenger.ServersOrdered:
 		return r.serversOrdered(w, b)
 	case messenger.UsageReported:
 		return r.usageReported(b)
-	case messenger.ServerLimitHeard:
+	case messenger.ServerLimitReceived:
 		return r.serverLimitHeard(w, b)
-	case messenger.PermitAsked:
+	case messenger.PermitRequested:
 		return r.permitAsked(w, b)
 	case messenger.PermitAnswered:
 		return r.permitAnswered(w, b)
 	case messenger.RolloutsClaimed:
 		return r.rolloutsClaimed(w, b)
-	case messenger.RolloutKept:
+	case messenger.RolloutStored:
 		return r.rolloutKept(w, b)
 	case messenger.LimitAnswered:
 		r.granterAnswered(w, b.Unknown, b.NotGranting)
 		return r.withNews(w, g.exchanges.LimitAnswered(r.exchangeWorld(w), b))
-	case messenger.LimitAsked:
+	case messenger.LimitRequested:
 		return []messenger.Effect{
 			messenger.AnswerLimit{
 				Ticket: b.Ticket,
@@ -320,7 +320,7 @@
 		Permits:         g.permits,
 		PermitAllocator: func(server identifier.VMID) *dispatcher.Allocator { return r.permitsOf(w, server) },
 		ConfigStale:     w.Now.Sub(g.confirmed) > configDoubt,
-		Inputs: messenger.Basis{
+		Inputs: messenger.DecisionInputs{
 			Revision:    g.revision(),
 			RevisionAge: age(w.Now, g.confirmed),
 			ServersAge:  age(w.Now, g.servers.AsOf()),
@@ -349,7 +349,7 @@
 // that is, whatever path it came by. An older one never comes back.
 func (r *Reducer) catalogPublished(w *conductor.Env, e messenger.CatalogPublished) []messenger.Effect {
 	g := r.gateway
-	if e.Direct {
+	if e.FromStore {
 		g.confirmed = w.Now
 	}
 	g.versions.ApplyOrders(w.Now, e.Orders)
@@ -360,12 +360,12 @@
 	g.catalog = e.Catalog
 	g.data = e.Data
 	g.local.Forget(e.Catalog)
-	out = append(out, messenger.Note{
+	out = append(out, messenger.TimelineEntry{
 		Kind:   "config_in_force",
 		VM:     r.config.Self,
-		Detail: fmt.Sprintf("revision=%d direct=%t", e.Catalog.Revision, e.Direct),
+		Detail: fmt.Sprintf("revision=%d direct=%t", e.Catalog.Revision, e.FromStore),
 	})
-	if e.Direct {
+	if e.FromStore {
 		out = append(out, r.shareNow(w)...)
 	}
 	return out
@@ -381,8 +381,8 @@
 	r.gateway.relayNews = true
 	var out []messenger.Effect
 	for _, s := range changed {
-		out = append(out, messenger.Note{
-			Kind: messenger.NoteKind("server_" + string(s.State)),
+		out = append(out, messenger.TimelineEntry{
+			Kind: messenger.TimelineKind("server_" + string(s.State)),
 			VM:   s.Server,
 			Detail: fmt.Sprintf("service=%s zone=%s market=%s offset=%d leaves_in=%s direct=%t",
 				s.Service, s.Zone, s.Market, s.Offset, s.LeavesIn, direct) + versionText(s.Version),
--- a/internal/reducer/granting.go
+++ b/internal/reducer/granting.go
@@ -36,15 +36,15 @@
 
 // heardOfHolder takes in who holds the lease of the duties, from that node or
 // from one that heard of it.
-func (g *gateway) heardOfHolder(now timekeeper.Time, s messenger.Share) {
-	if s.Holder == "" || s.Holder == g.self || s.Fence < g.granterFence {
+func (g *gateway) heardOfHolder(now timekeeper.Time, s messenger.StateUpdate) {
+	if s.Leader == "" || s.Leader == g.self || s.Fence < g.granterFence {
 		return
 	}
-	heard := now.Add(-s.HolderAge)
+	heard := now.Add(-s.LeaderAge)
 	if s.Fence == g.granterFence && !heard.After(g.granterHeard) {
 		return
 	}
-	g.granter = s.Holder
+	g.granter = s.Leader
 	g.granterFence = s.Fence
 	g.granterHeard = heard
 	g.silent = 0
--- a/internal/reducer/membership.go
+++ b/internal/reducer/membership.go
@@ -33,7 +33,7 @@
 		CallerAddress: c.CallerAddress,
 		Capacity:      c.Capacity,
 		Seeds:         c.Seeds,
-		Every:         gossipEvery,
+		Period:        gossipEvery,
 		SuspectAfter:  gossipSuspectAfter,
 		DeadAfter:     gossipDeadAfter,
 		Fanout:        gossipFanout,
@@ -80,20 +80,20 @@
 		// this one for good, and what it told callers would be heard by them
 		// alone.
 		return []messenger.Effect{messenger.Exit{}}
-	case gossiper.ServerGone:
+	case gossiper.ServerRemoved:
 		delete(r.loads, ch.VM)
 		return r.requests.ServerRemoved(w, ch.VM)
 	}
 	return nil
 }
 
-func noteChange(ch gossiper.Change) messenger.Note {
+func noteChange(ch gossiper.Change) messenger.TimelineEntry {
 	detail := ""
 	if ch.Kind == gossiper.NodeLeaving || ch.Kind == gossiper.ServerLeaving {
 		detail = fmt.Sprintf("deadline=%s", ch.Deadline)
 	}
-	return messenger.Note{
-		Kind:   messenger.NoteKind(ch.Kind),
+	return messenger.TimelineEntry{
+		Kind:   messenger.TimelineKind(ch.Kind),
 		VM:     ch.VM,
 		Detail: detail,
 	}
@@ -103,7 +103,7 @@
 	changes, err := r.members.Receive(w.Now, e.From, e.Data)
 	if err != nil {
 		return []messenger.Effect{
-			messenger.Note{
+			messenger.TimelineEntry{
 				Kind:   "gossip_unreadable",
 				VM:     e.From,
 				Detail: err.Error(),
@@ -129,7 +129,7 @@
 
 // tickGossip sends this node's news and takes up what silence says.
 func (r *Reducer) tickGossip(w *conductor.Env) []messenger.Effect {
-	r.members.SetNews(gossiper.News{
+	r.members.SetStatus(gossiper.Status{
 		Revision: r.revision(),
 		Demand:   r.ownDemand(w.Now),
 	})
@@ -160,7 +160,7 @@
 // shareLimits divides the accounts' limits by the demand that peers report.
 func (r *Reducer) shareLimits(now timekeeper.Time) {
 	peers := map[identifier.VMID]map[identifier.AccountID]limiter.Demand{}
-	for vm, news := range r.members.NewsOf() {
+	for vm, news := range r.members.Statuses() {
 		demand := make(map[identifier.AccountID]limiter.Demand, len(news.Demand))
 		for account, d := range news.Demand {
 			demand[account] = limiter.Demand(d)
--- a/internal/reducer/platformlog.go
+++ b/internal/reducer/platformlog.go
@@ -79,7 +79,7 @@
 func (r *Reducer) changesJudged(applied []configurer.Applied) []messenger.Effect {
 	var out []messenger.Effect
 	for _, a := range applied {
-		out = append(out, messenger.Note{
+		out = append(out, messenger.TimelineEntry{
 			Kind:   "config_decided",
 			VM:     r.config.Self,
 			Detail: fmt.Sprintf("revision=%d accepted=%t", a.Revision, a.Verdict.Accepted),
@@ -105,7 +105,7 @@
 	r.claims.SetRetention(r.files.Catalog().LogRetention)
 	r.provisioner.SetRetention(r.files.Catalog().LogRetention)
 	return []messenger.Effect{
-		messenger.Note{
+		messenger.TimelineEntry{
 			Kind:   "config_in_force",
 			VM:     r.config.Self,
 			Detail: fmt.Sprintf("revision=%d", now),
@@ -241,7 +241,7 @@
 func (r *Reducer) newerPeer() (gossiper.Node, bool) {
 	best := r.revision()
 	var found gossiper.Node
-	news := r.members.NewsOf()
+	news := r.members.Statuses()
 	for _, n := range r.members.Nodes() {
 		if rev := news[n.VM].Revision; n.VM != r.config.Self && rev > best {
 			best = rev
@@ -256,7 +256,7 @@
 	applied, err := r.files.Import(w.Now, e.Data)
 	if err != nil {
 		return []messenger.Effect{
-			messenger.Note{
+			messenger.TimelineEntry{
 				Kind:   "config_unreadable",
 				VM:     e.From,
 				Detail: err.Error(),
--- a/internal/reducer/quarantine.go
+++ b/internal/reducer/quarantine.go
@@ -49,10 +49,10 @@
 	}
 	out := make([]messenger.Effect, 0, len(peers))
 	for _, p := range peers {
-		out = append(out, messenger.SendShare{
+		out = append(out, messenger.SendStateUpdate{
 			Peer:    p.VM,
 			Address: p.PeerAddress,
-			Share:   messenger.Share{Suspects: suspects},
+			Update:  messenger.StateUpdate{Suspects: suspects},
 		})
 	}
 	return out
@@ -102,14 +102,14 @@
 		}
 		detail := fmt.Sprintf("fingerprint=%s servers=%v", c.Request, c.Servers)
 		if !c.Refused {
-			out = append(out, messenger.Note{
+			out = append(out, messenger.TimelineEntry{
 				Kind:   "request_released",
 				VM:     last,
 				Detail: detail,
 			})
 			continue
 		}
-		out = append(out, messenger.Note{
+		out = append(out, messenger.TimelineEntry{
 			Kind:   "request_quarantined",
 			VM:     last,
 			Detail: detail,
@@ -119,7 +119,7 @@
 }
 
 func (r *Reducer) quarantineUnreadable(err error) messenger.Effect {
-	return messenger.Note{
+	return messenger.TimelineEntry{
 		Kind:   "quarantine_unreadable",
 		VM:     r.config.Self,
 		Detail: err.Error(),
--- a/internal/reducer/quarantine_test.go
+++ b/internal/reducer/quarantine_test.go
@@ -115,10 +115,10 @@
 			From: id,
 			Data: e.Data,
 		})
-	case messenger.SendShare:
-		c.send(n, e.Address, messenger.ShareReceived{
-			From:  id,
-			Share: e.Share,
+	case messenger.SendStateUpdate:
+		c.send(n, e.Address, messenger.StateUpdateReceived{
+			From:   id,
+			Update: e.Update,
 		})
 	case messenger.AppendRecord:
 		if n.cut {
@@ -237,7 +237,7 @@
 // ask sends a request to a node and waits for its end.
 func (c *cluster) ask(id identifier.VMID, spec messenger.RequestSpec) messenger.Refusal {
 	spec.Request = identifier.RequestID(fmt.Sprintf("r-%d", len(c.specs)))
-	spec.Home = id
+	spec.EntryNode = id
 	spec.Received = c.now
 	spec.Deadline = c.now.Add(20 * timekeeper.Second)
 	c.specs[spec.Request] = spec
--- a/internal/reducer/reducer.go
+++ b/internal/reducer/reducer.go
@@ -161,7 +161,7 @@
 		return r.requests.Receive(w, b.Spec)
 	case messenger.RequestCancelled:
 		return r.requests.Cancel(w, b.Request)
-	case messenger.CallerGone:
+	case messenger.CallerDisconnected:
 		return r.requests.CallerDisconnected(w, b.Request)
 	case messenger.CallerAttached:
 		return r.requests.CallerAttached(w, b.Request)
@@ -212,7 +212,7 @@
 
 	case messenger.ListRead:
 		r.provisioner.ListRead(b.AsOf)
-		changed := r.membersChanged(w, r.members.ListRead(w.Now, b.AsOf, b.VMs))
+		changed := r.membersChanged(w, r.members.MergeList(w.Now, b.AsOf, b.VMs))
 		r.nodesListed(w, len(b.VMs))
 		return changed
 	case messenger.NoticeReceived:
@@ -229,18 +229,18 @@
 	case messenger.LoadMissed:
 		return r.loadMissed(w, b)
 	case messenger.CacheReported:
-		r.hints.Observe(w.Now, b.Server, b.Held, b.Gone, b.Gap)
+		r.hints.Observe(w.Now, b.Server, b.Cached, b.Evicted, b.Gap)
 		return nil
 
-	case messenger.ShareReceived:
-		r.quarantine.Merge(w.Now, b.Share.Suspects)
+	case messenger.StateUpdateReceived:
+		r.quarantine.Merge(w.Now, b.Update.Suspects)
 		return r.gatewayEvent(w, b)
 	case messenger.ExchangeReceived, messenger.ExchangeBegan, messenger.ExchangeAttemptEnded,
 		messenger.ExchangeEnded, messenger.CatalogPublished, messenger.CatalogConfirmed,
 		messenger.ServersPublished,
-		messenger.ServersOrdered, messenger.UsageReported, messenger.LimitAnswered, messenger.LimitAsked,
-		messenger.RolloutsClaimed, messenger.RolloutKept, messenger.ServerLimitHeard,
-		messenger.PermitAsked, messenger.PermitAnswered:
+		messenger.ServersOrdered, messenger.UsageReported, messenger.LimitAnswered, messenger.LimitRequested,
+		messenger.RolloutsClaimed, messenger.RolloutStored, messenger.ServerLimitReceived,
+		messenger.PermitRequested, messenger.PermitAnswered:
 		return r.gatewayEvent(w, b)
 
 	case messenger.BuyEnded:
--- a/internal/reducer/relay.go
+++ b/internal/reducer/relay.go
@@ -154,17 +154,17 @@
 
 // sumWithout is what a relay tells one node: the sum over all others, of the servers
 // that the node chooses from.
-func (r *Reducer) sumWithout(now timekeeper.Time, all dispatcher.LoadSum, vm identifier.VMID) messenger.Share {
+func (r *Reducer) sumWithout(now timekeeper.Time, all dispatcher.LoadSum, vm identifier.VMID) messenger.StateUpdate {
 	g := r.gateway
 	tells := dispatcher.SubsetFilter(vm)
 	part := all.ForServers(func(server identifier.VMID) bool { return tells(server, g.servers.ServiceSize(server)) })
-	return g.sums(now, messenger.ShareOthers, g.exchanges.WithoutNode(now, part, vm))
+	return g.sums(now, messenger.ScopeOthers, g.exchanges.WithoutNode(now, part, vm))
 }
 
 // tellZones tells the relays of the other zones the sum over this one.
 func (r *Reducer) tellZones(now timekeeper.Time, zone dispatcher.LoadSum) []messenger.Effect {
 	g := r.gateway
-	share := g.sums(now, messenger.ShareZone, zone)
+	share := g.sums(now, messenger.ScopeZone, zone)
 	share.Zone = r.config.Zone
 	var out []messenger.Effect
 	for _, other := range r.ranking.OtherZones() {
@@ -177,16 +177,16 @@
 
 // sums is what a relay tells. It passes on who holds the lease; other nodes say
 // so only of themselves, so that hearsay does not go round.
-func (g *gateway) sums(now timekeeper.Time, scope messenger.ShareScope, sum dispatcher.LoadSum) messenger.Share {
+func (g *gateway) sums(now timekeeper.Time, scope messenger.UpdateScope, sum dispatcher.LoadSum) messenger.StateUpdate {
 	s := g.news(now)
-	s.Kept = g.exchanges.RelayedCachedPrefixUpdates(now)
+	s.CachedPrefixes = g.exchanges.RelayedCachedPrefixUpdates(now)
 	s.Scope = scope
 	s.InFlight = sum.InFlight
 	s.Demand = sum.Demand
-	if age := now.Sub(g.granterHeard); s.Holder == "" && g.granter != "" && age <= granterAge {
-		s.Holder = g.granter
+	if age := now.Sub(g.granterHeard); s.Leader == "" && g.granter != "" && age <= granterAge {
+		s.Leader = g.granter
 		s.Fence = g.granterFence
-		s.HolderAge = age
+		s.LeaderAge = age
 	}
 	return s
 }
--- a/internal/reducer/relay_test.go
+++ b/internal/reducer/relay_test.go
@@ -93,15 +93,15 @@
 					Data: e.Data,
 				},
 			})
-		case messenger.SendShare:
+		case messenger.SendStateUpdate:
 			f.shares++
-			f.sent[id] += len(e.Share.Servers)
-			f.got[identifier.VMID(e.Address)] += len(e.Share.Servers)
+			f.sent[id] += len(e.Update.Servers)
+			f.got[identifier.VMID(e.Address)] += len(e.Update.Servers)
 			f.mail = append(f.mail, letter{
 				to: identifier.VMID(e.Address),
-				body: messenger.ShareReceived{
-					From:  id,
-					Share: e.Share,
+				body: messenger.StateUpdateReceived{
+					From:   id,
+					Update: e.Update,
 				},
 			})
 		}
@@ -309,8 +309,8 @@
 	for range 40 {
 		for _, id := range f.ids {
 			if id != holder {
-				f.nodes[id].gateway.heardOfHolder(f.now, messenger.Share{
-					Holder: holder,
+				f.nodes[id].gateway.heardOfHolder(f.now, messenger.StateUpdate{
+					Leader: holder,
 					Fence:  fleetDuty,
 				})
 			}
@@ -326,8 +326,8 @@
 	f := newFleet(61)
 	f.run(6 * timekeeper.Second)
 	relay := f.nodes[f.ids[0]].relays("zone-0")[0].VM
-	f.nodes[relay].gateway.heardOfHolder(f.now, messenger.Share{
-		Holder: "entry-60",
+	f.nodes[relay].gateway.heardOfHolder(f.now, messenger.StateUpdate{
+		Leader: "entry-60",
 		Fence:  fleetDuty,
 	})
 	heardAt := f.now
@@ -350,8 +350,8 @@
 	f.run(2 * timekeeper.Second)
 	g := f.nodes["entry-1"].gateway
 	hear := func() {
-		g.heardOfHolder(f.now, messenger.Share{
-			Holder: "entry-2",
+		g.heardOfHolder(f.now, messenger.StateUpdate{
+			Leader: "entry-2",
 			Fence:  fleetDuty,
 		})
 	}
--- a/internal/reducer/restored.go
+++ b/internal/reducer/restored.go
@@ -20,9 +20,9 @@
 	g.servers.Restored(w.Now)
 	g.versions.Restored()
 	r.quarantine.Restored()
-	return append(r.noteTenure(w), messenger.Note{
+	return append(r.noteTenure(w), messenger.TimelineEntry{
 		Kind:   "store_restored",
 		VM:     r.config.Self,
-		Detail: fmt.Sprintf("era=%d", e.Era),
+		Detail: fmt.Sprintf("era=%d", e.Generation),
 	})
 }
--- a/internal/reducer/rollout.go
+++ b/internal/reducer/rollout.go
@@ -67,17 +67,17 @@
 	return append(out, r.shareNow(w)...)
 }
 
-func (r *Reducer) rolloutNote(c promoter.Change) messenger.Note {
+func (r *Reducer) rolloutNote(c promoter.Change) messenger.TimelineEntry {
 	phase := c.Rollout.Phase
 	if phase == messenger.RolloutOrdered {
 		phase = "ordered"
 	}
-	return messenger.Note{
-		Kind: messenger.NoteKind("rollout_" + phase),
+	return messenger.TimelineEntry{
+		Kind: messenger.TimelineKind("rollout_" + phase),
 		VM:   r.config.Self,
 		Detail: fmt.Sprintf("service=%s to=%s order=%d age=%s limit=%s led_age=%s barred=%v why=%q",
 			c.Rollout.Order.Service, c.Rollout.Order.To, c.Rollout.Order.Offset, c.Rollout.Age,
-			c.Rollout.Order.Limit, c.Rollout.LedAge, c.Rollout.Barred, c.Why),
+			c.Rollout.Order.TimeLimit, c.Rollout.LeaderAge, c.Rollout.RolledBackVersions, c.Why),
 	}
 }
 
@@ -87,7 +87,7 @@
 	return r.noteRollouts(w)
 }
 
-func (r *Reducer) rolloutKept(w *conductor.Env, e messenger.RolloutKept) []messenger.Effect {
+func (r *Reducer) rolloutKept(w *conductor.Env, e messenger.RolloutStored) []messenger.Effect {
 	r.fencedOff(e.Result)
 	r.gateway.versions.Stored(w.Now, e)
 	return r.noteRollouts(w)
@@ -95,8 +95,8 @@
 
 // fencedOff gives the lease up where a later holder was there first: this node has
 // lost it and did not know it yet.
-func (r *Reducer) fencedOff(result messenger.DutyResult) {
-	if result == messenger.DutyFenced {
+func (r *Reducer) fencedOff(result messenger.LeaderTaskResult) {
+	if result == messenger.LeaderTaskFenced {
 		r.gateway.leases.Release(dutyLease)
 	}
 }
--- a/internal/reducer/serverlimit.go
+++ b/internal/reducer/serverlimit.go
@@ -36,7 +36,7 @@
 }
 
 // serverLimitHeard takes in what a server's answer to this node states of its limit.
-func (r *Reducer) serverLimitHeard(w *conductor.Env, e messenger.ServerLimitHeard) []messenger.Effect {
+func (r *Reducer) serverLimitHeard(w *conductor.Env, e messenger.ServerLimitReceived) []messenger.Effect {
 	change, changed := r.gateway.limits.Observe(w.Now, e)
 	if !changed {
 		return nil
@@ -61,7 +61,7 @@
 
 // permitAsked answers a peer that asks for a permit. What it knows of the limits may be
 // newer than what this node does.
-func (r *Reducer) permitAsked(w *conductor.Env, e messenger.PermitAsked) []messenger.Effect {
+func (r *Reducer) permitAsked(w *conductor.Env, e messenger.PermitRequested) []messenger.Effect {
 	return append(r.learnLimits(w, e.Limits), messenger.AnswerPermit{
 		Ticket: e.Ticket,
 		Answer: dispatcher.GrantPermit(r.exchangeWorld(w), e.Limits),
@@ -77,13 +77,13 @@
 // limitNote tells the time line of a server's limit.
 func limitNote(c throttler.Change) messenger.Effect {
 	if !c.Limited {
-		return messenger.Note{
+		return messenger.TimelineEntry{
 			Kind:   "server_limit_lifted",
 			VM:     c.Server,
 			Detail: fmt.Sprintf("direct=%t", c.Direct),
 		}
 	}
-	return messenger.Note{
+	return messenger.TimelineEntry{
 		Kind:   "server_limited",
 		VM:     c.Server,
 		Detail: fmt.Sprintf("requests_per_second=%g direct=%t", c.Rate, c.Direct),
--- a/internal/reducer/share.go
+++ b/internal/reducer/share.go
@@ -29,29 +29,29 @@
 
 // shareReceived takes in what a peer knows, and fetches its configuration where
 // that is newer.
-func (r *Reducer) shareReceived(w *conductor.Env, e messenger.ShareReceived) []messenger.Effect {
+func (r *Reducer) shareReceived(w *conductor.Env, e messenger.StateUpdateReceived) []messenger.Effect {
 	g := r.gateway
-	s := e.Share
+	s := e.Update
 	g.exchanges.MergePeerLoad(w.Now, e.From, s)
-	g.whole = g.whole || s.Whole
-	if s.Wants {
+	g.whole = g.whole || s.AllServers
+	if s.RequestsAllServers {
 		g.wanting[e.From] = true
 	}
 	g.usage.PeerCounts(e.From, s.Incarnation, s.Usage)
 	g.versions.Merge(w.Now, s.Rollouts)
-	if s.Scope == messenger.ShareOwn {
+	if s.Scope == messenger.ScopeOwn {
 		g.versions.MergePeerCounts(w.Now, e.From, s.Incarnation, s)
 	}
 	g.heardOfHolder(w.Now, s)
 	notes := r.learnLimits(w, s.Limits)
 	merge := g.servers.Merge
-	if s.Whole {
+	if s.AllServers {
 		merge = g.servers.MergeAll
 	}
 	changed := merge(w.Now, w.Now.Add(-s.ServersAge), s.Servers)
 	out := append(notes, r.noteRollouts(w)...)
 	out = append(out, r.serversChanged(w, changed, false)...)
-	g.exchanges.MergeCachedPrefixes(r.exchangeWorld(w), s.Kept, g.relaySince != 0)
+	g.exchanges.MergeCachedPrefixes(r.exchangeWorld(w), s.CachedPrefixes, g.relaySince != 0)
 	if s.Revision == g.revision() {
 		g.confirmed = max(g.confirmed, w.Now.Add(-s.ConfigurationAge))
 	}
@@ -89,7 +89,7 @@
 
 // tellFew tells the peers that hear this node directly. Counts of usage and of versions,
 // which are most of a share, go only to those that may come to report and judge them.
-func (r *Reducer) tellFew(peers []gossiper.Node, share messenger.Share) []messenger.Effect {
+func (r *Reducer) tellFew(peers []gossiper.Node, share messenger.StateUpdate) []messenger.Effect {
 	duties := r.ranking.First(string(dutyLease), dutyNodes)
 	others := share
 	others.Usage = nil
@@ -110,13 +110,13 @@
 // Where nodes are many those that joined hear of all entries from the relays of their
 // zone. Otherwise a relay that starts with all others would hear of all servers, and of
 // all kept parts of prompts, from each of them.
-func (g *gateway) tellAlike(peers []gossiper.Node, share messenger.Share) []messenger.Effect {
+func (g *gateway) tellAlike(peers []gossiper.Node, share messenger.StateUpdate) []messenger.Effect {
 	out := make([]messenger.Effect, 0, len(peers))
 	for _, p := range peers {
-		out = append(out, messenger.SendShare{
+		out = append(out, messenger.SendStateUpdate{
 			Peer:    p.VM,
 			Address: p.PeerAddress,
-			Share:   share,
+			Update:  share,
 		})
 	}
 	return out
@@ -125,10 +125,10 @@
 // send tells one peer; one that joined lately hears of all that this node knows, but of
 // all servers only if it wants to. Most have read them from the store: where all nodes
 // start at once a relay would tell each of its zone thousands of servers, again and again.
-func (g *gateway) send(now timekeeper.Time, peer gossiper.Node, share messenger.Share) messenger.SendShare {
+func (g *gateway) send(now timekeeper.Time, peer gossiper.Node, share messenger.StateUpdate) messenger.SendStateUpdate {
 	if until, ok := g.newcomers[peer.VM]; ok {
 		all := g.all(now)
-		share.Kept = all.kept
+		share.CachedPrefixes = all.kept
 		share.Suspects = all.suspects
 		if !now.Before(until) {
 			delete(g.newcomers, peer.VM)
@@ -136,13 +136,13 @@
 	}
 	if g.wanting[peer.VM] && g.whole {
 		share.Servers = g.all(now).servers
-		share.Whole = true
+		share.AllServers = true
 		delete(g.wanting, peer.VM)
 	}
-	return messenger.SendShare{
+	return messenger.SendStateUpdate{
 		Peer:    peer.VM,
 		Address: peer.PeerAddress,
-		Share:   share,
+		Update:  share,
 	}
 }
 
@@ -150,7 +150,7 @@
 type entries struct {
 	at      timekeeper.Time
 	servers []messenger.PublishedServer
-	kept    []messenger.KeptPart
+	kept    []messenger.CachedPrefix
 	// suspects are the requests under which servers ended.
 	suspects []messenger.SuspectRequest
 }
@@ -181,7 +181,7 @@
 }
 
 // share is what this node tells its peers.
-func (g *gateway) share(now timekeeper.Time) messenger.Share {
+func (g *gateway) share(now timekeeper.Time) messenger.StateUpdate {
 	running, demand := g.exchanges.OwnLoad(now)
 	s := g.news(now)
 	s.InFlight = running
@@ -192,21 +192,21 @@
 }
 
 // news is what this node knows that is not of its own requests.
-func (g *gateway) news(now timekeeper.Time) messenger.Share {
-	s := messenger.Share{
-		Incarnation:      g.incarnation,
-		Servers:          g.servers.UpdatesSince(now.Add(-g.newsWindow()), g.passesOn()),
-		Wants:            !g.whole && (!g.many || now.Sub(g.startedAt) >= wantAfter),
-		ServersAge:       now.Sub(g.servers.AsOf()),
-		ConfigurationAge: now.Sub(g.confirmed),
-		Revision:         g.revision(),
-		Kept:             g.exchanges.CachedPrefixUpdates(now),
-		Suspects:         g.quarantine.Updates(now, g.relaySince != 0),
-		Limits:           g.limits.Updates(now, g.relaySince != 0),
-		Rollouts:         g.versions.Updates(now),
+func (g *gateway) news(now timekeeper.Time) messenger.StateUpdate {
+	s := messenger.StateUpdate{
+		Incarnation:        g.incarnation,
+		Servers:            g.servers.UpdatesSince(now.Add(-g.newsWindow()), g.passesOn()),
+		RequestsAllServers: !g.whole && (!g.many || now.Sub(g.startedAt) >= wantAfter),
+		ServersAge:         now.Sub(g.servers.AsOf()),
+		ConfigurationAge:   now.Sub(g.confirmed),
+		Revision:           g.revision(),
+		CachedPrefixes:     g.exchanges.CachedPrefixUpdates(now),
+		Suspects:           g.quarantine.Updates(now, g.relaySince != 0),
+		Limits:             g.limits.Updates(now, g.relaySince != 0),
+		Rollouts:           g.versions.Updates(now),
 	}
 	if fence, _, held := g.leases.Held(dutyLease, now); held {
-		s.Holder = g.self
+		s.Leader = g.self
 		s.Fence = fence
 	}
 	return s
--- a/internal/reducer/suspects_test.go
+++ b/internal/reducer/suspects_test.go
@@ -69,9 +69,9 @@
 	for range span / fleetStep {
 		f.run(fleetStep)
 		for _, m := range f.mail {
-			if s, ok := m.body.(messenger.ShareReceived); ok {
-				most = max(most, len(s.Share.Suspects))
-				told += len(s.Share.Suspects)
+			if s, ok := m.body.(messenger.StateUpdateReceived); ok {
+				most = max(most, len(s.Update.Suspects))
+				told += len(s.Update.Suspects)
 			}
 		}
 	}
@@ -81,8 +81,8 @@
 	require.LessOrEqual(t, told*40/nodes/int(span/timekeeper.Second), 23_000/3)
 	f.run(3 * timekeeper.Second)
 	for _, m := range f.mail {
-		if s, ok := m.body.(messenger.ShareReceived); ok {
-			require.Empty(t, s.Share.Suspects, "single ends are told for two seconds")
+		if s, ok := m.body.(messenger.StateUpdateReceived); ok {
+			require.Empty(t, s.Update.Suspects, "single ends are told for two seconds")
 		}
 	}
 }
--- a/internal/reducer/view.go
+++ b/internal/reducer/view.go
@@ -90,7 +90,7 @@
 		Leases:    r.provisioner.View(now),
 		Counters:  r.requests.Counters(),
 	}
-	for vm, news := range r.members.NewsOf() {
+	for vm, news := range r.members.Statuses() {
 		v.Revisions[vm] = news.Revision
 	}
 	if c := r.Catalog(); c != nil {
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -133,7 +133,7 @@
 func (t *Table) outlived(e messenger.PublishedServer) bool {
 	known, ok := t.servers[e.Server]
 	return ok && known.State == messenger.ServerRemoved && e.State != messenger.ServerRemoved &&
-		known.Offset.Era() < e.Offset.Era()
+		known.Offset.Generation() < e.Offset.Generation()
 }
 
 // resolve names the start of a server that a removal ends: the store drops the
--- a/internal/relayer/client.go
+++ b/internal/relayer/client.go
@@ -101,7 +101,7 @@
 }
 
 // Share tells a peer what this node knows of opaque exchanges.
-func (c *Client) Share(ctx context.Context, address string, s messenger.Share) error {
+func (c *Client) SendStateUpdate(ctx context.Context, address string, s messenger.StateUpdate) error {
 	request := encodeShare(s)
 	request.Envelope = c.envelope()
 	_, err := call(ctx, c, address, "share", request, pb.Peers.Share)
@@ -149,7 +149,7 @@
 }
 
 // Locate asks what a peer knows of where a request is.
-func (c *Client) Locate(ctx context.Context, address string, q Question) (Location, bool, error) {
+func (c *Client) Locate(ctx context.Context, address string, q Query) (Location, bool, error) {
 	reply, err := call(ctx, c, address, "locate", c.question(q), pb.Peers.Locate)
 	return Location{
 		Address: reply.GetAddress(),
@@ -159,7 +159,7 @@
 
 // Outcome asks how a request that the peer owns ended. The peer waits up to
 // q.Wait for that; the call's own bound is added to it.
-func (c *Client) Outcome(ctx context.Context, address string, q Question) (Ending, error) {
+func (c *Client) Outcome(ctx context.Context, address string, q Query) (Ending, error) {
 	ctx, done := context.WithTimeout(ctx, (c.config.Timeout + q.Wait).Std())
 	defer done()
 	reply, err := call(ctx, c, address, "outcome", c.question(q), pb.Peers.Outcome)
@@ -195,8 +195,8 @@
 			Method:  method,
 			Reach:   NotReached,
 			Cause: &TooLargeError{
-				Size: size,
-				Most: c.config.MaxMessage,
+				Size:  size,
+				Limit: c.config.MaxMessage,
 			},
 		}
 	}
@@ -350,8 +350,8 @@
 	b.left -= identifier.Bytes(n)
 	if b.left < 0 {
 		return n, &TooLargeError{
-			Size: b.most - b.left,
-			Most: b.most,
+			Size:  b.most - b.left,
+			Limit: b.most,
 		}
 	}
 	return n, err
@@ -365,7 +365,7 @@
 	return request
 }
 
-func (c *Client) question(q Question) *pb.QuestionRequest {
+func (c *Client) question(q Query) *pb.QuestionRequest {
 	return &pb.QuestionRequest{
 		Envelope: c.envelope(),
 		Request:  string(q.Request),
--- a/internal/relayer/codec.go
+++ b/internal/relayer/codec.go
@@ -79,7 +79,7 @@
 		Key:          string(s.Key),
 		Idempotent:   s.Idempotent,
 		Long:         s.Long,
-		Home:         string(s.Home),
+		Home:         string(s.EntryNode),
 		AgeMs:        int64(now.Sub(s.Received)),
 		RemainingMs:  int64(s.Deadline.Sub(now)),
 		BodySize:     int64(s.BodySize),
@@ -101,7 +101,7 @@
 		Key:          identifier.IdempotencyKey(e.GetKey()),
 		Idempotent:   e.GetIdempotent(),
 		Long:         e.GetLong(),
-		Home:         identifier.VMID(e.GetHome()),
+		EntryNode:    identifier.VMID(e.GetHome()),
 		Received:     now.Add(-timekeeper.Duration(e.GetAgeMs())),
 		Deadline:     timekeeper.Never,
 		BodySize:     identifier.Bytes(e.GetBodySize()),
@@ -190,8 +190,8 @@
 	return r
 }
 
-func decodeQuestion(q *pb.QuestionRequest) Question {
-	return Question{
+func decodeQuestion(q *pb.QuestionRequest) Query {
+	return Query{
 		Request: identifier.RequestID(q.GetRequest()),
 		Account: identifier.AccountID(q.GetAccount()),
 		Wait:    timekeeper.Duration(q.GetWaitMs()),
--- a/internal/relayer/cost_test.go
+++ b/internal/relayer/cost_test.go
@@ -36,7 +36,7 @@
 	for _, servers := range []int{2, 84, 600} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			client, address := sharing(b)
-			s := messenger.Share{
+			s := messenger.StateUpdate{
 				InFlight: map[identifier.VMID]messenger.InFlight{},
 				Demand: map[identifier.ServiceName]messenger.ServiceDemand{
 					"reader": {
@@ -52,7 +52,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				require.NoError(b, client.Share(b.Context(), address, s))
+				require.NoError(b, client.SendStateUpdate(b.Context(), address, s))
 			}
 		})
 	}
--- a/internal/relayer/error.go
+++ b/internal/relayer/error.go
@@ -54,12 +54,12 @@
 
 // TooLargeError reports a message beyond the bound.
 type TooLargeError struct {
-	Size identifier.Bytes
-	Most identifier.Bytes
+	Size  identifier.Bytes
+	Limit identifier.Bytes
 }
 
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("message of %d bytes, more than %d", e.Size, e.Most)
+	return fmt.Sprintf("message of %d bytes, more than %d", e.Size, e.Limit)
 }
 
 // NoConfigurationError reports that a peer has no configuration either.
--- a/internal/relayer/handler.go
+++ b/internal/relayer/handler.go
@@ -52,7 +52,7 @@
 // Hold implements pb.Peers.
 func (h *handler) Hold(ctx context.Context, q *pb.PushRequest) (*pb.HoldReply, error) {
 	from := h.open(q.GetEnvelope())
-	answer := h.config.Peer.KeepCopy(ctx, from, decodePush(h.config.Now.Now(), q))
+	answer := h.config.Peer.StoreCopy(ctx, from, decodePush(h.config.Now.Now(), q))
 	return &pb.HoldReply{
 		Envelope: h.envelope(),
 		Answer:   string(answer),
@@ -90,7 +90,7 @@
 // Locate implements pb.Peers.
 func (h *handler) Locate(_ context.Context, q *pb.QuestionRequest) (*pb.LocateReply, error) {
 	h.open(q.GetEnvelope())
-	at, known := h.config.Peer.WhereIs(decodeQuestion(q))
+	at, known := h.config.Peer.Locate(decodeQuestion(q))
 	return &pb.LocateReply{
 		Envelope: h.envelope(),
 		Known:    known,
@@ -102,14 +102,14 @@
 // Outcome implements pb.Peers.
 func (h *handler) Outcome(ctx context.Context, q *pb.QuestionRequest) (*pb.OutcomeReply, error) {
 	h.open(q.GetEnvelope())
-	reply := encodeEnding(h.config.Peer.EndingOf(ctx, decodeQuestion(q)))
+	reply := encodeEnding(h.config.Peer.Ending(ctx, decodeQuestion(q)))
 	reply.Envelope = h.envelope()
 	return reply, nil
 }
 
 // Share implements pb.Peers.
 func (h *handler) Share(_ context.Context, q *pb.ShareRequest) (*pb.ShareReply, error) {
-	h.config.Peer.ReceiveShare(h.open(q.GetEnvelope()), decodeShare(q))
+	h.config.Peer.ReceiveStateUpdate(h.open(q.GetEnvelope()), decodeShare(q))
 	return &pb.ShareReply{Envelope: h.envelope()}, nil
 }
 
--- a/internal/relayer/relayer.go
+++ b/internal/relayer/relayer.go
@@ -25,15 +25,15 @@
 // Peer answers the calls of peers. It is called from many goroutines.
 type Peer interface {
 	ReceiveGossip(from identifier.VMID, data []byte)
-	KeepCopy(ctx context.Context, from identifier.VMID, p Push) HoldAnswer
+	StoreCopy(ctx context.Context, from identifier.VMID, p Push) HoldAnswer
 	DropCopy(ctx context.Context, from identifier.VMID, r identifier.RequestID)
 	// TakeOver returns nil once this node owns the request. An error means
 	// that it does not, unless ctx has ended.
 	TakeOver(ctx context.Context, from identifier.VMID, p Push) error
-	WhereIs(q Question) (Location, bool)
-	EndingOf(ctx context.Context, q Question) Ending
+	Locate(q Query) (Location, bool)
+	Ending(ctx context.Context, q Query) Ending
 	ExportConfiguration(ctx context.Context) ([]byte, bool)
-	ReceiveShare(from identifier.VMID, s messenger.Share)
+	ReceiveStateUpdate(from identifier.VMID, s messenger.StateUpdate)
 	// GrantLimit grants a request of an account, where this node does that.
 	GrantLimit(ctx context.Context, account identifier.AccountID, tokens identifier.Tokens) messenger.LimitAnswered
 	// GrantPermit grants a request to one of some servers that state a limit, where
@@ -67,17 +67,17 @@
 // The answers of holders.
 const (
 	// HoldKept: the holder has all that was pushed.
-	HoldKept HoldAnswer = "kept"
+	HoldStored HoldAnswer = "kept"
 	// HoldTaken: the holder owns the request now.
-	HoldTaken HoldAnswer = "taken"
+	HoldOwned HoldAnswer = "taken"
 	// HoldBehind: the holder lacks what came before and wants everything.
-	HoldBehind HoldAnswer = "behind"
+	HoldIncomplete HoldAnswer = "behind"
 	// HoldFull: the holder has no room for it.
 	HoldFull HoldAnswer = "full"
 )
 
 // Question asks a peer about a request of a client account.
-type Question struct {
+type Query struct {
 	Request identifier.RequestID
 	Account identifier.AccountID
 	// Wait is how long the peer may wait for the end of the request.
--- a/internal/relayer/relayer_test.go
+++ b/internal/relayer/relayer_test.go
@@ -26,10 +26,10 @@
 
 // fakePeer records what it is asked. Hooks decide what it says.
 type fakePeer struct {
-	share    messenger.Share
+	share    messenger.StateUpdate
 	from     identifier.VMID
 	push     Push
-	question Question
+	question Query
 	answer   HoldAnswer
 	arrived  chan struct{}
 	gate     chan struct{}
@@ -49,7 +49,7 @@
 	}
 }
 
-func (p *fakePeer) KeepCopy(_ context.Context, from identifier.VMID, push Push) HoldAnswer {
+func (p *fakePeer) StoreCopy(_ context.Context, from identifier.VMID, push Push) HoldAnswer {
 	p.from = from
 	p.push = push
 	return p.answer
@@ -61,7 +61,7 @@
 	return p.takeOver(ctx)
 }
 
-func (p *fakePeer) WhereIs(q Question) (Location, bool) {
+func (p *fakePeer) Locate(q Query) (Location, bool) {
 	p.question = q
 	return Location{
 		Address: "10.0.0.1:7000",
@@ -82,9 +82,9 @@
 	return p.permit
 }
 
-func (p *fakePeer) ReceiveShare(_ identifier.VMID, s messenger.Share) { p.share = s }
+func (p *fakePeer) ReceiveStateUpdate(_ identifier.VMID, s messenger.StateUpdate) { p.share = s }
 
-func (p *fakePeer) EndingOf(context.Context, Question) Ending { return p.ending }
+func (p *fakePeer) Ending(context.Context, Query) Ending { return p.ending }
 
 func (p *fakePeer) ExportConfiguration(context.Context) ([]byte, bool) {
 	return p.data, p.data != nil
@@ -131,7 +131,7 @@
 		Key:          "key",
 		Idempotent:   true,
 		Long:         true,
-		Home:         "client",
+		EntryNode:    "client",
 		Received:     clientNow - 2000,
 		Deadline:     clientNow + 30_000,
 		BodySize:     6,
@@ -145,7 +145,7 @@
 // A request travels to a holder whose wall clock is an hour ahead. Its deadline
 // must be as far away there as here, or the holder would end it at once.
 func TestHoldCarriesTheRequest(t *testing.T) {
-	p := &fakePeer{answer: HoldKept}
+	p := &fakePeer{answer: HoldStored}
 	client, address := pair(t, p)
 	first := Push{
 		Spec:  spec(),
@@ -168,7 +168,7 @@
 	}
 	answer, err := client.Hold(t.Context(), address, first)
 	require.NoError(t, err)
-	require.Equal(t, HoldKept, answer)
+	require.Equal(t, HoldStored, answer)
 	require.Equal(t, identifier.VMID("client"), p.from)
 	want := first
 	want.Spec.Received = serverNow - 2000
@@ -191,10 +191,10 @@
 // The home was frozen, taken for dead, and thaws. Its holder owns the request
 // now and says so; a home that did not hear it would answer the caller twice.
 func TestTakenIsTold(t *testing.T) {
-	client, address := pair(t, &fakePeer{answer: HoldTaken})
+	client, address := pair(t, &fakePeer{answer: HoldOwned})
 	answer, err := client.Hold(t.Context(), address, Push{Spec: spec()})
 	require.NoError(t, err)
-	require.Equal(t, HoldTaken, answer)
+	require.Equal(t, HoldOwned, answer)
 }
 
 func TestQuestions(t *testing.T) {
@@ -210,7 +210,7 @@
 		data: []byte("state"),
 	}
 	client, address := pair(t, p)
-	q := Question{
+	q := Query{
 		Request: "r1",
 		Account: "quillmark",
 		Wait:    timekeeper.Second,
@@ -235,7 +235,7 @@
 	require.ErrorAs(t, err, &missing)
 	require.NoError(t, client.Unhold(t.Context(), address, "r1"))
 
-	share := messenger.Share{
+	share := messenger.StateUpdate{
 		Incarnation: 7,
 		Servers: []messenger.PublishedServer{
 			{
@@ -252,18 +252,18 @@
 				ColdFor:  800,
 			},
 		},
-		Whole:            true,
-		Wants:            true,
-		ServersAge:       120,
-		ConfigurationAge: 340,
-		Revision:         12,
+		AllServers:         true,
+		RequestsAllServers: true,
+		ServersAge:         120,
+		ConfigurationAge:   340,
+		Revision:           12,
 		InFlight: map[identifier.VMID]messenger.InFlight{
 			"i-1": {
 				Running: 4,
 				Prefill: 250,
 			},
 		},
-		Kept: []messenger.KeptPart{
+		CachedPrefixes: []messenger.CachedPrefix{
 			{
 				Server: "i-1",
 				Part: messenger.PromptPart{
@@ -312,32 +312,32 @@
 		Rollouts: []messenger.Rollout{
 			{
 				Order: messenger.RolloutOrder{
-					Service: "reader",
-					Offset:  identifier.OffsetAt(2, 70),
-					To:      "v2",
-					Limit:   12_000,
+					Service:   "reader",
+					Offset:    identifier.OffsetAt(2, 70),
+					To:        "v2",
+					TimeLimit: 12_000,
 				},
-				Phase:  messenger.RolloutRunning,
-				Age:    4200,
-				LedAge: -1,
-				Pace:   0.08,
-				Focus:  2,
-				Barred: []identifier.Version{"v0"},
+				Phase:              messenger.RolloutRunning,
+				Age:                4200,
+				LeaderAge:          -1,
+				TrafficShare:       0.08,
+				ActiveServers:      2,
+				RolledBackVersions: []identifier.Version{"v0"},
 			},
 		},
 		Versions: []messenger.VersionCount{
 			{
-				Service: "reader",
-				Order:   identifier.OffsetAt(2, 70),
-				Route:   "report",
-				Server:  "i-1",
-				Sent:    9,
-				Answers: 7,
-				Failed:  2,
-				First:   []int{0, 3, 4},
-				Pace:    []int{5},
-				Running: 2,
-				Waiting: 1,
+				Service:         "reader",
+				Order:           identifier.OffsetAt(2, 70),
+				Route:           "report",
+				Server:          "i-1",
+				Sent:            9,
+				Answers:         7,
+				Failed:          2,
+				FirstEventTimes: []int{0, 3, 4},
+				EventIntervals:  []int{5},
+				Running:         2,
+				Waiting:         1,
 			},
 		},
 		Usage: []messenger.UsageCount{
@@ -349,17 +349,17 @@
 		},
 		Demand: map[identifier.ServiceName]messenger.ServiceDemand{
 			"reader": {
-				Running: 4,
-				Busy:    0.25,
+				Running:     4,
+				OfferedLoad: 0.25,
 			},
 		},
 		Fence:     41,
-		Holder:    "entry-2",
-		HolderAge: 650,
-		Scope:     messenger.ShareZone,
+		Leader:    "entry-2",
+		LeaderAge: 650,
+		Scope:     messenger.ScopeZone,
 		Zone:      "boston-a",
 	}
-	require.NoError(t, client.Share(t.Context(), address, share))
+	require.NoError(t, client.SendStateUpdate(t.Context(), address, share))
 	require.Equal(t, share, p.share)
 
 	granted, err := client.Limit(t.Context(), address, "agency", 99)
--- a/internal/relayer/rollout.go
+++ b/internal/relayer/rollout.go
@@ -14,14 +14,14 @@
 		Service:  string(r.Order.Service),
 		Offset:   uint64(r.Order.Offset),
 		To:       string(r.Order.To),
-		LimitMs:  int64(r.Order.Limit),
+		LimitMs:  int64(r.Order.TimeLimit),
 		Phase:    string(r.Phase),
 		AgeMs:    int64(r.Age),
-		LedAgeMs: int64(r.LedAge),
-		Pace:     r.Pace,
-		Focus:    int64(r.Focus),
+		LedAgeMs: int64(r.LeaderAge),
+		Pace:     r.TrafficShare,
+		Focus:    int64(r.ActiveServers),
 	}
-	for _, v := range r.Barred {
+	for _, v := range r.RolledBackVersions {
 		out.Barred = append(out.Barred, string(v))
 	}
 	return out
@@ -31,21 +31,21 @@
 func decodeRollout(r *pb.Rollout) messenger.Rollout {
 	out := messenger.Rollout{
 		Order: messenger.RolloutOrder{
-			Service: identifier.ServiceName(r.GetService()),
-			Offset:  identifier.Offset(r.GetOffset()),
-			To:      identifier.Version(r.GetTo()),
-			Limit:   timekeeper.Duration(r.GetLimitMs()),
+			Service:   identifier.ServiceName(r.GetService()),
+			Offset:    identifier.Offset(r.GetOffset()),
+			To:        identifier.Version(r.GetTo()),
+			TimeLimit: timekeeper.Duration(r.GetLimitMs()),
 		},
-		Phase:  messenger.RolloutPhase(r.GetPhase()),
-		Age:    timekeeper.Duration(max(r.GetAgeMs(), 0)),
-		LedAge: timekeeper.Duration(r.GetLedAgeMs()),
-		Focus:  int(max(r.GetFocus(), 0)),
+		Phase:         messenger.RolloutPhase(r.GetPhase()),
+		Age:           timekeeper.Duration(max(r.GetAgeMs(), 0)),
+		LeaderAge:     timekeeper.Duration(r.GetLedAgeMs()),
+		ActiveServers: int(max(r.GetFocus(), 0)),
 	}
 	if pace := r.GetPace(); pace > 0 && pace <= 1 && !math.IsNaN(pace) {
-		out.Pace = pace
+		out.TrafficShare = pace
 	}
 	for _, v := range r.GetBarred() {
-		out.Barred = append(out.Barred, identifier.Version(v))
+		out.RolledBackVersions = append(out.RolledBackVersions, identifier.Version(v))
 	}
 	return out
 }
@@ -59,8 +59,8 @@
 		Sent:    int64(c.Sent),
 		Answers: int64(c.Answers),
 		Failed:  int64(c.Failed),
-		First:   wide(c.First),
-		Pace:    wide(c.Pace),
+		First:   wide(c.FirstEventTimes),
+		Pace:    wide(c.EventIntervals),
 		Running: int64(c.Running),
 		Waiting: int64(c.Waiting),
 	}
@@ -70,17 +70,17 @@
 func decodeVersionCount(c *pb.VersionCount) messenger.VersionCount {
 	answers := max(c.GetAnswers(), 0)
 	return messenger.VersionCount{
-		Service: identifier.ServiceName(c.GetService()),
-		Order:   identifier.Offset(c.GetOrder()),
-		Route:   identifier.RouteName(c.GetRoute()),
-		Server:  identifier.VMID(c.GetServer()),
-		Sent:    int(max(c.GetSent(), 0)),
-		Answers: int(answers),
-		Failed:  int(min(max(c.GetFailed(), 0), answers)),
-		First:   narrow(c.GetFirst()),
-		Pace:    narrow(c.GetPace()),
-		Running: int(max(c.GetRunning(), 0)),
-		Waiting: int(max(c.GetWaiting(), 0)),
+		Service:         identifier.ServiceName(c.GetService()),
+		Order:           identifier.Offset(c.GetOrder()),
+		Route:           identifier.RouteName(c.GetRoute()),
+		Server:          identifier.VMID(c.GetServer()),
+		Sent:            int(max(c.GetSent(), 0)),
+		Answers:         int(answers),
+		Failed:          int(min(max(c.GetFailed(), 0), answers)),
+		FirstEventTimes: narrow(c.GetFirst()),
+		EventIntervals:  narrow(c.GetPace()),
+		Running:         int(max(c.GetRunning(), 0)),
+		Waiting:         int(max(c.GetWaiting(), 0)),
 	}
 }
 
--- a/internal/relayer/share.go
+++ b/internal/relayer/share.go
@@ -15,19 +15,19 @@
 // maxBusy bounds the servers that one report can give.
 const maxBusy = 1e5
 
-func encodeShare(s messenger.Share) *pb.ShareRequest {
+func encodeShare(s messenger.StateUpdate) *pb.ShareRequest {
 	out := &pb.ShareRequest{
 		Incarnation:        uint64(s.Incarnation),
 		ServersAgeMs:       int64(s.ServersAge),
 		ConfigurationAgeMs: int64(s.ConfigurationAge),
 		Revision:           uint64(s.Revision),
 		Fence:              uint64(s.Fence),
-		Holder:             string(s.Holder),
-		HolderAgeMs:        int64(s.HolderAge),
+		Holder:             string(s.Leader),
+		HolderAgeMs:        int64(s.LeaderAge),
 		Scope:              string(s.Scope),
 		Zone:               string(s.Zone),
-		Whole:              s.Whole,
-		Wants:              s.Wants,
+		Whole:              s.AllServers,
+		Wants:              s.RequestsAllServers,
 	}
 	for _, e := range s.Servers {
 		out.Servers = append(out.Servers, encodePublishedServer(e))
@@ -39,7 +39,7 @@
 			PrefillMs: int64(s.InFlight[vm].Prefill),
 		})
 	}
-	out.Kept = encodeKept(s.Kept)
+	out.Kept = encodeKept(s.CachedPrefixes)
 	for _, suspect := range s.Suspects {
 		out.Suspects = append(out.Suspects, encodeSuspect(suspect))
 	}
@@ -62,7 +62,7 @@
 		out.Demand = append(out.Demand, &pb.ServiceDemand{
 			Service: string(service),
 			Running: int64(d.Running),
-			Busy:    d.Busy,
+			Busy:    d.OfferedLoad,
 		})
 	}
 	return out
@@ -84,21 +84,21 @@
 	}
 }
 
-func decodeShare(q *pb.ShareRequest) messenger.Share {
-	s := messenger.Share{
-		Incarnation:      identifier.Incarnation(q.GetIncarnation()),
-		ServersAge:       timekeeper.Duration(q.GetServersAgeMs()),
-		ConfigurationAge: timekeeper.Duration(q.GetConfigurationAgeMs()),
-		Revision:         identifier.Revision(q.GetRevision()),
-		Fence:            identifier.Fence(q.GetFence()),
-		Holder:           identifier.VMID(q.GetHolder()),
-		HolderAge:        timekeeper.Duration(max(q.GetHolderAgeMs(), 0)),
-		Scope:            messenger.ShareScope(q.GetScope()),
-		Zone:             identifier.Zone(q.GetZone()),
-		Whole:            q.GetWhole(),
-		Wants:            q.GetWants(),
-		InFlight:         make(map[identifier.VMID]messenger.InFlight, len(q.GetInFlight())),
-		Demand:           make(map[identifier.ServiceName]messenger.ServiceDemand, len(q.GetDemand())),
+func decodeShare(q *pb.ShareRequest) messenger.StateUpdate {
+	s := messenger.StateUpdate{
+		Incarnation:        identifier.Incarnation(q.GetIncarnation()),
+		ServersAge:         timekeeper.Duration(q.GetServersAgeMs()),
+		ConfigurationAge:   timekeeper.Duration(q.GetConfigurationAgeMs()),
+		Revision:           identifier.Revision(q.GetRevision()),
+		Fence:              identifier.Fence(q.GetFence()),
+		Leader:             identifier.VMID(q.GetHolder()),
+		LeaderAge:          timekeeper.Duration(max(q.GetHolderAgeMs(), 0)),
+		Scope:              messenger.UpdateScope(q.GetScope()),
+		Zone:               identifier.Zone(q.GetZone()),
+		AllServers:         q.GetWhole(),
+		RequestsAllServers: q.GetWants(),
+		InFlight:           make(map[identifier.VMID]messenger.InFlight, len(q.GetInFlight())),
+		Demand:             make(map[identifier.ServiceName]messenger.ServiceDemand, len(q.GetDemand())),
 	}
 	for _, e := range q.GetServers() {
 		s.Servers = append(s.Servers, decodePublishedServer(e))
@@ -109,7 +109,7 @@
 			Prefill: timekeeper.Duration(max(l.GetPrefillMs(), 0)),
 		}
 	}
-	s.Kept = decodeKept(q.GetKept())
+	s.CachedPrefixes = decodeKept(q.GetKept())
 	for _, suspect := range q.GetSuspects() {
 		s.Suspects = append(s.Suspects, decodeSuspect(suspect))
 	}
@@ -129,8 +129,8 @@
 	}
 	for _, d := range q.GetDemand() {
 		s.Demand[identifier.ServiceName(d.GetService())] = messenger.ServiceDemand{
-			Running: int(max(d.GetRunning(), 0)),
-			Busy:    busy(d.GetBusy()),
+			Running:     int(max(d.GetRunning(), 0)),
+			OfferedLoad: busy(d.GetBusy()),
 		}
 	}
 	return s
@@ -153,7 +153,7 @@
 }
 
 // encodeKept groups parts by server.
-func encodeKept(parts []messenger.KeptPart) []*pb.KeptParts {
+func encodeKept(parts []messenger.CachedPrefix) []*pb.KeptParts {
 	var out []*pb.KeptParts
 	at := map[identifier.VMID]*pb.KeptParts{}
 	for _, p := range parts {
@@ -171,15 +171,15 @@
 
 // decodeKept leaves out what can't be true: lists of different lengths, and
 // parts without tokens.
-func decodeKept(groups []*pb.KeptParts) []messenger.KeptPart {
-	var out []messenger.KeptPart
+func decodeKept(groups []*pb.KeptParts) []messenger.CachedPrefix {
+	var out []messenger.CachedPrefix
 	for _, k := range groups {
 		if len(k.GetHashes()) != len(k.GetTokens()) {
 			continue
 		}
 		for i, hash := range k.GetHashes() {
 			if tokens := k.GetTokens()[i]; tokens > 0 {
-				out = append(out, messenger.KeptPart{
+				out = append(out, messenger.CachedPrefix{
 					Server: identifier.VMID(k.GetServer()),
 					Part: messenger.PromptPart{
 						Hash:   identifier.PrefixHash(hash),
--- a/internal/retrier/classify.go
+++ b/internal/retrier/classify.go
@@ -14,7 +14,7 @@
 		return true
 	}
 	switch result {
-	case messenger.AttemptBroken, messenger.AttemptSilent, messenger.AttemptFailed:
+	case messenger.AttemptBroken, messenger.AttemptTimedOut, messenger.AttemptFailed:
 		return idempotent
 	}
 	return false
--- a/internal/retrier/retrier.go
+++ b/internal/retrier/retrier.go
@@ -203,7 +203,7 @@
 	case messenger.AttemptFailed:
 		return messenger.ReasonServerFailed
 	default:
-		return messenger.ReasonRetriesSpent
+		return messenger.ReasonRetriesExhausted
 	}
 }
 
--- a/internal/retrier/retrier_test.go
+++ b/internal/retrier/retrier_test.go
@@ -46,7 +46,7 @@
 		check(messenger.AttemptNotSent, idempotent, true, messenger.NotRun)
 		check(messenger.AttemptRefused, idempotent, true, messenger.NotRun)
 		check(messenger.AttemptBroken, idempotent, idempotent, messenger.Unknown)
-		check(messenger.AttemptSilent, idempotent, idempotent, messenger.Unknown)
+		check(messenger.AttemptTimedOut, idempotent, idempotent, messenger.Unknown)
 		check(messenger.AttemptFailed, idempotent, idempotent, messenger.Failed)
 		check("nonsense", idempotent, false, messenger.Unknown)
 	}
@@ -69,7 +69,7 @@
 func TestNextProperties(t *testing.T) {
 	results := []messenger.AttemptResult{
 		messenger.AttemptComplete, messenger.AttemptNotSent, messenger.AttemptRefused,
-		messenger.AttemptBroken, messenger.AttemptSilent, messenger.AttemptFailed,
+		messenger.AttemptBroken, messenger.AttemptTimedOut, messenger.AttemptFailed,
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		b, rng := New(Config{Rules: AllRules()}), seeded(rapid.Uint64().Draw(t, "seed"))
@@ -140,7 +140,7 @@
 	rules := AllRules()
 	require.Equal(t, Verdict{Again: true}, moved(rules))
 	rules.PlannedFree = false
-	require.Equal(t, messenger.ReasonRetriesSpent, moved(rules).Reason)
+	require.Equal(t, messenger.ReasonRetriesExhausted, moved(rules).Reason)
 
 	b, rng := New(Config{Rules: AllRules()}), seeded(1)
 	pause := timekeeper.Duration(0)
--- a/internal/runner/attach.go
+++ b/internal/runner/attach.go
@@ -37,7 +37,7 @@
 	if a, ok := r.answers.Get(request); ok {
 		return own(a, account)
 	}
-	q := relayer.Question{
+	q := relayer.Query{
 		Request: request,
 		Account: account,
 	}
--- a/internal/runner/attempt.go
+++ b/internal/runner/attempt.go
@@ -201,8 +201,8 @@
 // this side, and the reducer tries a new one.
 func (a *attempt) patience() adapter.Patience {
 	return adapter.Patience{
-		First: a.effect.FirstSilence,
-		Next:  a.effect.NextSilence,
+		First: a.effect.FirstEventTimeout,
+		Next:  a.effect.NextEventTimeout,
 	}
 }
 
--- a/internal/runner/attempt_test.go
+++ b/internal/runner/attempt_test.go
@@ -79,14 +79,14 @@
 	f.config.Engines = engines
 	send := func(n identifier.AttemptNumber, mode messenger.StartMode, r identifier.RequestID) messenger.SendAttempt {
 		return messenger.SendAttempt{
-			Request:      r,
-			Attempt:      n,
-			Address:      stand.Address(),
-			Mode:         mode,
-			Stream:       identifier.Stream(r, 1),
-			Deadline:     timekeeper.Never,
-			FirstSilence: 500 * timekeeper.Millisecond,
-			NextSilence:  300 * timekeeper.Millisecond,
+			Request:           r,
+			Attempt:           n,
+			Address:           stand.Address(),
+			Mode:              mode,
+			Stream:            identifier.Stream(r, 1),
+			Deadline:          timekeeper.Never,
+			FirstEventTimeout: 500 * timekeeper.Millisecond,
+			NextEventTimeout:  300 * timekeeper.Millisecond,
 		}
 	}
 	f.reducer.on = func(body messenger.EventBody) []messenger.Effect {
@@ -98,7 +98,7 @@
 				service.Gate.Silence()
 			}
 		case messenger.AttemptEnded:
-			if e.Result == messenger.AttemptSilent {
+			if e.Result == messenger.AttemptTimedOut {
 				return []messenger.Effect{send(2, messenger.StartResume, e.Request)}
 			}
 			return []messenger.Effect{messenger.Finish{
@@ -128,7 +128,7 @@
 	for _, e := range eventsOf[messenger.AttemptEnded](f.reducer) {
 		results = append(results, e.Result)
 	}
-	require.Equal(t, []messenger.AttemptResult{messenger.AttemptSilent, messenger.AttemptComplete}, results)
+	require.Equal(t, []messenger.AttemptResult{messenger.AttemptTimedOut, messenger.AttemptComplete}, results)
 	require.Equal(t, standin.Answer("a manuscript", 100), text)
 	cancel()
 	<-f.stopped
--- a/internal/runner/backend.go
+++ b/internal/runner/backend.go
@@ -143,7 +143,7 @@
 			Key:          s.Key,
 			Idempotent:   service.Idempotent,
 			Long:         service.Long,
-			Home:         r.config.Self,
+			EntryNode:    r.config.Self,
 			Received:     now,
 			Deadline:     now.Add(remaining),
 			BodySize:     body.Size(),
@@ -196,7 +196,7 @@
 	}
 	context.AfterFunc(ctx, func() {
 		if a.CallerLeft() == 0 {
-			r.emit(context.Background(), messenger.CallerGone{Request: a.Request()})
+			r.emit(context.Background(), messenger.CallerDisconnected{Request: a.Request()})
 		}
 	})
 }
--- a/internal/runner/backend_test.go
+++ b/internal/runner/backend_test.go
@@ -213,7 +213,7 @@
 // node has adopted the request, the caller reads on.
 func TestAttachAtTheHolderWaitsForTheAdoption(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
-		f.KeepCopy(t.Context(), "entry-2", push(1))
+		f.StoreCopy(t.Context(), "entry-2", push(1))
 		attached := make(chan *answerer.Answer, 1)
 		go func() {
 			a, err := f.Attach(t.Context(), "r1", "agency")
@@ -246,14 +246,14 @@
 		leave()
 		synctest.Wait()
 		require.Len(t, eventsOf[messenger.CallerAttached](f.reducer), 1)
-		require.Empty(t, eventsOf[messenger.CallerGone](f.reducer))
+		require.Empty(t, eventsOf[messenger.CallerDisconnected](f.reducer))
 
 		ctx, leave = context.WithCancel(t.Context())
 		_, err = f.Submit(ctx, report("key-2"))
 		require.NoError(t, err)
 		leave()
 		synctest.Wait()
-		require.Len(t, eventsOf[messenger.CallerGone](f.reducer), 1)
+		require.Len(t, eventsOf[messenger.CallerDisconnected](f.reducer), 1)
 	})
 }
 
--- a/internal/runner/claimed.go
+++ b/internal/runner/claimed.go
@@ -70,7 +70,7 @@
 			break
 		}
 		wait := min(left, outcomeWait)
-		ending, err := r.askOutcome(ctx, address, relayer.Question{
+		ending, err := r.askOutcome(ctx, address, relayer.Query{
 			Request: a.Request(),
 			Account: a.Account(),
 			Wait:    wait,
@@ -87,7 +87,7 @@
 	return relayer.Ending{State: relayer.EndingUnknown}
 }
 
-func (r *Runner) askOutcome(ctx context.Context, address string, q relayer.Question) (relayer.Ending, error) {
+func (r *Runner) askOutcome(ctx context.Context, address string, q relayer.Query) (relayer.Ending, error) {
 	ctx, done := context.WithTimeout(ctx, q.Wait.Std()+time.Second)
 	defer done()
 	return r.config.Peers.Outcome(ctx, address, q)
--- a/internal/runner/copies.go
+++ b/internal/runner/copies.go
@@ -60,10 +60,10 @@
 	held := c.held[p.Spec.Request]
 	size := pushSize(p)
 	if held != nil && held.owner != owner && later(held.answer.Epoch(), held.owner, p.Epoch, owner) {
-		return relayer.HoldTaken
+		return relayer.HoldOwned
 	}
 	if p.Body == nil && (held == nil || held.owner != owner) {
-		return relayer.HoldBehind
+		return relayer.HoldIncomplete
 	}
 	if c.bytes+size > c.limit || held == nil && len(c.held) >= maxCopies {
 		return relayer.HoldFull
@@ -86,13 +86,13 @@
 		Pieces: p.Pieces,
 		Reply:  p.Reply,
 	}) {
-		return relayer.HoldBehind
+		return relayer.HoldIncomplete
 	}
 	held.answer.RaiseEpoch(p.Epoch)
 	now := held.answer.Size()
 	c.bytes += now - held.size
 	held.size = now
-	return relayer.HoldKept
+	return relayer.HoldStored
 }
 
 func pushSize(p relayer.Push) identifier.Bytes {
--- a/internal/runner/effect.go
+++ b/internal/runner/effect.go
@@ -60,15 +60,15 @@
 		r.decided(e.Exchange, e)
 	case messenger.EndExchange:
 		r.decided(e.Exchange, e)
-	case messenger.AskLimit:
+	case messenger.RequestLimit:
 		r.askLimit(e)
 	case messenger.AnswerLimit:
 		r.limitAsks.answer(e.Ticket, e.Answer)
-	case messenger.AskPermit:
+	case messenger.RequestPermit:
 		r.askPermit(e)
 	case messenger.AnswerPermit:
 		r.permitAsks.answer(e.Ticket, e.Answer)
-	case messenger.SendShare:
+	case messenger.SendStateUpdate:
 		r.sendShare(e)
 	case messenger.OrderServers:
 		r.orderServers(e)
@@ -76,13 +76,13 @@
 		r.reportUsage(e)
 	case messenger.ClaimRollouts:
 		r.claimRollouts(e)
-	case messenger.KeepRollout:
+	case messenger.StoreRollout:
 		r.keepRollout(e)
 	case messenger.ReplyOperator:
 		r.replyOperator(e)
 	case messenger.FetchConfiguration:
 		r.fetchConfiguration(e)
-	case messenger.Note:
+	case messenger.TimelineEntry:
 		r.note(e)
 	case messenger.Exit:
 		r.exit()
@@ -155,7 +155,7 @@
 // note puts an event on the time line and writes it to the log. Those about other
 // VMs come by hundreds when many nodes start, or a zone goes, and are summed up
 // then; what this node decides is not.
-func (r *Runner) note(e messenger.Note) {
+func (r *Runner) note(e messenger.TimelineEntry) {
 	entry := r.config.Historian.Record(e)
 	ofOthers := e.Request == "" && e.VM != r.config.Self
 	if ofOthers && !r.summaries.Admit(r.clock.Now(), e.Kind, e.VM) {
--- a/internal/runner/exchange.go
+++ b/internal/runner/exchange.go
@@ -36,7 +36,7 @@
 func (r *Runner) Ended(e messenger.ExchangeEnded) { r.emit(context.Background(), e) }
 
 // LimitHeard implements forwarder.Decider.
-func (r *Runner) LimitHeard(ctx context.Context, e messenger.ServerLimitHeard) {
+func (r *Runner) LimitHeard(ctx context.Context, e messenger.ServerLimitReceived) {
 	r.emit(context.WithoutCancel(ctx), e)
 }
 
@@ -95,16 +95,16 @@
 
 // ReceiveShare implements relayer.Peer. What is dropped where the loop is
 // behind comes again with the peer's next share.
-func (r *Runner) ReceiveShare(from identifier.VMID, s messenger.Share) {
-	r.offer(messenger.ShareReceived{
-		From:  from,
-		Share: s,
+func (r *Runner) ReceiveStateUpdate(from identifier.VMID, s messenger.StateUpdate) {
+	r.offer(messenger.StateUpdateReceived{
+		From:   from,
+		Update: s,
 	})
 }
 
 // sendShare tells a peer what this node knows. A share that waits for an
 // earlier one is dropped: the next says all that it says.
-func (r *Runner) sendShare(e messenger.SendShare) {
+func (r *Runner) sendShare(e messenger.SendStateUpdate) {
 	key := "share/" + string(e.Peer)
 	if r.lanes.waiting(key) >= gossipQueue {
 		r.metrics.droppedEffects.Add(1)
@@ -113,7 +113,7 @@
 	r.inLane(key, func(ctx context.Context) func() {
 		ctx, done := context.WithTimeout(ctx, gossipTimeout)
 		defer done()
-		if err := r.config.Peers.Share(ctx, e.Address, e.Share); err != nil {
+		if err := r.config.Peers.SendStateUpdate(ctx, e.Address, e.Update); err != nil {
 			return r.report(messenger.PeerFailed{Peer: e.Peer})
 		}
 		return nil
@@ -124,28 +124,28 @@
 func (r *Runner) orderServers(e messenger.OrderServers) {
 	// One lane for what the cloud checks one fence of.
 	key := "order/" + string(e.Order.Service) + "/" + string(e.Order.Zone)
-	result := func(d messenger.DutyResult) func() {
+	result := func(d messenger.LeaderTaskResult) func() {
 		return r.report(messenger.ServersOrdered{
 			Order:  e.Order,
 			Result: d,
 		})
 	}
 	r.inLane(key, func(ctx context.Context) func() {
-		return result(r.duty(ctx, e.NotAfter, func(ctx context.Context) messenger.DutyResult {
+		return result(r.duty(ctx, e.NotAfter, func(ctx context.Context) messenger.LeaderTaskResult {
 			number, ok := r.orders.Next(e.Fence)
 			if !ok {
-				return messenger.DutyFenced
+				return messenger.LeaderTaskFenced
 			}
 			e.Fence = number
 			return r.config.Duties.OrderServers(ctx, e)
 		}))
-	}, func() { r.later(messenger.ServersOrdered{Order: e.Order, Result: messenger.DutyUnknown}) })
+	}, func() { r.later(messenger.ServersOrdered{Order: e.Order, Result: messenger.LeaderTaskUnknown}) })
 }
 
 // reportUsage reports a window, if the lease still covers it.
 func (r *Runner) reportUsage(e messenger.ReportUsage) {
 	r.inLane("usage", func(ctx context.Context) func() {
-		result := r.duty(ctx, e.NotAfter, func(ctx context.Context) messenger.DutyResult {
+		result := r.duty(ctx, e.NotAfter, func(ctx context.Context) messenger.LeaderTaskResult {
 			return r.config.Duties.ReportUsage(ctx, e)
 		})
 		return r.report(messenger.UsageReported{
@@ -162,9 +162,9 @@
 // duty makes a call under a lease. The clock is read right before the call
 // leaves: a process that was frozen in between finds its lease lapsed, and does
 // not act beside the new holder.
-func (r *Runner) duty(ctx context.Context, notAfter timekeeper.Time, call func(context.Context) messenger.DutyResult) messenger.DutyResult {
+func (r *Runner) duty(ctx context.Context, notAfter timekeeper.Time, call func(context.Context) messenger.LeaderTaskResult) messenger.LeaderTaskResult {
 	if !r.clock.Now().Before(notAfter) {
-		return messenger.DutyUnknown
+		return messenger.LeaderTaskUnknown
 	}
 	ctx, done := context.WithTimeout(ctx, dutyTimeout.Std())
 	defer done()
--- a/internal/runner/fake_test.go
+++ b/internal/runner/fake_test.go
@@ -213,7 +213,7 @@
 	p.pushes = append(p.pushes, push)
 	p.mu.Unlock()
 	if p.hold == nil {
-		return relayer.HoldKept, nil
+		return relayer.HoldStored, nil
 	}
 	return p.hold(ctx, push)
 }
@@ -250,11 +250,11 @@
 	return p.handOver(ctx)
 }
 
-func (p *fakePeers) Locate(ctx context.Context, address string, _ relayer.Question) (relayer.Location, bool, error) {
+func (p *fakePeers) Locate(ctx context.Context, address string, _ relayer.Query) (relayer.Location, bool, error) {
 	return p.locate(ctx, address)
 }
 
-func (p *fakePeers) Outcome(context.Context, string, relayer.Question) (relayer.Ending, error) {
+func (p *fakePeers) Outcome(context.Context, string, relayer.Query) (relayer.Ending, error) {
 	return p.outcome()
 }
 
--- a/internal/runner/grant.go
+++ b/internal/runner/grant.go
@@ -36,7 +36,7 @@
 
 // askLimit asks a peer for a part of an account's limit. The caller waits for
 // the answer, so it does not share a lane with others.
-func (r *Runner) askLimit(e messenger.AskLimit) {
+func (r *Runner) askLimit(e messenger.RequestLimit) {
 	r.tasks.start(func(ctx context.Context) func() {
 		ctx, done := context.WithTimeout(ctx, grantTimeout.Std())
 		defer done()
@@ -48,7 +48,7 @@
 }
 
 // askPermit asks a peer for a permit to send a request. It shares no lane either.
-func (r *Runner) askPermit(e messenger.AskPermit) {
+func (r *Runner) askPermit(e messenger.RequestPermit) {
 	r.tasks.start(func(ctx context.Context) func() {
 		ctx, done := context.WithTimeout(ctx, grantTimeout.Std())
 		defer done()
@@ -63,7 +63,7 @@
 func (r *Runner) GrantLimit(ctx context.Context, account identifier.AccountID, tokens identifier.Tokens) messenger.LimitAnswered {
 	answer := make(chan messenger.LimitAnswered, 1)
 	applied := r.ask(ctx, func() {
-		r.step(messenger.LimitAsked{
+		r.step(messenger.LimitRequested{
 			Ticket:  r.limitAsks.add(answer),
 			Account: account,
 			Tokens:  tokens,
@@ -79,7 +79,7 @@
 func (r *Runner) GrantPermit(ctx context.Context, limits []messenger.ServerLimit) messenger.PermitAnswered {
 	answer := make(chan messenger.PermitAnswered, 1)
 	applied := r.ask(ctx, func() {
-		r.step(messenger.PermitAsked{
+		r.step(messenger.PermitRequested{
 			Ticket: r.permitAsks.add(answer),
 			Limits: limits,
 		})
--- a/internal/runner/hold.go
+++ b/internal/runner/hold.go
@@ -113,22 +113,22 @@
 		switch {
 		case ctx.Err() != nil:
 			return nil
-		case err == nil && answer == relayer.HoldTaken:
+		case err == nil && answer == relayer.HoldOwned:
 			return messenger.HoldRefused{
 				Request: p.effect.Request,
 				Holder:  p.effect.Holder,
 			}
-		case err == nil && answer == relayer.HoldBehind && behind == 0:
+		case err == nil && answer == relayer.HoldIncomplete && behind == 0:
 			mark, whole = answerer.Mark{}, true
 			behind++
 			continue
-		case err != nil || answer != relayer.HoldKept:
+		case err != nil || answer != relayer.HoldStored:
 			r.logger.Debug("push to holder failed", "request", p.effect.Request,
 				"holder", p.effect.Holder, "answer", answer, "error", err)
 			return messenger.HoldFailed{
-				Request: p.effect.Request,
-				Holder:  p.effect.Holder,
-				Gone:    refused(err),
+				Request:     p.effect.Request,
+				Holder:      p.effect.Holder,
+				HolderEnded: refused(err),
 			}
 		}
 		whole, behind = false, 0
--- a/internal/runner/hold_test.go
+++ b/internal/runner/hold_test.go
@@ -40,7 +40,7 @@
 		}
 		f.peers.hold = func(context.Context, relayer.Push) (relayer.HoldAnswer, error) {
 			<-acks
-			return relayer.HoldKept, nil
+			return relayer.HoldStored, nil
 		}
 		speak := make(chan string)
 		f.engines.run = engineRepeating(speak)
@@ -101,9 +101,9 @@
 		f.reducer.nodes = nodes("entry-1", "entry-2")
 		f.peers.hold = func(_ context.Context, p relayer.Push) (relayer.HoldAnswer, error) {
 			if len(p.Pieces) > 0 {
-				return relayer.HoldTaken, nil
+				return relayer.HoldOwned, nil
 			}
-			return relayer.HoldKept, nil
+			return relayer.HoldStored, nil
 		}
 		f.engines.run = engineSaying("a")
 		a := f.submit()
@@ -129,14 +129,14 @@
 			if gone {
 				return "", &relayer.PeerError{Reach: relayer.Refused}
 			}
-			return relayer.HoldKept, nil
+			return relayer.HoldStored, nil
 		}
 		f.engines.run = engineSaying("a")
 		a := f.submit()
 		f.do(holdOf(a), messenger.Accept{Request: a.Request()}, attemptOf(a, 1))
 		failed := eventsOf[messenger.HoldFailed](f.reducer)
 		require.Len(t, failed, 1)
-		require.True(t, failed[0].Gone)
+		require.True(t, failed[0].HolderEnded)
 		f.do(unholdOf(a))
 		text, _ := visible(t, a)
 		require.Empty(t, text, "an Unhold that names its holder lets nothing out")
@@ -297,8 +297,8 @@
 	t.Run("copy", func(t *testing.T) {
 		inBubble(t, func(t *testing.T, f *fixture) {
 			refuse(f)
-			require.Equal(t, relayer.HoldKept, f.KeepCopy(t.Context(), "entry-2", push(1)))
-			at, ok := f.WhereIs(relayer.Question{
+			require.Equal(t, relayer.HoldStored, f.StoreCopy(t.Context(), "entry-2", push(1)))
+			at, ok := f.Locate(relayer.Query{
 				Request: "r1",
 				Account: "agency",
 			})
@@ -331,25 +331,25 @@
 			name:  "later peer",
 			from:  "entry-2",
 			epoch: 6,
-			want:  relayer.HoldKept,
+			want:  relayer.HoldStored,
 		},
 		{
 			name:  "earlier peer",
 			from:  "entry-2",
 			epoch: 4,
-			want:  relayer.HoldTaken,
+			want:  relayer.HoldOwned,
 		},
 		{
 			name:  "same epoch, larger name",
 			from:  "entry-2",
 			epoch: 5,
-			want:  relayer.HoldTaken,
+			want:  relayer.HoldOwned,
 		},
 		{
 			name:  "same epoch, smaller name",
 			from:  "entry-0",
 			epoch: 5,
-			want:  relayer.HoldKept,
+			want:  relayer.HoldStored,
 		},
 		{
 			name: "whole answer here",
@@ -358,21 +358,21 @@
 			},
 			from:  "entry-2",
 			epoch: 9,
-			want:  relayer.HoldTaken,
+			want:  relayer.HoldOwned,
 		},
 		{
 			name:  "moved to the peer",
 			own:   func(a *answerer.Answer) { a.Redirect("entry-2", "x") },
 			from:  "entry-2",
 			epoch: 4,
-			want:  relayer.HoldKept,
+			want:  relayer.HoldStored,
 		},
 		{
 			name:  "moved elsewhere",
 			own:   func(a *answerer.Answer) { a.Redirect("entry-3", "x") },
 			from:  "entry-2",
 			epoch: 4,
-			want:  relayer.HoldTaken,
+			want:  relayer.HoldOwned,
 		},
 	}
 	for _, test := range tests {
@@ -386,9 +386,9 @@
 					test.own(a)
 				}
 				f.answers.Put(a)
-				require.Equal(t, test.want, f.KeepCopy(t.Context(), test.from, push(test.epoch)))
+				require.Equal(t, test.want, f.StoreCopy(t.Context(), test.from, push(test.epoch)))
 				synctest.Wait()
-				require.Equal(t, test.want == relayer.HoldKept, len(eventsOf[messenger.CopyHeld](f.reducer)) == 1)
+				require.Equal(t, test.want == relayer.HoldStored, len(eventsOf[messenger.CopyHeld](f.reducer)) == 1)
 			})
 		})
 	}
@@ -407,16 +407,16 @@
 			Text:  "a",
 		}},
 	}
-	require.Equal(t, relayer.HoldBehind, c.keep("entry-2", part))
-	require.Equal(t, relayer.HoldKept, c.keep("entry-2", whole))
-	require.Equal(t, relayer.HoldKept, c.keep("entry-2", part))
+	require.Equal(t, relayer.HoldIncomplete, c.keep("entry-2", part))
+	require.Equal(t, relayer.HoldStored, c.keep("entry-2", whole))
+	require.Equal(t, relayer.HoldStored, c.keep("entry-2", part))
 	part.Pieces[0].Index = 3
-	require.Equal(t, relayer.HoldBehind, c.keep("entry-2", part))
-	require.Equal(t, relayer.HoldTaken, c.keep("entry-3", part), "entry-2 comes first at the same epoch")
+	require.Equal(t, relayer.HoldIncomplete, c.keep("entry-2", part))
+	require.Equal(t, relayer.HoldOwned, c.keep("entry-3", part), "entry-2 comes first at the same epoch")
 	part.Pieces[0].Text = string(make([]byte, 200))
 	require.Equal(t, relayer.HoldFull, c.keep("entry-2", part))
 
-	require.Equal(t, relayer.HoldKept, c.keep("entry-3", push(2)))
+	require.Equal(t, relayer.HoldStored, c.keep("entry-3", push(2)))
 	require.False(t, c.dropFrom("entry-2", "r1"), "the word of the owner before")
 	require.True(t, c.dropFrom("entry-3", "r1"))
 	n, bytes := c.size()
@@ -435,8 +435,8 @@
 		return c.keep("entry-2", p)
 	}
 	for n := range maxCopies {
-		require.Equal(t, relayer.HoldKept, offer(n))
+		require.Equal(t, relayer.HoldStored, offer(n))
 	}
 	require.Equal(t, relayer.HoldFull, offer(maxCopies))
-	require.Equal(t, relayer.HoldKept, offer(0), "a copy that is kept is renewed")
+	require.Equal(t, relayer.HoldStored, offer(0), "a copy that is kept is renewed")
 }
--- a/internal/runner/locate.go
+++ b/internal/runner/locate.go
@@ -48,7 +48,7 @@
 
 // locate asks peers where a request is, at most locateParallel at a time, and
 // returns the first owner named; else the first holder of a copy.
-func (r *Runner) locate(ctx context.Context, q relayer.Question, addresses []string) (relayer.Location, bool) {
+func (r *Runner) locate(ctx context.Context, q relayer.Query, addresses []string) (relayer.Location, bool) {
 	ctx, cancel := context.WithTimeout(ctx, locateTimeout)
 	defer cancel()
 	var best sighting
@@ -76,7 +76,7 @@
 }
 
 // askPeer asks one peer where a request is.
-func (r *Runner) askPeer(ctx context.Context, address string, q relayer.Question) sighting {
+func (r *Runner) askPeer(ctx context.Context, address string, q relayer.Query) sighting {
 	at, found, err := r.config.Peers.Locate(ctx, address, q)
 	return sighting{
 		at:    at,
--- a/internal/runner/order_test.go
+++ b/internal/runner/order_test.go
@@ -25,31 +25,31 @@
 
 var _ Duties = (*lateCloud)(nil)
 
-func (c *lateCloud) ReportUsage(context.Context, messenger.ReportUsage) messenger.DutyResult {
-	return messenger.DutyDone
+func (c *lateCloud) ReportUsage(context.Context, messenger.ReportUsage) messenger.LeaderTaskResult {
+	return messenger.LeaderTaskDone
 }
 
-func (c *lateCloud) OrderServers(ctx context.Context, e messenger.OrderServers) messenger.DutyResult {
+func (c *lateCloud) OrderServers(ctx context.Context, e messenger.OrderServers) messenger.LeaderTaskResult {
 	c.mu.Lock()
 	lose := c.lose
 	c.mu.Unlock()
 	if lose {
 		time.AfterFunc(12*time.Second, func() { c.carryOut(e) })
 		<-ctx.Done()
-		return messenger.DutyUnknown
+		return messenger.LeaderTaskUnknown
 	}
 	return c.carryOut(e)
 }
 
-func (c *lateCloud) carryOut(e messenger.OrderServers) messenger.DutyResult {
+func (c *lateCloud) carryOut(e messenger.OrderServers) messenger.LeaderTaskResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if e.Fence < c.seen {
-		return messenger.DutyFenced
+		return messenger.LeaderTaskFenced
 	}
 	c.seen = e.Fence
 	c.servers = e.Order.Count
-	return messenger.DutyDone
+	return messenger.LeaderTaskDone
 }
 
 // loses lets the cloud lose its answers, or no longer.
--- a/internal/runner/outside.go
+++ b/internal/runner/outside.go
@@ -74,7 +74,7 @@
 // whole has to be read anew.
 type PublishedStore interface {
 	// Era returns the era of the store as far as an answer has told.
-	Era() identifier.Era
+	Era() identifier.StoreGeneration
 	// AllServers returns all entries, and the offset to go on from.
 	AllServers(ctx context.Context) ([]messenger.PublishedServer, identifier.Offset, error)
 	// ServersFrom returns the entries from an offset on, which may be none.
@@ -104,16 +104,16 @@
 type RolloutStore interface {
 	// ClaimRollouts keeps holders with smaller fences from writing, and returns the
 	// last state of each service's roll-out.
-	ClaimRollouts(ctx context.Context, fence identifier.Fence) ([]messenger.Rollout, messenger.DutyResult)
+	ClaimRollouts(ctx context.Context, fence identifier.Fence) ([]messenger.Rollout, messenger.LeaderTaskResult)
 	// KeepRollout writes a state and tells the operators.
-	KeepRollout(ctx context.Context, e messenger.KeepRollout) messenger.DutyResult
+	KeepRollout(ctx context.Context, e messenger.StoreRollout) messenger.LeaderTaskResult
 }
 
 // Duties are the calls to the platform that one node at a time makes. They say
 // truthfully what became of each.
 type Duties interface {
-	ReportUsage(ctx context.Context, e messenger.ReportUsage) messenger.DutyResult
-	OrderServers(ctx context.Context, e messenger.OrderServers) messenger.DutyResult
+	ReportUsage(ctx context.Context, e messenger.ReportUsage) messenger.LeaderTaskResult
+	OrderServers(ctx context.Context, e messenger.OrderServers) messenger.LeaderTaskResult
 }
 
 // ExpiredError reports that records which were to be read next are gone.
@@ -158,7 +158,7 @@
 // Peers speaks to other nodes at their peer addresses.
 type Peers interface {
 	Gossip(ctx context.Context, address string, data []byte) error
-	Share(ctx context.Context, address string, s messenger.Share) error
+	SendStateUpdate(ctx context.Context, address string, s messenger.StateUpdate) error
 	Limit(ctx context.Context, address string, account identifier.AccountID, tokens identifier.Tokens) (messenger.LimitAnswered, error)
 	Permit(ctx context.Context, address string, limits []messenger.ServerLimit) (messenger.PermitAnswered, error)
 	Hold(ctx context.Context, address string, p relayer.Push) (relayer.HoldAnswer, error)
@@ -166,8 +166,8 @@
 	// HandOver returns nil once the peer owns the request. After an error for
 	// which relayer.PeerError.NoEffect is false it may own it too.
 	HandOver(ctx context.Context, address string, p relayer.Push) error
-	Locate(ctx context.Context, address string, q relayer.Question) (relayer.Location, bool, error)
-	Outcome(ctx context.Context, address string, q relayer.Question) (relayer.Ending, error)
+	Locate(ctx context.Context, address string, q relayer.Query) (relayer.Location, bool, error)
+	Outcome(ctx context.Context, address string, q relayer.Query) (relayer.Ending, error)
 	Configuration(ctx context.Context, address string) ([]byte, error)
 }
 
--- a/internal/runner/peer.go
+++ b/internal/runner/peer.go
@@ -27,13 +27,13 @@
 // owns the request. Its push is refused where this node came after it, or has
 // the whole answer, so that callers do not read two continuations of one
 // answer. Where the pusher came after this node, the reducer yields to it.
-func (r *Runner) KeepCopy(ctx context.Context, from identifier.VMID, p relayer.Push) relayer.HoldAnswer {
+func (r *Runner) StoreCopy(ctx context.Context, from identifier.VMID, p relayer.Push) relayer.HoldAnswer {
 	own, ok := r.answers.Get(p.Spec.Request)
 	if ok && r.outranks(own, from, p.Epoch) {
-		return relayer.HoldTaken
+		return relayer.HoldOwned
 	}
 	answer := r.copies.keep(from, p)
-	if answer != relayer.HoldKept {
+	if answer != relayer.HoldStored {
 		return answer
 	}
 	if ok && neverRan(own) {
@@ -42,7 +42,7 @@
 	}
 	kept, _, ok := r.copies.get(p.Spec.Request)
 	if !ok {
-		return relayer.HoldTaken
+		return relayer.HoldOwned
 	}
 	place := kept.Place()
 	held := messenger.CopyHeld{
@@ -57,7 +57,7 @@
 	if !r.emit(ctx, held) {
 		return relayer.HoldFull
 	}
-	return relayer.HoldKept
+	return relayer.HoldStored
 }
 
 // DropCopy drops the copy that from's request has here.
@@ -158,7 +158,7 @@
 
 // WhereIs tells a peer where a request of an account is, as far as this node
 // knows by itself.
-func (r *Runner) WhereIs(q relayer.Question) (relayer.Location, bool) {
+func (r *Runner) Locate(q relayer.Query) (relayer.Location, bool) {
 	if a, ok := r.answers.Get(q.Request); ok {
 		if a.Account() != q.Account {
 			return relayer.Location{}, false
@@ -179,7 +179,7 @@
 
 // EndingOf waits up to q.Wait for the end of a request that this node owns
 // and tells a peer of it.
-func (r *Runner) EndingOf(ctx context.Context, q relayer.Question) relayer.Ending {
+func (r *Runner) Ending(ctx context.Context, q relayer.Query) relayer.Ending {
 	a, ok := r.answers.Get(q.Request)
 	if !ok || a.Account() != q.Account {
 		return relayer.Ending{State: relayer.EndingUnknown}
--- a/internal/runner/poll.go
+++ b/internal/runner/poll.go
@@ -133,10 +133,10 @@
 	}
 	r.cursors[vm] = page.Last
 	r.later(messenger.CacheReported{
-		Server: vm,
-		Held:   page.Held,
-		Gone:   page.Gone,
-		Gap:    page.Gap,
+		Server:  vm,
+		Cached:  page.Held,
+		Evicted: page.Gone,
+		Gap:     page.Gap,
 	})
 }
 
--- a/internal/runner/published.go
+++ b/internal/runner/published.go
@@ -143,10 +143,10 @@
 		return messenger.CatalogConfirmed{}, end, err
 	}
 	return messenger.CatalogPublished{
-		Catalog: p.Catalog,
-		Data:    p.Data,
-		Direct:  true,
-		Orders:  p.Orders,
+		Catalog:   p.Catalog,
+		Data:      p.Data,
+		FromStore: true,
+		Orders:    p.Orders,
 	}, end, err
 }
 
@@ -178,7 +178,7 @@
 		r.era.last = era
 	case era > r.era.last:
 		r.era.last = era
-		r.emit(ctx, messenger.StoreRestored{Era: era})
+		r.emit(ctx, messenger.StoreRestored{Generation: era})
 	}
 }
 
@@ -186,7 +186,7 @@
 type era struct {
 	mu    sync.Mutex
 	known bool
-	last  identifier.Era
+	last  identifier.StoreGeneration
 }
 
 // storeFailed notes a read that failed. The log has a line when reads begin to
--- a/internal/runner/rollout.go
+++ b/internal/runner/rollout.go
@@ -15,8 +15,8 @@
 func (r *Runner) claimRollouts(e messenger.ClaimRollouts) {
 	r.inLane(rolloutLane, func(ctx context.Context) func() {
 		claimed := messenger.RolloutsClaimed{Fence: e.Fence}
-		claimed.Result = r.duty(ctx, e.NotAfter, func(ctx context.Context) messenger.DutyResult {
-			var result messenger.DutyResult
+		claimed.Result = r.duty(ctx, e.NotAfter, func(ctx context.Context) messenger.LeaderTaskResult {
+			var result messenger.LeaderTaskResult
 			claimed.Rollouts, result = r.config.Rollouts.ClaimRollouts(ctx, e.Fence)
 			return result
 		})
@@ -25,12 +25,12 @@
 }
 
 // keepRollout writes the state of a roll-out, if the lease still covers it.
-func (r *Runner) keepRollout(e messenger.KeepRollout) {
+func (r *Runner) keepRollout(e messenger.StoreRollout) {
 	r.inLane(rolloutLane, func(ctx context.Context) func() {
-		result := r.duty(ctx, e.NotAfter, func(ctx context.Context) messenger.DutyResult {
+		result := r.duty(ctx, e.NotAfter, func(ctx context.Context) messenger.LeaderTaskResult {
 			return r.config.Rollouts.KeepRollout(ctx, e)
 		})
-		return r.report(messenger.RolloutKept{
+		return r.report(messenger.RolloutStored{
 			Service: e.Rollout.Order.Service,
 			Order:   e.Rollout.Order.Offset,
 			Phase:   e.Rollout.Phase,
--- a/internal/server/answer_test.go
+++ b/internal/server/answer_test.go
@@ -92,7 +92,7 @@
 	a := newAnswer("r1", "the ")
 	a.Finish(answerer.End{
 		Outcome: messenger.Unknown,
-		Reason:  messenger.ReasonRetriesSpent,
+		Reason:  messenger.ReasonRetriesExhausted,
 	})
 	address := start(t, &fakeBackend{submit: always(a)}, server.Limits{})
 	_, body := exchange(t, "POST", address, "/v1/chat/completions", streamChat, nil)
@@ -190,7 +190,7 @@
 			status: 503,
 		},
 		{
-			reason: messenger.ReasonRetriesSpent,
+			reason: messenger.ReasonRetriesExhausted,
 			status: 502,
 		},
 	}
--- a/internal/server/operator.go
+++ b/internal/server/operator.go
@@ -95,10 +95,10 @@
 		return
 	}
 	s.propose(ctx, messenger.ChangeProposed{
-		File:    identifier.FileName(ctx.Params().Get("file")),
-		Content: content,
-		Delete:  false,
-		Saw:     saw,
+		File:         identifier.FileName(ctx.Params().Get("file")),
+		Content:      content,
+		Delete:       false,
+		BaseRevision: saw,
 	})
 }
 
@@ -109,10 +109,10 @@
 		return
 	}
 	s.propose(ctx, messenger.ChangeProposed{
-		File:    identifier.FileName(ctx.Params().Get("file")),
-		Content: nil,
-		Delete:  true,
-		Saw:     saw,
+		File:         identifier.FileName(ctx.Params().Get("file")),
+		Content:      nil,
+		Delete:       true,
+		BaseRevision: saw,
 	})
 }
 
@@ -196,7 +196,7 @@
 	writeJSON(ctx, s.backend.Timeline(historian.Filter{
 		Request: identifier.RequestID(ctx.URLParam("request")),
 		VM:      identifier.VMID(ctx.URLParam("vm")),
-		Kind:    messenger.NoteKind(ctx.URLParam("kind")),
+		Kind:    messenger.TimelineKind(ctx.URLParam("kind")),
 	}))
 }
 
--- a/internal/server/problem.go
+++ b/internal/server/problem.go
@@ -92,7 +92,7 @@
 		return http.StatusGatewayTimeout
 	case messenger.ReasonDuplicate, messenger.ReasonCancelled:
 		return http.StatusConflict
-	case messenger.ReasonServerFailed, messenger.ReasonRetriesSpent:
+	case messenger.ReasonServerFailed, messenger.ReasonRetriesExhausted:
 		return http.StatusBadGateway
 	case messenger.ReasonServersEnded:
 		if r.Outcome != messenger.NotRun {
--- a/internal/sizer/size.go
+++ b/internal/sizer/size.go
@@ -55,7 +55,7 @@
 // demanded returns how many servers the demand of now takes, where each may be
 // kept busy for so much of the time.
 func demanded(in Input, busy float64) int {
-	n := math.Ceil(in.Demand.Busy / busy)
+	n := math.Ceil(in.Demand.OfferedLoad / busy)
 	if slots := slots(in.Servers); slots > 0 {
 		n = max(n, math.Ceil(float64(in.Demand.Running)/(slots*slotsInUse)))
 	}
--- a/internal/sizer/sizer.go
+++ b/internal/sizer/sizer.go
@@ -97,7 +97,7 @@
 
 // idle reports whether no caller asks for anything: servers are given up then
 // that have not published themselves yet, a second of each earlier.
-func (in Input) idle() bool { return in.Demand.Running == 0 && in.Demand.Busy == 0 }
+func (in Input) idle() bool { return in.Demand.Running == 0 && in.Demand.OfferedLoad == 0 }
 
 // Sizer is what the holder of the lease ordered so far.
 type Sizer struct {
@@ -120,7 +120,7 @@
 	more    bool
 	sent    timekeeper.Time
 	pending bool
-	result  messenger.DutyResult
+	result  messenger.LeaderTaskResult
 }
 
 // New returns a Sizer that has ordered nothing.
@@ -243,29 +243,29 @@
 		return age >= unknownPause && o.count != count || age >= 2*unknownPause
 	}
 	switch o.result {
-	case messenger.DutyRefused:
+	case messenger.LeaderTaskRefused:
 		return age >= refusedPause && have < count || o.count != count
-	case messenger.DutyUnknown, messenger.DutyFenced:
+	case messenger.LeaderTaskUnknown, messenger.LeaderTaskFenced:
 		return age >= unknownPause
 	}
 	return o.count != count || have != count && age >= f.BootTime+bootSlack
 }
 
 // OrderEnded records the result of an order.
-func (s *Sizer) OrderEnded(now timekeeper.Time, e messenger.ServerOrder, result messenger.DutyResult) {
+func (s *Sizer) OrderEnded(now timekeeper.Time, e messenger.ServerOrder, result messenger.LeaderTaskResult) {
 	k := key{
 		service: e.Service,
 		zone:    e.Zone,
 		market:  e.Market,
 	}
 	o := s.orders[k]
-	if result == messenger.DutyRefused {
+	if result == messenger.LeaderTaskRefused {
 		s.outUntil[k] = now.Add(outTime)
 	}
 	if o == nil || o.count != e.Count {
 		return
 	}
-	if result == messenger.DutyDone && o.more {
+	if result == messenger.LeaderTaskDone && o.more {
 		delete(s.outUntil, k)
 	}
 	o.pending = false
--- a/internal/sizer/sizer_test.go
+++ b/internal/sizer/sizer_test.go
@@ -107,8 +107,8 @@
 			Fleet:   c.fleet,
 			Servers: c.servers(),
 			Demand: messenger.ServiceDemand{
-				Running: running,
-				Busy:    float64(running) * busyPerRequest,
+				Running:     running,
+				OfferedLoad: float64(running) * busyPerRequest,
 			},
 		}
 		if c.watcher != nil {
@@ -133,29 +133,29 @@
 	c.boots = rest
 }
 
-func (c *cloud) order(o messenger.ServerOrder) messenger.DutyResult {
+func (c *cloud) order(o messenger.ServerOrder) messenger.LeaderTaskResult {
 	k := key{
 		zone:   o.Zone,
 		market: o.Market,
 	}
 	if c.silent {
-		return messenger.DutyUnknown
+		return messenger.LeaderTaskUnknown
 	}
 	require.GreaterOrEqual(c.t, o.Count, 0)
 	require.LessOrEqual(c.t, o.Count, c.fleet.Max)
 	if o.Market == catalog.Reclaimable && c.out[o.Zone] && o.Count > c.have[k] {
-		return messenger.DutyRefused
+		return messenger.LeaderTaskRefused
 	}
 	if o.Count < c.have[k] {
 		c.have[k] = o.Count
-		return messenger.DutyDone
+		return messenger.LeaderTaskDone
 	}
 	c.boots = append(c.boots, boot{
 		at:    c.now.Add(c.fleet.BootTime),
 		key:   k,
 		count: o.Count,
 	})
-	return messenger.DutyDone
+	return messenger.LeaderTaskDone
 }
 
 // reclaim takes all reclaimable servers of a zone away, those that boot too,
--- a/internal/summarizer/summarizer.go
+++ b/internal/summarizer/summarizer.go
@@ -31,8 +31,8 @@
 )
 
 // Sum is the events of a kind that have no line of their own.
-type Sum struct {
-	Kind  messenger.NoteKind
+type Summary struct {
+	Kind  messenger.TimelineKind
 	Count int
 	// VMs are those that the events are about, the first of them only where they
 	// are many, in the order in which they came.
@@ -42,22 +42,22 @@
 
 // Summarizer counts the events of each kind.
 type Summarizer struct {
-	kinds map[messenger.NoteKind]*crowd
+	kinds map[messenger.TimelineKind]*crowd
 }
 
 // crowd is the events of one kind in the present window.
 type crowd struct {
 	since timekeeper.Time
 	lines int
-	sum   Sum
+	sum   Summary
 }
 
 // New returns a Summarizer that has counted nothing.
-func New() *Summarizer { return &Summarizer{kinds: map[messenger.NoteKind]*crowd{}} }
+func New() *Summarizer { return &Summarizer{kinds: map[messenger.TimelineKind]*crowd{}} }
 
 // Admit reports whether an event about a VM has a line of its own. One that has
 // none is counted in a sum.
-func (s *Summarizer) Admit(now timekeeper.Time, kind messenger.NoteKind, vm identifier.VMID) bool {
+func (s *Summarizer) Admit(now timekeeper.Time, kind messenger.TimelineKind, vm identifier.VMID) bool {
 	c := s.kinds[kind]
 	if c == nil {
 		c = &crowd{since: now}
@@ -68,7 +68,7 @@
 		return true
 	}
 	if c.sum.Count == 0 {
-		c.sum = Sum{
+		c.sum = Summary{
 			Kind:  kind,
 			Since: now,
 		}
@@ -81,8 +81,8 @@
 }
 
 // Due returns the sums of the windows that are over, by kind.
-func (s *Summarizer) Due(now timekeeper.Time) []Sum {
-	var due []Sum
+func (s *Summarizer) Due(now timekeeper.Time) []Summary {
+	var due []Summary
 	for _, kind := range slices.Sorted(maps.Keys(s.kinds)) {
 		c := s.kinds[kind]
 		if now.Sub(c.since) < window {
--- a/internal/summarizer/summarizer_test.go
+++ b/internal/summarizer/summarizer_test.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	start  timekeeper.Time     = 1_000_000
-	joined messenger.NoteKind  = "node_joined"
-	ready  messenger.NoteKind  = "server_ready"
-	tick   timekeeper.Duration = 50
-	second timekeeper.Duration = timekeeper.Second
-	many                       = 400
+	start  timekeeper.Time        = 1_000_000
+	joined messenger.TimelineKind = "node_joined"
+	ready  messenger.TimelineKind = "server_ready"
+	tick   timekeeper.Duration    = 50
+	second timekeeper.Duration    = timekeeper.Second
+	many                          = 400
 )
 
 func vm(i int) identifier.VMID { return identifier.VMID(fmt.Sprintf("entry-%03d", i)) }
