--- a/internal/throttler/permits_test.go
+++ b/internal/throttler/permits_test.go
@@ -117,11 +117,11 @@
 	const servers = 90
 	for i := range servers {
 		server := identifier.VMID(rune('a'+i%26)) + identifier.VMID(rune('a'+i/26))
-		table.Observe(start, messenger.ServerLimitHeard{
+		table.Observe(start, messenger.ServerLimitReceived{
 			Server: server,
-			Limit: messenger.NamedLimit{
-				Named: true,
-				Rate:  1,
+			Limit: messenger.StatedLimit{
+				Stated: true,
+				Rate:   1,
 			},
 		})
 	}
@@ -141,12 +141,12 @@
 func TestUpdates(t *testing.T) {
 	table := throttler.New()
 	table.Merge(start, reported("i-1", true, 0))
-	table.Observe(start, messenger.ServerLimitHeard{
+	table.Observe(start, messenger.ServerLimitReceived{
 		Server: "i-2",
-		Limit:  messenger.NamedLimit{Named: true},
+		Limit:  messenger.StatedLimit{Stated: true},
 	})
 	require.Len(t, table.Updates(start.Add(1), true), 2)
-	table.Observe(start.Add(10), messenger.ServerLimitHeard{
+	table.Observe(start.Add(10), messenger.ServerLimitReceived{
 		Server: "i-2",
 		Sent:   start.Add(5),
 	})
--- a/internal/throttler/table.go
+++ b/internal/throttler/table.go
@@ -59,8 +59,8 @@
 //
 // An answer without a limit lifts one only if its request was sent after the limit was
 // last stated: answers of a server may arrive out of order.
-func (t *Table) Observe(now timekeeper.Time, e messenger.ServerLimitHeard) (Change, bool) {
-	if e.Limit.Named {
+func (t *Table) Observe(now timekeeper.Time, e messenger.ServerLimitReceived) (Change, bool) {
+	if e.Limit.Stated {
 		return t.put(now, record{
 			server:   e.Server,
 			limited:  true,
--- a/internal/throttler/table_test.go
+++ b/internal/throttler/table_test.go
@@ -15,13 +15,13 @@
 
 // answer returns what a server's answer states, by the time at which the request was sent
 // and the stated rate. A negative rate means no limit.
-func answer(sent timekeeper.Duration, rate identifier.RequestRate) messenger.ServerLimitHeard {
-	return messenger.ServerLimitHeard{
+func answer(sent timekeeper.Duration, rate identifier.RequestRate) messenger.ServerLimitReceived {
+	return messenger.ServerLimitReceived{
 		Server: "i-1",
 		Sent:   start.Add(sent),
-		Limit: messenger.NamedLimit{
-			Named: rate >= 0,
-			Rate:  max(rate, 0),
+		Limit: messenger.StatedLimit{
+			Stated: rate >= 0,
+			Rate:   max(rate, 0),
 		},
 	}
 }
--- a/pkg/identifier/identifier.go
+++ b/pkg/identifier/identifier.go
@@ -108,21 +108,23 @@
 
 // Era counts how often the log came back from an older copy of itself. What was
 // appended after the copy was made is gone, and places there are given out again.
-type Era uint64
+type StoreGeneration uint64
 
 // eraShift leaves room for a million million records in an era, and for thousands of
 // eras in a number that any program can hold.
-const eraShift = 40
+const generationShift = 40
 
 // OffsetAt returns the Offset of a place in the log, counted from zero, to which an era
 // wrote. Zero is no Offset; those of a later era are larger than all earlier ones.
-func OffsetAt(era Era, place uint64) Offset { return Offset(uint64(era)<<eraShift | (place + 1)) }
+func OffsetAt(generation StoreGeneration, place uint64) Offset {
+	return Offset(uint64(generation)<<generationShift | (place + 1))
+}
 
 // Era returns the era that wrote there.
-func (o Offset) Era() Era { return Era(o >> eraShift) }
+func (o Offset) Generation() StoreGeneration { return StoreGeneration(o >> generationShift) }
 
 // Place returns the place in the log, counted from zero; zero also for no Offset.
-func (o Offset) Place() uint64 { return max(uint64(o)&(1<<eraShift-1), 1) - 1 }
+func (o Offset) Place() uint64 { return max(uint64(o)&(1<<generationShift-1), 1) - 1 }
 
 // Fence is a fencing number: the offset of the grant of the lease under
 // which an order is given.
