--- a/internal/limiter/bucket.go
+++ b/internal/limiter/bucket.go
@@ -6,26 +6,25 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// bucket is a token bucket that may go into debt.
+// bucket is a token bucket whose level may become negative.
 //
-// golang.org/x/time/rate takes explicit times too, but not the rest: it
-// refuses for ever what exceeds its burst, while here a node's share of the
-// burst may be smaller than one request, and its last bit is spent on a request
-// of any size; it gives back only reservations that
-// have not yet been acted on, while a request settles when it ends; and it
-// locks, which a pure package has no use for.
+// golang.org/x/time/rate also takes explicit times, but it never admits what exceeds
+// its burst, whereas a node's share of the burst may be smaller than one request, and
+// its last token admits a request of any size. It can cancel only reservations that
+// have not been acted on, whereas a request is settled when it ends. And it locks,
+// which a pure package does not need.
 type bucket struct {
 	level    float64
 	rate     float64
 	capacity float64
-	// debt bounds how far below zero a request may take the level. Zero stands
-	// for no bound: a request of any size passes.
-	debt    float64
+	// maxDebt bounds how far below zero a request may take the level. Zero means no
+	// bound: a request of any size passes.
+	maxDebt float64
 	started bool
 }
 
-// set changes rate and capacity; a new bucket is full.
-func (b *bucket) set(rate, capacity float64) {
+// configure sets rate and capacity. A new bucket starts full.
+func (b *bucket) configure(rate, capacity float64) {
 	b.rate = rate
 	b.capacity = capacity
 	if !b.started {
@@ -35,33 +34,35 @@
 	b.level = min(b.level, capacity)
 }
 
-// begin starts a bucket at a level instead of full.
-func (b *bucket) begin(level float64) {
+// startAt sets the initial level of a bucket that must not start full.
+func (b *bucket) startAt(level float64) {
 	b.level = level
 	b.started = true
 }
 
-// refill adds what came in a span, and returns what the bucket has no room for.
-func (b *bucket) refill(passed timekeeper.Duration) float64 {
-	full := b.level + b.rate*passed.Seconds()
+// refill adds the tokens of the elapsed time, and returns the excess over the capacity.
+func (b *bucket) refill(elapsed timekeeper.Duration) float64 {
+	full := b.level + b.rate*elapsed.Seconds()
 	b.level = min(full, b.capacity)
 	return full - b.level
 }
 
-// wait is the time until n may be taken, zero for now. A bucket that is not
-// empty may go into debt by one request: the rest of a node's share is often
-// smaller than what the account, by all its shares, may have. What needs
-// nothing always passes. The part keep of the capacity is not to be touched, as
-// far as one request or token is left beside it.
-func (b *bucket) wait(n, keep float64) timekeeper.Duration {
+// wait returns the time until n tokens may be taken, or zero if they may be taken now.
+// Zero tokens always pass.
+//
+// A bucket that is not empty may go into debt by one request: the tokens left at one
+// node are often fewer than those that all nodes together hold for the account. The
+// fraction reserve of the capacity is not used, except that at least one token of it
+// stays usable.
+func (b *bucket) wait(n, reserve float64) timekeeper.Duration {
 	if b.unlimited() || n <= 0 {
 		return 0
 	}
-	least := min(n, 1)
-	if b.debt > 0 {
-		least = max(least, n-b.debt)
+	required := min(n, 1)
+	if b.maxDebt > 0 {
+		required = max(required, n-b.maxDebt)
 	}
-	missing := least + min(keep*b.capacity, b.capacity-1) - b.level
+	missing := required + min(reserve*b.capacity, b.capacity-1) - b.level
 	if missing <= roundingError {
 		return 0
 	}
@@ -74,12 +75,12 @@
 	}
 }
 
-func (b *bucket) giveBack(n float64) {
+func (b *bucket) refund(n float64) {
 	b.level = min(b.level+n, b.capacity)
 }
 
-// unlimited tells that the account has no limit of this kind.
+// unlimited reports whether the account has no limit of this kind.
 func (b *bucket) unlimited() bool { return b.rate <= 0 }
 
-// roundingError is the part of a request or token that may be missing.
+// roundingError is the tolerated shortfall, in requests or tokens.
 const roundingError = 1e-6
--- a/internal/limiter/central_test.go
+++ b/internal/limiter/central_test.go
@@ -12,12 +12,11 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-const grantStart timekeeper.Time = 1_000_000
+const startTime timekeeper.Time = 1_000_000
 
 const (
-	grantNodes = 9
-	// The users judge windows of eight seconds, and tolerate a tenth and
-	// 140,000 tokens more than the limit.
+	defaultNodes = 9
+	// The limit may be exceeded by a tenth and 140,000 tokens in each window of 8 s.
 	judgedWindow    = 8 * timekeeper.Second
 	toleratedPart   = 1.1
 	toleratedTokens = 140_000
@@ -29,26 +28,28 @@
 	TokenBurst:      150_000,
 }
 
-// grants is nodes that grant one account as much as they may, over time.
-type grants struct {
+// grantSimulation simulates nodes that grant one account as much as they may.
+type grantSimulation struct {
 	now     timekeeper.Time
 	account catalog.Account
-	// request is the tokens that each request asks for.
-	request identifier.Tokens
-	central *limiter.Buckets
-	local   []*limiter.Buckets
-	granted []float64 // by tick of 50 ms
-	// heardAll makes the central node take all nodes for heard.
-	heardAll bool
+	// request is the number of tokens of each request.
+	request       identifier.Tokens
+	central       *limiter.Buckets
+	local         []*limiter.Buckets
+	grantedByTick []float64
+	// allReachable makes the central node treat partitioned nodes as reachable.
+	allReachable bool
 }
 
-const grantTick = 50 * timekeeper.Millisecond
+const tickTime = 50 * timekeeper.Millisecond
 
-func newGrants() *grants { return grantsOf(grantNodes, heavyAccount, 6000) }
+func newGrantSimulation() *grantSimulation {
+	return grantSimulationOf(defaultNodes, heavyAccount, 6000)
+}
 
-func grantsOf(nodes int, account catalog.Account, request identifier.Tokens) *grants {
-	g := &grants{
-		now:     grantStart,
+func grantSimulationOf(nodes int, account catalog.Account, request identifier.Tokens) *grantSimulation {
+	g := &grantSimulation{
+		now:     startTime,
 		account: account,
 		request: request,
 		central: limiter.NewCentral(),
@@ -59,31 +60,31 @@
 	return g
 }
 
-// killAll starts all nodes anew.
-func (g *grants) killAll() {
+// restartAll replaces the local buckets of all nodes by new ones.
+func (g *grantSimulation) restartAll() {
 	for i := range g.local {
 		g.local[i] = limiter.NewLocal()
 	}
 }
 
-// run lets time pass while every node is asked for far more than there is. The
-// first cut nodes neither hear the central node nor are heard by it; with
-// central false nobody grants centrally.
-func (g *grants) run(span timekeeper.Duration, cut int, central bool) {
+// run simulates the time span, while every node receives far more requests than it may
+// grant. The first nodes, as many as partitioned states, can't reach the central node,
+// nor it them. Without hasCentral no node grants centrally.
+func (g *grantSimulation) run(span timekeeper.Duration, partitioned int, hasCentral bool) {
 	nodes := len(g.local)
-	for end := g.now.Add(span); g.now.Before(end); g.now = g.now.Add(grantTick) {
+	for end := g.now.Add(span); g.now.Before(end); g.now = g.now.Add(tickTime) {
 		sum := 0.0
-		heard := nodes - cut
-		if g.heardAll {
-			heard = nodes
+		reachable := nodes - partitioned
+		if g.allReachable {
+			reachable = nodes
 		}
-		g.central.SetReachable(heard, nodes)
+		g.central.SetReachable(reachable, nodes)
 		for i, local := range g.local {
-			alone := i < cut || !central
-			local.SetNodes(nodes, alone)
+			standalone := i < partitioned || !hasCentral
+			local.SetNodes(nodes, standalone)
 			for range 4 {
 				_, ok := local.Take(g.now, g.account, g.request)
-				if !ok && !alone {
+				if !ok && !standalone {
 					_, ok = g.central.Take(g.now, g.account, g.request)
 				}
 				if ok {
@@ -91,60 +92,60 @@
 				}
 			}
 		}
-		g.granted = append(g.granted, sum)
+		g.grantedByTick = append(g.grantedByTick, sum)
 	}
 }
 
-// most returns the most that was granted in any judged window.
-func (g *grants) most() float64 {
-	ticks := int(judgedWindow / grantTick)
-	most := 0.0
-	for from := range g.granted {
+// maxGranted returns the largest number of tokens granted in any judged window.
+func (g *grantSimulation) maxGranted() float64 {
+	ticks := int(judgedWindow / tickTime)
+	maxGranted := 0.0
+	for from := range g.grantedByTick {
 		sum := 0.0
-		for _, n := range g.granted[from:min(from+ticks, len(g.granted))] {
+		for _, n := range g.grantedByTick[from:min(from+ticks, len(g.grantedByTick))] {
 			sum += n
 		}
-		most = max(most, sum)
+		maxGranted = max(maxGranted, sum)
 	}
-	return most
+	return maxGranted
 }
 
-func (g *grants) tolerated() float64 {
+func (g *grantSimulation) tolerated() float64 {
 	limit := g.account.TokensPerSecond*judgedWindow.Seconds() + g.account.TokenBurst
 	return limit*toleratedPart + toleratedTokens
 }
 
-// An account asks for many times its limit, while nodes are cut off from the
-// node that grants centrally, that node dies and another takes over, and all
-// nodes are killed at once. In no window may the nodes together grant more than
-// the users tolerate, and an account that asks must get about its limit.
+// An account requests many times its limit while nodes are partitioned from the central
+// node, another node takes over from it, and all nodes are killed at once. In no window
+// may the nodes together grant more than is tolerated, and the account must get about
+// its limit.
 func TestSumOfGrants(t *testing.T) {
 	tests := []struct {
 		name string
-		play func(*grants)
+		run  func(*grantSimulation)
 	}{
 		{
-			name: "all calm",
-			play: func(g *grants) { g.run(30*timekeeper.Second, 0, true) },
+			name: "no failure",
+			run:  func(g *grantSimulation) { g.run(30*timekeeper.Second, 0, true) },
 		},
 		{
-			name: "a third cut off and back",
-			play: func(g *grants) {
+			name: "a third partitioned temporarily",
+			run: func(g *grantSimulation) {
 				g.run(10*timekeeper.Second, 0, true)
 				g.run(10*timekeeper.Second, 3, true)
 				g.run(10*timekeeper.Second, 0, true)
 			},
 		},
 		{
-			name: "all but one cut off",
-			play: func(g *grants) {
+			name: "all but one partitioned",
+			run: func(g *grantSimulation) {
 				g.run(10*timekeeper.Second, 0, true)
-				g.run(10*timekeeper.Second, grantNodes-1, true)
+				g.run(10*timekeeper.Second, defaultNodes-1, true)
 			},
 		},
 		{
 			name: "another node takes over",
-			play: func(g *grants) {
+			run: func(g *grantSimulation) {
 				g.run(10*timekeeper.Second, 0, true)
 				g.run(3*timekeeper.Second, 0, false)
 				g.central = limiter.NewCentral()
@@ -152,8 +153,8 @@
 			},
 		},
 		{
-			name: "handed on at once",
-			play: func(g *grants) {
+			name: "taken over without a gap",
+			run: func(g *grantSimulation) {
 				g.run(10*timekeeper.Second, 0, true)
 				g.central = limiter.NewCentral()
 				g.run(10*timekeeper.Second, 0, true)
@@ -161,9 +162,9 @@
 		},
 		{
 			name: "all killed at once",
-			play: func(g *grants) {
+			run: func(g *grantSimulation) {
 				g.run(10*timekeeper.Second, 0, true)
-				g.killAll()
+				g.restartAll()
 				g.run(4*timekeeper.Second, 0, false)
 				g.central = limiter.NewCentral()
 				g.run(10*timekeeper.Second, 0, true)
@@ -172,19 +173,17 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			g := newGrants()
-			test.play(g)
-			require.LessOrEqual(t, g.most(), g.tolerated())
-			require.GreaterOrEqual(t, g.most(), heavyAccount.TokensPerSecond*judgedWindow.Seconds())
+			g := newGrantSimulation()
+			test.run(g)
+			require.LessOrEqual(t, g.maxGranted(), g.tolerated())
+			require.GreaterOrEqual(t, g.maxGranted(), heavyAccount.TokensPerSecond*judgedWindow.Seconds())
 		})
 	}
 }
 
-// All nodes are killed at once while an account asks for many times its limit, in
-// prompts that are larger than any node's part, and where nodes are many they are
-// killed once more. Until one has the lease each grants alone. The debt of one
-// prompt a node must not sum with the nodes: at 61 an account got a tenth more
-// than is tolerated.
+// All nodes are killed at once, repeatedly if they are many, while an account requests
+// many times its limit. Guards against debts that sum over the nodes until one of them
+// holds the lease.
 func TestSumOfGrantsOfManyNodes(t *testing.T) {
 	account := catalog.Account{
 		ID:              "agency",
@@ -195,36 +194,35 @@
 		for _, request := range []identifier.Tokens{2_000, 17_000, 60_000} {
 			for _, down := range []timekeeper.Duration{1 * timekeeper.Second, 4 * timekeeper.Second} {
 				t.Run(fmt.Sprintf("%d nodes, %d tokens, %s", nodes, request, down), func(t *testing.T) {
-					g := grantsOf(nodes, account, request)
+					g := grantSimulationOf(nodes, account, request)
 					g.run(10*timekeeper.Second, 0, true)
-					g.killAll()
+					g.restartAll()
 					g.run(down, 0, false)
-					if nodes > grantNodes {
-						g.killAll()
+					if nodes > defaultNodes {
+						g.restartAll()
 						g.run(down, 0, false)
 					}
 					g.central = limiter.NewCentral()
 					g.run(10*timekeeper.Second, 0, true)
-					require.LessOrEqual(t, g.most(), g.tolerated())
+					require.LessOrEqual(t, g.maxGranted(), g.tolerated())
 				})
 			}
 		}
 	}
 }
 
-// The central node grants its whole part while nodes that it does not hear of
-// grant alone. The sum is then above what the users tolerate, so that the test
-// above would notice.
-func TestSumOfGrantsWithoutTakingOff(t *testing.T) {
-	g := newGrants()
-	g.heardAll = true
+// If the central node does not deduct the parts of unreachable nodes, the sum exceeds
+// what is tolerated. So TestSumOfGrants detects a missing deduction.
+func TestSumOfGrantsWithoutDeduction(t *testing.T) {
+	g := newGrantSimulation()
+	g.allReachable = true
 	g.run(10*timekeeper.Second, 0, true)
 	g.run(10*timekeeper.Second, 5, true)
-	require.Greater(t, g.most(), g.tolerated())
+	require.Greater(t, g.maxGranted(), g.tolerated())
 }
 
-// An account within its limit sends requests that are larger than any node's
-// equal share of a second. None of them may be refused.
+// An account within its limit sends requests that are larger than one node's equal
+// share of a second. None may be refused.
 func TestAccountWithinItsLimit(t *testing.T) {
 	small := catalog.Account{
 		ID:              "ferry",
@@ -233,8 +231,8 @@
 	}
 	central := limiter.NewCentral()
 	local := limiter.NewLocal()
-	local.SetNodes(grantNodes, false)
-	now := grantStart
+	local.SetNodes(defaultNodes, false)
+	now := startTime
 	for range 40 {
 		_, ok := local.Take(now, small, 12_000)
 		if !ok {
@@ -245,28 +243,27 @@
 	}
 }
 
-// What a catalog no longer names is forgotten, and a refusal says when coming
-// back makes sense.
-func TestRefusedGrant(t *testing.T) {
+// A refusal states a retry time at which the request is granted, and accounts that the
+// catalog does not contain are dropped.
+func TestRefusalAndForget(t *testing.T) {
 	local := limiter.NewLocal()
 	local.SetNodes(1, true)
-	_, ok := local.Take(grantStart, heavyAccount, 400_000)
+	_, ok := local.Take(startTime, heavyAccount, 400_000)
 	require.True(t, ok, "a bucket that is not empty goes into debt")
-	after, ok := local.Take(grantStart, heavyAccount, 6_000)
+	after, ok := local.Take(startTime, heavyAccount, 6_000)
 	require.False(t, ok)
 	require.Positive(t, after)
-	_, ok = local.Take(grantStart.Add(after), heavyAccount, 6_000)
+	_, ok = local.Take(startTime.Add(after), heavyAccount, 6_000)
 	require.True(t, ok)
 	local.Forget(&catalog.Catalog{})
-	_, ok = local.Take(grantStart.Add(after), heavyAccount, 6_000)
+	_, ok = local.Take(startTime.Add(after), heavyAccount, 6_000)
 	require.True(t, ok)
 }
 
-// An account asks for a third more than its limit, in long prompts, and for a
-// few lookups between them. A prompt of twice the burst takes the bucket into
-// debt for two seconds. Lookups, which weigh a hundredth of the limit, are
-// granted meanwhile; prompts get the rest of the limit, and not more.
-func TestLightRequestsPassBesideHeavyOnes(t *testing.T) {
+// An account exceeds its limit by a third with long prompts that put its bucket into
+// debt for seconds. Its few lookups must be granted meanwhile, and the prompts get no
+// more than the rest of the limit.
+func TestLightRequestsAreNotRefusedForHeavyOnes(t *testing.T) {
 	account := catalog.Account{
 		ID:              "agency",
 		TokensPerSecond: 22_000,
@@ -280,7 +277,7 @@
 	central := limiter.NewCentral()
 	central.SetReachable(1, 1)
 	lookups, refused, tokens := 0, 0, identifier.Tokens(0)
-	for now := grantStart; now.Before(grantStart.Add(span * timekeeper.Second)); now = now.Add(500) {
+	for now := startTime; now.Before(startTime.Add(span * timekeeper.Second)); now = now.Add(500) {
 		if _, ok := central.Take(now, account, prompt); ok {
 			tokens += prompt
 		}
@@ -295,11 +292,9 @@
 	require.InDelta(t, 0.95*22_000*span, float64(tokens), 2*float64(prompt))
 }
 
-// An account stays within its limit, in long prompts. The node that grants
-// centrally dies with what the account had saved up. Until another has the lease
-// each node grants an equal part alone, and begins with a part of the burst: with
-// nothing, 9 of the 16 prompts of the first four seconds were refused.
-func TestWithinTheLimitWhileNobodyGrants(t *testing.T) {
+// The central node dies while an account stays within its limit. Guards against
+// standalone nodes that start without tokens and refuse the account's prompts.
+func TestAccountWithinItsLimitWithoutCentralNode(t *testing.T) {
 	account := catalog.Account{
 		ID:              "agency",
 		TokensPerSecond: 60_000,
@@ -307,20 +302,20 @@
 	}
 	const prompt = identifier.Tokens(9_000)
 	central := limiter.NewCentral()
-	central.SetReachable(grantNodes, grantNodes)
+	central.SetReachable(defaultNodes, defaultNodes)
 	var nodes []*limiter.Buckets
-	for range grantNodes {
+	for range defaultNodes {
 		nodes = append(nodes, limiter.NewLocal())
 	}
-	now, asked := grantStart, 0
-	refused := func(span timekeeper.Duration, alone bool) int {
+	now, requests := startTime, 0
+	refused := func(span timekeeper.Duration, standalone bool) int {
 		n := 0
 		for end := now.Add(span); now.Before(end); now = now.Add(250) {
-			node := nodes[asked%grantNodes]
-			asked++
-			node.SetNodes(grantNodes, alone)
+			node := nodes[requests%defaultNodes]
+			requests++
+			node.SetNodes(defaultNodes, standalone)
 			_, ok := node.Take(now, account, prompt)
-			if !ok && !alone {
+			if !ok && !standalone {
 				_, ok = central.Take(now, account, prompt)
 			}
 			if !ok {
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -1,20 +1,18 @@
-// Package limiter decides at once whether a request is admitted.
+// Package limiter decides whether a request is admitted.
 //
-// Each client account has a limit in requests and in tokens that holds over
-// all nodes. There is no lock and no coordinator: each node enforces a share
-// of the limit, which is its own part of the account's recent demand as the
-// nodes tell each other of it. Above the limits stand rules about the pool of
-// backend servers: what cannot meet its deadline is refused, interactive work
-// keeps a reserve of slots, and under overload the work that costs least
-// penalty is shed first, beginning with accounts that use more than their
-// fair share.
+// Each client account has limits in requests and in tokens that hold over all nodes.
+// There is no lock and no coordinator: each node enforces a share of each limit, in
+// proportion to the account's recent demand at this node and at its peers. Further
+// rules protect the pool of backend servers: a request that can't meet its deadline is
+// refused, some slots are reserved for interactive requests, and under overload the
+// requests with the lowest penalty are shed first, beginning with accounts that exceed
+// their fair share.
 //
-// Nothing waits here and nothing is held back: a verdict is final, and a
-// refusal says when coming back makes sense.
+// No request is queued here: a verdict is final, and a refusal states when a retry
+// makes sense.
 //
-// Everything is pure: time is an argument and nothing is drawn at random.
-// Nothing is safe for concurrent use. All tables are bounded by the accounts
-// and services of the catalog.
+// The package is pure: time is an argument and nothing is random. Nothing is safe for
+// concurrent use. All tables are bounded by the accounts and services of the catalog.
 package limiter
 
 import (
@@ -24,36 +22,36 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Rules switches the rules on and off, for measurement.
+// Rules enables the rules one by one, so that the effect of each can be measured.
 type Rules struct {
 	// AccountLimits enforces the accounts' limits.
 	AccountLimits bool
-	// ShareByDemand shares a limit by demand; without it each node has the
-	// same part.
+	// ShareByDemand divides a limit by demand. Without it each node has an equal share.
 	ShareByDemand bool
-	// ShareUnused shares evenly what no node is asked for.
+	// ShareUnused divides the unused part of a limit evenly.
 	ShareUnused bool
-	// SlowRise bounds how fast a node's share may grow.
+	// SlowRise bounds the growth rate of a node's share.
 	SlowRise bool
-	// Floor gives every node a small part of each limit.
+	// Floor gives each node a small minimum share of each limit.
 	Floor bool
-	// CostlyFirst keeps the last of a limit for the account's costly requests.
+	// CostlyFirst reserves a part of a limit for the account's costly requests.
 	CostlyFirst bool
-	// Deadline refuses what cannot be done in time.
+	// Deadline refuses requests that can't complete before their deadline.
 	Deadline bool
-	// Reserve keeps slots free for interactive work.
+	// Reserve keeps slots free for interactive requests.
 	Reserve bool
-	// Shed refuses work when the pool is overloaded.
+	// Shed refuses requests when the pool is overloaded.
 	Shed bool
-	// ShedByPenalty sheds what costs least first; without it all work alike.
+	// ShedByPenalty sheds the requests with the lowest penalty first. Without it all
+	// are shed in proportion.
 	ShedByPenalty bool
-	// FairShare sheds accounts above their fair share first.
+	// FairShare sheds the use of accounts above their fair share first.
 	FairShare bool
-	// SpreadReturns spreads the times at which refused callers come back.
+	// SpreadReturns spreads the retry times of refused callers.
 	SpreadReturns bool
 }
 
-// AllRules returns the rules with each one on.
+// AllRules returns Rules with every rule enabled.
 func AllRules() Rules {
 	return Rules{
 		AccountLimits: true,
@@ -71,31 +69,31 @@
 	}
 }
 
-// Config sets up Limits. Zero Rules mean that all rules are off: see AllRules.
+// Config configures Limits. The zero Rules disable all rules: see AllRules.
 type Config struct {
 	Rules Rules
 }
 
-// Request is a request to admit.
+// Request is a request for admission.
 type Request struct {
 	Account  identifier.AccountID
 	Service  identifier.ServiceName
 	Priority catalog.Priority
-	// Tokens is the most that prompt and answer may come to.
+	// Tokens is the maximum number of tokens in prompt and answer.
 	Tokens   identifier.Tokens
 	Deadline timekeeper.Time
-	// Predicted is the time to completion on the best server.
+	// Predicted is the predicted time to completion on the best server.
 	Predicted timekeeper.Duration
 	Target    catalog.Target
-	// FreeSlots, Slots and Waiting describe the service's whole pool. With
-	// Slots zero the rules about the pool do not apply.
+	// FreeSlots, Slots and Waiting are totals over the service's pool. If Slots is
+	// zero, the rules about the pool do not apply.
 	FreeSlots int
 	Slots     int
 	Waiting   int
 }
 
-// Verdict is the answer to a Request. RetryAfter is set on refusal; zero means
-// that coming back makes no sense.
+// Verdict is the decision on a Request. RetryAfter is set on refusal; zero means that a
+// retry makes no sense.
 type Verdict struct {
 	OK         bool
 	Reason     messenger.Reason
@@ -108,26 +106,26 @@
 	catalog  *catalog.Catalog
 	accounts map[identifier.AccountID]*account
 	pools    map[identifier.PoolName]*pool
-	// nodes counts the live nodes, this one included; others is the peers'
-	// demand by account.
-	nodes   int
-	others  map[identifier.AccountID]Demand
-	returns returns
+	// nodes is the number of live nodes, this one included. peerDemand is the sum of
+	// the peers' demand, by account.
+	nodes       int
+	peerDemand  map[identifier.AccountID]Demand
+	retrySpread retrySpreader
 }
 
-// New returns Limits without a catalog, which refuse everything.
+// New returns Limits without a catalog, which refuse every request.
 func New(c Config) *Limits {
 	return &Limits{
-		rules:    c.Rules,
-		accounts: make(map[identifier.AccountID]*account),
-		pools:    make(map[identifier.PoolName]*pool),
-		nodes:    1,
-		others:   make(map[identifier.AccountID]Demand),
+		rules:      c.Rules,
+		accounts:   make(map[identifier.AccountID]*account),
+		pools:      make(map[identifier.PoolName]*pool),
+		nodes:      1,
+		peerDemand: make(map[identifier.AccountID]Demand),
 	}
 }
 
-// SetCatalog puts a catalog in force. Accounts and services that it no longer
-// names are forgotten.
+// SetCatalog replaces the catalog, and drops accounts and services that it does not
+// contain.
 func (l *Limits) SetCatalog(_ timekeeper.Time, c *catalog.Catalog) {
 	l.catalog = c
 	for id := range l.accounts {
@@ -144,43 +142,43 @@
 	}
 }
 
-// Admit decides on a request, and takes what it may use from its account's
-// limits if it is admitted.
-func (l *Limits) Admit(now timekeeper.Time, a Request) Verdict {
+// Admit decides on a request. If it admits the request, it takes the request's tokens
+// from the account's limits.
+func (l *Limits) Admit(now timekeeper.Time, req Request) Verdict {
 	if l.catalog == nil {
 		return Verdict{
 			Reason:     messenger.ReasonNoConfiguration,
 			RetryAfter: unconfiguredRetry,
 		}
 	}
-	spec, ok := l.catalog.Accounts[a.Account]
+	spec, ok := l.catalog.Accounts[req.Account]
 	if !ok {
 		return Verdict{Reason: messenger.ReasonAccountLimit}
 	}
-	service, ok := l.catalog.Services[a.Service]
+	service, ok := l.catalog.Services[req.Service]
 	if !ok {
 		return Verdict{Reason: messenger.ReasonUnknownService}
 	}
-	acc := l.account(now, a.Account)
+	acc := l.account(now, req.Account)
 	l.refill(now, acc, spec)
-	acc.note(a)
+	acc.observe(req)
 	p := l.pool(service.Pool)
-	if v := l.checkDeadline(now, a, p); !v.OK {
+	if v := l.checkDeadline(now, req, p); !v.OK {
 		return v
 	}
-	if v := l.checkAccount(acc, spec, a); !v.OK {
+	if v := l.checkAccount(acc, spec, req); !v.OK {
 		return v
 	}
-	if v := l.checkPool(now, a, p, p.note(now, a)); !v.OK {
+	if v := l.checkPool(now, req, p, p.observe(now, req)); !v.OK {
 		return v
 	}
 	acc.requests.take(1)
-	acc.tokens.take(float64(a.Tokens))
+	acc.tokens.take(float64(req.Tokens))
 	return Verdict{OK: true}
 }
 
-// Settle gives back the tokens that an admitted request reserved and did not
-// use, or takes those it used beyond.
+// Settle returns the tokens that an admitted request reserved but did not use, or takes
+// those that it used in excess of its reservation.
 func (l *Limits) Settle(now timekeeper.Time, id identifier.AccountID, reserved, used identifier.Tokens) {
 	if l.catalog == nil {
 		return
@@ -191,29 +189,29 @@
 	}
 	acc := l.account(now, id)
 	l.refill(now, acc, spec)
-	acc.tokens.giveBack(float64(reserved - used))
+	acc.tokens.refund(float64(reserved - used))
 }
 
-func (l *Limits) checkDeadline(now timekeeper.Time, a Request, p *pool) Verdict {
-	if !l.rules.Deadline || !now.Add(a.Predicted).After(a.Deadline) {
+func (l *Limits) checkDeadline(now timekeeper.Time, req Request, p *pool) Verdict {
+	if !l.rules.Deadline || !now.Add(req.Predicted).After(req.Deadline) {
 		return Verdict{OK: true}
 	}
 	v := Verdict{Reason: messenger.ReasonDeadline}
-	if a.Slots > 0 && a.FreeSlots == 0 {
-		v.RetryAfter = l.spread(p.drainTime(a))
+	if req.Slots > 0 && req.FreeSlots == 0 {
+		v.RetryAfter = l.spread(p.drainTime(req))
 	}
 	return v
 }
 
-func (l *Limits) checkAccount(acc *account, spec catalog.Account, a Request) Verdict {
+func (l *Limits) checkAccount(acc *account, spec catalog.Account, req Request) Verdict {
 	if !l.rules.AccountLimits {
 		return Verdict{OK: true}
 	}
-	keep := 0.0
-	if l.rules.CostlyFirst && !acc.costly(a) && acc.expectsCostly {
-		keep = costlyPart
+	reserve := 0.0
+	if l.rules.CostlyFirst && !acc.costly(req) && acc.recentCostly {
+		reserve = costlyPart
 	}
-	wait := max(acc.requests.wait(1, keep), acc.tokens.wait(float64(a.Tokens), keep))
+	wait := max(acc.requests.wait(1, reserve), acc.tokens.wait(float64(req.Tokens), reserve))
 	if wait == 0 {
 		return Verdict{OK: true}
 	}
@@ -223,14 +221,14 @@
 	}
 }
 
-func (l *Limits) checkPool(now timekeeper.Time, a Request, p *pool, e *entry) Verdict {
-	if a.Slots <= 0 {
+func (l *Limits) checkPool(now timekeeper.Time, req Request, p *pool, e *entry) Verdict {
+	if req.Slots <= 0 {
 		return Verdict{OK: true}
 	}
-	if l.rules.Reserve && p.reserved(a) || l.rules.Shed && p.sheds(now, l, a, e) {
+	if l.rules.Reserve && p.reserved(req) || l.rules.Shed && p.shouldShed(now, l, req, e) {
 		return Verdict{
 			Reason:     messenger.ReasonOverload,
-			RetryAfter: l.spread(p.drainTime(a)),
+			RetryAfter: l.spread(p.drainTime(req)),
 		}
 	}
 	return Verdict{OK: true}
--- a/internal/limiter/pool.go
+++ b/internal/limiter/pool.go
@@ -12,44 +12,47 @@
 )
 
 const (
-	// useWindow is the time over which the use of a pool is smoothed.
-	useWindow = 10 * timekeeper.Second
-	// minReserve and maxReserve bound the part of the slots that batch work
-	// cannot take; between them it is the interactive part of the work.
+	// usageWindow is the time over which the use of a pool is smoothed.
+	usageWindow = 10 * timekeeper.Second
+	// minReserve and maxReserve bound the fraction of slots that is closed to batch
+	// requests. Between them it equals the interactive fraction of the use.
 	minReserve = 0.05
 	maxReserve = 0.25
-	// standardReserve is the part of the reserve closed to standard work too.
+	// standardReserve is the fraction of the reserve that is closed to standard
+	// requests, too.
 	standardReserve = 0.25
-	// shedFrom and shedAll are the pressures at which shedding begins and at
-	// which everything is shed. At pressure 1 each slot is taken and nothing
-	// waits.
-	shedFrom = 0.95
-	shedAll  = 2.0
-	// planFor is how long an order of shedding stays in force.
-	planFor = 100 * timekeeper.Millisecond
-	// smoothing is the weight of the newest ask in an entry's means.
+	// minShedPressure is the pressure from which requests are shed, and maxShedPressure
+	// the one from which all are. At pressure 1 each slot is taken and nothing waits.
+	minShedPressure = 0.95
+	maxShedPressure = 2.0
+	// planLifetime is the time for which an order of shedding stays in force.
+	planLifetime = 100 * timekeeper.Millisecond
+	// smoothing is the weight of the newest request in the moving averages of an entry.
 	smoothing = 0.1
-	// patienceParts is how many times a caller may be refused, the first time
-	// included, before the time that its target leaves is used up.
-	patienceParts = 3
-	// activePart is the part of a pool's use below which an account does not
-	// count as one that the pool is shared with.
+	// retriesPerTarget is the number of refusals, the first included, after which the
+	// time that remains until a request's target is used up.
+	retriesPerTarget = 3
+	// activePart is the minimum fraction of a pool's use from which an account counts
+	// as one of those that share the pool.
 	activePart = 0.005
 )
 
 // pool is the recent use of one pool of backend servers through this node.
 type pool struct {
-	at          timekeeper.Time
+	updatedAt   timekeeper.Time
 	entries     map[entryKey]*entry
 	total       float64
 	interactive float64
-	// serviceTime is the mean time of a request in milliseconds.
+	// serviceTime is the moving average of the time of a request, in milliseconds.
 	serviceTime float64
-	// planned tells that the order of shedding stands, since plannedAt; it
-	// was made for planUse slots, of which excess are above fair shares.
-	planned   bool
-	plannedAt timekeeper.Time
-	planUse   float64
+	// planned reports whether the order of shedding is valid, and plannedAt is the time
+	// of its computation. plannedUse is the use at that time in slots, and excess the
+	// part of it above fair shares.
+	planned    bool
+	plannedAt  timekeeper.Time
+	plannedUse float64
+	// excess is the use above the account's fair share, and base the remainder.
+	// excessStart and baseStart are their positions in the order of shedding.
 	excess    float64
 	byPenalty bool
 }
@@ -59,22 +62,22 @@
 	service identifier.ServiceName
 }
 
-// entry is the recent use of a pool by one account for one service, in
-// slots.
+// entry is the recent use of a pool by one account for one service, in slots.
 type entry struct {
-	key entryKey
-	at  timekeeper.Time
-	use float64
-	// value is the mean penalty saved by a second of slot time.
+	key       entryKey
+	updatedAt timekeeper.Time
+	use       float64
+	// value is the moving average of the penalty saved per second of slot time.
 	value float64
 	// excess is the use above the account's fair share, base the rest. Both
 	// start at their place in the order of shedding.
-	excess     float64
-	base       float64
-	excessFrom float64
-	baseFrom   float64
-	// due adds up the parts of requests to shed; at one, a request is shed.
-	due float64
+	excess      float64
+	base        float64
+	excessStart float64
+	baseStart   float64
+	// shedBalance accumulates the fraction of requests to shed. When it reaches one, a
+	// request is shed.
+	shedBalance float64
 }
 
 func (l *Limits) pool(name identifier.PoolName) *pool {
@@ -86,7 +89,7 @@
 	return p
 }
 
-// prune forgets entries that the catalog no longer names.
+// prune drops entries that the catalog does not contain.
 func (p *pool) prune(c *catalog.Catalog) {
 	p.planned = false
 	for key := range p.entries {
@@ -98,60 +101,60 @@
 	}
 }
 
-// note adds an ask to the pool's use. What the account's limit refuses never
-// gets here: shedding it would relieve the pool of nothing.
-func (p *pool) note(now timekeeper.Time, a Request) *entry {
+// observe adds a request to the pool's use. Requests refused by the account's limit are
+// not added: shedding them would not relieve the pool.
+func (p *pool) observe(now timekeeper.Time, req Request) *entry {
 	key := entryKey{
-		account: a.Account,
-		service: a.Service,
+		account: req.Account,
+		service: req.Service,
 	}
 	e, ok := p.entries[key]
 	if !ok {
 		e = &entry{
-			key:   key,
-			at:    now,
-			value: valueOf(a),
+			key:       key,
+			updatedAt: now,
+			value:     valueOf(req),
 		}
 		p.entries[key] = e
 		p.planned = false
 	}
-	work := max(a.Predicted.Seconds(), timekeeper.Millisecond.Seconds())
-	gain := work / useWindow.Seconds()
-	keep := faded(now, p.at)
-	p.at = now
-	p.total = p.total*keep + gain
-	p.interactive *= keep
-	if a.Priority >= catalog.Interactive {
-		p.interactive += gain
+	slotTime := max(req.Predicted.Seconds(), timekeeper.Millisecond.Seconds())
+	load := slotTime / usageWindow.Seconds()
+	decay := decayFactor(now, p.updatedAt)
+	p.updatedAt = now
+	p.total = p.total*decay + load
+	p.interactive *= decay
+	if req.Priority >= catalog.Interactive {
+		p.interactive += load
 	}
-	e.use = e.use*faded(now, e.at) + gain
-	e.at = now
-	e.value += smoothing * (valueOf(a) - e.value)
-	p.serviceTime = mean(p.serviceTime, work*float64(timekeeper.Second))
+	e.use = e.use*decayFactor(now, e.updatedAt) + load
+	e.updatedAt = now
+	e.value += smoothing * (valueOf(req) - e.value)
+	p.serviceTime = smoothed(p.serviceTime, slotTime*float64(timekeeper.Second))
 	return e
 }
 
-func mean(old, sample float64) float64 {
+func smoothed(old, sample float64) float64 {
 	if old == 0 {
 		return sample
 	}
 	return old + smoothing*(sample-old)
 }
 
-func faded(now, at timekeeper.Time) float64 {
-	return math.Exp(-float64(max(now.Sub(at), 0)) / float64(useWindow))
+func decayFactor(now, at timekeeper.Time) float64 {
+	return math.Exp(-float64(max(now.Sub(at), 0)) / float64(usageWindow))
 }
 
-// valueOf is the penalty that admitting the request saves, by second of slot
-// time: one that will be late anyway saves nothing.
-func valueOf(a Request) float64 {
-	work := max(a.Predicted.Seconds(), timekeeper.Millisecond.Seconds())
-	return float64(a.Target.Penalty) * onTime(a.Predicted, a.Target.Completion) / work
+// valueOf returns the penalty that admission of the request saves, per second of slot
+// time. A request that will be late in any case saves nothing.
+func valueOf(req Request) float64 {
+	slotTime := max(req.Predicted.Seconds(), timekeeper.Millisecond.Seconds())
+	return float64(req.Target.Penalty) * onTimeChance(req.Predicted, req.Target.Completion) / slotTime
 }
 
-// onTime is the chance to meet the target: sure up to four fifths of it, none
-// from one and a half times the target.
-func onTime(predicted, target timekeeper.Duration) float64 {
+// onTimeChance estimates the probability that the target is met: one up to 0.8 times
+// the target, zero from 1.5 times the target.
+func onTimeChance(predicted, target timekeeper.Duration) float64 {
 	if target <= 0 {
 		return 1
 	}
@@ -159,112 +162,114 @@
 	return 1 - min(max(over, 0), 1)
 }
 
-// reserved reports whether the free slots are kept for work that goes first.
+// reserved reports whether the free slots are reserved for requests of higher priority.
 //
-// Long batch requests hold a slot for minutes. Filling the last slots with
-// them makes lookups wait for one to end, which their callers take for an
-// outage; so the last slots stay free for what is short and urgent.
-func (p *pool) reserved(a Request) bool {
-	if a.Priority >= catalog.Interactive || p.interactive == 0 {
+// Long batch requests occupy a slot for minutes. If they took the last slots,
+// interactive requests would have to wait for one of them to end, which looks like an
+// outage to callers.
+func (p *pool) reserved(req Request) bool {
+	if req.Priority >= catalog.Interactive || p.interactive == 0 {
 		return false
 	}
 	part := min(max(p.interactive/p.total, minReserve), maxReserve)
-	if a.Priority == catalog.Standard {
+	if req.Priority == catalog.Standard {
 		part *= standardReserve
 	}
-	return float64(a.FreeSlots) < part*float64(a.Slots)
+	return float64(req.FreeSlots) < part*float64(req.Slots)
 }
 
-// patience is a third of the time that the request's target leaves.
+// minRetryDelay returns the minimum retry time of a request: the time that remains
+// until its target, divided by retriesPerTarget.
 //
-// An overload lasts as long as new servers take to load. Work with minutes to
-// spare that is told the time in which a queue drains is back at once, is
-// refused again, and its caller gives up while it could still be in time.
-func patience(a Request) timekeeper.Duration {
-	spare := a.Target.Completion - a.Predicted
-	if a.Target.FirstToken > 0 {
-		spare = min(spare, a.Target.FirstToken)
+// An overload lasts until new servers have loaded. If the retry time were only the
+// drain time of a queue, a request with minutes to spare would use up its retries and
+// be abandoned while it could still complete in time.
+func minRetryDelay(req Request) timekeeper.Duration {
+	spare := req.Target.Completion - req.Predicted
+	if req.Target.FirstToken > 0 {
+		spare = min(spare, req.Target.FirstToken)
 	}
-	return max(spare, 0) / patienceParts
+	return max(spare, 0) / retriesPerTarget
 }
 
-// drainTime is the time in which the pool works off what waits.
-func (p *pool) drainTime(a Request) timekeeper.Duration {
-	ms := float64(a.Waiting+1) / float64(max(a.Slots, 1)) * p.serviceTime
-	return min(max(timekeeper.Duration(ms), minRetry, patience(a)), maxRetry)
+// drainTime returns the retry time on overload: the time in which the pool processes
+// the waiting requests, but at least minRetryDelay.
+func (p *pool) drainTime(req Request) timekeeper.Duration {
+	ms := float64(req.Waiting+1) / float64(max(req.Slots, 1)) * p.serviceTime
+	return min(max(timekeeper.Duration(ms), minRetry, minRetryDelay(req)), maxRetry)
 }
 
-// sheds reports whether overload costs this request its admission.
-func (p *pool) sheds(now timekeeper.Time, l *Limits, a Request, e *entry) bool {
-	pressure := float64(a.Slots-a.FreeSlots+a.Waiting) / float64(a.Slots)
-	part := min(max((pressure-shedFrom)/(shedAll-shedFrom), 0), 1)
+// shouldShed reports whether the request is shed because of overload.
+func (p *pool) shouldShed(now timekeeper.Time, l *Limits, req Request, e *entry) bool {
+	pressure := float64(req.Slots-req.FreeSlots+req.Waiting) / float64(req.Slots)
+	part := min(max((pressure-minShedPressure)/(maxShedPressure-minShedPressure), 0), 1)
 	if part == 0 {
 		return false
 	}
-	if !p.planned || now.Sub(p.plannedAt) >= planFor {
+	if !p.planned || now.Sub(p.plannedAt) >= planLifetime {
 		p.plan(now, l)
 	}
-	e.due += p.shedPart(e, part*p.planUse)
-	if e.due < 1 {
+	e.shedBalance += p.shedPart(e, part*p.plannedUse)
+	if e.shedBalance < 1 {
 		return false
 	}
-	e.due--
+	e.shedBalance--
 	return true
 }
 
-// shedPart is the part of the entry's requests to shed when so much of the
-// pool's use must go.
-func (p *pool) shedPart(e *entry, cut float64) float64 {
+// shedPart returns the fraction of the entry's requests to shed if the given part of
+// the pool's use has to be shed.
+func (p *pool) shedPart(e *entry, toShed float64) float64 {
 	if e.excess+e.base <= 0 {
 		return 0
 	}
 	if !p.byPenalty {
-		shed := e.excess*partOf(cut, p.excess) + e.base*partOf(cut-p.excess, p.planUse-p.excess)
+		shed := e.excess*partOf(toShed, p.excess) + e.base*partOf(toShed-p.excess, p.plannedUse-p.excess)
 		return shed / (e.excess + e.base)
 	}
-	shed := min(max(cut-e.excessFrom, 0), e.excess) + min(max(cut-e.baseFrom, 0), e.base)
+	shed := min(max(toShed-e.excessStart, 0), e.excess) + min(max(toShed-e.baseStart, 0), e.base)
 	return shed / (e.excess + e.base)
 }
 
-func partOf(cut, whole float64) float64 {
-	if whole <= 0 {
+func partOf(amount, total float64) float64 {
+	if total <= 0 {
 		return 0
 	}
-	return min(max(cut/whole, 0), 1)
+	return min(max(amount/total, 0), 1)
 }
 
-// plan orders the entries for shedding: first what accounts use above their
-// fair share, then the rest, each by the penalty saved.
+// plan orders the use for shedding: first the use above the accounts' fair shares, then
+// the rest, each by ascending value.
 //
-// Without the fair share a large account whose crowd fills the pool would
-// make the small ones late in proportion: all would wait in the same queues.
+// Without fair shares, a burst of one large account that fills the pool would delay the
+// requests of small accounts as much as its own.
 func (p *pool) plan(now timekeeper.Time, l *Limits) {
 	p.planned = true
 	p.plannedAt = now
 	sorted := p.sorted(now)
-	over := excessParts(sorted, l)
-	from := 0.0
+	excessPart := excessParts(sorted, l)
+	position := 0.0
 	for _, e := range sorted {
-		e.excess = e.use * over[e.key.account]
+		e.excess = e.use * excessPart[e.key.account]
 		e.base = e.use - e.excess
-		e.excessFrom = from
-		from += e.excess
+		e.excessStart = position
+		position += e.excess
 	}
-	p.excess = from
+	p.excess = position
 	for _, e := range sorted {
-		e.baseFrom = from
-		from += e.base
+		e.baseStart = position
+		position += e.base
 	}
-	p.planUse = from
+	p.plannedUse = position
 	p.byPenalty = l.rules.ShedByPenalty
 }
 
-// sorted returns the entries, faded to now, least penalty first.
+// sorted returns the entries by ascending value, with their use decayed to now.
 func (p *pool) sorted(now timekeeper.Time) []*entry {
 	sorted := make([]*entry, 0, len(p.entries))
 	for _, e := range p.entries {
-		e.use *= faded(now, e.at)
-		e.at = now
+		e.use *= decayFactor(now, e.updatedAt)
+		e.updatedAt = now
 		sorted = append(sorted, e)
 	}
 	slices.SortFunc(sorted, func(x, y *entry) int {
@@ -277,9 +282,9 @@
 	return sorted
 }
 
-// excessParts returns which part of each account's use is above its fair
-// share. Shares go by the accounts' limits, since those are what each account
-// was promised, and only accounts that use the pool now count.
+// excessParts returns the fraction of each account's use that exceeds its fair share.
+// Fair shares are proportional to the accounts' token limits. Only accounts that
+// currently use the pool count.
 func excessParts(entries []*entry, l *Limits) map[identifier.AccountID]float64 {
 	parts := make(map[identifier.AccountID]float64)
 	if !l.rules.FairShare {
@@ -291,14 +296,14 @@
 		use[e.key.account] += e.use
 		total += e.use
 	}
-	weights := 0.0
+	totalWeight := 0.0
 	for _, id := range slices.Sorted(maps.Keys(use)) {
 		if use[id] > activePart*total {
-			weights += weightOf(l.catalog.Accounts[id])
+			totalWeight += weightOf(l.catalog.Accounts[id])
 		}
 	}
 	for id, u := range use {
-		fair := total * weightOf(l.catalog.Accounts[id]) / max(weights, 1)
+		fair := total * weightOf(l.catalog.Accounts[id]) / max(totalWeight, 1)
 		if u > fair {
 			parts[id] = 1 - fair/u
 		}
--- a/internal/limiter/pool_test.go
+++ b/internal/limiter/pool_test.go
@@ -11,38 +11,38 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// offered is the work of one account in a trial of a busy pool: requests in
-// each round, and the penalty of one.
-type offered struct {
-	account identifier.AccountID
-	each    int
-	penalty identifier.Money
+// accountLoad is the load of one account on a busy pool: the requests per round and the
+// penalty of each.
+type accountLoad struct {
+	account  identifier.AccountID
+	perRound int
+	penalty  identifier.Money
 }
 
-func offer(id identifier.AccountID, each int, penalty identifier.Money) offered {
-	return offered{
-		account: id,
-		each:    each,
-		penalty: penalty,
+func loadOf(id identifier.AccountID, perRound int, penalty identifier.Money) accountLoad {
+	return accountLoad{
+		account:  id,
+		perRound: perRound,
+		penalty:  penalty,
 	}
 }
 
-// admittedParts offers the work for some rounds to a pool with no free slot
-// and returns the part of each account's that is admitted in the second half.
-func admittedParts(r Rules, waiting int, work ...offered) map[identifier.AccountID]float64 {
+// admittedFractions sends the loads for some rounds to a pool without free slots, and
+// returns the admitted fraction by account in the second half of the rounds.
+func admittedFractions(r Rules, waiting int, loads ...accountLoad) map[identifier.AccountID]float64 {
 	l := newLimits(r, testCatalog(10, 1e6, 1e6))
 	admitted := make(map[identifier.AccountID]float64)
 	const rounds = 400
 	for round := range rounds {
 		at := testNow.Add(timekeeper.Duration(round) * 50)
-		for _, o := range work {
-			for range o.each {
-				v := l.Admit(at, ask(o.account, func(a *Request) {
-					a.FreeSlots, a.Waiting = 0, waiting
-					a.Target.Penalty = o.penalty
+		for _, o := range loads {
+			for range o.perRound {
+				v := l.Admit(at, testRequest(o.account, func(req *Request) {
+					req.FreeSlots, req.Waiting = 0, waiting
+					req.Target.Penalty = o.penalty
 				}))
 				if v.OK && round >= rounds/2 {
-					admitted[o.account] += 1 / float64(o.each*rounds/2)
+					admitted[o.account] += 1 / float64(o.perRound*rounds/2)
 				}
 			}
 		}
@@ -50,54 +50,53 @@
 	return admitted
 }
 
-// Under overload the operator pays least when the requests with the smallest
-// penalty are refused.
+// Under overload, the requests with the lowest penalty are refused first.
 func TestOverloadShedsLeastPenaltyFirst(t *testing.T) {
-	work := []offered{
-		offer("a0", 5, identifier.Coin),
-		offer("a1", 5, 10*identifier.Coin),
+	loads := []accountLoad{
+		loadOf("a0", 5, identifier.Coin),
+		loadOf("a1", 5, 10*identifier.Coin),
 	}
 	rules := AllRules()
-	parts := admittedParts(rules, 30, work...)
+	parts := admittedFractions(rules, 30, loads...)
 	require.Less(t, parts["a0"], 0.3)
 	require.InDelta(t, 1, parts["a1"], 0.01)
 	rules.ShedByPenalty = false
-	parts = admittedParts(rules, 30, work...)
-	require.InDelta(t, parts["a0"], parts["a1"], 0.1, "without the rule both lose alike")
+	parts = admittedFractions(rules, 30, loads...)
+	require.InDelta(t, parts["a0"], parts["a1"], 0.1, "without the rule both are shed in proportion")
 }
 
-// The small accounts see their requests served on time while a large one,
-// which even pays more for each, has a flash crowd that fills the pool.
-func TestFlashCrowdIsShedBeforeOthers(t *testing.T) {
-	work := []offered{
-		offer("a0", 30, 10*identifier.Coin),
-		offer("a1", 1, identifier.Coin),
-		offer("a2", 1, identifier.Coin),
+// A burst of a large account fills the pool. Guards against small accounts that are
+// refused for it, although the large account's requests have the higher penalty.
+func TestLargeAccountIsShedBeforeOthers(t *testing.T) {
+	loads := []accountLoad{
+		loadOf("a0", 30, 10*identifier.Coin),
+		loadOf("a1", 1, identifier.Coin),
+		loadOf("a2", 1, identifier.Coin),
 	}
 	rules := AllRules()
-	parts := admittedParts(rules, 30, work...)
+	parts := admittedFractions(rules, 30, loads...)
 	require.InDelta(t, 1, parts["a1"], 0.01)
 	require.InDelta(t, 1, parts["a2"], 0.01)
 	require.Less(t, parts["a0"], 0.8)
 	rules.FairShare = false
-	parts = admittedParts(rules, 30, work...)
-	require.Less(t, parts["a1"], 0.1, "without the rule the small ones are shed for the crowd")
+	parts = admittedFractions(rules, 30, loads...)
+	require.Less(t, parts["a1"], 0.1, "without the rule the small accounts are shed instead")
 }
 
-// No mix of batch and standard work keeps interactive requests out while
-// slots are free, and the pool's last slots never go to batch work.
-func TestInteractiveWorkIsNotStarved(t *testing.T) {
+// No mix of batch and standard requests keeps interactive requests out while slots are
+// free, and batch requests never get the last slots of the pool.
+func TestInteractiveRequestsAreNotStarved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := newLimits(AllRules(), testCatalog(3, 1e6, 1e6))
 		const slots = 80
 		busy, at := 0, testNow
-		l.Admit(at, ask("a0", nil))
+		l.Admit(at, testRequest("a0", nil))
 		for range 200 {
 			at = at.Add(timekeeper.Duration(rapid.IntRange(0, 100).Draw(t, "pause")))
 			priority := catalog.Priority(rapid.IntRange(0, 2).Draw(t, "priority"))
-			v := l.Admit(at, ask("a1", func(a *Request) {
-				a.Priority, a.FreeSlots = priority, slots-busy
-				a.Predicted = 10 * timekeeper.Second
+			v := l.Admit(at, testRequest("a1", func(req *Request) {
+				req.Priority, req.FreeSlots = priority, slots-busy
+				req.Predicted = 10 * timekeeper.Second
 			}))
 			if priority == catalog.Interactive && slots-busy > 0.05*slots {
 				require.True(t, v.OK)
@@ -109,6 +108,6 @@
 				busy = min(busy+1, slots)
 			}
 		}
-		require.Less(t, busy, slots, "a slot is left for interactive work")
+		require.Less(t, busy, slots, "a slot is left for interactive requests")
 	})
 }
--- a/internal/limiter/share_test.go
+++ b/internal/limiter/share_test.go
@@ -13,19 +13,19 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// cluster is a few nodes that tell each other their demand every so often,
-// with the news taking effect one such time late.
+// cluster is a simulated cluster whose nodes exchange their demand at each gossip
+// interval. A report takes effect one interval later.
 type cluster struct {
-	nodes []*Limits
-	every timekeeper.Duration
-	at    timekeeper.Time
-	news  map[identifier.VMID]map[identifier.AccountID]Demand
+	nodes          []*Limits
+	gossipInterval timekeeper.Duration
+	now            timekeeper.Time
+	demand         map[identifier.VMID]map[identifier.AccountID]Demand
 }
 
 func newCluster(r Rules, n int, every timekeeper.Duration, perSecond, burst float64) *cluster {
 	c := &cluster{
-		every: every,
-		at:    testNow,
+		gossipInterval: every,
+		now:            testNow,
 	}
 	for range n {
 		c.nodes = append(c.nodes, newLimits(r, testCatalog(1, perSecond, burst)))
@@ -36,44 +36,45 @@
 
 func vm(i int) identifier.VMID { return identifier.VMID(fmt.Sprintf("vm%d", i)) }
 
-// gossip hands round the demand of the last round and collects it anew.
+// gossip delivers the demand collected one interval earlier, and collects the current
+// one.
 func (c *cluster) gossip() {
-	if c.news == nil {
-		c.news = c.collect()
+	if c.demand == nil {
+		c.demand = c.collect()
 	}
 	for i, l := range c.nodes {
-		peers := maps.Clone(c.news)
+		peers := maps.Clone(c.demand)
 		delete(peers, vm(i))
-		l.SetPeers(c.at, peers)
+		l.SetPeers(c.now, peers)
 	}
-	c.news = c.collect()
+	c.demand = c.collect()
 }
 
 func (c *cluster) collect() map[identifier.VMID]map[identifier.AccountID]Demand {
-	news := make(map[identifier.VMID]map[identifier.AccountID]Demand)
+	demand := make(map[identifier.VMID]map[identifier.AccountID]Demand)
 	for i, l := range c.nodes {
-		news[vm(i)] = l.Demand(c.at)
+		demand[vm(i)] = l.Demand(c.now)
 	}
-	return news
+	return demand
 }
 
 const step = 10 * timekeeper.Millisecond
 
-// step lets time pass.
+// step advances the time by one step.
 func (c *cluster) step() {
-	c.at = c.at.Add(step)
-	if timekeeper.Duration(c.at-testNow)%c.every == 0 {
+	c.now = c.now.Add(step)
+	if timekeeper.Duration(c.now-testNow)%c.gossipInterval == 0 {
 		c.gossip()
 	}
 }
 
-// offer sends each node some requests of a size and returns how many were
-// admitted.
-func (c *cluster) offer(each, tokens int) int {
+// admit sends each node some requests with the given number of tokens, and returns the
+// number admitted.
+func (c *cluster) admit(each, tokens int) int {
 	admitted := 0
 	for _, l := range c.nodes {
 		for range each {
-			if l.Admit(c.at, ask("a0", func(a *Request) { a.Tokens = identifier.Tokens(tokens) })).OK {
+			if l.Admit(c.now, testRequest("a0", func(req *Request) { req.Tokens = identifier.Tokens(tokens) })).OK {
 				admitted++
 			}
 		}
@@ -81,8 +82,8 @@
 	return admitted
 }
 
-// run sends each node its requests per second for a time and returns how many
-// each admitted.
+// run sends each node requests at its rate for a time, and returns the number admitted
+// by each node.
 func (c *cluster) run(perSecond []int, d timekeeper.Duration) []int {
 	admitted := make([]int, len(c.nodes))
 	for passed := timekeeper.Duration(0); passed < d; passed += step {
@@ -90,7 +91,7 @@
 		for i, l := range c.nodes {
 			due := perSecond[i]*int(passed+step)/1000 - perSecond[i]*int(passed)/1000
 			for range due {
-				if l.Admit(c.at, ask("a0", func(a *Request) { a.Tokens = 1 })).OK {
+				if l.Admit(c.now, testRequest("a0", func(req *Request) { req.Tokens = 1 })).OK {
 					admitted[i]++
 				}
 			}
@@ -107,9 +108,8 @@
 	return total
 }
 
-// Whatever the crowd does, the nodes together admit no more than Overshoot
-// times the limit, bursts and one request a node aside, with news up to one
-// doubling time old.
+// Under any demand, all nodes together admit at most Overshoot times the limit, plus
+// one request per node, if demand reports are no older than shareDoublingTime.
 func TestNodesTogetherKeepTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 9).Draw(t, "nodes")
@@ -128,8 +128,8 @@
 	})
 }
 
-// The same in tokens, with requests of any size: the last request a node admits
-// may take it into debt, no more.
+// As TestNodesTogetherKeepTheLimit, in tokens, with requests of any size: each node may
+// go into debt by one request only.
 func TestNodesTogetherKeepTheTokenLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 9).Draw(t, "nodes")
@@ -142,7 +142,7 @@
 			for range rapid.IntRange(10, 100).Draw(t, "steps") {
 				c.step()
 				steps++
-				admitted += c.offer(each, size) * size
+				admitted += c.admit(each, size) * size
 			}
 		}
 		bound := Overshoot*1000*(perSecond*steps/100+burst) + n*largest
@@ -150,15 +150,14 @@
 	})
 }
 
-// The operator sees an account served several times its limit. A crowd comes
-// to all nodes at once, each takes the whole limit for itself, and the news
-// that would correct them is a second old.
-func TestSlowRiseKeepsACrowdWithinTheLimit(t *testing.T) {
+// A burst arrives at all nodes at once while demand reports are old. Guards against
+// nodes that each take the whole limit.
+func TestSlowRiseBoundsBurst(t *testing.T) {
 	const n, perSecond, burst = 9, 50, 5
-	crowd := []int{2000, 2000, 2000, 2000, 2000, 2000, 2000, 2000, 2000}
+	demand := []int{2000, 2000, 2000, 2000, 2000, 2000, 2000, 2000, 2000}
 	served := func(r Rules) int {
 		c := newCluster(r, n, 500*timekeeper.Millisecond, perSecond, burst)
-		return sum(c.run(crowd, 2*timekeeper.Second))
+		return sum(c.run(demand, 2*timekeeper.Second))
 	}
 	rules := AllRules()
 	const bound = Overshoot*(2*perSecond+burst) + n
@@ -167,7 +166,7 @@
 	require.Greater(t, served(rules), bound, "without the rule the nodes overshoot")
 }
 
-// A caller that stays with one node gets the whole limit there.
+// Callers that stay with one node get the whole limit there.
 func TestLimitFollowsDemand(t *testing.T) {
 	served := func(r Rules) int {
 		c := newCluster(r, 8, 200*timekeeper.Millisecond, 50, 5)
@@ -178,12 +177,12 @@
 	rules := AllRules()
 	require.InDelta(t, 500, served(rules), 75)
 	rules.ShareByDemand = false
-	require.Less(t, served(rules), 100, "with equal shares most of the limit lies idle")
+	require.Less(t, served(rules), 100, "with equal shares most of the limit stays unused")
 }
 
-// A node that has just joined admits its first callers although the others
-// have all of the account's demand.
-func TestFreshNodeIsNotStarved(t *testing.T) {
+// A node that has just joined admits its first requests although the other nodes report
+// far more demand of the account.
+func TestNewNodeIsNotStarved(t *testing.T) {
 	served := func(r Rules) int {
 		c := newCluster(r, 4, 200*timekeeper.Millisecond, 100, 4)
 		c.run([]int{0, 1000, 1000, 1000}, 10*timekeeper.Second)
@@ -195,50 +194,48 @@
 	require.Less(t, served(rules), 10)
 }
 
-// Callers see requests refused although their account uses less than half of
-// its limit. Its few clients stay with one node for some seconds and go on to
-// the next, which has seen no demand of the account so far and has almost no
-// share of its limit. What no node is asked for is therefore shared evenly.
-func TestWanderingCallersWithinTheLimitAreServed(t *testing.T) {
+// The callers of an account far within its limit move from node to node. Guards against
+// refusals at nodes that have seen no demand of the account.
+func TestMovingCallersWithinTheLimitAreServed(t *testing.T) {
 	refused := func(r Rules) int {
 		const n, perSecond, burst = 9, 5, 20
 		c := newCluster(r, n, 500*timekeeper.Millisecond, perSecond, burst)
-		asked, served := 0, 0
+		requested, served := 0, 0
 		for round := range 40 {
 			demand := make([]int, n)
 			demand[4*round%n] = 2
 			served += sum(c.run(demand, 7*timekeeper.Second))
-			asked += 14
+			requested += 14
 		}
-		return asked - served
+		return requested - served
 	}
 	rules := AllRules()
 	require.Zero(t, refused(rules))
 	rules.ShareUnused = false
-	require.Greater(t, refused(rules), 50, "without the rule each new node refuses them")
+	require.Greater(t, refused(rules), 50, "without the rule each new node refuses requests")
 }
 
-// A call that needs no tokens is served while its account waits for tokens.
-func TestPlainCallsPassWithoutTokens(t *testing.T) {
+// A request without tokens is admitted while its account exceeds its token limit.
+func TestRequestsWithoutTokensIgnoreTokenLimit(t *testing.T) {
 	l := newLimits(AllRules(), testCatalog(1, 10, 10))
 	tokens := func(n identifier.Tokens) Verdict {
-		return l.Admit(testNow, ask("a0", func(a *Request) { a.Tokens = n }))
+		return l.Admit(testNow, testRequest("a0", func(req *Request) { req.Tokens = n }))
 	}
 	require.True(t, tokens(50_000).OK)
 	require.Equal(t, messenger.ReasonAccountLimit, tokens(1).Reason)
 	require.True(t, tokens(0).OK)
 }
 
-// A large account is over its limit with lookups. Refused like them, each of
-// its reports would cost a hundred times as much.
-func TestDearRequestsGetTheLastOfALimit(t *testing.T) {
+// An account exceeds its limit with cheap requests. Guards against refusals of its
+// costly requests in proportion.
+func TestCostlyRequestsGetReserve(t *testing.T) {
 	reports := func(r Rules) int {
 		l := newLimits(r, testCatalog(1, 50, 50))
 		served, at := 0, testNow
 		for i := range 2000 {
 			at = at.Add(10)
-			l.Admit(at, ask("a0", nil))
-			if i%20 == 0 && l.Admit(at, ask("a0", func(a *Request) { a.Target.Penalty = 100 * identifier.Coin })).OK {
+			l.Admit(at, testRequest("a0", nil))
+			if i%20 == 0 && l.Admit(at, testRequest("a0", func(req *Request) { req.Target.Penalty = 100 * identifier.Coin })).OK {
 				served++
 			}
 		}
