--- a/internal/gauger/fleet.go
+++ b/internal/gauger/fleet.go
@@ -148,7 +148,7 @@
 // step lets one tick pass: what was sent in the last one arrives, all nodes
 // work, and what they sent is collected in their order.
 func (f *Fleet) step() {
-	f.now = f.now.Add(messenger.TickEvery)
+	f.now = f.now.Add(messenger.TickInterval)
 	for i, m := range f.members {
 		f.feed(i, m)
 	}
@@ -164,19 +164,19 @@
 // feed gives a node the list and the new records of the log, each node at its
 // own instants.
 func (f *Fleet) feed(i int, m *member) {
-	tick := int(f.now.Sub(fleetStart) / messenger.TickEvery)
-	if (tick+i)%int(listEvery/messenger.TickEvery) == 0 {
+	tick := int(f.now.Sub(fleetStart) / messenger.TickInterval)
+	if (tick+i)%int(listEvery/messenger.TickInterval) == 0 {
 		m.inbox = append(m.inbox, messenger.ListRead{
 			AsOf: f.now,
 			VMs:  f.vms,
 		})
 	}
-	empty := (tick+i)%int(emptyReadEvery/messenger.TickEvery) == 0
+	empty := (tick+i)%int(emptyReadEvery/messenger.TickInterval) == 0
 	if m.read < len(f.log) || empty {
 		m.inbox = append(m.inbox, f.reads(m)...)
 	}
-	asks := tick % int(askEvery/messenger.TickEvery)
-	if i > 0 && asks == i%int(askEvery/messenger.TickEvery) && m.reducer.Catalog() != nil {
+	asks := tick % int(askEvery/messenger.TickInterval)
+	if i > 0 && asks == i%int(askEvery/messenger.TickInterval) && m.reducer.Catalog() != nil {
 		m.inbox = append(m.inbox, messenger.RequestReceived{Spec: f.ask(i, m)})
 	}
 }
@@ -313,7 +313,7 @@
 			Content: []byte(file.text),
 		})
 		f.verdict = messenger.ChangeVerdict{}
-		f.Run(4 * messenger.TickEvery)
+		f.Run(4 * messenger.TickInterval)
 		if !f.verdict.Accepted {
 			return &NotReadyError{
 				Node: f.members[0].config.Self,
--- a/internal/gauger/request.go
+++ b/internal/gauger/request.go
@@ -115,7 +115,7 @@
 		}
 		spent := metered(func() {
 			for range ticksMetered {
-				d.now = d.now.Add(messenger.TickEvery)
+				d.now = d.now.Add(messenger.TickInterval)
 				d.apply(messenger.Tick{})
 			}
 		})
--- a/internal/gossiper/cluster_test.go
+++ b/internal/gossiper/cluster_test.go
@@ -146,7 +146,7 @@
 
 // step lets one tick pass: messages of the last step arrive, then nodes tick.
 func (c *cluster) step() {
-	c.now = c.now.Add(messenger.TickEvery)
+	c.now = c.now.Add(messenger.TickInterval)
 	arriving := c.flying
 	c.flying = nil
 	for _, f := range arriving {
@@ -154,7 +154,7 @@
 	}
 	for i, m := range c.members {
 		// Nodes start at different instants of their periods.
-		if c.off[m.self.VM] || c.now < start.Add(messenger.TickEvery*timekeeper.Duration(i%10)) {
+		if c.off[m.self.VM] || c.now < start.Add(messenger.TickInterval*timekeeper.Duration(i%10)) {
 			continue
 		}
 		messages, changes := m.Tick(c.now, c.rng)
--- a/internal/messenger/effect.go
+++ b/internal/messenger/effect.go
@@ -8,45 +8,47 @@
 
 // Effects towards callers.
 type (
-	// Refuse gives the caller the final answer of a request that was not
-	// accepted, at once.
+	// Refuse immediately sends the caller the final answer of a request that
+	// was not accepted.
 	Refuse struct {
 		Request identifier.RequestID
 		Refusal Refusal
 	}
-	// Accept tells the caller that the request was accepted; from here on the
-	// system owes the whole answer.
+	// Accept informs the caller that the request was accepted. From then on
+	// the system owes the caller the complete answer.
 	Accept struct{ Request identifier.RequestID }
-	// Finish ends an accepted request. With Outcome Done the runner gives the
-	// caller the rest of the answer; else Reason goes out as the last event.
+	// Finish ends an accepted request. If Outcome is Done, the runner sends
+	// the caller the rest of the answer; otherwise it sends Reason as the
+	// last event.
 	Finish struct {
 		Request    identifier.RequestID
 		Outcome    Outcome
 		Reason     Reason
 		RetryAfter timekeeper.Duration
 	}
-	// AnswerFrom tells the runner to answer the caller of a request that lost
-	// its claim from the winner: its recorded answer, or else by asking the
-	// winner's node; where neither is to be had, the outcome is Unknown.
+	// AnswerFrom makes the runner answer the caller of a request that lost
+	// its claim with the winner's answer: the recorded one, or else the one
+	// fetched from the winner's node. If neither is available, the outcome is
+	// Unknown.
 	AnswerFrom struct {
 		Request identifier.RequestID
 		Winner  identifier.VMID
-		// Recorded is the winner's outcome from the log, or nil.
+		// Recorded is the winner's outcome in the log, or nil.
 		Recorded *RecordedOutcome
 	}
-	// Redirect tells the callers of a request that another node has it now.
+	// Redirect sends the callers of a request to the node that now owns it.
 	Redirect struct {
 		Request identifier.RequestID
 		To      identifier.VMID
 	}
 )
 
-// RecordedOutcome is the end of a claimed request as the log keeps it.
+// RecordedOutcome is the logged end of a claimed request.
 type RecordedOutcome struct {
 	Outcome Outcome
 	Status  int
 	Body    []byte
-	// BodyOmitted tells that the answer was too large to be kept.
+	// BodyOmitted reports whether the answer was too large to be stored.
 	BodyOmitted bool
 }
 
@@ -59,21 +61,22 @@
 		Server  identifier.VMID
 		Address string
 		Mode    StartMode
-		// Stream names the engine's stream. With StartResume it is the stream
-		// of an earlier attempt.
+		// Stream is the name of the engine's stream. With StartResume it is
+		// the stream of an earlier attempt.
 		Stream identifier.StreamName
-		// From is the number of tokens that already stand with this node.
+		// From is the number of tokens that this node already has.
 		From     identifier.Tokens
 		Priority catalog.Priority
 		Deadline timekeeper.Time
-		// FirstSilence and NextSilence bound the wait for the first byte and
-		// between bytes; past them the runner reports AttemptSilent.
+		// FirstEventTimeout and NextEventTimeout limit the time until the
+		// first byte and between bytes. When one expires, the runner reports
+		// AttemptTimedOut.
 		FirstEventTimeout timekeeper.Duration
 		NextEventTimeout  timekeeper.Duration
 	}
-	// StopAttempt ends this node's part in an attempt. With Cancel the server
-	// is told to drop the stream too; without, the stream lives on for
-	// another node to resume.
+	// StopAttempt detaches this node from an attempt. With Cancel the server
+	// is also asked to drop the stream; otherwise the stream continues, so
+	// that another node can resume it.
 	StopAttempt struct {
 		Request identifier.RequestID
 		Attempt identifier.AttemptNumber
@@ -97,41 +100,41 @@
 		Address string
 		Kind    catalog.ServiceKind
 	}
-	// GiveOrder gives an engine an order under a lease.
+	// GiveOrder sends an engine an order under a lease.
 	GiveOrder struct {
 		Ticket  identifier.Ticket
 		Server  identifier.VMID
 		Address string
 		Order   Order
-		// NotAfter is the instant past which the lease no longer covers the
-		// order: the runner checks its clock right before the order leaves.
+		// NotAfter is the time at which the lease stops covering the order.
+		// The runner checks its clock immediately before it sends the order.
 		NotAfter timekeeper.Time
 	}
 )
 
 // Effects towards peers.
 type (
-	// Hold gives a peer a copy of a long request, its body included, and from
-	// then on its answer: tokens go to the caller only once the holder has
-	// them. Each push names the attempt, server and stream of the last
-	// SendAttempt. After HoldFailed nothing more is released until the next
-	// Hold or Unhold.
+	// Hold stores a copy of a long request and its body at a peer, and then
+	// forwards the answer to it: tokens are released to the caller only after
+	// the holder has them. Each push names the attempt, server and stream of
+	// the last SendAttempt. After HoldFailed nothing more is released until
+	// the next Hold or Unhold.
 	Hold struct {
 		Request identifier.RequestID
 		Epoch   identifier.Epoch
 		Holder  identifier.VMID
 		Address string
 	}
-	// Unhold ends delivery through a holder, which drops its copy. Without a
-	// Holder it only lets the answer go out unprotected.
+	// Unhold ends delivery through a holder, which drops its copy. With an
+	// empty Holder it only releases the answer without protection by a copy.
 	Unhold struct {
 		Request identifier.RequestID
 		Holder  identifier.VMID
 		Address string
 	}
-	// HandOver gives a request in flight to a successor. From here on nothing
-	// more goes to callers until HandoverFailed says NotTaken, or the answer
-	// ends here.
+	// HandOver transfers a request in flight to a successor. From then on
+	// nothing more is sent to callers until HandoverFailed arrives with
+	// NotTaken, or the answer ends at this node.
 	HandOver struct {
 		Request   identifier.RequestID
 		Epoch     identifier.Epoch
@@ -139,20 +142,20 @@
 		Address   string
 		Attempt   identifier.AttemptNumber
 		Server    identifier.VMID
-		// Stream is the engine's stream that the successor may resume.
+		// Stream is the engine's stream, which the successor may resume.
 		Stream identifier.StreamName
 	}
-	// ConfirmHandover answers the peer that handed the request over: it is
-	// safe here now, also against the death of this node.
+	// ConfirmHandover answers the peer that handed the request over: the
+	// request is now safe here, even if this node dies.
 	ConfirmHandover struct{ Request identifier.RequestID }
 	// Adopt makes this node the owner of a request whose copy it holds.
 	Adopt struct {
 		Request identifier.RequestID
 		Epoch   identifier.Epoch
 	}
-	// Forget drops what the runner keeps of a request or of its copy.
+	// Forget drops the runner's state of a request or of its copy.
 	Forget struct{ Request identifier.RequestID }
-	// SendGossip sends a peer this node's news.
+	// SendGossip sends a peer a gossip message of this node.
 	SendGossip struct {
 		Peer    identifier.VMID
 		Address string
@@ -168,8 +171,8 @@
 		Stream identifier.LogStream
 		Data   []byte
 	}
-	// AppendOutcome appends the outcome of a claimed request; the runner adds
-	// the answer where it is small enough.
+	// AppendOutcome appends the outcome of a claimed request. The runner adds
+	// the answer if it is small enough.
 	AppendOutcome struct {
 		Request identifier.RequestID
 		Account identifier.AccountID
@@ -178,8 +181,8 @@
 		Stream  identifier.LogStream
 		Outcome Outcome
 	}
-	// BuyVM buys a VM. The client token names the slot and its generation, so
-	// that a repeated purchase is the same purchase.
+	// BuyVM buys a VM. The client token identifies the slot and its
+	// generation, which makes a repeated purchase idempotent.
 	BuyVM struct {
 		Ticket      identifier.Ticket
 		ClientToken string
@@ -189,23 +192,23 @@
 		Pool        identifier.PoolName
 		NotAfter    timekeeper.Time
 	}
-	// ReleaseVM gives a VM back.
+	// ReleaseVM returns a VM to the cloud provider.
 	ReleaseVM struct {
 		VM       identifier.VMID
 		NotAfter timekeeper.Time
 	}
-	// ReplyOperator tells an operator what became of a proposed change.
+	// ReplyOperator sends an operator the verdict on a proposed change.
 	ReplyOperator struct {
 		Ticket  identifier.Ticket
 		Verdict ChangeVerdict
 	}
-	// FetchConfiguration asks a peer for its state of the configuration,
-	// while the log is out.
+	// FetchConfiguration requests a peer's configuration state while the log
+	// is unavailable.
 	FetchConfiguration struct {
 		Peer    identifier.VMID
 		Address string
 	}
-	// Note puts an event on the time line.
+	// TimelineEntry records an entry on the timeline.
 	TimelineEntry struct {
 		Kind    TimelineKind
 		Request identifier.RequestID
@@ -213,22 +216,23 @@
 		VM      identifier.VMID
 		Detail  string
 	}
-	// Exit tells the runner that a planned stop has nothing left to wait for.
+	// Exit ends the process: nothing is left that a planned stop has to wait
+	// for.
 	Exit struct{}
 )
 
-// ChangeVerdict is what became of a proposed change of the configuration.
+// ChangeVerdict is the result of a proposed configuration change.
 type ChangeVerdict struct {
 	Accepted bool
 	Revision identifier.Revision
-	// Unknown tells that the log could not settle it in time: the operator
-	// reads the history later.
+	// Unknown reports that the log could not settle the change in time. The
+	// operator has to read the history later.
 	Unknown bool
-	// Faults tell why it was rejected.
+	// Faults are the reasons for a rejection.
 	Faults []string
 }
 
-// NoteKind is a kind of event on the time line.
+// TimelineKind is a kind of timeline entry.
 type TimelineKind string
 
 func (Refuse) effect()             {}
--- a/internal/messenger/event.go
+++ b/internal/messenger/event.go
@@ -7,43 +7,48 @@
 
 // Events from callers.
 type (
-	// RequestReceived: a caller sent a request that authenticated and parsed.
+	// RequestReceived reports a request that was authenticated and parsed.
 	RequestReceived struct{ Spec RequestSpec }
-	// RequestCancelled: the caller gave the request up by name.
+	// RequestCancelled reports that the caller cancelled the request by its
+	// id.
 	RequestCancelled struct{ Request identifier.RequestID }
-	// CallerGone: no caller is attached to the request any more.
+	// CallerDisconnected reports that no caller is attached to the request
+	// any more.
 	CallerDisconnected struct{ Request identifier.RequestID }
-	// CallerAttached: a caller attached to a request of this node again.
+	// CallerAttached reports that a caller reattached to a request of this
+	// node.
 	CallerAttached struct{ Request identifier.RequestID }
 )
 
-// Events from attempts at backend servers. Events of an attempt that is not
-// the request's current one change nothing.
+// Events from attempts at backend servers. Events of any but the request's
+// current attempt are ignored.
 type (
-	// AttemptStarted: the server accepted the attempt.
+	// AttemptStarted reports that the server accepted the attempt.
 	AttemptStarted struct {
 		Request identifier.RequestID
 		Attempt identifier.AttemptNumber
 	}
-	// AttemptProgress: so many tokens of the answer, counted from its
-	// beginning, now stand with this node.
+	// AttemptProgress reports the number of tokens of the answer, counted
+	// from its beginning, that this node has received.
 	AttemptProgress struct {
 		Request   identifier.RequestID
 		Attempt   identifier.AttemptNumber
 		Delivered identifier.Tokens
 	}
-	// AttemptEnded: the attempt is over as far as this node can tell.
+	// AttemptEnded reports that the attempt has ended, as far as this node
+	// can observe.
 	AttemptEnded struct {
 		Request   identifier.RequestID
 		Attempt   identifier.AttemptNumber
 		Result    AttemptResult
 		Delivered identifier.Tokens
-		// RetryAfter is the server's own wish, or zero.
+		// RetryAfter is the delay that the server asked for, or zero.
 		RetryAfter timekeeper.Duration
-		// ServerEnded tells that nothing listens at the server's address any more.
+		// ServerEnded reports whether the server's address refuses
+		// connections.
 		ServerEnded bool
 	}
-	// KVMoved: an export and import of KV cache ended.
+	// KVMoved reports the end of an export and import of KV cache.
 	KVMoved struct {
 		Request identifier.RequestID
 		Attempt identifier.AttemptNumber
@@ -52,28 +57,31 @@
 	}
 )
 
-// Events of the off-node record of long requests and of handing them on.
+// Events of off-node copies of long requests and of handovers.
 type (
-	// HoldAcked: the holder has the copy up to the answer so far.
+	// HoldAcked reports that the holder has a copy that is complete up to the
+	// current end of the answer.
 	HoldAcked struct {
 		Request identifier.RequestID
 		Holder  identifier.VMID
 	}
-	// HoldFailed: the holder did not confirm. Gone tells that nothing listens
-	// at its address: the process that may have had the copy is no more.
+	// HoldFailed reports that the holder did not confirm. HolderEnded is set
+	// if its address refuses connections: the process that may have had the
+	// copy no longer exists.
 	HoldFailed struct {
 		Request     identifier.RequestID
 		Holder      identifier.VMID
 		HolderEnded bool
 	}
-	// HoldRefused: the holder owns the request itself, with a larger epoch.
+	// HoldRefused reports that the holder owns the request itself, with a
+	// larger epoch.
 	HoldRefused struct {
 		Request identifier.RequestID
 		Holder  identifier.VMID
 	}
-	// CopyHeld: a peer gave this node a copy of one of its requests, or
-	// renewed it. Where this node took itself for the owner, the peer's epoch
-	// is the larger.
+	// CopyHeld reports that a peer stored a copy of one of its requests at
+	// this node, or renewed it. If this node considered itself the owner, the
+	// peer's epoch is the larger one.
 	CopyHeld struct {
 		Spec      RequestSpec
 		Epoch     identifier.Epoch
@@ -83,9 +91,10 @@
 		Stream    identifier.StreamName
 		Delivered identifier.Tokens
 	}
-	// CopyDropped: the owner says that the request has ended.
+	// CopyDropped reports that the request has ended at its owner.
 	CopyDropped struct{ Request identifier.RequestID }
-	// RequestHandedOver: a leaving peer gave this node a request to finish.
+	// RequestHandedOver reports that a leaving peer handed a request over to
+	// this node.
 	RequestHandedOver struct {
 		Spec      RequestSpec
 		Epoch     identifier.Epoch
@@ -95,13 +104,14 @@
 		Stream    identifier.StreamName
 		Delivered identifier.Tokens
 	}
-	// HandoverAcked: the successor has the request now.
+	// HandoverAcked reports that the successor now owns the request.
 	HandoverAcked struct {
 		Request   identifier.RequestID
 		Successor identifier.VMID
 	}
-	// HandoverFailed: the successor did not confirm. Unless NotTaken is set it
-	// may have the request all the same, and the answer stays paused.
+	// HandoverFailed reports that the successor did not confirm. Unless
+	// NotTaken is set, it may own the request nevertheless, and the answer
+	// stays paused.
 	HandoverFailed struct {
 		Request   identifier.RequestID
 		Successor identifier.VMID
@@ -111,50 +121,53 @@
 
 // Events from the platform.
 type (
-	// LogRead: the next records of a stream, in order. First is the oldest
-	// offset the log still keeps; a gap before it was lost to expiry.
+	// LogRead carries the next records of a stream, in order. First is the
+	// oldest offset that the log still retains; records in a gap before it
+	// have expired.
 	LogRead struct {
 		Stream  identifier.LogStream
 		First   identifier.Offset
 		Records []Record
-		// End tells that the stream had no more records at the time of reading.
+		// End reports whether the stream had no more records at the time of
+		// reading.
 		End bool
-		// Next is where the next read goes on; zero stands for the offset after the
-		// last record.
+		// Next is the offset of the next read; zero stands for the offset
+		// after the last record.
 		Next identifier.Offset
 	}
-	// StoreRestored: the log came back from an older copy of itself. What was
-	// appended since that was made is gone.
+	// StoreRestored reports that the log was restored from an older copy of
+	// itself. Records appended after the copy was made are lost.
 	StoreRestored struct{ Generation identifier.StoreGeneration }
-	// LogUnavailable: the log could not be read.
+	// LogUnavailable reports that the log could not be read.
 	LogUnavailable struct{ Stream identifier.LogStream }
-	// AppendEnded: an append ended. With OK false it may still have taken
-	// effect; only reading the log back settles that.
+	// AppendEnded reports the end of an append. If OK is false, the append
+	// may still have taken effect; only reading the log back settles that.
 	AppendEnded struct {
 		Ticket identifier.Ticket
 		Stream identifier.LogStream
 		OK     bool
 	}
-	// ListRead: the platform's list of VMs as of an instant.
+	// ListRead carries the platform's list of VMs as of an instant.
 	ListRead struct {
 		AsOf timekeeper.Time
 		VMs  []VMState
 	}
-	// NoticeReceived: the cloud will take the VM away at the deadline.
+	// NoticeReceived reports that the cloud will reclaim the VM at the
+	// deadline.
 	NoticeReceived struct {
 		VM       identifier.VMID
 		Deadline timekeeper.Time
 	}
-	// BuyEnded: a purchase ended. Without VM it was refused, or with
-	// Ambiguous set nobody knows.
+	// BuyEnded reports the end of a purchase. With an empty VM it was
+	// refused, or its result is unknown if Ambiguous is set.
 	BuyEnded struct {
 		Ticket    identifier.Ticket
 		VM        identifier.VMID
 		Refused   bool
 		Ambiguous bool
 	}
-	// OrderEnded: an order ended; Stale tells that the server refused its
-	// fencing number.
+	// OrderEnded reports the end of an order. Stale is set if the server
+	// refused its fencing number.
 	OrderEnded struct {
 		Ticket identifier.Ticket
 		Server identifier.VMID
@@ -165,60 +178,64 @@
 
 // Events from backend servers and peers.
 type (
-	// LoadReported: a backend server reported its load.
+	// LoadReported carries a load report of a backend server.
 	LoadReported struct {
 		Server identifier.VMID
 		Load   ServerLoad
 	}
-	// LoadMissed: a backend server did not answer a poll in time.
+	// LoadMissed reports that a backend server did not answer a poll in time.
 	LoadMissed struct{ Server identifier.VMID }
-	// CacheReported: prefix blocks that a server now holds or has dropped.
+	// CacheReported carries prefix blocks that a server has added to its
+	// cache or evicted from it.
 	CacheReported struct {
 		Server  identifier.VMID
 		Cached  []identifier.PrefixHash
 		Evicted []identifier.PrefixHash
-		// Gap tells that events before these were lost.
+		// Gap reports whether earlier cache events were lost.
 		Gap bool
 	}
-	// GossipReceived: a peer sent its news, encoded by package gossiper.
+	// GossipReceived carries a gossip message of a peer, encoded by package
+	// gossiper.
 	GossipReceived struct {
 		From identifier.VMID
 		Data []byte
 	}
-	// PeerFailed: a message to a peer was not answered in time.
+	// PeerFailed reports that a message to a peer was not answered in time.
 	PeerFailed struct{ Peer identifier.VMID }
 )
 
 // Events from operators and from the process itself.
 type (
-	// ChangeProposed: an operator wants one file to read so, or the whole
-	// folder restored.
+	// ChangeProposed carries an operator's change of one file, or a request
+	// to restore the whole folder.
 	ChangeProposed struct {
 		Ticket identifier.Ticket
 		File   identifier.FileName
-		// Content is the whole file; Delete removes it instead.
+		// Content is the whole new file. With Delete the file is removed
+		// instead.
 		Content []byte
 		Delete  bool
-		// Saw is the file's revision that the operator's change is based on.
+		// BaseRevision is the file's revision that the change is based on.
 		BaseRevision identifier.Revision
-		// Restore, where it is not nil, holds all files of the folder that is
-		// to replace a configuration that was lost. The fields above but
-		// Ticket are empty then.
+		// Restore, unless it is nil, holds all files of the folder that
+		// replaces a lost configuration. All fields above except Ticket are
+		// then empty.
 		Restore map[identifier.FileName][]byte
 	}
-	// DrainStarted: a planned stop of this node began.
+	// DrainStarted reports that a planned stop of this node began.
 	DrainStarted struct{ Deadline timekeeper.Time }
-	// ConfigurationReceived: a peer gave its state of the configuration.
+	// ConfigurationReceived carries a peer's configuration state.
 	ConfigurationReceived struct {
 		From identifier.VMID
 		Data []byte
 	}
-	// Tick: time has passed. The runner sends one every TickEvery.
+	// Tick reports that time has passed. The runner sends one every
+	// TickInterval.
 	Tick struct{}
 )
 
-// TickEvery is the spacing of Tick events.
-const TickEvery = 50 * timekeeper.Millisecond
+// TickInterval is the time between Tick events.
+const TickInterval = 50 * timekeeper.Millisecond
 
 func (RequestReceived) eventBody()       {}
 func (RequestCancelled) eventBody()      {}
--- a/internal/messenger/exchange.go
+++ b/internal/messenger/exchange.go
@@ -6,27 +6,28 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// ExchangeSpec is what an opaque exchange asks for. The bytes stay with the
-// connection that they came on.
+// ExchangeSpec describes the request of an opaque exchange. The bytes stay
+// with the connection on which they arrived.
 type ExchangeSpec struct {
 	Exchange identifier.ExchangeID
-	// Request is the caller's own name of this attempt of its request.
+	// Request is the id that the caller gave this attempt of its request.
 	Request identifier.RequestID
 	Host    string
 	Path    string
 	Key     string
 	// Received is when the head of the request arrived.
 	Received timekeeper.Time
-	// Patience is how long the caller waits, or zero where it did not say.
+	// TimeLimit is the time the caller waits, or zero if it did not state
+	// one.
 	TimeLimit timekeeper.Duration
-	// PromptTokens and MaxTokens are zero where the caller did not say.
+	// PromptTokens and MaxTokens are zero if the caller did not state them.
 	PromptTokens identifier.Tokens
 	MaxTokens    identifier.Tokens
 	// Prefix lists the parts of the prompt in order.
 	Prefix []PromptPart
-	// Resumes tells that the caller has a part of the answer already.
+	// Resumes reports whether the caller already has a part of the answer.
 	Resumes bool
-	// Content stands for host, path and body.
+	// Content is a hash of host, path and body.
 	Content identifier.ContentHash
 }
 
@@ -38,85 +39,92 @@
 
 // Events of opaque exchanges.
 type (
-	// ExchangeReceived: a whole request arrived.
+	// ExchangeReceived carries a completely received request.
 	ExchangeReceived struct{ Spec ExchangeSpec }
-	// ExchangeBegan: the first byte of the answer, or the first event of a
-	// stream, arrived from the current attempt.
+	// ExchangeBegan reports the first byte of the answer, or the first event
+	// of a stream, from the current attempt.
 	ExchangeBegan struct {
 		Exchange identifier.ExchangeID
 		Attempt  identifier.AttemptNumber
 	}
-	// ExchangeAttemptEnded: an attempt ended without an answer that could be
-	// given to the caller as it is.
+	// ExchangeAttemptEnded reports an attempt that ended without an answer
+	// that can be passed on to the caller unchanged.
 	ExchangeAttemptEnded struct {
 		Exchange identifier.ExchangeID
 		Attempt  identifier.AttemptNumber
 		Result   AttemptResult
-		// Streaming tells that a part of the answer went to the caller.
+		// Streaming reports whether a part of the answer was sent to the
+		// caller.
 		Streaming bool
-		// RetryAfter is the server's own wish, or zero.
+		// RetryAfter is the delay that the server asked for, or zero.
 		RetryAfter timekeeper.Duration
-		// ServerEnded tells that nothing listens at the server's address any more.
+		// ServerEnded reports whether the server's address refuses
+		// connections.
 		ServerEnded bool
 	}
-	// ExchangeEnded: nothing more follows for the caller.
+	// ExchangeEnded reports that nothing more is sent to the caller.
 	ExchangeEnded struct {
 		Exchange identifier.ExchangeID
-		// Result is how the last attempt ended; empty where the caller left.
+		// Result is the result of the last attempt; it is empty if the caller
+		// disconnected.
 		Result AttemptResult
-		// ServerEnded tells that nothing listens at the server's address any more.
+		// ServerEnded reports whether the server's address refuses
+		// connections.
 		ServerEnded bool
-		// Events is how many events of a stream the last attempt brought, and
-		// EventsTook the time between the first and the last of them.
+		// Events is the number of stream events in the last attempt, and
+		// EventsDuration the time between the first and the last of them.
 		Events         int
 		EventsDuration timekeeper.Duration
 	}
 )
 
-// Basis is what the node knew when it decided on an exchange, for its log.
+// DecisionInputs is what the node knew when it decided on an exchange, for
+// its log.
 type DecisionInputs struct {
-	// Route and Account are empty where the request named none that is known.
+	// Route and Account are empty if the request named unknown ones.
 	Route   identifier.RouteName
 	Account identifier.AccountID
-	// Fingerprint is that of what was asked and by whom.
+	// Fingerprint identifies the request's content and its account.
 	Fingerprint identifier.Fingerprint
-	// Limit tells who decided on the account's limit; empty where nobody did.
+	// Limit states who decided on the account's limit; it is empty if no
+	// limit was checked.
 	Limit    LimitSource
 	Revision identifier.Revision
-	// RevisionAge is how long ago the node knew that no configuration is
-	// newer, ServersAge how old its knowledge of the servers was; negative
-	// where it never knew.
+	// RevisionAge is the time since the node last confirmed that its
+	// configuration was the newest, ServersAge the age of its data on the
+	// servers. Both are negative if there was none.
 	RevisionAge timekeeper.Duration
 	ServersAge  timekeeper.Duration
-	// Candidates is how many servers could have had the request, and Predicted
-	// when the chosen one's answer should begin.
+	// Candidates is the number of servers that were eligible for the request,
+	// and Predicted the expected time until the answer of the chosen one
+	// begins.
 	Candidates int
 	Predicted  timekeeper.Duration
-	// Version is that of the server that was chosen.
+	// Version is the version of the chosen server.
 	Version identifier.Version
 }
 
-// LimitSource tells who decided on an account's limit.
+// LimitSource states who decided on an account's limit.
 type LimitSource string
 
-// The sources of decisions on limits.
+// The sources of limit decisions.
 const (
-	// LimitOwnPart: this node's own part had room.
+	// LimitOwnPart: this node's own part of the limit had headroom.
 	LimitOwnPart LimitSource = "own_part"
-	// LimitCentral: this node grants centrally.
+	// LimitCentral: this node grants the central part.
 	LimitCentral LimitSource = "central"
-	// LimitPeer: the node that grants centrally was asked.
+	// LimitPeer: the node that grants the central part decided.
 	LimitPeer LimitSource = "peer"
-	// LimitPeerSilent: it did not answer in time.
+	// LimitPeerTimedOut: that node did not answer in time.
 	LimitPeerTimedOut LimitSource = "peer_silent"
-	// LimitNoPeer: no node is known to grant centrally.
+	// LimitNoPeer: no node is known to grant the central part.
 	LimitNoPeer LimitSource = "no_peer"
 )
 
-// Effects of opaque exchanges. Each event above but ExchangeBegan and
-// ExchangeEnded is followed by exactly one of them.
+// Effects of opaque exchanges. Each of the above events except ExchangeBegan
+// and ExchangeEnded is followed by exactly one of them.
 type (
-	// RefuseExchange answers a request of which nothing ran.
+	// RefuseExchange answers a request of which nothing was executed.
 	RefuseExchange struct {
 		Exchange identifier.ExchangeID
 		Refusal  Refusal
@@ -130,33 +138,36 @@
 		Address  string
 		Account  identifier.AccountID
 		Route    *catalog.Route
-		// Urgency goes to the server: zero goes first.
+		// Urgency is passed to the server, which runs requests with smaller
+		// values first.
 		Urgency  int
 		Deadline timekeeper.Time
-		// CopyFrom is the address of a server that probably keeps parts of the
-		// prompt that the chosen one lacks, which copies them from there
-		// instead of reading them; empty where none is known.
+		// CopyFrom is the address of a server that probably has cached parts
+		// of the prompt that the chosen server lacks. The chosen server
+		// copies them from there instead of computing them. It is empty if no
+		// such server is known.
 		CopyFrom string
-		// Limited tells that the server is known to state a limit.
+		// Limited reports whether the server is known to state a limit.
 		Limited bool
-		// FirstSilence and NextSilence bound the wait for the first event and
-		// between events, where another server could go on; else they are
-		// zero.
+		// FirstEventTimeout and NextEventTimeout limit the time until the
+		// first event and between events. They are zero if no other server
+		// could continue the request.
 		FirstEventTimeout timekeeper.Duration
 		NextEventTimeout  timekeeper.Duration
 		Inputs            DecisionInputs
 	}
-	// EndExchange ends a request without a further attempt. Whether it ran is
-	// not known, or it ran and failed.
+	// EndExchange ends a request without a further attempt, after it ran and
+	// failed or may have run.
 	EndExchange struct {
 		Exchange identifier.ExchangeID
 		Reason   Reason
 	}
 )
 
-// Asking the central node for a part of an account's limit.
+// Requests for the central part of an account's limit.
 type (
-	// AskLimit asks the node that grants the limits of accounts centrally.
+	// RequestLimit asks the node that grants the central parts of account
+	// limits.
 	RequestLimit struct {
 		Exchange identifier.ExchangeID
 		Peer     identifier.VMID
@@ -164,9 +175,9 @@
 		Account  identifier.AccountID
 		Tokens   identifier.Tokens
 	}
-	// LimitAnswered: the central node granted the request or refused it, or
-	// with Unknown set could not be asked. With NotGranting set it answered that
-	// it no longer grants.
+	// LimitAnswered reports that the node with the central part granted or
+	// refused the request. Unknown is set if it could not be reached,
+	// NotGranting if it answered that it no longer grants.
 	LimitAnswered struct {
 		Exchange    identifier.ExchangeID
 		Granted     bool
@@ -174,131 +185,137 @@
 		NotGranting bool
 		RetryAfter  timekeeper.Duration
 	}
-	// LimitAsked: a peer asks this node for a part of an account's limit.
+	// LimitRequested reports that a peer asks this node for a part of an
+	// account's limit.
 	LimitRequested struct {
 		Ticket  identifier.Ticket
 		Account identifier.AccountID
 		Tokens  identifier.Tokens
 	}
-	// AnswerLimit answers a peer that asked.
+	// AnswerLimit answers a LimitRequested event.
 	AnswerLimit struct {
 		Ticket identifier.Ticket
 		Answer LimitAnswered
 	}
 )
 
-// ServerState tells whether a published backend server takes new work.
+// ServerState is the state of a published backend server.
 type ServerState string
 
 // The states of published servers.
 const (
 	ServerReady   ServerState = "ready"
 	ServerLeaving ServerState = "leaving"
-	// ServerRemoved: the platform has taken the entry of the server away.
+	// ServerRemoved: the platform has removed the server's entry.
 	ServerRemoved ServerState = "removed"
 )
 
 // PublishedServer is the entry of a backend server in the platform's store.
 type PublishedServer struct {
 	Server identifier.VMID
-	// Offset is where the entry stands in the store: of two entries of one
-	// server the one with the larger offset is the newer.
+	// Offset is the entry's offset in the store. Of two entries of one
+	// server, the one with the larger offset is newer.
 	Offset  identifier.Offset
 	Service identifier.ServiceName
 	Address string
 	Zone    identifier.Zone
 	Slots   int
-	// Version is that of the server's software; empty where it does not say.
+	// Version is the version of the server's software; it is empty if the
+	// server does not state one.
 	Version identifier.Version
 	State   ServerState
-	// ColdFor is how much longer the server is slow after its start.
+	// ColdFor is the remaining time during which the server is slow after its
+	// start.
 	ColdFor timekeeper.Duration
-	// LeavesIn is the time that a leaving server has left, or zero where it
+	// LeavesIn is the time until a leaving server is removed, or zero if it
 	// is not known.
 	LeavesIn timekeeper.Duration
 	Market   catalog.Market
 }
 
-// Share is what a node tells its peers beside the gossip of membership.
+// StateUpdate is what a node sends its peers in addition to the gossip of
+// membership.
 type StateUpdate struct {
 	Incarnation identifier.Incarnation
-	// Servers are entries that changed lately, or all for a peer that may know
-	// none.
+	// Servers are the recently changed entries, or all entries if the
+	// receiver may know none.
 	Servers []PublishedServer
-	// Whole tells that Servers are all entries, and Wants that the sender has not seen
-	// all of them yet.
+	// AllServers reports that Servers holds all entries, and
+	// RequestsAllServers that the sender has not received all of them.
 	AllServers         bool
 	RequestsAllServers bool
-	// ServersAge is how old the sender's knowledge of the entries is.
+	// ServersAge is the age of the sender's data on the entries.
 	ServersAge timekeeper.Duration
-	// ConfigurationAge is how long ago the sender knew that no configuration
-	// is newer than its own.
+	// ConfigurationAge is the time since the sender last confirmed that its
+	// configuration was the newest.
 	ConfigurationAge timekeeper.Duration
 	Revision         identifier.Revision
-	// Scope tells whose requests InFlight and Demand are.
+	// Scope states whose requests InFlight and Demand count.
 	Scope UpdateScope
-	// Zone is the availability zone of a share over one.
+	// Zone is the availability zone if Scope is ScopeZone.
 	Zone identifier.Zone
-	// InFlight is the requests at each server.
+	// InFlight holds the requests in flight by server.
 	InFlight map[identifier.VMID]InFlight
 	Usage    []UsageCount
-	// Demand is what callers ask of each service.
+	// Demand is the callers' demand by service.
 	Demand map[identifier.ServiceName]ServiceDemand
-	// Kept is parts of prompts that servers have read lately.
+	// CachedPrefixes are parts of prompts that servers have recently
+	// computed.
 	CachedPrefixes []CachedPrefix
-	// Suspects are requests under which servers ended.
+	// Suspects are requests during which servers ended.
 	Suspects []SuspectRequest
-	// Limits are the servers that state a limit.
+	// Limits are the limits stated by servers.
 	Limits []ServerLimit
-	// Rollouts are all that the sender knows, and Versions what it counted of
-	// those that are not over.
+	// Rollouts are all rollouts that the sender knows, and Versions its
+	// counts for those that are not final.
 	Rollouts []Rollout
 	Versions []VersionCount
-	// Holder is the node that holds the lease of the duties, as far as the
-	// sender knows, with its fence; HolderAge is how long ago it said so. It is
-	// empty where none is known.
+	// Leader is the node that holds the lease of the leader tasks, as far as
+	// the sender knows, and Fence its fencing number. LeaderAge is the time
+	// since the leader last announced this. Leader is empty if none is known.
 	Leader    identifier.VMID
 	Fence     identifier.Fence
 	LeaderAge timekeeper.Duration
 }
 
-// ShareScope tells whose requests a share counts.
+// UpdateScope states whose requests a StateUpdate counts.
 type UpdateScope string
 
-// The scopes of shares.
+// The scopes of state updates.
 const (
-	// ShareOwn: the sender's.
+	// ScopeOwn: the requests of the sender.
 	ScopeOwn UpdateScope = ""
-	// ShareZone: those of all nodes of an availability zone.
+	// ScopeZone: the requests of all nodes in an availability zone.
 	ScopeZone UpdateScope = "zone"
-	// ShareOthers: those of all nodes but the receiver.
+	// ScopeOthers: the requests of all nodes except the receiver.
 	ScopeOthers UpdateScope = "others"
 )
 
-// KeptPart is a part of a prompt that a server keeps.
+// CachedPrefix is a part of a prompt in a server's KV cache.
 type CachedPrefix struct {
 	Server identifier.VMID
 	Part   PromptPart
 }
 
-// InFlight is one node's requests at a server.
+// InFlight is one node's load on a server.
 type InFlight struct {
 	Running int
-	// Prefill is the time that the server needs to read the prompts of those
-	// whose answer has not begun.
+	// Prefill is the time the server needs to process the prompts of the
+	// requests whose answer has not begun.
 	Prefill timekeeper.Duration
 }
 
-// ServiceDemand is what one node's callers ask of a service.
+// ServiceDemand is the demand of one node's callers for a service.
 type ServiceDemand struct {
-	// Running is the requests in flight.
+	// Running is the number of requests in flight.
 	Running int
-	// Busy is how many servers the callers' requests keep busy, those included
-	// that were turned away for want of servers.
+	// OfferedLoad is the number of servers that the callers' requests would
+	// occupy, including requests that were rejected for lack of servers.
 	OfferedLoad float64
 }
 
-// UsageCount is the requests of an account that began in a window at a node.
+// UsageCount is the number of an account's requests that began at a node in a
+// window.
 type UsageCount struct {
 	Window  identifier.UsageWindow
 	Account identifier.AccountID
@@ -307,58 +324,63 @@
 
 // Events from the platform's store and cloud, and from peers.
 type (
-	// CatalogPublished: a configuration was read, from the store or a peer.
+	// CatalogPublished carries a configuration that was read from the store
+	// or received from a peer.
 	CatalogPublished struct {
 		Catalog *catalog.Catalog
-		// Data is the configuration as the store has it, for peers.
+		// Data is the configuration as stored, for peers.
 		Data []byte
-		// Direct tells that it came from the store.
+		// FromStore reports whether the configuration was read from the
+		// store.
 		FromStore bool
-		// Orders are orders of roll-outs that were read with it, none of which need
-		// be new.
+		// Orders are the rollout orders read together with the configuration;
+		// they may be known already.
 		Orders []RolloutOrder
 	}
-	// CatalogConfirmed: the store has no newer configuration than this node.
+	// CatalogConfirmed reports that the store has no newer configuration than
+	// this node.
 	CatalogConfirmed struct{}
-	// ServersPublished: entries were read from the store, none of which need
-	// be new.
+	// ServersPublished carries entries read from the store; they may be known
+	// already.
 	ServersPublished struct {
 		Servers []PublishedServer
-		// All tells that servers that are missing have no entry.
+		// All reports whether servers missing from Servers have no entry.
 		All bool
 	}
-	// ShareReceived: a peer told what it knows.
+	// StateUpdateReceived carries a peer's state update.
 	StateUpdateReceived struct {
 		From   identifier.VMID
 		Update StateUpdate
 	}
-	// ServersOrdered: an order for servers ended.
+	// ServersOrdered reports the end of an order for servers.
 	ServersOrdered struct {
 		Order  ServerOrder
 		Result LeaderTaskResult
 	}
-	// UsageReported: a report of usage ended.
+	// UsageReported reports the end of a usage report.
 	UsageReported struct {
 		Window identifier.UsageWindow
 		Result LeaderTaskResult
 	}
 )
 
-// DutyResult is what became of a call under a lease.
+// LeaderTaskResult is the result of a call under a lease.
 type LeaderTaskResult string
 
-// The results of duty calls.
+// The results of leader task calls.
 const (
 	LeaderTaskDone LeaderTaskResult = "done"
-	// DutyFenced: a later holder was there first.
+	// LeaderTaskFenced: a later lease holder has already written.
 	LeaderTaskFenced LeaderTaskResult = "fenced"
-	// DutyRefused: the call was understood and can't be met now.
+	// LeaderTaskRefused: the call was understood but cannot be carried out
+	// now.
 	LeaderTaskRefused LeaderTaskResult = "refused"
-	// DutyUnknown: it may have been carried out, or may be yet.
+	// LeaderTaskUnknown: the call may have been carried out, or may still be.
 	LeaderTaskUnknown LeaderTaskResult = "unknown"
 )
 
-// ServerOrder asks for a number of servers, whatever there are.
+// ServerOrder sets the wanted number of servers, regardless of the present
+// number.
 type ServerOrder struct {
 	Service identifier.ServiceName
 	Zone    identifier.Zone
@@ -368,7 +390,7 @@
 
 // Effects towards the platform's cloud, and peers.
 type (
-	// OrderServers gives an order under a lease.
+	// OrderServers sends an order for servers under a lease.
 	OrderServers struct {
 		Order    ServerOrder
 		Fence    identifier.Fence
@@ -381,7 +403,7 @@
 		Fence    identifier.Fence
 		NotAfter timekeeper.Time
 	}
-	// SendShare tells a peer what this node knows.
+	// SendStateUpdate sends a peer this node's state update.
 	SendStateUpdate struct {
 		Peer    identifier.VMID
 		Address string
--- a/internal/messenger/messenger.go
+++ b/internal/messenger/messenger.go
@@ -1,15 +1,16 @@
 // Package messenger declares the typed messages between the reducer, which
-// decides, and the runner, which acts: events go in, effects come out.
+// decides, and the runner, which acts. The reducer receives events and
+// returns effects.
 //
-// Events and effects are plain data. Neither carries token or body bytes:
-// those stay with the runner's stream goroutines, which report what became of
-// them. An effect is an order, not a promise: its end comes back as an event,
-// or never, and the reducer must be right in both cases.
+// Events and effects are plain data. Neither carries tokens or body bytes:
+// those stay with the runner's stream goroutines, which report how each
+// stream proceeds. An effect is not guaranteed to succeed: its result comes
+// back as an event, or never, and the reducer must be correct in both cases.
 package messenger
 
 import "github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 
-// Event is something that happened, at an instant, as this node saw it.
+// Event is something that happened at an instant, as observed by this node.
 type Event struct {
 	At   timekeeper.Time
 	Body EventBody
--- a/internal/messenger/rollout.go
+++ b/internal/messenger/rollout.go
@@ -6,93 +6,99 @@
 )
 
 // RolloutOrder is an operator's order to move a service to servers of another
-// version, which are started beside those that it has.
+// version, which are started in addition to the existing ones.
 type RolloutOrder struct {
 	Service identifier.ServiceName
-	// Offset is where the order stands in the store: of two orders for a service
-	// the one with the larger offset is the newer.
+	// Offset is the order's offset in the store. Of two orders for a service,
+	// the one with the larger offset is newer.
 	Offset identifier.Offset
-	// To is empty where the order was withdrawn.
+	// To is empty if the order was withdrawn.
 	To identifier.Version
-	// Limit is the time within which the roll-out has to be over.
+	// TimeLimit is the time within which the rollout has to be completed.
 	TimeLimit timekeeper.Duration
 }
 
-// RolloutPhase tells how far a roll-out is.
+// RolloutPhase is the phase of a rollout.
 type RolloutPhase string
 
-// The phases of a roll-out. The last two are final.
+// The phases of a rollout. RolloutRolledBack and RolloutCompleted are final.
 const (
-	// RolloutOrdered: nothing is known but the order.
+	// RolloutOrdered: only the order is known.
 	RolloutOrdered RolloutPhase = ""
-	// RolloutRunning: the new version gets a bounded part of the requests.
+	// RolloutRunning: the new version receives a bounded part of the
+	// requests.
 	RolloutRunning RolloutPhase = "running"
-	// RolloutPromoting: the new version proved good, and gets all new requests
-	// while the old one's end.
+	// RolloutPromoting: the new version has passed its checks and receives
+	// all new requests while the old version's requests end.
 	RolloutPromoting RolloutPhase = "promoting"
-	// RolloutRolledBack: the new version gets nothing any more.
+	// RolloutRolledBack: the new version receives no more requests.
 	RolloutRolledBack RolloutPhase = "rolled_back"
-	// RolloutCompleted: the old version is gone.
+	// RolloutCompleted: no servers of the old version are left.
 	RolloutCompleted RolloutPhase = "completed"
 )
 
 // Final reports whether no other phase follows.
 func (p RolloutPhase) Final() bool { return p == RolloutRolledBack || p == RolloutCompleted }
 
-// Rollout is what a node knows of one.
+// Rollout is the state of a rollout as known to a node.
 type Rollout struct {
 	Order RolloutOrder
 	Phase RolloutPhase
-	// Age is how long ago the order was given, as far as is known.
+	// Age is the time since the order was given, as far as is known.
 	Age timekeeper.Duration
-	// LedAge is how long ago the node that leads the roll-out said that it does;
-	// negative where none is known to.
+	// LeaderAge is the time since the node that leads the rollout last
+	// announced that it does; it is negative if no leader is known.
 	LeaderAge timekeeper.Duration
-	// Pace is the part of the service's requests that the leader wants the new
-	// version to get now.
+	// TrafficShare is the fraction of the service's requests that the new
+	// version should receive now.
 	TrafficShare float64
-	// Focus is at how many of its servers it gets them at a time; zero for all.
+	// ActiveServers is the number of the new version's servers that receive
+	// these requests at a time; zero stands for all.
 	ActiveServers int
-	// Barred are versions of the service that were rolled back.
+	// RolledBackVersions are the versions of the service that were rolled
+	// back.
 	RolledBackVersions []identifier.Version
 }
 
-// VersionCount is what became of the requests of a route at the servers of one
-// version since its roll-out was ordered, as one node counts them. Counts only
-// grow.
+// VersionCount counts the requests of a route that one node sent to the
+// servers of one version since its rollout was ordered. Counts only grow,
+// except Running and Waiting.
 type VersionCount struct {
 	Service identifier.ServiceName
-	// Order is the offset of the roll-out's order.
+	// Order is the offset of the rollout's order.
 	Order identifier.Offset
 	Route identifier.RouteName
-	// Server is the server of the new version; empty for all those of others.
+	// Server is the server of the new version; it is empty for the sum over
+	// all servers of other versions.
 	Server identifier.VMID
-	// Sent is the requests that were sent there.
+	// Sent is the number of requests sent to these servers.
 	Sent int
-	// Answers is those that were answered, Failed those of them that failed.
+	// Answers is the number of answered requests, and Failed the number of
+	// failures among them.
 	Answers int
 	Failed  int
-	// First is the times to the first byte or event against what was predicted for
-	// the work at servers of the old version, and Pace the times between the events
-	// of streams, in steps as package assessor has them.
+	// FirstEventTimes is a histogram of the times to the first byte or event,
+	// relative to the prediction for the work at servers of the old version.
+	// EventIntervals is a histogram of the times between the events of
+	// streams. Package assessor defines the buckets.
 	FirstEventTimes []int
 	EventIntervals  []int
-	// Running is the requests in flight, and Waiting those of them whose answer has
-	// not begun; both may fall.
+	// Running is the number of requests in flight, and Waiting the number of
+	// those whose answer has not begun. Both may decrease.
 	Running int
 	Waiting int
 }
 
-// Events of roll-outs.
+// Events of rollouts.
 type (
-	// RolloutsClaimed: no earlier holder of the lease can write the states of
-	// roll-outs any more, and these are the last ones that were written.
+	// RolloutsClaimed reports that earlier lease holders can no longer write
+	// the states of rollouts, and carries the last written states.
 	RolloutsClaimed struct {
 		Fence    identifier.Fence
 		Rollouts []Rollout
 		Result   LeaderTaskResult
 	}
-	// RolloutKept: a write of a roll-out's state ended.
+	// RolloutStored reports the end of a write of a rollout's state.
 	RolloutStored struct {
 		Service identifier.ServiceName
 		Order   identifier.Offset
@@ -102,16 +108,16 @@
 	}
 )
 
-// Effects of roll-outs.
+// Effects of rollouts.
 type (
-	// ClaimRollouts keeps earlier holders of the lease from writing the states of
-	// roll-outs, and then reads the last ones.
+	// ClaimRollouts prevents earlier lease holders from writing the states of
+	// rollouts, and then reads the last written states.
 	ClaimRollouts struct {
 		Fence    identifier.Fence
 		NotAfter timekeeper.Time
 	}
-	// KeepRollout writes the state of a roll-out, for the operators and for later
-	// holders of the lease.
+	// StoreRollout writes the state of a rollout, for operators and for later
+	// lease holders.
 	StoreRollout struct {
 		Rollout  Rollout
 		Fence    identifier.Fence
--- a/internal/messenger/serverlimit.go
+++ b/internal/messenger/serverlimit.go
@@ -5,47 +5,49 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// NamedLimit is the request rate that a backend server accepts from all nodes
-// together, as one of its answers states it. A server states it in each answer for as
-// long as it holds.
+// StatedLimit is the request rate that a backend server accepts from all
+// nodes together. While the limit holds, the server states it in each answer.
 type StatedLimit struct {
-	// Named is false where the answer states no limit.
+	// Stated is false if the answer states no limit.
 	Stated bool
 	Rate   identifier.RequestRate
 }
 
-// ServerLimitHeard: an answer of a backend server arrived that states a limit, or that
-// states none although the node knew of one when it sent the request.
+// ServerLimitReceived reports that an answer of a backend server states a
+// limit, or states none although the node knew of one when it sent the
+// request.
 type ServerLimitReceived struct {
 	Server identifier.VMID
-	// Sent is when the request was sent that the answer is to.
+	// Sent is the time at which the answered request was sent.
 	Sent  timekeeper.Time
 	Limit StatedLimit
 }
 
-// ServerLimit is what a node knows of a server that states a limit, or did lately.
+// ServerLimit is a node's knowledge of a server that states a limit, or
+// recently did.
 type ServerLimit struct {
 	Server identifier.VMID
-	// Limited is false where the limit was lifted.
+	// Limited is false if the limit was lifted.
 	Limited bool
 	Rate    identifier.RequestRate
-	// Age is how long ago that was stated.
+	// Age is the time since the server stated this.
 	Age timekeeper.Duration
 }
 
 // Permits to send requests to servers that state a limit.
 type (
-	// AskPermit asks the node that grants permits for one to one of some servers, the
-	// most suitable first.
+	// RequestPermit asks the node that grants permits for a permit to send to
+	// one of several servers, the most suitable first.
 	RequestPermit struct {
 		Exchange identifier.ExchangeID
 		Peer     identifier.VMID
 		Address  string
 		Limits   []ServerLimit
 	}
-	// PermitAnswered: the request may go to Server or, where that is empty, to none of
-	// those asked for before RetryAfter. With Unknown set nobody answered, with
-	// NotGranting the node answered that it grants no permits.
+	// PermitAnswered reports that the request may be sent to Server or, if
+	// Server is empty, to none of the requested servers before RetryAfter has
+	// passed. Unknown is set if no node answered, NotGranting if the node
+	// answered that it does not grant permits.
 	PermitAnswered struct {
 		Exchange    identifier.ExchangeID
 		Server      identifier.VMID
@@ -53,12 +55,12 @@
 		Unknown     bool
 		NotGranting bool
 	}
-	// PermitAsked: a peer asks this node for a permit.
+	// PermitRequested reports that a peer asks this node for a permit.
 	PermitRequested struct {
 		Ticket identifier.Ticket
 		Limits []ServerLimit
 	}
-	// AnswerPermit answers a peer that asked.
+	// AnswerPermit answers a PermitRequested event.
 	AnswerPermit struct {
 		Ticket identifier.Ticket
 		Answer PermitAnswered
--- a/internal/messenger/suspect.go
+++ b/internal/messenger/suspect.go
@@ -5,21 +5,22 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// SuspectRequest is what a node knows of a request under which backend servers
-// ended.
+// SuspectRequest is a node's knowledge of a request during which backend
+// servers ended.
 type SuspectRequest struct {
 	Request identifier.Fingerprint
 	Ends    []ServerEnd
-	// SeenAge is how long ago the request last came, or a server last ended under
-	// it.
+	// SeenAge is the time since the request last arrived, or a server last
+	// ended during it.
 	SeenAge timekeeper.Duration
-	// Cleared tells that it got a whole answer, ClearedAge ago. Servers that ended
-	// before that did not end for it.
+	// Cleared reports whether the request received a complete answer,
+	// ClearedAge ago. Servers that ended earlier did not end because of the
+	// request.
 	Cleared    bool
 	ClearedAge timekeeper.Duration
 }
 
-// ServerEnd is the end of a backend server while it had a request.
+// ServerEnd is the end of a backend server while it processed a request.
 type ServerEnd struct {
 	Server identifier.VMID
 	Age    timekeeper.Duration
--- a/internal/messenger/vocabulary.go
+++ b/internal/messenger/vocabulary.go
@@ -6,49 +6,50 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// RequestSpec is what a request asks for. It never changes after the request
-// was received and travels with it from node to node.
+// RequestSpec describes a request. It never changes after the request was
+// received, and moves with it from node to node.
 type RequestSpec struct {
 	Request identifier.RequestID
 	Account identifier.AccountID
 	Service identifier.ServiceName
-	// Key is empty where the caller gave none.
+	// Key is empty if the caller gave none.
 	Key        identifier.IdempotencyKey
 	Idempotent bool
 	Long       bool
-	// Home is the node that accepted the request from its caller.
+	// EntryNode is the node that accepted the request from its caller.
 	EntryNode identifier.VMID
 	Received  timekeeper.Time
-	// Deadline is absolute, by the clock of the node that holds the spec; it
-	// travels as remaining time.
+	// Deadline is an instant of the clock of the node that holds the spec. It
+	// is transferred as the remaining time.
 	Deadline     timekeeper.Time
 	BodySize     identifier.Bytes
 	PromptTokens identifier.Tokens
 	MaxTokens    identifier.Tokens
-	// Prefix names the prompt's leading blocks, shortest first.
+	// Prefix holds the hashes of the prompt's leading blocks, shortest first.
 	Prefix []identifier.PrefixHash
-	// Content stands for service and body.
+	// Content is a hash of service and body.
 	Content identifier.ContentHash
 }
 
-// Outcome is what a caller is told of the end of a request.
+// Outcome is the end of a request as reported to its caller.
 type Outcome string
 
 // The outcomes.
 const (
-	// Done means that the answer is whole.
+	// Done means that the answer is complete.
 	Done Outcome = "done"
-	// NotRun means that nothing ran and nothing may start it any more.
+	// NotRun means that nothing was executed, and nothing will be.
 	NotRun Outcome = "not_run"
-	// Unknown means that it may have run.
+	// Unknown means that the request may have been executed.
 	Unknown Outcome = "unknown"
-	// Failed means that it ran, and the backend server said that it failed.
+	// Failed means that the request was executed, and that the backend server
+	// reported its failure.
 	Failed Outcome = "failed"
-	// Cancelled means that the caller gave it up.
+	// Cancelled means that the caller cancelled the request.
 	Cancelled Outcome = "cancelled"
 )
 
-// Reason tells why a request was refused or ended without its answer.
+// Reason states why a request was refused or ended without its answer.
 type Reason string
 
 // The reasons.
@@ -69,12 +70,12 @@
 	ReasonUnprotected       Reason = "no_off_node_record"
 	ReasonNoConfiguration   Reason = "no_configuration"
 	ReasonServerRefusedWork Reason = "server_refused"
-	// ReasonUnknownRoute: no route has the host and path.
+	// ReasonUnknownRoute: no route matches the host and path.
 	ReasonUnknownRoute Reason = "unknown_route"
-	// ReasonUnknownKey: no account holds the key.
+	// ReasonUnknownKey: no account has the key.
 	ReasonUnknownKey Reason = "unknown_key"
-	// ReasonServersEnded: backend servers ended, one after another, under the same
-	// request.
+	// ReasonServersEnded: several backend servers ended while they processed
+	// the request.
 	ReasonServersEnded Reason = "servers_ended"
 )
 
@@ -82,51 +83,54 @@
 type Refusal struct {
 	Reason  Reason
 	Outcome Outcome
-	// RetryAfter tells when coming back makes sense; zero means it does not.
+	// RetryAfter is the delay after which a retry may succeed; zero means
+	// that the caller should not retry.
 	RetryAfter timekeeper.Duration
 }
 
-// AttemptResult tells how an attempt ended, in the terms that decide whether
-// it may be repeated.
+// AttemptResult is the result of an attempt, as it decides whether the
+// attempt may be repeated.
 type AttemptResult string
 
 // The results of attempts.
 const (
-	// AttemptComplete: the whole answer arrived.
+	// AttemptComplete: the complete answer arrived.
 	AttemptComplete AttemptResult = "complete"
-	// AttemptNotSent: no byte left for the server.
+	// AttemptNotSent: no byte was sent to the server.
 	AttemptNotSent AttemptResult = "not_sent"
-	// AttemptRefused: the server said that it did not run it.
+	// AttemptRefused: the server reported that it did not run the request.
 	AttemptRefused AttemptResult = "refused"
-	// AttemptMisdirected: another server has the address, and nothing ran.
+	// AttemptMisdirected: another server has the address, and nothing was
+	// executed.
 	AttemptMisdirected AttemptResult = "misdirected"
-	// AttemptBroken: the connection ended early; it may have run.
+	// AttemptBroken: the connection ended early; the request may have been
+	// executed.
 	AttemptBroken AttemptResult = "broken"
-	// AttemptSilent: nothing arrived for longer than the stream's own pace
-	// allows; it may have run.
+	// AttemptTimedOut: the first event or the next one did not arrive within
+	// its timeout; the request may have been executed.
 	AttemptTimedOut AttemptResult = "silent"
-	// AttemptFailed: the server ran it and said that it failed.
+	// AttemptFailed: the server ran the request and reported a failure.
 	AttemptFailed AttemptResult = "failed"
 )
 
-// StartMode tells how an attempt begins.
+// StartMode is the way in which an attempt begins.
 type StartMode string
 
 // The start modes.
 const (
 	// StartFresh runs the request from its beginning.
 	StartFresh StartMode = "fresh"
-	// StartResume joins the stream of the given name that the server still
-	// runs.
+	// StartResume attaches to the named stream, which the server still runs.
 	StartResume StartMode = "resume"
-	// StartImported continues from KV cache that was moved to the server.
+	// StartImported continues from KV cache that was transferred to the
+	// server.
 	StartImported StartMode = "imported"
 	// StartPrefill sends the prompt and the tokens delivered so far.
 	StartPrefill StartMode = "prefill"
 )
 
 // ServerLoad is one load report of a backend server. Reports lag: AsOf is the
-// instant the server measured, by this node's clock.
+// instant of the measurement, by this node's clock.
 type ServerLoad struct {
 	AsOf            timekeeper.Time
 	Running         int
@@ -139,7 +143,7 @@
 	Fence identifier.Fence
 }
 
-// VMState is a VM as the platform's list shows it. The list lags.
+// VMState is a VM as it appears in the platform's list. The list lags.
 type VMState struct {
 	VM      identifier.VMID
 	Zone    identifier.Zone
@@ -153,13 +157,13 @@
 // Record is one record of the platform's log.
 type Record struct {
 	Offset identifier.Offset
-	// Appended is the log's own time of the append.
+	// Appended is the log's own timestamp of the append.
 	Appended timekeeper.Time
 	Data     []byte
 }
 
-// OrderKind is a kind of order to an engine. Orders are absolute: they name
-// the state wanted, so that repeating one does no harm.
+// OrderKind is a kind of order to an engine. Orders are idempotent: they
+// state the wanted end state.
 type OrderKind string
 
 // The kinds of order.
--- a/internal/prover/exchange_world_test.go
+++ b/internal/prover/exchange_world_test.go
@@ -336,7 +336,7 @@
 		}),
 	}
 	w.nodes[vm] = n
-	w.every(n, messenger.TickEvery, func() { w.apply(n, messenger.Tick{}) })
+	w.every(n, messenger.TickInterval, func() { w.apply(n, messenger.Tick{}) })
 	w.every(n, 400, func() { w.readServers(n) })
 	w.every(n, 200, func() { w.readConfiguration(n) })
 	w.every(n, 100, func() { w.readStreams(n) })
--- a/internal/reducer/apply_test.go
+++ b/internal/reducer/apply_test.go
@@ -283,7 +283,7 @@
 
 func (p *player) ticks(n int) {
 	for range n {
-		p.now = p.now.Add(messenger.TickEvery)
+		p.now = p.now.Add(messenger.TickInterval)
 		p.apply(messenger.Tick{})
 	}
 }
--- a/internal/reducer/outdated_test.go
+++ b/internal/reducer/outdated_test.go
@@ -29,7 +29,7 @@
 	ended := false
 	now := timekeeper.Time(1000)
 	for range 20 {
-		now = now.Add(messenger.TickEvery)
+		now = now.Add(messenger.TickInterval)
 		messages, _ := peer.Tick(now, rand.New(rand.NewPCG(1, 1)))
 		for _, m := range messages {
 			ended = ended || exits(old.Apply(messenger.Event{
--- a/internal/reducer/quarantine_test.go
+++ b/internal/reducer/quarantine_test.go
@@ -188,7 +188,7 @@
 
 // run lets time pass. A node that is cut off hears nobody and reads no log.
 func (c *cluster) run(span timekeeper.Duration) {
-	for end := c.now.Add(span); c.now.Before(end); c.now = c.now.Add(messenger.TickEvery) {
+	for end := c.now.Add(span); c.now.Before(end); c.now = c.now.Add(messenger.TickInterval) {
 		mail := c.mail
 		c.mail = nil
 		for _, m := range mail {
@@ -246,7 +246,7 @@
 		if told, ended := c.told[spec.Request]; ended {
 			return told
 		}
-		c.run(messenger.TickEvery)
+		c.run(messenger.TickInterval)
 	}
 	c.t.Fatalf("%s has no end", spec.Request)
 	return messenger.Refusal{}
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -205,7 +205,7 @@
 	r.tasks = newTasks(ctx)
 	r.lanes = newLanes(r.tasks, laneLimit, laneDepth)
 	r.startPollers()
-	ticker := time.NewTicker(messenger.TickEvery.Std())
+	ticker := time.NewTicker(messenger.TickInterval.Std())
 	defer ticker.Stop()
 	r.step(messenger.Tick{})
 	for !r.finished {
--- a/pkg/identifier/identifier.go
+++ b/pkg/identifier/identifier.go
@@ -106,21 +106,23 @@
 // Offset is a position in the platform's log. Offsets grow, with gaps.
 type Offset uint64
 
-// Era counts how often the log came back from an older copy of itself. What was
-// appended after the copy was made is gone, and places there are given out again.
+// StoreGeneration counts how often the log was restored from an older copy of
+// itself. Records appended after the copy was made are lost, and their places
+// are reused.
 type StoreGeneration uint64
 
-// eraShift leaves room for a million million records in an era, and for thousands of
-// eras in a number that any program can hold.
+// generationShift leaves 40 bits for the records of a generation, and 13 bits
+// for the generation within the integers that a float64 represents exactly.
 const generationShift = 40
 
-// OffsetAt returns the Offset of a place in the log, counted from zero, to which an era
-// wrote. Zero is no Offset; those of a later era are larger than all earlier ones.
+// OffsetAt returns the Offset of a place in the log, counted from zero, that
+// was written in the given generation. It is never zero, and larger than all
+// offsets of earlier generations.
 func OffsetAt(generation StoreGeneration, place uint64) Offset {
 	return Offset(uint64(generation)<<generationShift | (place + 1))
 }
 
-// Era returns the era that wrote there.
+// Generation returns the store generation in which the record was written.
 func (o Offset) Generation() StoreGeneration { return StoreGeneration(o >> generationShift) }
 
 // Place returns the place in the log, counted from zero; zero also for no Offset.
