--- a/docs/operations_test.go
+++ b/docs/operations_test.go
@@ -154,8 +154,8 @@
 }
 
 // passedOn are the expressions that stand for a kind which is set elsewhere:
-// by a call of note, by takenRequest.how, and by a constant of ChangeKind.
-var passedOn = []string{"kind", "t.how", "messenger.TimelineKind"}
+// by a call of timelineEntry, by takeover.kind, and by a constant of ChangeKind.
+var passedOn = []string{"kind", "t.kind", "messenger.TimelineKind"}
 
 // noteKinds returns the kinds of the events that the decisions put on the time
 // line. A kind that it cannot read from the source fails the test.
@@ -187,11 +187,11 @@
 		switch text(n.Type) {
 		case "messenger.TimelineEntry":
 			return field(n, "Kind")
-		case "takenRequest":
-			return field(n, "how")
+		case "takeover":
+			return field(n, "kind")
 		}
 	case *ast.CallExpr:
-		if text(n.Fun) == "c.note" {
+		if text(n.Fun) == "c.timelineEntry" {
 			return n.Args[0]
 		}
 	}
--- a/internal/conductor/adopt.go
+++ b/internal/conductor/adopt.go
@@ -16,12 +16,12 @@
 			out = append(out, c.adopt(env, held)...)
 		}
 	}
-	return append(out, c.holderLost(env, vm)...)
+	return append(out, c.replaceHolder(env, vm)...)
 }
 
 // NodeLeaving finds new holders before the holder goes.
 func (c *Conductor) NodeLeaving(env *Env, vm identifier.VMID) []messenger.Effect {
-	return c.holderLost(env, vm)
+	return c.replaceHolder(env, vm)
 }
 
 // adopt makes this node the owner of a request whose owner died. It resumes
@@ -29,14 +29,14 @@
 // computed twice where the engine lives.
 func (c *Conductor) adopt(env *Env, held *heldCopy) []messenger.Effect {
 	c.counters.Adopted++
-	epoch := held.epoch + takeoverStep
+	epoch := held.epoch + takeoverEpochIncrement
 	out := []messenger.Effect{
 		messenger.Adopt{
 			Request: held.spec.Request,
 			Epoch:   epoch,
 		},
 	}
-	return append(out, c.takeOver(env, takenRequest{
+	return append(out, c.takeOver(env, takeover{
 		spec:      held.spec,
 		epoch:     epoch,
 		attempt:   held.attempt,
@@ -44,55 +44,55 @@
 		stream:    held.stream,
 		delivered: held.delivered,
 		from:      held.owner,
-		how:       "adopted",
+		kind:      "adopted",
 	})...)
 }
 
 // takenRequest is a request that comes to this node in the middle of its life.
-type takenRequest struct {
-	spec      messenger.RequestSpec
-	epoch     identifier.Epoch
-	confirm   bool
-	attempt   identifier.AttemptNumber
-	server    identifier.VMID
-	stream    identifier.StreamName
-	delivered identifier.Tokens
-	from      identifier.VMID
-	how       messenger.TimelineKind
+type takeover struct {
+	spec           messenger.RequestSpec
+	epoch          identifier.Epoch
+	confirmPending bool
+	attempt        identifier.AttemptNumber
+	server         identifier.VMID
+	stream         identifier.StreamName
+	delivered      identifier.Tokens
+	from           identifier.VMID
+	kind           messenger.TimelineKind
 }
 
 // takeOver makes this node the owner of t and goes on with it.
-func (c *Conductor) takeOver(env *Env, t takenRequest) []messenger.Effect {
+func (c *Conductor) takeOver(env *Env, t takeover) []messenger.Effect {
 	delete(c.copies, t.spec.Request)
-	r := c.own(env, t)
-	out := []messenger.Effect{c.note(t.how, r, fmt.Sprintf("from=%s delivered=%d", t.from, t.delivered))}
+	r := c.addTakenOver(env, t)
+	out := []messenger.Effect{c.timelineEntry(t.kind, r, fmt.Sprintf("from=%s delivered=%d", t.from, t.delivered))}
 	out = append(out, c.protect(env, r)...)
 	if env.Catalog == nil {
 		return out // advanceWaiting starts it once the configuration is known.
 	}
 	server, known := env.Members.Server(t.server)
-	if !known || !r.model() {
+	if !known || !r.isModel() {
 		return append(out, c.startAttempt(env, r)...)
 	}
 	r.markRejoined()
 	return append(out, c.sendAttempt(env, r, plannedAttempt{
-		server:     server,
-		mode:       messenger.StartResume,
-		stream:     t.stream,
-		firstToken: rejoinWait,
+		server:              server,
+		mode:                messenger.StartResume,
+		stream:              t.stream,
+		predictedFirstToken: predictedRejoinLatency,
 	})...)
 }
 
 // own puts t into the table of this node's requests. Another node may have
 // sent it, so it is taken to have run.
-func (c *Conductor) own(env *Env, t takenRequest) *request {
-	s, _ := service(env, t.spec.Service)
+func (c *Conductor) addTakenOver(env *Env, t takeover) *request {
+	s, _ := serviceConfig(env, t.spec.Service)
 	r := newRequest(t.spec, s)
 	r.accepted = true
 	r.mayHaveRun = true
 	r.phase = waiting
 	r.becomeOwner(t.epoch, t.attempt)
-	r.hold.confirm = t.confirm
+	r.hold.confirmPending = t.confirmPending
 	r.delivered = t.delivered
 	r.retryAt = env.Now
 	c.requests[t.spec.Request] = r
@@ -104,12 +104,12 @@
 // were it told before, the death of this node would lose the request.
 func (c *Conductor) protect(env *Env, r *request) []messenger.Effect {
 	if !r.spec.Long {
-		return c.confirm(r)
+		return c.confirmHandover(r)
 	}
 	out, ok := c.sendHold(env, r)
 	if !ok {
-		r.hold.againAt = env.Now.Add(holdAgain)
-		return c.goUnprotected(r)
+		r.hold.retryAt = env.Now.Add(holdRetryInterval)
+		return c.continueUnprotected(r)
 	}
 	return out
 }
--- a/internal/conductor/attempt.go
+++ b/internal/conductor/attempt.go
@@ -14,11 +14,11 @@
 	// noServerPause is the wait before servers are looked for again; it is
 	// jittered by up to its own length, so that the requests that wait for one
 	// server do not all fall on it at once.
-	noServerPause = 200 * timekeeper.Millisecond
+	noServerRetryDelay = 200 * timekeeper.Millisecond
 	// rejoinWait is the predicted wait for the first answer of a stream that is
 	// joined. The server only has to look it up, but the stream may still wait
 	// in its queue; taken for silent then, it would be computed again elsewhere.
-	rejoinWait = 2500 * timekeeper.Millisecond
+	predictedRejoinLatency = 2500 * timekeeper.Millisecond
 )
 
 // plannedAttempt is an attempt that is about to be sent.
@@ -27,12 +27,12 @@
 	mode   messenger.StartMode
 	stream identifier.StreamName
 	// firstToken is the predicted wait for the first token or byte.
-	firstToken timekeeper.Duration
+	predictedFirstToken timekeeper.Duration
 }
 
 // joins reports whether the attempt joins a stream that is under way, so that
 // its first token says nothing of the server's speed.
-func (p plannedAttempt) joins() bool {
+func (p plannedAttempt) joinsStream() bool {
 	return p.mode == messenger.StartResume || p.mode == messenger.StartImported
 }
 
@@ -40,43 +40,43 @@
 // that waited, or was taken over, may be refused everywhere by now.
 func (c *Conductor) startAttempt(env *Env, r *request) []messenger.Effect {
 	if after, refused := env.Quarantine.Refuses(env.Now, fingerprint(r.spec)); refused {
-		return c.endQuarantined(env, r, after)
+		return c.finishQuarantined(env, r, after)
 	}
 	if r.service.Name == "" {
 		// A request taken over before this node knew its configuration.
-		r.service, _ = service(env, r.spec.Service)
+		r.service, _ = serviceConfig(env, r.spec.Service)
 	}
-	choice, ok := c.choose(env, r)
+	choice, ok := c.chooseServer(env, r)
 	if !ok {
-		return c.pause(env, r)
+		return c.waitForServer(env, r)
 	}
-	r.expected = choice.Predicted.Completion
-	r.perToken = choice.Predicted.PerToken
+	r.predictedCompletion = choice.Predicted.Completion
+	r.predictedPerToken = choice.Predicted.PerToken
 	server, _ := env.Members.Server(choice.Server)
 	out := c.sendAttempt(env, r, plannedAttempt{
-		server:     server,
-		mode:       r.startMode(),
-		stream:     identifier.Stream(r.spec.Request, r.attempt+1),
-		firstToken: choice.Predicted.FirstToken,
+		server:              server,
+		mode:                r.startMode(),
+		stream:              identifier.Stream(r.spec.Request, r.attempt+1),
+		predictedFirstToken: choice.Predicted.FirstToken,
 	})
-	return append(out, c.note("routed", r, choice.Explanation))
+	return append(out, c.timelineEntry("routed", r, choice.Explanation))
 }
 
 // startMode says how an attempt on a server that has nothing of the stream
 // begins.
 func (r *request) startMode() messenger.StartMode {
-	if r.model() && r.delivered > 0 {
+	if r.isModel() && r.delivered > 0 {
 		return messenger.StartPrefill
 	}
 	return messenger.StartFresh
 }
 
 // pause waits for a server to come back, or for the list to show a new one.
-func (c *Conductor) pause(env *Env, r *request) []messenger.Effect {
+func (c *Conductor) waitForServer(env *Env, r *request) []messenger.Effect {
 	r.phase = waiting
 	r.server = ""
-	jitter := timekeeper.Duration(env.Rand.Int64N(int64(noServerPause)))
-	r.retryAt = env.Now.Add(noServerPause + jitter)
+	jitter := timekeeper.Duration(env.Rand.Int64N(int64(noServerRetryDelay)))
+	r.retryAt = env.Now.Add(noServerRetryDelay + jitter)
 	r.failedServers = map[identifier.VMID]bool{}
 	r.failedZones = map[identifier.Zone]bool{}
 	return nil
@@ -84,7 +84,7 @@
 
 // sendAttempt makes p the current attempt of r.
 func (c *Conductor) sendAttempt(env *Env, r *request, p plannedAttempt) []messenger.Effect {
-	r.begin(env.Now, p)
+	r.setAttempt(env.Now, p)
 	c.countAttempt(r, p)
 	c.observe(env, r, detector.Sent, 0, 0)
 	env.Hints.Routed(env.Now, r.server, r.spec.Prefix)
@@ -99,28 +99,28 @@
 			From:              r.delivered,
 			Priority:          r.service.Priority,
 			Deadline:          r.spec.Deadline,
-			FirstEventTimeout: c.firstSilence(env, r, p.firstToken),
-			NextEventTimeout:  detector.NextEventTimeout(r.perToken),
+			FirstEventTimeout: c.firstEventTimeout(env, r, p.predictedFirstToken),
+			NextEventTimeout:  detector.NextEventTimeout(r.predictedPerToken),
 		},
-		c.note("attempt_sent", r, fmt.Sprintf("mode=%s from=%d stream=%s", p.mode, r.delivered, r.stream)),
+		c.timelineEntry("attempt_sent", r, fmt.Sprintf("mode=%s from=%d stream=%s", p.mode, r.delivered, r.stream)),
 	}
 }
 
 // begin takes up p as the current attempt.
-func (r *request) begin(now timekeeper.Time, p plannedAttempt) {
+func (r *request) setAttempt(now timekeeper.Time, p plannedAttempt) {
 	r.attempt++
-	r.tries++
+	r.localAttempts++
 	r.phase = running
 	r.server = p.server.VM
 	r.zone = p.server.Zone
 	r.address = p.server.Address
 	r.stream = p.stream
-	r.began = now
-	r.firstAt = 0
-	r.awaited = p.firstToken
-	r.joins = p.joins()
-	if r.joins {
-		r.awaited = 0
+	r.sentAt = now
+	r.firstTokenAt = 0
+	r.predictedFirstToken = p.predictedFirstToken
+	r.joinsStream = p.joinsStream()
+	if r.joinsStream {
+		r.predictedFirstToken = 0
 	}
 	r.move = moveState{}
 }
@@ -128,8 +128,8 @@
 // firstSilence bounds the wait for the first byte. A plain call that may not
 // be repeated is waited for to its deadline: to give it up earlier would turn
 // a slow answer into an unknown one, with nothing else to try.
-func (c *Conductor) firstSilence(env *Env, r *request, firstToken timekeeper.Duration) timekeeper.Duration {
-	if !r.model() && !r.spec.Idempotent {
+func (c *Conductor) firstEventTimeout(env *Env, r *request, firstToken timekeeper.Duration) timekeeper.Duration {
+	if !r.isModel() && !r.spec.Idempotent {
 		return r.spec.Deadline.Sub(env.Now)
 	}
 	return detector.FirstEventTimeout(firstToken)
@@ -139,24 +139,24 @@
 // compute again.
 func (c *Conductor) countAttempt(r *request, p plannedAttempt) {
 	c.counters.Attempts++
-	c.onServer[r.server]++
-	c.prefilling[r.server] += r.spec.PromptTokens
+	c.attemptsOnServer[r.server]++
+	c.prefillTokens[r.server] += r.spec.PromptTokens
 	switch {
-	case p.joins():
+	case p.joinsStream():
 		c.counters.Resumed++
-	case r.mayHaveRun && r.model():
+	case r.mayHaveRun && r.isModel():
 		c.counters.RecomputedTokens += r.spec.PromptTokens + r.delivered
 	}
 }
 
 // stop ends the current attempt, if any, and tells the server to drop it.
-func (c *Conductor) stop(r *request) []messenger.Effect {
+func (c *Conductor) cancelAttempt(r *request) []messenger.Effect {
 	return c.stopAttempt(r, true)
 }
 
 // leaveStream ends the current attempt, if any, and lets its stream live on
 // for another node.
-func (c *Conductor) leaveStream(r *request) []messenger.Effect {
+func (c *Conductor) detachAttempt(r *request) []messenger.Effect {
 	return c.stopAttempt(r, false)
 }
 
@@ -164,7 +164,7 @@
 	if r.phase != running {
 		return nil
 	}
-	c.leaveServer(r)
+	c.uncountAttempt(r)
 	r.phase = waiting
 	return []messenger.Effect{
 		messenger.StopAttempt{
@@ -179,16 +179,16 @@
 }
 
 // leaveServer takes r out of its server's counts.
-func (c *Conductor) leaveServer(r *request) {
+func (c *Conductor) uncountAttempt(r *request) {
 	if r.phase != running || r.server == "" {
 		return
 	}
-	c.onServer[r.server]--
-	if r.firstAt == 0 {
-		c.prefilling[r.server] = max(0, c.prefilling[r.server]-r.spec.PromptTokens)
+	c.attemptsOnServer[r.server]--
+	if r.firstTokenAt == 0 {
+		c.prefillTokens[r.server] = max(0, c.prefillTokens[r.server]-r.spec.PromptTokens)
 	}
-	if c.onServer[r.server] <= 0 {
-		delete(c.onServer, r.server)
-		delete(c.prefilling, r.server)
+	if c.attemptsOnServer[r.server] <= 0 {
+		delete(c.attemptsOnServer, r.server)
+		delete(c.prefillTokens, r.server)
 	}
 }
--- a/internal/conductor/caller.go
+++ b/internal/conductor/caller.go
@@ -9,7 +9,7 @@
 // CallerDisconnected records that the request's last caller has disconnected.
 func (c *Conductor) CallerDisconnected(env *Env, id identifier.RequestID) []messenger.Effect {
 	if r, known := c.requests[id]; known {
-		r.callerGoneAt = env.Now
+		r.callerDisconnectedAt = env.Now
 	}
 	return nil
 }
@@ -17,21 +17,21 @@
 // CallerAttached records that a caller is connected to the request again.
 func (c *Conductor) CallerAttached(_ *Env, id identifier.RequestID) []messenger.Effect {
 	if r, known := c.requests[id]; known {
-		r.callerGoneAt = timekeeper.Never
+		r.callerDisconnectedAt = timekeeper.Never
 	}
 	return nil
 }
 
 // abandonedAfter is how long a short request runs on without a caller. A caller
 // that lost its connection comes back sooner.
-const abandonedAfter = 10 * timekeeper.Second
+const abandonTimeout = 10 * timekeeper.Second
 
 // abandoned reports whether a running answer has no reader and need not be
 // kept for one. A long answer is always made to its end, and a plain call is
 // not cut, because it may have had its effect.
 func (r *request) abandoned(now timekeeper.Time) bool {
-	if r.spec.Long || !r.model() || r.callerGoneAt == timekeeper.Never {
+	if r.spec.Long || !r.isModel() || r.callerDisconnectedAt == timekeeper.Never {
 		return false
 	}
-	return now.Sub(r.callerGoneAt) > abandonedAfter
+	return now.Sub(r.callerDisconnectedAt) > abandonTimeout
 }
--- a/internal/conductor/claim.go
+++ b/internal/conductor/claim.go
@@ -12,18 +12,18 @@
 const (
 	// claimPatience is how long a request waits for its claim to be read
 	// back before it is given up as not_run.
-	claimPatience = 4 * timekeeper.Second
+	claimTimeout = 4 * timekeeper.Second
 	// claimAgain is the spacing of appends of one claim whose answer was
 	// lost. The records carry the same nonce, so that only the first counts.
-	claimAgain = 400 * timekeeper.Millisecond
+	claimAppendInterval = 400 * timekeeper.Millisecond
 )
 
 // claimState is the claim of a non-idempotent request with a key.
 type claimState struct {
-	nonce    identifier.Nonce
-	stream   identifier.LogStream
-	giveUpAt timekeeper.Time
-	againAt  timekeeper.Time
+	nonce        identifier.Nonce
+	stream       identifier.LogStream
+	expiresAt    timekeeper.Time
+	nextAppendAt timekeeper.Time
 	// won tells that the log gave the key to this request. From then on this
 	// node alone may send it, once.
 	won bool
@@ -33,57 +33,57 @@
 // backend server before the claim was read back as the first of its key:
 // another node may have been asked for the same key, and both would run it.
 func (c *Conductor) beginClaim(env *Env, r *request) []messenger.Effect {
-	if entry, known := env.Claims.Lookup(r.spec.Account, r.spec.Key); known && c.settles(entry) {
+	if entry, known := env.Claims.Lookup(r.spec.Account, r.spec.Key); known && c.isConclusive(entry) {
 		return c.answerFromEntry(env, r, entry)
 	}
-	c.nonces++
-	nonce := identifier.Nonce(fmt.Sprintf("%s.%d.%d", c.config.Self, c.config.Incarnation, c.nonces))
+	c.lastNonce++
+	nonce := identifier.Nonce(fmt.Sprintf("%s.%d.%d", c.config.Self, c.config.Incarnation, c.lastNonce))
 	stream, record, err := env.Claims.Begin(env.Now, r.spec.Request, r.spec.Account, r.spec.Key, nonce, r.service.KeyWindow)
 	if err != nil {
 		// The table is full or the log is out. Running unclaimed could run
 		// the key twice, and holding the caller would not help it.
-		return c.refuse(env, r, notRun(messenger.ReasonLogUnavailable, retryAfterLogOut))
+		return c.refuse(env, r, notRun(messenger.ReasonLogUnavailable, retryAfterLogUnavailable))
 	}
 	r.phase = claiming
 	r.claim = claimState{
-		nonce:    nonce,
-		stream:   stream,
-		giveUpAt: env.Now.Add(claimPatience),
-		againAt:  env.Now.Add(claimAgain),
+		nonce:        nonce,
+		stream:       stream,
+		expiresAt:    env.Now.Add(claimTimeout),
+		nextAppendAt: env.Now.Add(claimAppendInterval),
 	}
 	return []messenger.Effect{
 		messenger.AppendRecord{
 			Stream: stream,
 			Data:   record,
 		},
-		c.note("claim_appended", r, string(stream)),
+		c.timelineEntry("claim_appended", r, string(stream)),
 	}
 }
 
 // settles reports whether an earlier claim of the key already answers the
 // request. One of this node may be given up and about to be released; then the
 // new claim waits for that.
-func (c *Conductor) settles(e claimer.Entry) bool {
+func (c *Conductor) isConclusive(e claimer.Entry) bool {
 	return !e.Released && (e.Winner != c.config.Self || e.Recorded != nil)
 }
 
 // retryClaim appends an unanswered claim again and gives up an overdue one.
 func (c *Conductor) retryClaim(env *Env, r *request) []messenger.Effect {
-	if !env.Now.Before(r.claim.giveUpAt) || env.Claims.Out(env.Now, r.claim.stream) {
-		return c.refuse(env, r, notRun(messenger.ReasonLogUnavailable, retryAfterLogOut))
+	if !env.Now.Before(r.claim.expiresAt) || env.Claims.Out(env.Now, r.claim.stream) {
+		return c.refuse(env, r, notRun(messenger.ReasonLogUnavailable, retryAfterLogUnavailable))
 	}
-	if env.Now.Before(r.claim.againAt) {
+	if env.Now.Before(r.claim.nextAppendAt) {
 		return nil
 	}
-	again, ok := env.Claims.Again(r.spec.Request)
+	pending, ok := env.Claims.Again(r.spec.Request)
 	if !ok {
 		return nil
 	}
-	r.claim.againAt = env.Now.Add(claimAgain)
+	r.claim.nextAppendAt = env.Now.Add(claimAppendInterval)
 	return []messenger.Effect{
 		messenger.AppendRecord{
-			Stream: again.Stream,
-			Data:   again.Data,
+			Stream: pending.Stream,
+			Data:   pending.Data,
 		},
 	}
 }
@@ -108,7 +108,7 @@
 		return c.refuse(env, r, messenger.Refusal{
 			Reason:     messenger.ReasonLogUnavailable,
 			Outcome:    messenger.Unknown,
-			RetryAfter: retryAfterLogOut,
+			RetryAfter: retryAfterLogUnavailable,
 		})
 	}
 	if !d.Won {
@@ -118,17 +118,17 @@
 				Winner:   d.Winner,
 				Recorded: d.Recorded,
 			},
-			c.note("claim_lost", r, fmt.Sprintf("winner=%s", d.Winner)),
+			c.timelineEntry("claim_lost", r, fmt.Sprintf("winner=%s", d.Winner)),
 		}
 		c.remove(env, r, 0)
 		return out
 	}
 	r.claim.won = true
-	out := []messenger.Effect{c.note("claim_won", r, "")}
+	out := []messenger.Effect{c.timelineEntry("claim_won", r, "")}
 	if c.draining {
 		return append(out, c.refuse(env, r, notRun(messenger.ReasonLeaving, retryAfterLeaving))...)
 	}
-	return append(out, c.afterClaim(env, r)...)
+	return append(out, c.holdOrAccept(env, r)...)
 }
 
 // answerFromEntry answers a request whose key the log has already given away.
@@ -139,7 +139,7 @@
 			Winner:   e.Winner,
 			Recorded: e.Recorded,
 		},
-		c.note("claim_known", r, fmt.Sprintf("winner=%s", e.Winner)),
+		c.timelineEntry("claim_known", r, fmt.Sprintf("winner=%s", e.Winner)),
 	}
 	c.remove(env, r, 0)
 	return out
--- a/internal/conductor/conductor.go
+++ b/internal/conductor/conductor.go
@@ -61,21 +61,21 @@
 	copies   map[identifier.RequestID]*heldCopy
 	// onServer counts this node's own attempts in flight, which no load
 	// report shows yet.
-	onServer map[identifier.VMID]int
+	attemptsOnServer map[identifier.VMID]int
 	// prefilling sums the prompt tokens of own attempts without a first token.
-	prefilling map[identifier.VMID]identifier.Tokens
+	prefillTokens map[identifier.VMID]identifier.Tokens
 	// arrivals counts the requests received for each pool.
 	arrivals map[identifier.PoolName]int
 	// draining tells that this node leaves, by drainBy.
-	draining bool
-	drainBy  timekeeper.Time
+	draining      bool
+	drainDeadline timekeeper.Time
 	// planned tells that the drain ends the process itself, and exited that
 	// it was told so.
-	planned bool
-	exited  bool
+	plannedStop bool
+	exitSent    bool
 	// nonces counts the nonces of this process's claims.
-	nonces   uint64
-	counters Counters
+	lastNonce uint64
+	counters  Counters
 }
 
 // Counters counts what the conductor did, for metrics and measurements.
@@ -98,12 +98,12 @@
 // New returns a conductor without requests.
 func New(c Config) *Conductor {
 	return &Conductor{
-		config:     c,
-		requests:   map[identifier.RequestID]*request{},
-		copies:     map[identifier.RequestID]*heldCopy{},
-		onServer:   map[identifier.VMID]int{},
-		prefilling: map[identifier.VMID]identifier.Tokens{},
-		arrivals:   map[identifier.PoolName]int{},
+		config:           c,
+		requests:         map[identifier.RequestID]*request{},
+		copies:           map[identifier.RequestID]*heldCopy{},
+		attemptsOnServer: map[identifier.VMID]int{},
+		prefillTokens:    map[identifier.VMID]identifier.Tokens{},
+		arrivals:         map[identifier.PoolName]int{},
 	}
 }
 
@@ -135,7 +135,7 @@
 	for _, r := range c.sortedRequests() {
 		out = append(out, c.advance(env, r)...)
 	}
-	out = append(out, c.dropOverdueCopies(env)...)
+	out = append(out, c.dropExpiredCopies(env)...)
 	out = append(out, c.adoptOrphans(env)...)
 	return append(out, c.advanceDrain(env)...)
 }
@@ -150,7 +150,7 @@
 	case claiming:
 		return c.retryClaim(env, r)
 	case holding:
-		return c.checkFirstHold(env, r)
+		return c.checkHoldTimeout(env, r)
 	case waiting:
 		return c.advanceWaiting(env, r)
 	case running:
@@ -160,8 +160,8 @@
 }
 
 func (c *Conductor) advanceWaiting(env *Env, r *request) []messenger.Effect {
-	out := c.keepHeld(env, r)
-	if yielded := c.yieldLongStall(env, r); yielded != nil {
+	out := c.ensureHolder(env, r)
+	if yielded := c.yieldAfterStall(env, r); yielded != nil {
 		return append(out, yielded...)
 	}
 	if env.Now.Before(r.retryAt) {
@@ -174,8 +174,8 @@
 	if r.abandoned(env.Now) {
 		return c.cancel(env, r)
 	}
-	out := c.keepHeld(env, r)
-	if yielded := c.yieldLongStall(env, r); yielded != nil {
+	out := c.ensureHolder(env, r)
+	if yielded := c.yieldAfterStall(env, r); yielded != nil {
 		return append(out, yielded...)
 	}
 	return append(out, c.startDueMove(env, r)...)
--- a/internal/conductor/copy.go
+++ b/internal/conductor/copy.go
@@ -30,12 +30,12 @@
 // would leave it without an answer, so the larger epoch decides.
 func (c *Conductor) CopyHeld(env *Env, e messenger.CopyHeld) []messenger.Effect {
 	var out []messenger.Effect
-	if r, own := c.requests[e.Spec.Request]; own {
+	if r, known := c.requests[e.Spec.Request]; known {
 		if !c.config.Safeguards.LaterOwner {
 			return nil
 		}
-		out = append(out, c.note("superseded", r, fmt.Sprintf("owner=%s", e.Owner)))
-		out = append(out, c.leaveTo(env, r, e.Owner)...)
+		out = append(out, c.timelineEntry("superseded", r, fmt.Sprintf("owner=%s", e.Owner)))
+		out = append(out, c.yieldTo(env, r, e.Owner)...)
 	}
 	if c.copies[e.Spec.Request] == nil && len(c.copies) >= c.config.MaxCopies {
 		c.counters.CopiesRefused++
@@ -63,12 +63,12 @@
 const (
 	// copyGrace is how long a copy of an owner that is taken for dead waits
 	// before it is adopted: its push was a sign of life.
-	copyGrace = 2 * timekeeper.Second
+	orphanAdoptionDelay = 2 * timekeeper.Second
 	// rescueTime is kept free before this node's own end to adopt the copies
 	// of silent owners and hand them on.
-	rescueTime = 3 * timekeeper.Second
+	drainAdoptionWindow = 3 * timekeeper.Second
 	// rescueSilence is how long such an owner has not been heard of.
-	rescueSilence = 1500 * timekeeper.Millisecond
+	drainOwnerTimeout = 1500 * timekeeper.Millisecond
 )
 
 // adoptOrphans adopts copies that no event will adopt:
@@ -83,14 +83,14 @@
 	if !c.config.Safeguards.AdoptCopies {
 		return nil
 	}
-	rescue := c.draining && env.Now.Add(rescueTime).After(c.drainBy)
+	endsSoon := c.draining && env.Now.Add(drainAdoptionWindow).After(c.drainDeadline)
 	var out []messenger.Effect
 	for _, id := range slices.Sorted(maps.Keys(c.copies)) {
 		held := c.copies[id]
 		owner, known := env.Members.Node(held.owner)
-		dead := known && owner.State == gossiper.Dead && env.Now.Sub(held.heldAt) >= copyGrace
-		silent := known && rescue && env.Now.Sub(max(owner.LastSeen, held.heldAt)) >= rescueSilence
-		if dead || silent {
+		ownerDead := known && owner.State == gossiper.Dead && env.Now.Sub(held.heldAt) >= orphanAdoptionDelay
+		ownerUnresponsive := known && endsSoon && env.Now.Sub(max(owner.LastSeen, held.heldAt)) >= drainOwnerTimeout
+		if ownerDead || ownerUnresponsive {
 			out = append(out, c.adopt(env, held)...)
 		}
 	}
@@ -101,7 +101,7 @@
 // Nothing is owed of them any more, and an owner that died after its answer
 // had ended, or whose word to drop the copy was lost, would leave its copies
 // here until the table is full.
-func (c *Conductor) dropOverdueCopies(env *Env) []messenger.Effect {
+func (c *Conductor) dropExpiredCopies(env *Env) []messenger.Effect {
 	var out []messenger.Effect
 	for _, id := range slices.Sorted(maps.Keys(c.copies)) {
 		if env.Now.Before(c.copies[id].spec.Deadline) {
--- a/internal/conductor/drain.go
+++ b/internal/conductor/drain.go
@@ -14,13 +14,13 @@
 // Drain begins this node's end: by a reclaim notice, or as a planned stop.
 func (c *Conductor) Drain(env *Env, deadline timekeeper.Time, planned bool) []messenger.Effect {
 	if c.draining {
-		c.drainBy = min(c.drainBy, deadline)
-		c.planned = c.planned || planned
+		c.drainDeadline = min(c.drainDeadline, deadline)
+		c.plannedStop = c.plannedStop || planned
 		return nil
 	}
 	c.draining = true
-	c.drainBy = deadline
-	c.planned = planned
+	c.drainDeadline = deadline
+	c.plannedStop = planned
 	out := []messenger.Effect{
 		messenger.TimelineEntry{
 			Kind:   "drain_started",
@@ -29,18 +29,18 @@
 		},
 	}
 	for _, r := range c.sortedRequests() {
-		out = append(out, c.drainUnaccepted(env, r)...)
+		out = append(out, c.refuseUnaccepted(env, r)...)
 	}
 	return append(out, c.advanceDrain(env)...)
 }
 
 // drainUnaccepted refuses what was not yet promised. A claim that is still
 // being read back is given up and released.
-func (c *Conductor) drainUnaccepted(env *Env, r *request) []messenger.Effect {
+func (c *Conductor) refuseUnaccepted(env *Env, r *request) []messenger.Effect {
 	if r.accepted {
 		return nil
 	}
-	return c.refuseHeld(env, r)
+	return c.refuseAndReleaseCopy(env, r)
 }
 
 // advanceDrain hands over what cannot end here in time, and ends a planned stop
@@ -55,8 +55,8 @@
 			out = append(out, c.handOverIfDue(env, r)...)
 		}
 	}
-	if c.planned && !c.exited && len(c.requests) == 0 {
-		c.exited = true
+	if c.plannedStop && !c.exitSent && len(c.requests) == 0 {
+		c.exitSent = true
 		out = append(out, messenger.Exit{})
 	}
 	return out
--- a/internal/conductor/end_test.go
+++ b/internal/conductor/end_test.go
@@ -25,7 +25,7 @@
 		name:    "claim not read back",
 		service: "booking",
 		reach: func(f *fixture) {
-			one[messenger.AppendRecord](f.t, f.receive("booking"))
+			requireOne[messenger.AppendRecord](f.t, f.receive("booking"))
 		},
 		refused:   true,
 		cancelled: messenger.Unknown,
@@ -35,7 +35,7 @@
 		name:    "copy not acknowledged",
 		service: "report",
 		reach: func(f *fixture) {
-			one[messenger.Hold](f.t, f.receive("report"))
+			requireOne[messenger.Hold](f.t, f.receive("report"))
 		},
 		refused:   true,
 		cancelled: messenger.NotRun,
@@ -82,19 +82,19 @@
 // A caller gives its request up, or the deadline comes. In each phase the
 // request ends at once, and not_run is said only where nothing can have run: a
 // caller that is told so repeats it under a new key.
-func TestEndInEachPhase(t *testing.T) {
+func TestCancelAndExpireInEachPhase(t *testing.T) {
 	for _, phase := range phases {
 		t.Run(phase.name+", cancelled", func(t *testing.T) {
 			f := newFixture(t)
 			phase.reach(f)
-			out := f.c.Cancel(f.w, id)
+			out := f.c.Cancel(f.env, id)
 			requireEnd(t, out, phase.refused, messenger.ReasonCancelled, phase.cancelled)
 			require.Zero(t, f.c.InFlight())
 		})
 		t.Run(phase.name+", deadline", func(t *testing.T) {
 			f := newFixture(t)
 			phase.reach(f)
-			out := f.tickAt(life)
+			out := f.tickAt(requestTimeout)
 			requireEnd(t, out, phase.refused, messenger.ReasonDeadlineExpired, phase.expired)
 			require.Zero(t, f.c.InFlight())
 		})
@@ -104,28 +104,28 @@
 func requireEnd(t *testing.T, out []messenger.Effect, refused bool, reason messenger.Reason, outcome messenger.Outcome) {
 	t.Helper()
 	if refused {
-		refuse := one[messenger.Refuse](t, out)
+		refuse := requireOne[messenger.Refuse](t, out)
 		require.Equal(t, reason, refuse.Refusal.Reason)
 		require.Equal(t, outcome, refuse.Refusal.Outcome)
-		none[messenger.Finish](t, out)
+		requireNone[messenger.Finish](t, out)
 		return
 	}
-	finish := one[messenger.Finish](t, out)
+	finish := requireOne[messenger.Finish](t, out)
 	require.Equal(t, reason, finish.Reason)
 	require.Equal(t, outcome, finish.Outcome)
-	none[messenger.Refuse](t, out)
+	requireNone[messenger.Refuse](t, out)
 }
 
 // A cancelled attempt is dropped at its server, and the holder of a copy is
 // told: it would adopt the request when this node dies, and run it again.
-func TestCancelTellsServerAndHolder(t *testing.T) {
+func TestCancelReachesServerAndHolder(t *testing.T) {
 	f := newFixture(t)
 	attempt := f.run("report")
-	out := f.c.Cancel(f.w, id)
-	stop := one[messenger.StopAttempt](t, out)
+	out := f.c.Cancel(f.env, id)
+	stop := requireOne[messenger.StopAttempt](t, out)
 	require.True(t, stop.Cancel)
 	require.Equal(t, attempt.Server, stop.Server)
-	require.Equal(t, peer, one[messenger.Unhold](t, out).Holder)
+	require.Equal(t, peer, requireOne[messenger.Unhold](t, out).Holder)
 }
 
 // A caller of a short answer goes away and does not come back: the answer is
@@ -133,17 +133,17 @@
 // end, and a plain call may have had its effect.
 func TestAbandonedRequest(t *testing.T) {
 	tests := []struct {
-		name        string
-		service     identifier.ServiceName
-		comesBack   bool
-		after       timekeeper.Duration
-		wantGivenUp bool
+		name          string
+		service       identifier.ServiceName
+		reconnects    bool
+		after         timekeeper.Duration
+		wantCancelled bool
 	}{
 		{
-			name:        "short answer",
-			service:     "tag",
-			after:       10*timekeeper.Second + 1,
-			wantGivenUp: true,
+			name:          "short answer",
+			service:       "tag",
+			after:         10*timekeeper.Second + 1,
+			wantCancelled: true,
 		},
 		{
 			name:    "short answer, not yet long gone",
@@ -151,10 +151,10 @@
 			after:   10 * timekeeper.Second,
 		},
 		{
-			name:      "short answer, caller back",
-			service:   "tag",
-			comesBack: true,
-			after:     20 * timekeeper.Second,
+			name:       "short answer, caller back",
+			service:    "tag",
+			reconnects: true,
+			after:      20 * timekeeper.Second,
 		},
 		{
 			name:    "long answer",
@@ -171,12 +171,12 @@
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
 			f.run(test.service)
-			f.c.CallerDisconnected(f.w, id)
-			if test.comesBack {
-				f.c.CallerAttached(f.w, id)
+			f.c.CallerDisconnected(f.env, id)
+			if test.reconnects {
+				f.c.CallerAttached(f.env, id)
 			}
-			finish, ended := find[messenger.Finish](f.tickAt(test.after))
-			require.Equal(t, test.wantGivenUp, ended)
+			finish, ended := findEffect[messenger.Finish](f.tickAt(test.after))
+			require.Equal(t, test.wantCancelled, ended)
 			if ended {
 				require.Equal(t, messenger.Cancelled, finish.Outcome)
 			}
--- a/internal/conductor/finish.go
+++ b/internal/conductor/finish.go
@@ -9,14 +9,14 @@
 )
 
 // ending is how an accepted request ends.
-type ending struct {
+type requestResult struct {
 	outcome    messenger.Outcome
 	reason     messenger.Reason
 	retryAfter timekeeper.Duration
 }
 
 // finish ends an accepted request.
-func (c *Conductor) finish(env *Env, r *request, e ending) []messenger.Effect {
+func (c *Conductor) finish(env *Env, r *request, e requestResult) []messenger.Effect {
 	out := []messenger.Effect{
 		messenger.Finish{
 			Request:    r.spec.Request,
@@ -24,7 +24,7 @@
 			Reason:     e.reason,
 			RetryAfter: e.retryAfter,
 		},
-		c.note("finished", r, fmt.Sprintf("outcome=%s reason=%s", e.outcome, e.reason)),
+		c.timelineEntry("finished", r, fmt.Sprintf("outcome=%s reason=%s", e.outcome, e.reason)),
 	}
 	out = append(out, c.settleClaim(env, r, e.outcome)...)
 	out = append(out, c.releaseAnswer(r)...)
@@ -59,17 +59,17 @@
 }
 
 // remove forgets r, and returns to its account the tokens it did not use.
-func (c *Conductor) remove(env *Env, r *request, used identifier.Tokens) {
-	c.leaveServer(r)
-	if r.reserved > 0 {
-		env.Limits.Settle(env.Now, r.spec.Account, r.reserved, used)
+func (c *Conductor) remove(env *Env, r *request, usedTokens identifier.Tokens) {
+	c.uncountAttempt(r)
+	if r.reservedTokens > 0 {
+		env.Limits.Settle(env.Now, r.spec.Account, r.reservedTokens, usedTokens)
 	}
 	delete(c.requests, r.spec.Request)
 }
 
 // expire ends a request whose deadline has come.
 func (c *Conductor) expire(env *Env, r *request) []messenger.Effect {
-	return c.giveUp(env, r, messenger.ReasonDeadlineExpired, messenger.Unknown)
+	return c.endEarly(env, r, messenger.ReasonDeadlineExpired, messenger.Unknown)
 }
 
 // Cancel ends a request that its caller gave up.
@@ -86,22 +86,22 @@
 	if r.spec.Idempotent {
 		outcome = messenger.Cancelled
 	}
-	return c.giveUp(env, r, messenger.ReasonCancelled, outcome)
+	return c.endEarly(env, r, messenger.ReasonCancelled, outcome)
 }
 
 // giveUp ends r early: as not_run where nothing can have run, else with the
 // given outcome.
-func (c *Conductor) giveUp(env *Env, r *request, reason messenger.Reason, ran messenger.Outcome) []messenger.Effect {
-	if r.untouched() || !c.config.Safeguards.TruthfulNotRun {
-		ran = messenger.NotRun
+func (c *Conductor) endEarly(env *Env, r *request, reason messenger.Reason, outcomeIfRun messenger.Outcome) []messenger.Effect {
+	if r.neverRan() || !c.config.Safeguards.TruthfulNotRun {
+		outcomeIfRun = messenger.NotRun
 	}
-	out := c.stop(r)
+	out := c.cancelAttempt(r)
 	if r.accepted {
-		return append(out, c.finish(env, r, ending{
-			outcome: ran,
+		return append(out, c.finish(env, r, requestResult{
+			outcome: outcomeIfRun,
 			reason:  reason,
 		})...)
 	}
-	out = append(out, c.unhold(r)...)
+	out = append(out, c.releaseCopy(r)...)
 	return append(out, c.refuse(env, r, notRun(reason, 0))...)
 }
--- a/internal/conductor/handover.go
+++ b/internal/conductor/handover.go
@@ -12,53 +12,53 @@
 
 const (
 	// handoverAgain is the spacing of handover tries of one request.
-	handoverAgain = 500 * timekeeper.Millisecond
+	handoverRetryInterval = 500 * timekeeper.Millisecond
 	// handoverTries is how often one successor is asked. A handover whose
 	// answer was lost may have taken effect, and repeating it to the same
 	// node does no harm, while asking another would give the request two
 	// owners.
-	handoverTries = 3
+	maxHandoverAttempts = 3
 	// handoverPatience bounds the wait for a successor's answer.
-	handoverPatience = 3 * timekeeper.Second
+	handoverTimeout = 3 * timekeeper.Second
 )
 
 // handoverState is a request's way to a successor.
 type handoverState struct {
 	// successor is the node asked last, or empty, and asked how often.
 	successor identifier.VMID
-	asked     int
+	attempts  int
 	// againAt is when the next try is due.
-	againAt timekeeper.Time
+	retryAt timekeeper.Time
 	// pending tells that no answer has come yet; overdueAt ends the wait.
-	pending   bool
-	overdueAt timekeeper.Time
+	awaitingAnswer bool
+	timeoutAt      timekeeper.Time
 	// failed names the nodes that were asked in vain.
 	failed map[identifier.VMID]bool
 }
 
 // handOverIfDue gives r to a successor where it can't end here in time.
 func (c *Conductor) handOverIfDue(env *Env, r *request) []messenger.Effect {
-	if !c.needsHandover(env, r) || env.Now.Before(r.handover.againAt) {
+	if !c.needsHandover(env, r) || env.Now.Before(r.handover.retryAt) {
 		return nil
 	}
-	before := r.handover.successor
+	previous := r.handover.successor
 	successor, ok := c.successor(env, r)
-	r.handover.againAt = env.Now.Add(handoverAgain)
+	r.handover.retryAt = env.Now.Add(handoverRetryInterval)
 	if !ok {
 		r.handover.failed = nil
 		return nil
 	}
-	if before != "" && before != successor.VM {
+	if previous != "" && previous != successor.VM {
 		// The one asked before may have taken it: the next comes after it.
-		r.epoch += renewalStep
+		r.epoch += renewalEpochIncrement
 	}
 	r.handover.successor = successor.VM
-	r.handover.asked++
-	r.handover.pending = true
-	r.handover.overdueAt = env.Now.Add(handoverPatience)
+	r.handover.attempts++
+	r.handover.awaitingAnswer = true
+	r.handover.timeoutAt = env.Now.Add(handoverTimeout)
 	return []messenger.Effect{
 		r.handOverTo(successor.VM, successor.PeerAddress),
-		c.note("handover_sent", r, fmt.Sprintf("successor=%s", successor.VM)),
+		c.timelineEntry("handover_sent", r, fmt.Sprintf("successor=%s", successor.VM)),
 	}
 }
 
@@ -79,15 +79,15 @@
 // needsHandover reports whether r is to be handed over. What may not be
 // repeated stays: its one attempt is bound to this node's connection.
 func (c *Conductor) needsHandover(env *Env, r *request) bool {
-	asked := r.handover.pending && env.Now.Before(r.handover.overdueAt)
-	if !r.accepted || !r.spec.Idempotent || asked {
+	awaitingAnswer := r.handover.awaitingAnswer && env.Now.Before(r.handover.timeoutAt)
+	if !r.accepted || !r.spec.Idempotent || awaitingAnswer {
 		return false
 	}
 	if r.phase != running {
 		return true
 	}
-	end := r.began.Add(r.expected)
-	return r.expected == 0 || end.After(c.drainBy.Add(-drainMargin))
+	end := r.sentAt.Add(r.predictedCompletion)
+	return r.predictedCompletion == 0 || end.After(c.drainDeadline.Add(-drainMargin))
 }
 
 // successor stays with the node asked last while it may still answer, then
@@ -95,11 +95,11 @@
 func (c *Conductor) successor(env *Env, r *request) (gossiper.Node, bool) {
 	leavingZones := map[identifier.Zone]bool{c.config.Zone: true}
 	nodes := placer.Successors(r.spec.Request, env.Members.Nodes(), c.config.Self, leavingZones)
-	if n, ok := find(nodes, r.handover.successor); ok && r.handover.asked < handoverTries {
+	if n, ok := findNode(nodes, r.handover.successor); ok && r.handover.attempts < maxHandoverAttempts {
 		return n, true
 	}
-	r.handover.giveUpSuccessor()
-	if n, ok := find(nodes, r.hold.holder); ok && !r.handover.failed[n.VM] {
+	r.handover.markSuccessorFailed()
+	if n, ok := findNode(nodes, r.hold.holder); ok && !r.handover.failed[n.VM] {
 		return n, true
 	}
 	for _, n := range nodes {
@@ -111,7 +111,7 @@
 }
 
 // giveUpSuccessor passes the node asked last over from here on.
-func (h *handoverState) giveUpSuccessor() {
+func (h *handoverState) markSuccessorFailed() {
 	if h.successor == "" {
 		return
 	}
@@ -119,10 +119,10 @@
 		h.failed = map[identifier.VMID]bool{}
 	}
 	h.failed[h.successor] = true
-	h.asked = 0
+	h.attempts = 0
 }
 
-func find(nodes []gossiper.Node, vm identifier.VMID) (gossiper.Node, bool) {
+func findNode(nodes []gossiper.Node, vm identifier.VMID) (gossiper.Node, bool) {
 	for _, n := range nodes {
 		if n.VM == vm && vm != "" {
 			return n, true
@@ -138,50 +138,50 @@
 		return nil
 	}
 	c.counters.HandedOver++
-	out := []messenger.Effect{c.note("handed_over", r, fmt.Sprintf("to=%s", e.Successor))}
+	out := []messenger.Effect{c.timelineEntry("handed_over", r, fmt.Sprintf("to=%s", e.Successor))}
 	if r.hold.holder != e.Successor {
-		out = append(out, c.unhold(r)...)
+		out = append(out, c.releaseCopy(r)...)
 	}
-	return append(out, c.leaveTo(env, r, e.Successor)...)
+	return append(out, c.yieldTo(env, r, e.Successor)...)
 }
 
 // HandoverFailed lets the request be handed over again.
 func (c *Conductor) HandoverFailed(_ *Env, e messenger.HandoverFailed) []messenger.Effect {
 	if r, known := c.requests[e.Request]; known && r.handover.successor == e.Successor {
-		r.handover.pending = false
+		r.handover.awaitingAnswer = false
 	}
 	return nil
 }
 
 // RequestHandedOver goes on with a request of a leaving peer.
 func (c *Conductor) RequestHandedOver(env *Env, e messenger.RequestHandedOver) []messenger.Effect {
-	if r, own := c.requests[e.Spec.Request]; own {
+	if r, known := c.requests[e.Spec.Request]; known {
 		// The peer's first message took effect and its answer was lost.
-		r.epoch = max(r.epoch, e.Epoch+takeoverStep)
-		r.hold.confirm = true
+		r.epoch = max(r.epoch, e.Epoch+takeoverEpochIncrement)
+		r.hold.confirmPending = true
 		if r.spec.Long && !r.hold.acked {
 			return nil
 		}
-		return c.confirm(r)
-	}
-	return c.takeOver(env, takenRequest{
-		spec:      e.Spec,
-		epoch:     e.Epoch + takeoverStep,
-		confirm:   true,
-		attempt:   e.Attempt,
-		server:    e.Server,
-		stream:    e.Stream,
-		delivered: e.Delivered,
-		from:      e.From,
-		how:       "taken_over",
+		return c.confirmHandover(r)
+	}
+	return c.takeOver(env, takeover{
+		spec:           e.Spec,
+		epoch:          e.Epoch + takeoverEpochIncrement,
+		confirmPending: true,
+		attempt:        e.Attempt,
+		server:         e.Server,
+		stream:         e.Stream,
+		delivered:      e.Delivered,
+		from:           e.From,
+		kind:           "taken_over",
 	})
 }
 
 // confirm tells the peer that handed r over that it is safe here.
-func (c *Conductor) confirm(r *request) []messenger.Effect {
-	if !r.hold.confirm {
+func (c *Conductor) confirmHandover(r *request) []messenger.Effect {
+	if !r.hold.confirmPending {
 		return nil
 	}
-	r.hold.confirm = false
+	r.hold.confirmPending = false
 	return []messenger.Effect{messenger.ConfirmHandover{Request: r.spec.Request}}
 }
--- a/internal/conductor/harness_test.go
+++ b/internal/conductor/harness_test.go
@@ -22,11 +22,11 @@
 )
 
 const (
-	start = timekeeper.Time(1_000_000)
-	self  = identifier.VMID("n1")
-	peer  = identifier.VMID("n2")
-	id    = identifier.RequestID("r1")
-	life  = 60 * timekeeper.Second
+	start          = timekeeper.Time(1_000_000)
+	self           = identifier.VMID("n1")
+	peer           = identifier.VMID("n2")
+	id             = identifier.RequestID("r1")
+	requestTimeout = 60 * timekeeper.Second
 )
 
 // services are those of the tests: two of a model and two plain ones.
@@ -87,10 +87,10 @@
 
 // fixture is a conductor with the slices of the state that it reads.
 type fixture struct {
-	t     *testing.T
-	w     *conductor.Env
-	c     *conductor.Conductor
-	count identifier.Offset
+	t          *testing.T
+	env        *conductor.Env
+	c          *conductor.Conductor
+	lastOffset identifier.Offset
 }
 
 // newFixture returns a node with one peer in another zone, three engines and
@@ -98,8 +98,8 @@
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	f := &fixture{
-		t: t,
-		w: newWorld(),
+		t:   t,
+		env: newEnv(),
 		c: conductor.New(conductor.Config{
 			Self:         self,
 			Zone:         "a",
@@ -110,9 +110,9 @@
 			PlanRules:    planner.AllRules(),
 		}),
 	}
-	f.meetPeer()
-	f.w.Limits.SetCatalog(start, f.w.Catalog)
-	f.w.Members.MergeList(start, start, []messenger.VMState{
+	f.receivePeerGossip()
+	f.env.Limits.SetCatalog(start, f.env.Catalog)
+	f.env.Members.MergeList(start, start, []messenger.VMState{
 		server("e1", "reading"),
 		server("e2", "reading"),
 		server("e3", "reading"),
@@ -120,7 +120,7 @@
 		server("p2", "portal"),
 	})
 	for _, engine := range []identifier.VMID{"e1", "e2", "e3"} {
-		f.w.Loads[engine] = messenger.ServerLoad{
+		f.env.Loads[engine] = messenger.ServerLoad{
 			AsOf:         start,
 			Slots:        4,
 			FreeKVTokens: 10_000,
@@ -130,7 +130,7 @@
 	return f
 }
 
-func newWorld() *conductor.Env {
+func newEnv() *conductor.Env {
 	return &conductor.Env{
 		Now:     start,
 		Catalog: newCatalog(),
@@ -167,7 +167,7 @@
 }
 
 // meetPeer lets the peer tell the node of itself.
-func (f *fixture) meetPeer() {
+func (f *fixture) receivePeerGossip() {
 	other := gossiper.New(gossiper.Config{
 		Self:        peer,
 		Incarnation: 1,
@@ -175,9 +175,9 @@
 		PeerAddress: string(peer),
 		Seeds:       []string{string(self)},
 	})
-	messages, _ := other.Tick(start, f.w.Rand)
+	messages, _ := other.Tick(start, f.env.Rand)
 	require.NotEmpty(f.t, messages)
-	_, err := f.w.Members.Receive(start, peer, messages[0].Data)
+	_, err := f.env.Members.Receive(start, peer, messages[0].Data)
 	require.NoError(f.t, err)
 }
 
@@ -189,14 +189,14 @@
 		End:    true,
 	}
 	for _, d := range data {
-		f.count++
+		f.lastOffset++
 		read.Records = append(read.Records, messenger.Record{
-			Offset:   f.count,
-			Appended: f.w.Now,
+			Offset:   f.lastOffset,
+			Appended: f.env.Now,
 			Data:     d,
 		})
 	}
-	return f.c.ClaimsDecided(f.w, f.w.Claims.Absorb(f.w.Now, read))
+	return f.c.ClaimsDecided(f.env, f.env.Claims.Absorb(f.env.Now, read))
 }
 
 // spec returns a request of a service; one that is not idempotent has a key.
@@ -209,7 +209,7 @@
 		Long:         services[name].Long,
 		EntryNode:    self,
 		Received:     start,
-		Deadline:     start.Add(life),
+		Deadline:     start.Add(requestTimeout),
 		PromptTokens: 100,
 		MaxTokens:    services[name].MaxTokens,
 	}
@@ -221,28 +221,28 @@
 
 // receive gives the node a request of a service.
 func (f *fixture) receive(name identifier.ServiceName) []messenger.Effect {
-	return f.c.Receive(f.w, spec(name))
+	return f.c.Receive(f.env, spec(name))
 }
 
 // run brings a request of a service to its first attempt.
 func (f *fixture) run(name identifier.ServiceName) messenger.SendAttempt {
 	f.t.Helper()
 	out := f.receive(name)
-	if claim, ok := find[messenger.AppendRecord](out); ok {
+	if claim, ok := findEffect[messenger.AppendRecord](out); ok {
 		out = f.readClaims(claim.Data)
 	}
-	if hold, ok := find[messenger.Hold](out); ok {
-		out = f.c.HoldAcked(f.w, messenger.HoldAcked{
+	if hold, ok := findEffect[messenger.Hold](out); ok {
+		out = f.c.HoldAcked(f.env, messenger.HoldAcked{
 			Request: id,
 			Holder:  hold.Holder,
 		})
 	}
-	return one[messenger.SendAttempt](f.t, out)
+	return requireOne[messenger.SendAttempt](f.t, out)
 }
 
 // progress reports tokens of the current attempt.
 func (f *fixture) progress(a messenger.SendAttempt, delivered identifier.Tokens) {
-	f.c.AttemptProgress(f.w, messenger.AttemptProgress{
+	f.c.AttemptProgress(f.env, messenger.AttemptProgress{
 		Request:   id,
 		Attempt:   a.Attempt,
 		Delivered: delivered,
@@ -253,7 +253,7 @@
 func (f *fixture) end(
 	a messenger.SendAttempt, result messenger.AttemptResult, retryAfter timekeeper.Duration,
 ) []messenger.Effect {
-	return f.c.AttemptEnded(f.w, messenger.AttemptEnded{
+	return f.c.AttemptEnded(f.env, messenger.AttemptEnded{
 		Request:    id,
 		Attempt:    a.Attempt,
 		Result:     result,
@@ -263,21 +263,21 @@
 
 // tickAt lets the instant d after the start come.
 func (f *fixture) tickAt(d timekeeper.Duration) []messenger.Effect {
-	f.w.Now = start.Add(d)
-	return f.c.Tick(f.w)
+	f.env.Now = start.Add(d)
+	return f.c.Tick(f.env)
 }
 
 // tickUntil lets time pass up to the instant d after the start.
 func (f *fixture) tickUntil(d timekeeper.Duration) []messenger.Effect {
 	var out []messenger.Effect
-	for at := f.w.Now.Sub(start); at < d; at += 100 * timekeeper.Millisecond {
+	for at := f.env.Now.Sub(start); at < d; at += 100 * timekeeper.Millisecond {
 		out = append(out, f.tickAt(at)...)
 	}
 	return append(out, f.tickAt(d)...)
 }
 
 // find returns the first effect of a type.
-func find[E messenger.Effect](effects []messenger.Effect) (E, bool) {
+func findEffect[E messenger.Effect](effects []messenger.Effect) (E, bool) {
 	for _, e := range effects {
 		if found, ok := e.(E); ok {
 			return found, true
@@ -287,20 +287,20 @@
 	return none, false
 }
 
-func one[E messenger.Effect](t *testing.T, effects []messenger.Effect) E {
+func requireOne[E messenger.Effect](t *testing.T, effects []messenger.Effect) E {
 	t.Helper()
-	found, ok := find[E](effects)
+	found, ok := findEffect[E](effects)
 	require.True(t, ok, "no %T among %v", found, effects)
 	return found
 }
 
-func none[E messenger.Effect](t *testing.T, effects []messenger.Effect) {
+func requireNone[E messenger.Effect](t *testing.T, effects []messenger.Effect) {
 	t.Helper()
-	found, ok := find[E](effects)
+	found, ok := findEffect[E](effects)
 	require.False(t, ok, "%v", found)
 }
 
-func noted(effects []messenger.Effect, kind messenger.TimelineKind) bool {
+func hasTimelineEntry(effects []messenger.Effect, kind messenger.TimelineKind) bool {
 	for _, e := range effects {
 		if n, ok := e.(messenger.TimelineEntry); ok && n.Kind == kind {
 			return true
--- a/internal/conductor/hold.go
+++ b/internal/conductor/hold.go
@@ -12,12 +12,12 @@
 
 const (
 	// holdTries is how many peers a new long request is offered to.
-	holdTries = 3
+	maxHoldAttempts = 3
 	// holdAgain is the spacing of tries to find a new holder for a request
 	// that lost its own.
-	holdAgain = 1 * timekeeper.Second
+	holdRetryInterval = 1 * timekeeper.Second
 	// holdPatience bounds the wait for the first holder's answer.
-	holdPatience = 2 * timekeeper.Second
+	holdTimeout = 2 * timekeeper.Second
 )
 
 // holdState is the off-node copy of a long request.
@@ -27,22 +27,22 @@
 	holder  identifier.VMID
 	address string
 	acked   bool
-	askedAt timekeeper.Time
+	sentAt  timekeeper.Time
 	// tries counts the peers asked, failed names those that did not answer,
 	// and againAt is when another is looked for.
-	tries   int
-	failed  map[identifier.VMID]bool
-	againAt timekeeper.Time
+	attempts int
+	failed   map[identifier.VMID]bool
+	retryAt  timekeeper.Time
 	// exposed is the last holder that had a copy and may adopt it, unless it
 	// is known to be gone.
-	exposed        identifier.VMID
-	exposedAddress string
+	lastHolder        identifier.VMID
+	lastHolderAddress string
 	// stalledAt is when the answer stopped going out for want of a holder, or
 	// Never.
 	stalledAt timekeeper.Time
 	// confirm tells that the peer that handed the request over waits for the
 	// copy to stand.
-	confirm bool
+	confirmPending bool
 }
 
 // beginHold gives a peer in another zone a copy before the request is
@@ -66,8 +66,8 @@
 	r.hold.holder = holder.VM
 	r.hold.address = holder.PeerAddress
 	r.hold.acked = false
-	r.hold.tries++
-	r.hold.askedAt = env.Now
+	r.hold.attempts++
+	r.hold.sentAt = env.Now
 	return []messenger.Effect{
 		messenger.Hold{
 			Request: r.spec.Request,
@@ -75,7 +75,7 @@
 			Holder:  holder.VM,
 			Address: holder.PeerAddress,
 		},
-		c.note("hold_sent", r, fmt.Sprintf("holder=%s", holder.VM)),
+		c.timelineEntry("hold_sent", r, fmt.Sprintf("holder=%s", holder.VM)),
 	}, true
 }
 
@@ -88,7 +88,7 @@
 // who has the request.
 func (c *Conductor) nextHolder(env *Env, r *request) (gossiper.Node, bool) {
 	if r.hold.stalledAt != timekeeper.Never {
-		if n, known := env.Members.Node(r.hold.exposed); known && n.State == gossiper.Alive {
+		if n, known := env.Members.Node(r.hold.lastHolder); known && n.State == gossiper.Alive {
 			return n, !r.hold.failed[n.VM]
 		}
 	}
@@ -101,8 +101,8 @@
 }
 
 // checkFirstHold moves on when a holder does not answer at all.
-func (c *Conductor) checkFirstHold(env *Env, r *request) []messenger.Effect {
-	if env.Now.Sub(r.hold.askedAt) < holdPatience {
+func (c *Conductor) checkHoldTimeout(env *Env, r *request) []messenger.Effect {
+	if env.Now.Sub(r.hold.sentAt) < holdTimeout {
 		return nil
 	}
 	return c.holdFailed(env, r)
@@ -115,22 +115,22 @@
 		return nil
 	}
 	r.hold.acked = true
-	r.hold.exposed = r.hold.holder
-	r.hold.exposedAddress = r.hold.address
+	r.hold.lastHolder = r.hold.holder
+	r.hold.lastHolderAddress = r.hold.address
 	r.hold.stalledAt = timekeeper.Never
 	if r.phase != holding {
-		return c.confirm(r)
+		return c.confirmHandover(r)
 	}
 	if c.draining {
-		return c.refuseHeld(env, r)
+		return c.refuseAndReleaseCopy(env, r)
 	}
 	return c.accept(env, r)
 }
 
 // refuseHeld refuses a request that a holder has a copy of, and takes the
 // copy back: the holder must not adopt what was refused.
-func (c *Conductor) refuseHeld(env *Env, r *request) []messenger.Effect {
-	out := c.unhold(r)
+func (c *Conductor) refuseAndReleaseCopy(env *Env, r *request) []messenger.Effect {
+	out := c.releaseCopy(r)
 	return append(out, c.refuse(env, r, notRun(messenger.ReasonLeaving, retryAfterLeaving))...)
 }
 
@@ -140,8 +140,8 @@
 	if !known {
 		return nil
 	}
-	if e.HolderEnded && r.hold.exposed == e.Holder {
-		r.hold.exposed = ""
+	if e.HolderEnded && r.hold.lastHolder == e.Holder {
+		r.hold.lastHolder = ""
 	}
 	if r.hold.holder != e.Holder {
 		return nil
@@ -151,7 +151,7 @@
 
 func (c *Conductor) holdFailed(env *Env, r *request) []messenger.Effect {
 	if r.hold.acked {
-		r.epoch += renewalStep
+		r.epoch += renewalEpochIncrement
 	}
 	if r.hold.failed == nil {
 		r.hold.failed = map[identifier.VMID]bool{}
@@ -159,8 +159,8 @@
 	r.hold.failed[r.hold.holder] = true
 	// The failed holder may have the copy all the same; if this request is
 	// refused it must be told, so that it does not adopt it.
-	out := c.unhold(r)
-	if r.phase == holding && r.hold.tries >= holdTries {
+	out := c.releaseCopy(r)
+	if r.phase == holding && r.hold.attempts >= maxHoldAttempts {
 		return append(out, c.refuse(env, r, notRun(messenger.ReasonUnprotected, retryAfterNoHolder))...)
 	}
 	sent, ok := c.sendHold(env, r)
@@ -173,11 +173,11 @@
 	r.hold.holder = ""
 	r.hold.acked = false
 	r.hold.failed = nil
-	r.hold.againAt = env.Now.Add(holdAgain)
-	if r.hold.exposed != "" && c.config.Safeguards.StallAlone {
+	r.hold.retryAt = env.Now.Add(holdRetryInterval)
+	if r.hold.lastHolder != "" && c.config.Safeguards.StallAlone {
 		return append(out, c.stall(env, r)...)
 	}
-	return append(out, c.goUnprotected(r)...)
+	return append(out, c.continueUnprotected(r)...)
 }
 
 // HoldRefused ends this node's part in a request that its holder has adopted.
@@ -188,12 +188,12 @@
 	if !known || r.hold.holder != e.Holder || !c.config.Safeguards.YieldToHolder {
 		return nil
 	}
-	out := []messenger.Effect{c.note("yielded", r, fmt.Sprintf("owner=%s", e.Holder))}
-	return append(out, c.leaveTo(env, r, e.Holder)...)
+	out := []messenger.Effect{c.timelineEntry("yielded", r, fmt.Sprintf("owner=%s", e.Holder))}
+	return append(out, c.yieldTo(env, r, e.Holder)...)
 }
 
 // holderLost moves the copies that stood with a node that is dead or leaving.
-func (c *Conductor) holderLost(env *Env, vm identifier.VMID) []messenger.Effect {
+func (c *Conductor) replaceHolder(env *Env, vm identifier.VMID) []messenger.Effect {
 	var out []messenger.Effect
 	for _, r := range c.sortedRequests() {
 		if r.hold.holder == vm && vm != "" {
@@ -204,25 +204,25 @@
 }
 
 // keepHeld finds a holder for an accepted long request without one.
-func (c *Conductor) keepHeld(env *Env, r *request) []messenger.Effect {
-	if !r.spec.Long || r.hold.holder != "" || env.Now.Before(r.hold.againAt) {
-		return c.dropSilentHolder(env, r)
+func (c *Conductor) ensureHolder(env *Env, r *request) []messenger.Effect {
+	if !r.spec.Long || r.hold.holder != "" || env.Now.Before(r.hold.retryAt) {
+		return c.dropUnresponsiveHolder(env, r)
 	}
-	r.hold.againAt = env.Now.Add(holdAgain)
+	r.hold.retryAt = env.Now.Add(holdRetryInterval)
 	out, _ := c.sendHold(env, r)
 	return out
 }
 
 // dropSilentHolder gives up a holder of which nothing is heard at all.
-func (c *Conductor) dropSilentHolder(env *Env, r *request) []messenger.Effect {
-	if r.hold.holder == "" || r.hold.acked || env.Now.Sub(r.hold.askedAt) < holdPatience {
+func (c *Conductor) dropUnresponsiveHolder(env *Env, r *request) []messenger.Effect {
+	if r.hold.holder == "" || r.hold.acked || env.Now.Sub(r.hold.sentAt) < holdTimeout {
 		return nil
 	}
 	return c.holdFailed(env, r)
 }
 
 // unhold takes the copy back from the holder, if there is one.
-func (c *Conductor) unhold(r *request) []messenger.Effect {
+func (c *Conductor) releaseCopy(r *request) []messenger.Effect {
 	if r.hold.holder == "" {
 		return nil
 	}
--- a/internal/conductor/move.go
+++ b/internal/conductor/move.go
@@ -12,15 +12,15 @@
 // moveState is what the plan of a wave says of one stream.
 type moveState struct {
 	action  planner.Action
-	to      identifier.VMID
+	target  identifier.VMID
 	startAt timekeeper.Time
 	// sent tells that the KV export is under way.
-	sent bool
+	exportStarted bool
 }
 
 // startDueMove carries out the planned move of a stream when its time has come.
 func (c *Conductor) startDueMove(env *Env, r *request) []messenger.Effect {
-	if r.move.action == "" || r.move.sent || env.Now.Before(r.move.startAt) {
+	if r.move.action == "" || r.move.exportStarted || env.Now.Before(r.move.startAt) {
 		return nil
 	}
 	switch r.move.action {
@@ -34,11 +34,11 @@
 }
 
 func (c *Conductor) startExport(env *Env, r *request) []messenger.Effect {
-	to, known := env.Members.Server(r.move.to)
+	to, known := env.Members.Server(r.move.target)
 	if !known || to.Leaving {
 		return c.moveByPrefill(env, r)
 	}
-	r.move.sent = true
+	r.move.exportStarted = true
 	return []messenger.Effect{
 		messenger.MoveKV{
 			Request:     r.spec.Request,
@@ -48,7 +48,7 @@
 			To:          to.VM,
 			ToAddress:   to.Address,
 		},
-		c.note("kv_export", r, fmt.Sprintf("to=%s", to.VM)),
+		c.timelineEntry("kv_export", r, fmt.Sprintf("to=%s", to.VM)),
 	}
 }
 
@@ -57,14 +57,14 @@
 func (c *Conductor) moveByPrefill(env *Env, r *request) []messenger.Effect {
 	r.move = moveState{}
 	r.rejoined = false
-	out := c.stop(r)
+	out := c.cancelAttempt(r)
 	return append(out, c.startAttempt(env, r)...)
 }
 
 // KVMoved continues a stream where its KV cache went, or by prefill.
 func (c *Conductor) KVMoved(env *Env, e messenger.KVMoved) []messenger.Effect {
-	r, ok := c.current(e.Request, e.Attempt)
-	if !ok || r.phase != running || !r.move.sent {
+	r, ok := c.lookupCurrent(e.Request, e.Attempt)
+	if !ok || r.phase != running || !r.move.exportStarted {
 		return nil
 	}
 	to, known := env.Members.Server(e.To)
@@ -72,12 +72,12 @@
 		return c.moveByPrefill(env, r)
 	}
 	r.rejoined = false
-	out := c.stop(r)
+	out := c.cancelAttempt(r)
 	return append(out, c.sendAttempt(env, r, plannedAttempt{
-		server:     to,
-		mode:       messenger.StartImported,
-		stream:     r.stream,
-		firstToken: rejoinWait,
+		server:              to,
+		mode:                messenger.StartImported,
+		stream:              r.stream,
+		predictedFirstToken: predictedRejoinLatency,
 	})...)
 }
 
@@ -92,7 +92,7 @@
 			continue
 		}
 		r.failedServers[vm] = true
-		out = append(out, c.stop(r)...)
+		out = append(out, c.cancelAttempt(r)...)
 		r.mayHaveRun = true
 		out = append(out, c.startAttempt(env, r)...)
 	}
--- a/internal/conductor/move_test.go
+++ b/internal/conductor/move_test.go
@@ -12,8 +12,8 @@
 
 // reclaim announces that a server goes in four seconds.
 func (f *fixture) reclaim(vm identifier.VMID) []messenger.Effect {
-	f.w.Members.MarkReclaimed(f.w.Now, vm, f.w.Now.Add(4*timekeeper.Second))
-	return f.c.ServersLeaving(f.w)
+	f.env.Members.MarkReclaimed(f.env.Now, vm, f.env.Now.Add(4*timekeeper.Second))
+	return f.c.ServersLeaving(f.env)
 }
 
 // An engine is reclaimed in the middle of an answer, whose KV cache is copied
@@ -48,18 +48,18 @@
 			f := newFixture(t)
 			first := f.run("tag")
 			f.progress(first, 20)
-			move := one[messenger.MoveKV](t, f.reclaim(first.Server))
+			move := requireOne[messenger.MoveKV](t, f.reclaim(first.Server))
 			require.NotEqual(t, first.Server, move.To)
 			if test.targetLeaves {
-				none[messenger.MoveKV](t, f.reclaim(move.To))
+				requireNone[messenger.MoveKV](t, f.reclaim(move.To))
 			}
-			out := f.c.KVMoved(f.w, messenger.KVMoved{
+			out := f.c.KVMoved(f.env, messenger.KVMoved{
 				Request: id,
 				Attempt: first.Attempt,
 				To:      move.To,
 				OK:      test.ok,
 			})
-			next := one[messenger.SendAttempt](t, out)
+			next := requireOne[messenger.SendAttempt](t, out)
 			require.Equal(t, test.mode, next.Mode)
 			require.EqualValues(t, 20, next.From)
 			require.NotEqual(t, first.Server, next.Server)
@@ -67,20 +67,20 @@
 			if test.targetLeaves {
 				require.NotEqual(t, move.To, next.Server)
 			}
-			require.Equal(t, first.Server, one[messenger.StopAttempt](t, out).Server)
+			require.Equal(t, first.Server, requireOne[messenger.StopAttempt](t, out).Server)
 		})
 	}
 }
 
 // The end of a copy comes after the stream has moved on by itself: it changes
 // nothing.
-func TestLateMoveKV(t *testing.T) {
+func TestLateKVMovedIsIgnored(t *testing.T) {
 	f := newFixture(t)
 	first := f.run("tag")
 	f.progress(first, 20)
-	move := one[messenger.MoveKV](t, f.reclaim(first.Server))
-	one[messenger.SendAttempt](t, f.c.ServerRemoved(f.w, first.Server))
-	require.Empty(t, f.c.KVMoved(f.w, messenger.KVMoved{
+	move := requireOne[messenger.MoveKV](t, f.reclaim(first.Server))
+	requireOne[messenger.SendAttempt](t, f.c.ServerRemoved(f.env, first.Server))
+	require.Empty(t, f.c.KVMoved(f.env, messenger.KVMoved{
 		Request: id,
 		Attempt: first.Attempt,
 		To:      move.To,
--- a/internal/conductor/pool.go
+++ b/internal/conductor/pool.go
@@ -26,10 +26,10 @@
 }
 
 // loadTooOld is the age past which a load report says nothing any more.
-const loadTooOld = 10 * timekeeper.Second
+const loadReportMaxAge = 10 * timekeeper.Second
 
 // choose picks a server for the next attempt of r.
-func (c *Conductor) choose(env *Env, r *request) (router.Choice, bool) {
+func (c *Conductor) chooseServer(env *Env, r *request) (router.Choice, bool) {
 	if env.Catalog == nil {
 		return router.Choice{}, false
 	}
@@ -49,11 +49,11 @@
 func (c *Conductor) candidates(env *Env, r *request) []router.Candidate {
 	pool := env.Catalog.Pools[r.service.Pool]
 	servers := env.Members.Servers(pool.Name)
-	out := make([]router.Candidate, 0, len(servers))
+	candidates := make([]router.Candidate, 0, len(servers))
 	for _, s := range servers {
-		out = append(out, c.candidate(env, r, pool, s))
+		candidates = append(candidates, c.candidate(env, r, pool, s))
 	}
-	return out
+	return candidates
 }
 
 func (c *Conductor) candidate(env *Env, r *request, pool catalog.Pool, s gossiper.Server) router.Candidate {
@@ -63,8 +63,8 @@
 		Market:           s.Market,
 		Leaving:          s.Leaving && c.config.Safeguards.AvoidLeaving,
 		Suspect:          env.Suspicions.Suspect(env.Now, s.VM),
-		OwnInFlight:      c.onServer[s.VM],
-		OwnPrefill:       c.prefilling[s.VM],
+		OwnInFlight:      c.attemptsOnServer[s.VM],
+		OwnPrefill:       c.prefillTokens[s.VM],
 		Load:             env.Loads[s.VM],
 		PrefixHit:        env.Hints.CachedTokens(env.Now, s.VM, r.spec.Prefix),
 		Slots:            pool.Slots,
@@ -82,9 +82,9 @@
 		if s.Leaving {
 			continue
 		}
-		busy := c.onServer[s.VM]
+		busy := c.attemptsOnServer[s.VM]
 		load, known := env.Loads[s.VM]
-		if known && env.Now.Sub(load.AsOf) < loadTooOld {
+		if known && env.Now.Sub(load.AsOf) < loadReportMaxAge {
 			busy = max(busy, load.Running)
 			queued += load.Waiting
 		}
--- a/internal/conductor/progress.go
+++ b/internal/conductor/progress.go
@@ -14,7 +14,7 @@
 // other attempt are late or crossed: were they heeded, a request could be
 // ended by the failure of an attempt that it has long left behind, or be
 // given another attempt's answer.
-func (c *Conductor) current(id identifier.RequestID, n identifier.AttemptNumber) (*request, bool) {
+func (c *Conductor) lookupCurrent(id identifier.RequestID, n identifier.AttemptNumber) (*request, bool) {
 	r, known := c.requests[id]
 	if !known {
 		return nil, false
@@ -27,7 +27,7 @@
 
 // AttemptStarted records that the server took the attempt.
 func (c *Conductor) AttemptStarted(env *Env, e messenger.AttemptStarted) []messenger.Effect {
-	r, ok := c.current(e.Request, e.Attempt)
+	r, ok := c.lookupCurrent(e.Request, e.Attempt)
 	if !ok {
 		return nil
 	}
@@ -38,50 +38,50 @@
 
 // AttemptProgress records how much of the answer stands with this node.
 func (c *Conductor) AttemptProgress(env *Env, e messenger.AttemptProgress) []messenger.Effect {
-	r, ok := c.current(e.Request, e.Attempt)
+	r, ok := c.lookupCurrent(e.Request, e.Attempt)
 	if !ok {
 		return nil
 	}
 	r.mayHaveRun = true
 	r.delivered = max(r.delivered, e.Delivered)
-	if r.firstAt == 0 {
-		r.firstAt = env.Now
-		c.firstToken(env, r)
+	if r.firstTokenAt == 0 {
+		r.firstTokenAt = env.Now
+		c.recordFirstToken(env, r)
 	}
 	return nil
 }
 
-func (c *Conductor) firstToken(env *Env, r *request) {
-	c.prefilling[r.server] = max(0, c.prefilling[r.server]-r.spec.PromptTokens)
-	c.observe(env, r, detector.FirstToken, env.Now.Sub(r.began), r.awaited)
+func (c *Conductor) recordFirstToken(env *Env, r *request) {
+	c.prefillTokens[r.server] = max(0, c.prefillTokens[r.server]-r.spec.PromptTokens)
+	c.observe(env, r, detector.FirstToken, env.Now.Sub(r.sentAt), r.predictedFirstToken)
 }
 
 // AttemptEnded decides what follows an attempt.
 func (c *Conductor) AttemptEnded(env *Env, e messenger.AttemptEnded) []messenger.Effect {
-	r, ok := c.current(e.Request, e.Attempt)
+	r, ok := c.lookupCurrent(e.Request, e.Attempt)
 	if !ok {
 		return nil
 	}
 	r.delivered = max(r.delivered, e.Delivered)
-	ranNow := e.Result != messenger.AttemptNotSent && e.Result != messenger.AttemptRefused
-	r.mayHaveRun = r.mayHaveRun || ranNow
-	c.leaveServer(r)
+	mayHaveRun := e.Result != messenger.AttemptNotSent && e.Result != messenger.AttemptRefused
+	r.mayHaveRun = r.mayHaveRun || mayHaveRun
+	c.uncountAttempt(r)
 	r.phase = waiting
-	out := []messenger.Effect{c.note("attempt_ended", r, fmt.Sprintf("result=%s delivered=%d", e.Result, r.delivered))}
+	out := []messenger.Effect{c.timelineEntry("attempt_ended", r, fmt.Sprintf("result=%s delivered=%d", e.Result, r.delivered))}
 	if e.Result == messenger.AttemptComplete {
 		env.Quarantine.Completed(env.Now, fingerprint(r.spec))
-		c.completed(env, r)
-		return append(out, c.finish(env, r, ending{outcome: messenger.Done})...)
+		c.reportCompletion(env, r)
+		return append(out, c.finish(env, r, requestResult{outcome: messenger.Done})...)
 	}
-	c.noteEnd(env, r, e, ranNow)
+	c.recordServerEnd(env, r, e, mayHaveRun)
 	if after, refused := env.Quarantine.Refuses(env.Now, fingerprint(r.spec)); refused {
-		return append(out, c.endQuarantined(env, r, after)...)
+		return append(out, c.finishQuarantined(env, r, after)...)
 	}
 	if effects, ok := c.rejoin(env, r, e); ok {
 		return append(out, effects...)
 	}
-	c.blame(env, r, e.Result)
-	return append(out, c.afterFailure(env, r, e)...)
+	c.reportFailure(env, r, e.Result)
+	return append(out, c.retryOrFinish(env, r, e)...)
 }
 
 // rejoin resumes the stream on the same server over a new connection. An open
@@ -89,11 +89,11 @@
 // server and nothing need be computed again. It is tried once for each stretch
 // of progress, so that a server that is really gone costs one dial.
 func (c *Conductor) rejoin(env *Env, r *request, e messenger.AttemptEnded) ([]messenger.Effect, bool) {
-	cut := e.Result == messenger.AttemptBroken || e.Result == messenger.AttemptTimedOut
-	if !cut || e.ServerEnded || !r.model() {
+	connectionLost := e.Result == messenger.AttemptBroken || e.Result == messenger.AttemptTimedOut
+	if !connectionLost || e.ServerEnded || !r.isModel() {
 		return nil, false
 	}
-	if r.rejoined && r.rejoinedAt == r.delivered {
+	if r.rejoined && r.rejoinedTokens == r.delivered {
 		return nil, false // tried already, with no progress since
 	}
 	server, known := env.Members.Server(r.server)
@@ -102,36 +102,36 @@
 	}
 	r.markRejoined()
 	return c.sendAttempt(env, r, plannedAttempt{
-		server:     server,
-		mode:       messenger.StartResume,
-		stream:     r.stream,
-		firstToken: rejoinWait,
+		server:              server,
+		mode:                messenger.StartResume,
+		stream:              r.stream,
+		predictedFirstToken: predictedRejoinLatency,
 	}), true
 }
 
 // markRejoined notes that the stream is joined at what is delivered now.
 func (r *request) markRejoined() {
 	r.rejoined = true
-	r.rejoinedAt = r.delivered
+	r.rejoinedTokens = r.delivered
 }
 
 // afterFailure asks the retrier whether there is a next attempt.
-func (c *Conductor) afterFailure(env *Env, r *request, e messenger.AttemptEnded) []messenger.Effect {
+func (c *Conductor) retryOrFinish(env *Env, r *request, e messenger.AttemptEnded) []messenger.Effect {
 	verdict := env.Budgets.Next(env.Now, retrier.EndedAttempt{
 		Service:       r.spec.Service,
 		Idempotent:    r.spec.Idempotent || !c.config.Safeguards.RepeatOnlySafe,
 		Result:        e.Result,
-		Attempts:      r.tries,
+		Attempts:      r.localAttempts,
 		Deadline:      r.spec.Deadline,
 		Delivered:     r.delivered,
-		Model:         r.model(),
+		Model:         r.isModel(),
 		RetryAfter:    e.RetryAfter,
-		Planned:       c.budgetFree(env, r),
+		Planned:       c.exemptFromBudget(env, r),
 		EarlierNotRun: !r.mayHaveRun,
 	}, env.Rand)
 	if !verdict.Again {
-		return c.finish(env, r, ending{
-			outcome:    c.truthful(r, verdict.Outcome),
+		return c.finish(env, r, requestResult{
+			outcome:    c.correctNotRun(r, verdict.Outcome),
 			reason:     verdict.Reason,
 			retryAfter: verdict.RetryAfter,
 		})
@@ -150,13 +150,13 @@
 // budgetFree reports whether the next attempt costs no retry budget: its server
 // was taken away, or the request is long. Both were accepted before, and a wave
 // of reclaims that used the budget up would end them.
-func (c *Conductor) budgetFree(env *Env, r *request) bool {
+func (c *Conductor) exemptFromBudget(env *Env, r *request) bool {
 	server, known := env.Members.Server(r.server)
 	return r.spec.Long || !known || server.Leaving
 }
 
 // truthful turns not_run into unknown where something may have run.
-func (c *Conductor) truthful(r *request, o messenger.Outcome) messenger.Outcome {
+func (c *Conductor) correctNotRun(r *request, o messenger.Outcome) messenger.Outcome {
 	if o == messenger.NotRun && r.mayHaveRun && c.config.Safeguards.TruthfulNotRun {
 		return messenger.Unknown
 	}
@@ -164,7 +164,7 @@
 }
 
 // blame tells the detector what the server did.
-func (c *Conductor) blame(env *Env, r *request, result messenger.AttemptResult) {
+func (c *Conductor) reportFailure(env *Env, r *request, result messenger.AttemptResult) {
 	switch result {
 	case messenger.AttemptNotSent:
 		c.observe(env, r, detector.NotSent, 0, 0)
@@ -179,12 +179,12 @@
 
 // completed tells the detector of a whole answer. Only a plain one is timed: a
 // model's length is the request's doing, not the server's.
-func (c *Conductor) completed(env *Env, r *request) {
-	if r.model() {
+func (c *Conductor) reportCompletion(env *Env, r *request) {
+	if r.isModel() {
 		c.observe(env, r, detector.Completed, 0, 0)
 		return
 	}
-	c.observe(env, r, detector.Completed, env.Now.Sub(r.began), r.expected)
+	c.observe(env, r, detector.Completed, env.Now.Sub(r.sentAt), r.predictedCompletion)
 }
 
 func (c *Conductor) observe(env *Env, r *request, kind detector.Kind, latency, predicted timekeeper.Duration) {
--- a/internal/conductor/receive.go
+++ b/internal/conductor/receive.go
@@ -22,17 +22,17 @@
 		return c.refuseNew(spec, refusal)
 	}
 	c.requests[spec.Request] = r
-	if r.claimed() && c.config.Safeguards.ClaimFirst {
+	if r.needsClaim() && c.config.Safeguards.ClaimFirst {
 		return c.beginClaim(env, r)
 	}
-	return c.afterClaim(env, r)
+	return c.holdOrAccept(env, r)
 }
 
 // screen refuses what needs no look at the backend servers.
 func (c *Conductor) screen(env *Env, spec messenger.RequestSpec) (catalog.Service, messenger.Refusal) {
 	switch {
 	case env.Catalog == nil:
-		return catalog.Service{}, notRun(messenger.ReasonNoConfiguration, retryAfterStart)
+		return catalog.Service{}, notRun(messenger.ReasonNoConfiguration, retryAfterNoConfiguration)
 	case c.draining:
 		return catalog.Service{}, notRun(messenger.ReasonLeaving, retryAfterLeaving)
 	case !env.Now.Before(spec.Deadline):
@@ -53,17 +53,17 @@
 // admit asks the router whether the request can be served in time, and the
 // limiter whether its account may have it served now.
 func (c *Conductor) admit(env *Env, r *request) messenger.Refusal {
-	choice, ok := c.choose(env, r)
+	choice, ok := c.chooseServer(env, r)
 	if !ok {
 		return notRun(messenger.ReasonNoServer, retryAfterNoServer)
 	}
 	free, slots, queued := c.poolLoad(env, r.service.Pool)
-	r.reserved = r.spec.PromptTokens + r.spec.MaxTokens
+	r.reservedTokens = r.spec.PromptTokens + r.spec.MaxTokens
 	verdict := env.Limits.Admit(env.Now, limiter.Request{
 		Account:   r.spec.Account,
 		Service:   r.spec.Service,
 		Priority:  r.service.Priority,
-		Tokens:    r.reserved,
+		Tokens:    r.reservedTokens,
 		Deadline:  r.spec.Deadline,
 		Predicted: choice.Predicted.Completion,
 		Target:    env.Catalog.Target(r.spec.Account, r.spec.Service),
@@ -79,7 +79,7 @@
 }
 
 // afterClaim goes on with a request that needs no claim or has won it.
-func (c *Conductor) afterClaim(env *Env, r *request) []messenger.Effect {
+func (c *Conductor) holdOrAccept(env *Env, r *request) []messenger.Effect {
 	if r.spec.Long && c.config.Safeguards.HoldFirst {
 		return c.beginHold(env, r)
 	}
@@ -92,13 +92,13 @@
 	c.counters.Accepted++
 	out := []messenger.Effect{
 		messenger.Accept{Request: r.spec.Request},
-		c.note("accepted", r, ""),
+		c.timelineEntry("accepted", r, ""),
 	}
 	return append(out, c.startAttempt(env, r)...)
 }
 
 // service returns the present settings of a service that a peer speaks of.
-func service(env *Env, name identifier.ServiceName) (catalog.Service, bool) {
+func serviceConfig(env *Env, name identifier.ServiceName) (catalog.Service, bool) {
 	if env.Catalog == nil {
 		return catalog.Service{}, false
 	}
--- a/internal/conductor/refuse.go
+++ b/internal/conductor/refuse.go
@@ -9,11 +9,11 @@
 
 // When a refused caller should come back.
 const (
-	retryAfterLeaving  = 100 * timekeeper.Millisecond
-	retryAfterNoServer = 2 * timekeeper.Second
-	retryAfterLogOut   = 2 * timekeeper.Second
-	retryAfterNoHolder = 1 * timekeeper.Second
-	retryAfterStart    = 1 * timekeeper.Second
+	retryAfterLeaving         = 100 * timekeeper.Millisecond
+	retryAfterNoServer        = 2 * timekeeper.Second
+	retryAfterLogUnavailable  = 2 * timekeeper.Second
+	retryAfterNoHolder        = 1 * timekeeper.Second
+	retryAfterNoConfiguration = 1 * timekeeper.Second
 )
 
 // refuse ends a request that was not accepted and that nothing has run. The
@@ -22,7 +22,7 @@
 func (c *Conductor) refuse(env *Env, r *request, refusal messenger.Refusal) []messenger.Effect {
 	var out []messenger.Effect
 	if r.claim.won {
-		out = c.sayRefused(r.spec, refusal)
+		out = c.sendRefusal(r.spec, refusal)
 	} else {
 		out = c.refuseNew(r.spec, refusal)
 	}
@@ -40,10 +40,10 @@
 		// it repeat the same key, which is safe.
 		refusal.Outcome = messenger.Unknown
 	}
-	return c.sayRefused(spec, refusal)
+	return c.sendRefusal(spec, refusal)
 }
 
-func (c *Conductor) sayRefused(spec messenger.RequestSpec, refusal messenger.Refusal) []messenger.Effect {
+func (c *Conductor) sendRefusal(spec messenger.RequestSpec, refusal messenger.Refusal) []messenger.Effect {
 	c.counters.Refused++
 	return []messenger.Effect{
 		messenger.Refuse{
--- a/internal/conductor/refuse_test.go
+++ b/internal/conductor/refuse_test.go
@@ -13,28 +13,28 @@
 // A node refuses a request at the door. Of one without a key, or an idempotent
 // one, it knows that nothing ran. A non-idempotent key may run at another node
 // at this moment: told not_run, its caller would run it again under a new key.
-func TestRefusedAtTheDoor(t *testing.T) {
+func TestRefusedOnReceipt(t *testing.T) {
 	tests := []struct {
-		name    string
-		prepare func(*fixture)
-		reason  messenger.Reason
-		again   bool
+		name      string
+		prepare   func(*fixture)
+		reason    messenger.Reason
+		retryable bool
 	}{
 		{
-			name:    "before the first configuration",
-			prepare: func(f *fixture) { f.w.Catalog = nil },
-			reason:  messenger.ReasonNoConfiguration,
-			again:   true,
+			name:      "before the first configuration",
+			prepare:   func(f *fixture) { f.env.Catalog = nil },
+			reason:    messenger.ReasonNoConfiguration,
+			retryable: true,
 		},
 		{
-			name:    "while the node leaves",
-			prepare: func(f *fixture) { f.c.Drain(f.w, start.Add(life), false) },
-			reason:  messenger.ReasonLeaving,
-			again:   true,
+			name:      "while the node leaves",
+			prepare:   func(f *fixture) { f.c.Drain(f.env, start.Add(requestTimeout), false) },
+			reason:    messenger.ReasonLeaving,
+			retryable: true,
 		},
 		{
 			name:    "after the deadline",
-			prepare: func(f *fixture) { f.w.Now = start.Add(life) },
+			prepare: func(f *fixture) { f.env.Now = start.Add(requestTimeout) },
 			reason:  messenger.ReasonDeadlineExpired,
 		},
 		{
@@ -43,11 +43,11 @@
 				for _, other := range []identifier.RequestID{"x1", "x2"} {
 					s := spec("lookup")
 					s.Request = other
-					one[messenger.Accept](f.t, f.c.Receive(f.w, s))
+					requireOne[messenger.Accept](f.t, f.c.Receive(f.env, s))
 				}
 			},
-			reason: messenger.ReasonOverload,
-			again:  true,
+			reason:    messenger.ReasonOverload,
+			retryable: true,
 		},
 		{
 			name: "while all servers leave",
@@ -55,8 +55,8 @@
 				f.reclaim("p1")
 				f.reclaim("p2")
 			},
-			reason: messenger.ReasonNoServer,
-			again:  true,
+			reason:    messenger.ReasonNoServer,
+			retryable: true,
 		},
 	}
 	for _, test := range tests {
@@ -64,13 +64,13 @@
 			f := newFixture(t)
 			test.prepare(f)
 			before := f.c.InFlight()
-			plain := one[messenger.Refuse](t, f.receive("lookup")).Refusal
-			keyed := one[messenger.Refuse](t, f.receive("booking")).Refusal
+			plain := requireOne[messenger.Refuse](t, f.receive("lookup")).Refusal
+			keyed := requireOne[messenger.Refuse](t, f.receive("booking")).Refusal
 			require.Equal(t, test.reason, plain.Reason)
 			require.Equal(t, test.reason, keyed.Reason)
 			require.Equal(t, messenger.NotRun, plain.Outcome)
 			require.Equal(t, messenger.Unknown, keyed.Outcome)
-			require.Equal(t, test.again, keyed.RetryAfter > 0)
+			require.Equal(t, test.retryable, keyed.RetryAfter > 0)
 			require.Equal(t, before, f.c.InFlight())
 		})
 	}
@@ -87,8 +87,8 @@
 		{
 			name: "log out before the claim",
 			end: func(f *fixture) []messenger.Effect {
-				f.w.Claims.Unavailable(f.w.Now, "claims-0")
-				f.w.Now = f.w.Now.Add(timekeeper.Second)
+				f.env.Claims.Unavailable(f.env.Now, "claims-0")
+				f.env.Now = f.env.Now.Add(timekeeper.Second)
 				return f.receive("booking")
 			},
 			want: messenger.Unknown,
@@ -105,7 +105,7 @@
 			name: "node leaves before the claim is read back",
 			end: func(f *fixture) []messenger.Effect {
 				f.receive("booking")
-				return f.c.Drain(f.w, start.Add(life), true)
+				return f.c.Drain(f.env, start.Add(requestTimeout), true)
 			},
 			want: messenger.Unknown,
 		},
@@ -113,7 +113,7 @@
 			name: "claim held, server refused until the deadline",
 			end: func(f *fixture) []messenger.Effect {
 				f.end(f.run("booking"), messenger.AttemptRefused, timekeeper.Second)
-				return f.tickAt(life)
+				return f.tickAt(requestTimeout)
 			},
 			want: messenger.NotRun,
 		},
@@ -129,11 +129,11 @@
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
 			out := test.end(f)
-			if refuse, ok := find[messenger.Refuse](out); ok {
+			if refuse, ok := findEffect[messenger.Refuse](out); ok {
 				require.Equal(t, test.want, refuse.Refusal.Outcome)
 				return
 			}
-			require.Equal(t, test.want, one[messenger.Finish](t, out).Outcome)
+			require.Equal(t, test.want, requireOne[messenger.Finish](t, out).Outcome)
 		})
 	}
 }
@@ -143,7 +143,7 @@
 func TestNonIdempotentIsSentOnce(t *testing.T) {
 	f := newFixture(t)
 	out := f.end(f.run("booking"), messenger.AttemptBroken, 0)
-	none[messenger.SendAttempt](t, out)
-	none[messenger.SendAttempt](t, f.tickUntil(5*timekeeper.Second))
-	require.Equal(t, messenger.Unknown, one[messenger.AppendOutcome](t, out).Outcome)
+	requireNone[messenger.SendAttempt](t, out)
+	requireNone[messenger.SendAttempt](t, f.tickUntil(5*timekeeper.Second))
+	require.Equal(t, messenger.Unknown, requireOne[messenger.AppendOutcome](t, out).Outcome)
 }
--- a/internal/conductor/request.go
+++ b/internal/conductor/request.go
@@ -29,9 +29,9 @@
 	accepted bool
 	epoch    identifier.Epoch
 	// reserved are the tokens that count against the account's limit.
-	reserved identifier.Tokens
+	reservedTokens identifier.Tokens
 	// callerGoneAt is when the last caller detached, or Never.
-	callerGoneAt timekeeper.Time
+	callerDisconnectedAt timekeeper.Time
 
 	claim    claimState
 	hold     holdState
@@ -40,8 +40,8 @@
 
 	// attempt is the number of the current or last attempt; tries counts
 	// those of this node.
-	attempt identifier.AttemptNumber
-	tries   int
+	attempt       identifier.AttemptNumber
+	localAttempts int
 	// server, zone, address and stream tell where the attempt runs.
 	server  identifier.VMID
 	zone    identifier.Zone
@@ -49,17 +49,17 @@
 	stream  identifier.StreamName
 	// began is when the attempt was sent, and firstAt when its first token
 	// came, or zero.
-	began   timekeeper.Time
-	firstAt timekeeper.Time
+	sentAt       timekeeper.Time
+	firstTokenAt timekeeper.Time
 	// expected is the predicted completion of the attempt, perToken its
 	// predicted pace.
-	expected timekeeper.Duration
-	perToken timekeeper.Duration
+	predictedCompletion timekeeper.Duration
+	predictedPerToken   timekeeper.Duration
 	// awaited is the predicted time to the first token, or zero where the
 	// attempt joins a stream that is under way.
-	awaited timekeeper.Duration
+	predictedFirstToken timekeeper.Duration
 	// joins tells that the attempt joins such a stream.
-	joins bool
+	joinsStream bool
 	// delivered counts the tokens of the answer that stand with this node.
 	delivered identifier.Tokens
 	// mayHaveRun tells that an attempt may have had an effect. While it is
@@ -70,8 +70,8 @@
 	retryAt timekeeper.Time
 	// rejoined tells that the current stream was rejoined over a new
 	// connection, at rejoinedAt tokens.
-	rejoined   bool
-	rejoinedAt identifier.Tokens
+	rejoined       bool
+	rejoinedTokens identifier.Tokens
 	// failedZones and failedServers are avoided by the next attempt.
 	failedZones   map[identifier.Zone]bool
 	failedServers map[identifier.VMID]bool
@@ -80,28 +80,28 @@
 // newRequest returns a request that this node received or took over.
 func newRequest(spec messenger.RequestSpec, service catalog.Service) *request {
 	return &request{
-		spec:          spec,
-		service:       service,
-		callerGoneAt:  timekeeper.Never,
-		failedZones:   map[identifier.Zone]bool{},
-		failedServers: map[identifier.VMID]bool{},
-		hold:          holdState{stalledAt: timekeeper.Never},
+		spec:                 spec,
+		service:              service,
+		callerDisconnectedAt: timekeeper.Never,
+		failedZones:          map[identifier.Zone]bool{},
+		failedServers:        map[identifier.VMID]bool{},
+		hold:                 holdState{stalledAt: timekeeper.Never},
 	}
 }
 
 // claimed reports whether the request needs a claim before it may run.
-func (r *request) claimed() bool { return !r.spec.Idempotent && r.spec.Key != "" }
+func (r *request) needsClaim() bool { return !r.spec.Idempotent && r.spec.Key != "" }
 
 // model reports whether the answer is a stream of tokens.
-func (r *request) model() bool { return r.service.Kind == catalog.ModelService }
+func (r *request) isModel() bool { return r.service.Kind == catalog.ModelService }
 
 // untouched reports whether nothing of the request can have run.
-func (r *request) untouched() bool { return !r.mayHaveRun && r.phase != running }
+func (r *request) neverRan() bool { return !r.mayHaveRun && r.phase != running }
 
 // pace returns the tokens per second the stream is expected to make.
-func (r *request) pace(unloaded float64) float64 {
-	if r.perToken <= 0 {
+func (r *request) tokensPerSecond(unloaded float64) float64 {
+	if r.predictedPerToken <= 0 {
 		return unloaded
 	}
-	return float64(timekeeper.Second) / float64(r.perToken)
+	return float64(timekeeper.Second) / float64(r.predictedPerToken)
 }
--- a/internal/conductor/stall.go
+++ b/internal/conductor/stall.go
@@ -11,7 +11,7 @@
 // stallPatience is how long an answer is kept back for want of a holder
 // before the node that had the copy is left to go on. It is longer than
 // that node takes to declare this one dead.
-const stallPatience = 9 * timekeeper.Second
+const stallTimeout = 9 * timekeeper.Second
 
 // stall keeps the answer back while no node confirms a copy and one that had
 // a copy may be alive. This node is then likely to be the one that is cut off,
@@ -22,32 +22,32 @@
 		return nil
 	}
 	r.hold.stalledAt = env.Now
-	return []messenger.Effect{c.note("stalled", r, fmt.Sprintf("copy=%s", r.hold.exposed))}
+	return []messenger.Effect{c.timelineEntry("stalled", r, fmt.Sprintf("copy=%s", r.hold.lastHolder))}
 }
 
 // yieldLongStall ends a stall that lasts: the node with the copy has adopted
 // the request by now, unless it hears this node; then it is told to take it
 // over.
-func (c *Conductor) yieldLongStall(env *Env, r *request) []messenger.Effect {
-	if r.hold.stalledAt == timekeeper.Never || env.Now.Sub(r.hold.stalledAt) < stallPatience {
+func (c *Conductor) yieldAfterStall(env *Env, r *request) []messenger.Effect {
+	if r.hold.stalledAt == timekeeper.Never || env.Now.Sub(r.hold.stalledAt) < stallTimeout {
 		return nil
 	}
 	out := []messenger.Effect{
-		r.handOverTo(r.hold.exposed, r.hold.exposedAddress),
-		c.note("yielded", r, fmt.Sprintf("owner=%s", r.hold.exposed)),
+		r.handOverTo(r.hold.lastHolder, r.hold.lastHolderAddress),
+		c.timelineEntry("yielded", r, fmt.Sprintf("owner=%s", r.hold.lastHolder)),
 	}
-	return append(out, c.leaveTo(env, r, r.hold.exposed)...)
+	return append(out, c.yieldTo(env, r, r.hold.lastHolder)...)
 }
 
 // goUnprotected lets an accepted answer go out without a copy: no node can
 // hold one, and none that had one is alive. The time line says so, and
 // keepHeld goes on looking for a holder.
-func (c *Conductor) goUnprotected(r *request) []messenger.Effect {
+func (c *Conductor) continueUnprotected(r *request) []messenger.Effect {
 	r.hold.stalledAt = timekeeper.Never
-	out := c.confirm(r)
+	out := c.confirmHandover(r)
 	return append(out,
 		messenger.Unhold{Request: r.spec.Request},
-		c.note("unprotected", r, ""),
+		c.timelineEntry("unprotected", r, ""),
 	)
 }
 
@@ -56,14 +56,14 @@
 // more. It is whole, so that no other node's part need follow it.
 func (c *Conductor) releaseAnswer(r *request) []messenger.Effect {
 	if r.hold.stalledAt == timekeeper.Never || r.hold.holder != "" {
-		return c.unhold(r)
+		return c.releaseCopy(r)
 	}
 	return []messenger.Effect{messenger.Unhold{Request: r.spec.Request}}
 }
 
 // leaveTo ends this node's part in a request that another node has.
-func (c *Conductor) leaveTo(env *Env, r *request, owner identifier.VMID) []messenger.Effect {
-	out := c.leaveStream(r)
+func (c *Conductor) yieldTo(env *Env, r *request, owner identifier.VMID) []messenger.Effect {
+	out := c.detachAttempt(r)
 	out = append(out, messenger.Redirect{
 		Request: r.spec.Request,
 		To:      owner,
--- a/internal/conductor/stall_test.go
+++ b/internal/conductor/stall_test.go
@@ -10,11 +10,11 @@
 )
 
 // fail reports that the holder did not take a push.
-func (f *fixture) fail(gone bool) []messenger.Effect {
-	return f.c.HoldFailed(f.w, messenger.HoldFailed{
+func (f *fixture) failHold(holderEnded bool) []messenger.Effect {
+	return f.c.HoldFailed(f.env, messenger.HoldFailed{
 		Request:     id,
 		Holder:      peer,
-		HolderEnded: gone,
+		HolderEnded: holderEnded,
 	})
 }
 
@@ -40,8 +40,8 @@
 			name: "holder answers again",
 			next: func(f *fixture) []messenger.Effect {
 				out := f.tickUntil(timekeeper.Second)
-				one[messenger.Hold](f.t, out)
-				return append(out, f.c.HoldAcked(f.w, messenger.HoldAcked{
+				requireOne[messenger.Hold](f.t, out)
+				return append(out, f.c.HoldAcked(f.env, messenger.HoldAcked{
 					Request: id,
 					Holder:  peer,
 				})...)
@@ -51,7 +51,7 @@
 			name: "holder is gone",
 			next: func(f *fixture) []messenger.Effect {
 				f.tickUntil(timekeeper.Second)
-				return f.fail(true)
+				return f.failHold(true)
 			},
 			unprotected: true,
 		},
@@ -60,18 +60,18 @@
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
 			f.run("report")
-			out := f.fail(false)
-			require.True(t, noted(out, "stalled"))
-			require.False(t, noted(out, "unprotected"))
+			out := f.failHold(false)
+			require.True(t, hasTimelineEntry(out, "stalled"))
+			require.False(t, hasTimelineEntry(out, "unprotected"))
 			out = append(test.next(f), f.tickUntil(8900*timekeeper.Millisecond)...)
-			require.False(t, noted(out, "yielded"), "it waits for longer than a peer takes to call it dead")
-			require.Equal(t, test.unprotected, noted(out, "unprotected"))
+			require.False(t, hasTimelineEntry(out, "yielded"), "it waits for longer than a peer takes to call it dead")
+			require.Equal(t, test.unprotected, hasTimelineEntry(out, "unprotected"))
 
 			out = f.tickAt(9 * timekeeper.Second)
-			require.Equal(t, test.yields, noted(out, "yielded"))
+			require.Equal(t, test.yields, hasTimelineEntry(out, "yielded"))
 			if test.yields {
-				require.Equal(t, peer, one[messenger.HandOver](t, out).Successor)
-				require.Equal(t, peer, one[messenger.Redirect](t, out).To)
+				require.Equal(t, peer, requireOne[messenger.HandOver](t, out).Successor)
+				require.Equal(t, peer, requireOne[messenger.Redirect](t, out).To)
 				require.Zero(t, f.c.InFlight())
 			}
 		})
@@ -80,25 +80,25 @@
 
 // A stalled answer becomes whole. Nobody looks after it any more, so the stall
 // ends with it, and the caller gets the rest.
-func TestWholeAnswerEndsTheStall(t *testing.T) {
+func TestCompletionEndsStall(t *testing.T) {
 	f := newFixture(t)
 	attempt := f.run("report")
-	f.fail(false)
+	f.failHold(false)
 	out := f.end(attempt, messenger.AttemptComplete, 0)
-	require.Equal(t, messenger.Done, one[messenger.Finish](t, out).Outcome)
-	require.Empty(t, one[messenger.Unhold](t, out).Holder)
+	require.Equal(t, messenger.Done, requireOne[messenger.Finish](t, out).Outcome)
+	require.Empty(t, requireOne[messenger.Unhold](t, out).Holder)
 }
 
 // The holder has adopted the request: it took this node for dead. This node
 // sends its callers there and leaves the stream alone, which the holder reads.
-func TestYieldToTheHolder(t *testing.T) {
+func TestYieldToHolder(t *testing.T) {
 	f := newFixture(t)
 	f.run("report")
-	out := f.c.HoldRefused(f.w, messenger.HoldRefused{
+	out := f.c.HoldRefused(f.env, messenger.HoldRefused{
 		Request: id,
 		Holder:  peer,
 	})
-	require.Equal(t, peer, one[messenger.Redirect](t, out).To)
-	require.False(t, one[messenger.StopAttempt](t, out).Cancel)
+	require.Equal(t, peer, requireOne[messenger.Redirect](t, out).To)
+	require.False(t, requireOne[messenger.StopAttempt](t, out).Cancel)
 	require.Zero(t, f.c.InFlight())
 }
--- a/internal/conductor/takeover_test.go
+++ b/internal/conductor/takeover_test.go
@@ -14,7 +14,7 @@
 func (f *fixture) handOver(name identifier.ServiceName) []messenger.Effect {
 	s := spec(name)
 	s.EntryNode = "n3"
-	return f.c.RequestHandedOver(f.w, messenger.RequestHandedOver{
+	return f.c.RequestHandedOver(f.env, messenger.RequestHandedOver{
 		Spec:      s,
 		Epoch:     2,
 		From:      "n3",
@@ -27,11 +27,11 @@
 
 // A node takes over a stream: it joins it by name at the last token, under an
 // attempt number that the former owner never reaches, and with a larger epoch.
-func TestTakeOver(t *testing.T) {
+func TestTakeover(t *testing.T) {
 	f := newFixture(t)
 	out := f.handOver("tag")
-	one[messenger.ConfirmHandover](t, out)
-	next := one[messenger.SendAttempt](t, out)
+	requireOne[messenger.ConfirmHandover](t, out)
+	next := requireOne[messenger.SendAttempt](t, out)
 	require.Equal(t, messenger.StartResume, next.Mode)
 	require.Equal(t, identifier.StreamName("r1.5"), next.Stream)
 	require.EqualValues(t, 30, next.From)
@@ -40,12 +40,12 @@
 
 // The former owner of a long request may go only once another node has a copy
 // here: were it told before, this node's death would lose the request.
-func TestLongTakeOverIsConfirmedWithItsCopy(t *testing.T) {
+func TestLongTakeoverIsConfirmedAfterCopy(t *testing.T) {
 	f := newFixture(t)
 	out := f.handOver("report")
-	hold := one[messenger.Hold](t, out)
-	none[messenger.ConfirmHandover](t, out)
-	one[messenger.ConfirmHandover](t, f.c.HoldAcked(f.w, messenger.HoldAcked{
+	hold := requireOne[messenger.Hold](t, out)
+	requireNone[messenger.ConfirmHandover](t, out)
+	requireOne[messenger.ConfirmHandover](t, f.c.HoldAcked(f.env, messenger.HoldAcked{
 		Request: id,
 		Holder:  hold.Holder,
 	}))
@@ -53,40 +53,40 @@
 
 // Two nodes leave at once, and one hands a request to the other before it
 // hears of that. The other takes it, so that it is not lost, and hands it on.
-func TestTakeOverWhileDraining(t *testing.T) {
+func TestTakeoverWhileDraining(t *testing.T) {
 	f := newFixture(t)
-	last := spec("lookup")
-	last.Request = "r0"
-	one[messenger.Accept](t, f.c.Receive(f.w, last))
-	f.c.Drain(f.w, start.Add(5*timekeeper.Second), true)
-	one[messenger.ConfirmHandover](t, f.handOver("tag"))
+	pending := spec("lookup")
+	pending.Request = "r0"
+	requireOne[messenger.Accept](t, f.c.Receive(f.env, pending))
+	f.c.Drain(f.env, start.Add(5*timekeeper.Second), true)
+	requireOne[messenger.ConfirmHandover](t, f.handOver("tag"))
 	out := f.tickAt(100 * timekeeper.Millisecond)
-	on := one[messenger.HandOver](t, out)
-	require.Equal(t, peer, on.Successor)
-	require.Equal(t, identifier.StreamName("r1.5"), on.Stream)
+	handover := requireOne[messenger.HandOver](t, out)
+	require.Equal(t, peer, handover.Successor)
+	require.Equal(t, identifier.StreamName("r1.5"), handover.Stream)
 
-	out = f.c.HandoverAcked(f.w, messenger.HandoverAcked{
+	out = f.c.HandoverAcked(f.env, messenger.HandoverAcked{
 		Request:   id,
 		Successor: peer,
 	})
-	require.Equal(t, peer, one[messenger.Redirect](t, out).To)
-	require.False(t, one[messenger.StopAttempt](t, out).Cancel, "the stream lives on for the successor")
-	none[messenger.Exit](t, f.tickAt(200*timekeeper.Millisecond))
-	f.c.Cancel(f.w, last.Request)
-	one[messenger.Exit](t, f.tickAt(300*timekeeper.Millisecond))
+	require.Equal(t, peer, requireOne[messenger.Redirect](t, out).To)
+	require.False(t, requireOne[messenger.StopAttempt](t, out).Cancel, "the stream lives on for the successor")
+	requireNone[messenger.Exit](t, f.tickAt(200*timekeeper.Millisecond))
+	f.c.Cancel(f.env, pending.Request)
+	requireOne[messenger.Exit](t, f.tickAt(300*timekeeper.Millisecond))
 }
 
 // A node that has no configuration yet is handed a request. It keeps it and
 // starts it when the configuration comes.
-func TestTakeOverBeforeTheConfiguration(t *testing.T) {
+func TestTakeoverBeforeConfiguration(t *testing.T) {
 	f := newFixture(t)
-	known := f.w.Catalog
-	f.w.Catalog = nil
+	configuration := f.env.Catalog
+	f.env.Catalog = nil
 	out := f.handOver("tag")
-	one[messenger.ConfirmHandover](t, out)
-	none[messenger.SendAttempt](t, out)
-	none[messenger.SendAttempt](t, f.tickAt(timekeeper.Second))
-	f.w.Catalog = known
-	next := one[messenger.SendAttempt](t, f.tickAt(2*timekeeper.Second))
+	requireOne[messenger.ConfirmHandover](t, out)
+	requireNone[messenger.SendAttempt](t, out)
+	requireNone[messenger.SendAttempt](t, f.tickAt(timekeeper.Second))
+	f.env.Catalog = configuration
+	next := requireOne[messenger.SendAttempt](t, f.tickAt(2*timekeeper.Second))
 	require.EqualValues(t, 30, next.From)
 }
--- a/internal/conductor/note.go
+++ b/internal/conductor/timeline.go
@@ -5,7 +5,7 @@
 )
 
 // note puts an event of request r on the time line.
-func (c *Conductor) note(kind messenger.TimelineKind, r *request, detail string) messenger.TimelineEntry {
+func (c *Conductor) timelineEntry(kind messenger.TimelineKind, r *request, detail string) messenger.TimelineEntry {
 	vm := r.server
 	if vm == "" {
 		vm = c.config.Self
--- a/internal/conductor/wave.go
+++ b/internal/conductor/wave.go
@@ -21,10 +21,10 @@
 	var pools []identifier.PoolName
 	var out []messenger.Effect
 	for _, r := range c.sortedRequests() {
-		if !r.onLeaving(env) {
+		if !r.runsOnLeavingServer(env) {
 			continue
 		}
-		if !r.begun() {
+		if !r.hasTokens() {
 			// It waits in the server's queue, with nothing to export yet.
 			out = append(out, c.moveByPrefill(env, r)...)
 			continue
@@ -42,28 +42,28 @@
 
 func (c *Conductor) planPool(env *Env, pool identifier.PoolName, streams []planner.Stream) []messenger.Effect {
 	leaving := map[identifier.VMID]timekeeper.Time{}
-	var rooms []planner.Headroom
+	var headroom []planner.Headroom
 	for _, s := range env.Members.Servers(pool) {
 		if s.Leaving {
 			leaving[s.VM] = s.LeaveBy
 			continue
 		}
-		rooms = append(rooms, c.room(env, pool, s))
+		headroom = append(headroom, c.headroom(env, pool, s))
 	}
 	rate := env.Catalog.Pools[pool].TransferRate
-	part := c.partOfWave(env, leaving, len(streams))
+	share := c.nodeShare(env, leaving, len(streams))
 	rules := c.config.PlanRules
-	rules.LinkShare = part.LinkShare()
-	moves := planner.PlanWave(env.Now, leaving, rate, streams, part.Headroom(rooms), rules)
+	rules.LinkShare = share.LinkShare()
+	moves := planner.PlanWave(env.Now, leaving, rate, streams, share.Headroom(headroom), rules)
 	var out []messenger.Effect
 	for _, m := range moves {
 		r := c.requests[m.Request]
 		r.move = moveState{
 			action:  m.Action,
-			to:      m.To,
+			target:  m.To,
 			startAt: m.Start,
 		}
-		out = append(out, c.note("move_planned", r, fmt.Sprintf("action=%s to=%s", m.Action, m.To)))
+		out = append(out, c.timelineEntry("move_planned", r, fmt.Sprintf("action=%s to=%s", m.Action, m.To)))
 		out = append(out, c.startDueMove(env, r)...)
 	}
 	return out
@@ -71,26 +71,26 @@
 
 // partOfWave says which part of the room and bandwidth this node plans with:
 // all nodes plan at the same moment, each for its own streams.
-func (c *Conductor) partOfWave(env *Env, leaving map[identifier.VMID]timekeeper.Time, own int) planner.NodeShare {
-	part := planner.NodeShare{
+func (c *Conductor) nodeShare(env *Env, leaving map[identifier.VMID]timekeeper.Time, own int) planner.NodeShare {
+	share := planner.NodeShare{
 		Self:       c.config.Self,
 		OwnStreams: own,
 	}
 	for _, n := range env.Members.Nodes() {
 		if n.State == gossiper.Alive {
-			part.Nodes = append(part.Nodes, n.VM)
+			share.Nodes = append(share.Nodes, n.VM)
 		}
 	}
 	for vm := range leaving {
-		part.TotalStreams += env.Loads[vm].Running
+		share.TotalStreams += env.Loads[vm].Running
 	}
-	return part
+	return share
 }
 
 // onLeaving reports whether the stream of r runs on a server that is leaving
 // and is not on its way to another.
-func (r *request) onLeaving(env *Env) bool {
-	if r.phase != running || !r.model() || r.move.sent {
+func (r *request) runsOnLeavingServer(env *Env) bool {
+	if r.phase != running || !r.isModel() || r.move.exportStarted {
 		return false
 	}
 	server, known := env.Members.Server(r.server)
@@ -98,7 +98,7 @@
 }
 
 // begun reports whether r has a token of its answer.
-func (r *request) begun() bool { return r.firstAt != 0 || r.delivered > 0 }
+func (r *request) hasTokens() bool { return r.firstTokenAt != 0 || r.delivered > 0 }
 
 // plannerStream describes the stream of r to the planner.
 func plannerStream(env *Env, r *request) planner.Stream {
@@ -111,7 +111,7 @@
 		Server:           r.server,
 		Zone:             r.zone,
 		Remaining:        r.spec.MaxTokens - r.delivered,
-		TokensPerSecond:  r.pace(pool.TokensPerSecond),
+		TokensPerSecond:  r.tokensPerSecond(pool.TokensPerSecond),
 		Context:          context,
 		KVBytes:          identifier.Bytes(context) * pool.KVBytesPerToken,
 		Penalty:          target.Penalty,
@@ -122,10 +122,10 @@
 	}
 }
 
-func (c *Conductor) room(env *Env, name identifier.PoolName, s gossiper.Server) planner.Headroom {
+func (c *Conductor) headroom(env *Env, name identifier.PoolName, s gossiper.Server) planner.Headroom {
 	pool := env.Catalog.Pools[name]
 	load := env.Loads[s.VM]
-	busy := max(c.onServer[s.VM], load.Running)
+	busy := max(c.attemptsOnServer[s.VM], load.Running)
 	return planner.Headroom{
 		Server:   s.VM,
 		Zone:     s.Zone,
