--- a/internal/conductor/adopt.go
+++ b/internal/conductor/adopt.go
@@ -8,7 +8,7 @@
 )
 
 // NodeDead adopts the requests of a dead owner whose copies this node holds,
-// and finds new holders for the requests whose copies died with the node.
+// and looks for new holders for the requests whose copies were lost with it.
 func (c *Conductor) NodeDead(env *Env, vm identifier.VMID) []messenger.Effect {
 	var out []messenger.Effect
 	if c.config.Safeguards.AdoptCopies {
@@ -19,14 +19,15 @@
 	return append(out, c.replaceHolder(env, vm)...)
 }
 
-// NodeLeaving finds new holders before the holder goes.
+// NodeLeaving looks for new holders for the requests whose copies are on a node
+// that is leaving.
 func (c *Conductor) NodeLeaving(env *Env, vm identifier.VMID) []messenger.Effect {
 	return c.replaceHolder(env, vm)
 }
 
-// adopt makes this node the owner of a request whose owner died. It resumes
-// the engine's stream, whose name the copy carries, so that nothing is
-// computed twice where the engine lives.
+// adopt makes this node the owner of a request whose owner died. It resumes the
+// engine's stream, which the copy names, so that nothing is computed twice if
+// the engine is still running.
 func (c *Conductor) adopt(env *Env, held *heldCopy) []messenger.Effect {
 	c.counters.Adopted++
 	epoch := held.epoch + takeoverEpochIncrement
@@ -48,7 +49,7 @@
 	})...)
 }
 
-// takenRequest is a request that comes to this node in the middle of its life.
+// takeover describes a request that this node takes over from its former owner.
 type takeover struct {
 	spec           messenger.RequestSpec
 	epoch          identifier.Epoch
@@ -61,14 +62,14 @@
 	kind           messenger.TimelineKind
 }
 
-// takeOver makes this node the owner of t and goes on with it.
+// takeOver makes this node the owner of t and continues the request.
 func (c *Conductor) takeOver(env *Env, t takeover) []messenger.Effect {
 	delete(c.copies, t.spec.Request)
 	r := c.addTakenOver(env, t)
 	out := []messenger.Effect{c.timelineEntry(t.kind, r, fmt.Sprintf("from=%s delivered=%d", t.from, t.delivered))}
 	out = append(out, c.protect(env, r)...)
 	if env.Catalog == nil {
-		return out // advanceWaiting starts it once the configuration is known.
+		return out // advanceWaiting sends it once the configuration is known
 	}
 	server, known := env.Members.Server(t.server)
 	if !known || !r.isModel() {
@@ -83,8 +84,8 @@
 	})...)
 }
 
-// own puts t into the table of this node's requests. Another node may have
-// sent it, so it is taken to have run.
+// addTakenOver adds t to this node's requests. Another node may have sent it to
+// a server, so it counts as possibly run.
 func (c *Conductor) addTakenOver(env *Env, t takeover) *request {
 	s, _ := serviceConfig(env, t.spec.Service)
 	r := newRequest(t.spec, s)
@@ -99,9 +100,9 @@
 	return r
 }
 
-// protect gives a request that was taken over a holder of this node's own. The
-// peer that handed a long request over is told so only once the copy stands:
-// were it told before, the death of this node would lose the request.
+// protect looks for a holder for a request that was taken over. A peer that
+// handed over a long request receives its confirmation only when the copy is
+// confirmed: otherwise the death of this node could lose the request.
 func (c *Conductor) protect(env *Env, r *request) []messenger.Effect {
 	if !r.spec.Long {
 		return c.confirmHandover(r)
--- a/internal/conductor/attempt.go
+++ b/internal/conductor/attempt.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// noServerPause is the wait before servers are looked for again; it is
-	// jittered by up to its own length, so that the requests that wait for one
-	// server do not all fall on it at once.
+	// noServerRetryDelay is the delay before servers are looked up again. It is
+	// jittered by up to its own length, so that requests waiting for the same
+	// server do not all reach it at once.
 	noServerRetryDelay = 200 * timekeeper.Millisecond
-	// rejoinWait is the predicted wait for the first answer of a stream that is
-	// joined. The server only has to look it up, but the stream may still wait
-	// in its queue; taken for silent then, it would be computed again elsewhere.
+	// predictedRejoinLatency is the predicted time to the first event of a
+	// stream that is joined. The server only has to look up the stream, but the
+	// stream may still be queued; if the attempt timed out, it would be
+	// computed again elsewhere.
 	predictedRejoinLatency = 2500 * timekeeper.Millisecond
 )
 
@@ -26,24 +27,25 @@
 	server gossiper.Server
 	mode   messenger.StartMode
 	stream identifier.StreamName
-	// firstToken is the predicted wait for the first token or byte.
+	// predictedFirstToken is the predicted time to the first token or byte.
 	predictedFirstToken timekeeper.Duration
 }
 
-// joins reports whether the attempt joins a stream that is under way, so that
-// its first token says nothing of the server's speed.
+// joinsStream reports whether the attempt joins an existing stream, in which
+// case the time to its first token does not reflect the server's speed.
 func (p plannedAttempt) joinsStream() bool {
 	return p.mode == messenger.StartResume || p.mode == messenger.StartImported
 }
 
-// startAttempt sends the next attempt to the server that the router chooses. A request
-// that waited, or was taken over, may be refused everywhere by now.
+// startAttempt sends the next attempt to the server chosen by the router. A
+// request that waited or was taken over may have been quarantined in the
+// meantime.
 func (c *Conductor) startAttempt(env *Env, r *request) []messenger.Effect {
 	if after, refused := env.Quarantine.Refuses(env.Now, fingerprint(r.spec)); refused {
 		return c.finishQuarantined(env, r, after)
 	}
 	if r.service.Name == "" {
-		// A request taken over before this node knew its configuration.
+		// The request was taken over before this node knew its configuration.
 		r.service, _ = serviceConfig(env, r.spec.Service)
 	}
 	choice, ok := c.chooseServer(env, r)
@@ -62,8 +64,8 @@
 	return append(out, c.timelineEntry("routed", r, choice.Explanation))
 }
 
-// startMode says how an attempt on a server that has nothing of the stream
-// begins.
+// startMode returns the start mode of an attempt on a server that does not have
+// the stream.
 func (r *request) startMode() messenger.StartMode {
 	if r.isModel() && r.delivered > 0 {
 		return messenger.StartPrefill
@@ -71,7 +73,7 @@
 	return messenger.StartFresh
 }
 
-// pause waits for a server to come back, or for the list to show a new one.
+// waitForServer schedules a retry, as no server is available.
 func (c *Conductor) waitForServer(env *Env, r *request) []messenger.Effect {
 	r.phase = waiting
 	r.server = ""
@@ -82,7 +84,7 @@
 	return nil
 }
 
-// sendAttempt makes p the current attempt of r.
+// sendAttempt makes p the current attempt of r and sends it.
 func (c *Conductor) sendAttempt(env *Env, r *request, p plannedAttempt) []messenger.Effect {
 	r.setAttempt(env.Now, p)
 	c.countAttempt(r, p)
@@ -106,7 +108,6 @@
 	}
 }
 
-// begin takes up p as the current attempt.
 func (r *request) setAttempt(now timekeeper.Time, p plannedAttempt) {
 	r.attempt++
 	r.localAttempts++
@@ -125,9 +126,9 @@
 	r.move = moveState{}
 }
 
-// firstSilence bounds the wait for the first byte. A plain call that may not
-// be repeated is waited for to its deadline: to give it up earlier would turn
-// a slow answer into an unknown one, with nothing else to try.
+// firstEventTimeout returns the timeout for the first byte. A plain call that
+// may not be repeated may take until its deadline: an earlier timeout would
+// turn a slow answer into an unknown outcome, with no attempt left.
 func (c *Conductor) firstEventTimeout(env *Env, r *request, firstToken timekeeper.Duration) timekeeper.Duration {
 	if !r.isModel() && !r.spec.Idempotent {
 		return r.spec.Deadline.Sub(env.Now)
@@ -135,8 +136,7 @@
 	return detector.FirstEventTimeout(firstToken)
 }
 
-// countAttempt counts the attempt at its server, and what it makes the server
-// compute again.
+// countAttempt adds the attempt to its server's counts and to the counters.
 func (c *Conductor) countAttempt(r *request, p plannedAttempt) {
 	c.counters.Attempts++
 	c.attemptsOnServer[r.server]++
@@ -149,12 +149,12 @@
 	}
 }
 
-// stop ends the current attempt, if any, and tells the server to drop it.
+// cancelAttempt ends the current attempt, if any, and cancels it on the server.
 func (c *Conductor) cancelAttempt(r *request) []messenger.Effect {
 	return c.stopAttempt(r, true)
 }
 
-// leaveStream ends the current attempt, if any, and lets its stream live on
+// detachAttempt ends the current attempt, if any, but leaves its stream running
 // for another node.
 func (c *Conductor) detachAttempt(r *request) []messenger.Effect {
 	return c.stopAttempt(r, false)
@@ -178,7 +178,7 @@
 	}
 }
 
-// leaveServer takes r out of its server's counts.
+// uncountAttempt removes the current attempt from its server's counts.
 func (c *Conductor) uncountAttempt(r *request) {
 	if r.phase != running || r.server == "" {
 		return
--- a/internal/conductor/caller.go
+++ b/internal/conductor/caller.go
@@ -22,13 +22,13 @@
 	return nil
 }
 
-// abandonedAfter is how long a short request runs on without a caller. A caller
-// that lost its connection comes back sooner.
+// abandonTimeout is how long a short request continues without a caller. A
+// caller that lost its connection reconnects sooner.
 const abandonTimeout = 10 * timekeeper.Second
 
-// abandoned reports whether a running answer has no reader and need not be
-// kept for one. A long answer is always made to its end, and a plain call is
-// not cut, because it may have had its effect.
+// abandoned reports whether a running answer has had no caller for
+// abandonTimeout. Long answers are always completed, and plain calls are not
+// cancelled, because they may have had an effect.
 func (r *request) abandoned(now timekeeper.Time) bool {
 	if r.spec.Long || !r.isModel() || r.callerDisconnectedAt == timekeeper.Never {
 		return false
--- a/internal/conductor/claim.go
+++ b/internal/conductor/claim.go
@@ -10,11 +10,12 @@
 )
 
 const (
-	// claimPatience is how long a request waits for its claim to be read
-	// back before it is given up as not_run.
+	// claimTimeout is how long a request waits for its claim to be read back
+	// before it is refused.
 	claimTimeout = 4 * timekeeper.Second
-	// claimAgain is the spacing of appends of one claim whose answer was
-	// lost. The records carry the same nonce, so that only the first counts.
+	// claimAppendInterval is the interval between appends of a claim that has
+	// not been read back. The records have the same nonce, so only the first
+	// takes effect.
 	claimAppendInterval = 400 * timekeeper.Millisecond
 )
 
@@ -24,14 +25,14 @@
 	stream       identifier.LogStream
 	expiresAt    timekeeper.Time
 	nextAppendAt timekeeper.Time
-	// won tells that the log gave the key to this request. From then on this
-	// node alone may send it, once.
+	// won is set once the log has assigned the key to this request. From then
+	// on only this node may send it, once.
 	won bool
 }
 
-// beginClaim appends the claim of a request's key. Nothing leaves for a
-// backend server before the claim was read back as the first of its key:
-// another node may have been asked for the same key, and both would run it.
+// beginClaim appends the claim of a request's key. The request is not sent to a
+// backend server until the claim has been read back as the first for its key:
+// another node may have received the same key, and both would run it.
 func (c *Conductor) beginClaim(env *Env, r *request) []messenger.Effect {
 	if entry, known := env.Claims.Lookup(r.spec.Account, r.spec.Key); known && c.isConclusive(entry) {
 		return c.answerFromEntry(env, r, entry)
@@ -40,8 +41,8 @@
 	nonce := identifier.Nonce(fmt.Sprintf("%s.%d.%d", c.config.Self, c.config.Incarnation, c.lastNonce))
 	stream, record, err := env.Claims.Begin(env.Now, r.spec.Request, r.spec.Account, r.spec.Key, nonce, r.service.KeyWindow)
 	if err != nil {
-		// The table is full or the log is out. Running unclaimed could run
-		// the key twice, and holding the caller would not help it.
+		// The table is full or the log is unavailable. Without a claim the key
+		// could run twice, and waiting would not help the caller.
 		return c.refuse(env, r, notRun(messenger.ReasonLogUnavailable, retryAfterLogUnavailable))
 	}
 	r.phase = claiming
@@ -60,14 +61,15 @@
 	}
 }
 
-// settles reports whether an earlier claim of the key already answers the
-// request. One of this node may be given up and about to be released; then the
-// new claim waits for that.
+// isConclusive reports whether an earlier claim of the key already answers the
+// request. A claim of this node without a recorded outcome may be about to be
+// released; the new claim then waits for the release.
 func (c *Conductor) isConclusive(e claimer.Entry) bool {
 	return !e.Released && (e.Winner != c.config.Self || e.Recorded != nil)
 }
 
-// retryClaim appends an unanswered claim again and gives up an overdue one.
+// retryClaim appends an unanswered claim again and refuses the request if the
+// claim has timed out.
 func (c *Conductor) retryClaim(env *Env, r *request) []messenger.Effect {
 	if !env.Now.Before(r.claim.expiresAt) || env.Claims.Out(env.Now, r.claim.stream) {
 		return c.refuse(env, r, notRun(messenger.ReasonLogUnavailable, retryAfterLogUnavailable))
@@ -88,7 +90,8 @@
 	}
 }
 
-// ClaimsDecided goes on with requests whose claims the log has settled.
+// ClaimsDecided continues the requests whose claims have been decided by the
+// log.
 func (c *Conductor) ClaimsDecided(env *Env, decisions []claimer.Decision) []messenger.Effect {
 	var out []messenger.Effect
 	for _, d := range decisions {
@@ -103,8 +106,8 @@
 
 func (c *Conductor) claimDecided(env *Env, r *request, d claimer.Decision) []messenger.Effect {
 	if d.Unsettled {
-		// An earlier claim of the key may have expired unread, and may have
-		// run: the request is neither sent nor called not_run.
+		// An earlier claim of the key may have expired before it was read, and
+		// may have run: the request is neither sent nor reported as not_run.
 		return c.refuse(env, r, messenger.Refusal{
 			Reason:     messenger.ReasonLogUnavailable,
 			Outcome:    messenger.Unknown,
@@ -131,7 +134,7 @@
 	return append(out, c.holdOrAccept(env, r)...)
 }
 
-// answerFromEntry answers a request whose key the log has already given away.
+// answerFromEntry answers a request whose key is already claimed in the log.
 func (c *Conductor) answerFromEntry(env *Env, r *request, e claimer.Entry) []messenger.Effect {
 	out := []messenger.Effect{
 		messenger.AnswerFrom{
@@ -145,10 +148,10 @@
 	return out
 }
 
-// releaseClaim frees the key of a request that this node gave up before
-// anything ran, so that the caller's next try is not blocked by it. Only the
-// claimant may do so: it alone knows that nothing ran. The table of claims
-// appends the release itself, until it is read back.
+// releaseClaim frees the key of a request that this node ended before it ran,
+// so that the caller's next attempt is not blocked. Only the claimant may
+// release it, because only it knows that the request did not run. The claim
+// table repeats the release until it is read back.
 func (c *Conductor) releaseClaim(env *Env, r *request) {
 	if r.claim.nonce != "" {
 		env.Claims.Release(r.spec.Request)
--- a/internal/conductor/conductor.go
+++ b/internal/conductor/conductor.go
@@ -1,32 +1,33 @@
-// Package conductor leads each request through its life on this node:
+// Package conductor manages the life cycle of each request on this node:
 //
 //	received -> refused
 //	received -> claiming -> holding -> running <-> waiting -> finished
 //
 // Each step has its file:
 //
-//   - receive.go admits a request or refuses it, and refuse.go says what a
-//     refusal may truthfully call it.
+//   - receive.go admits or refuses a request, and refuse.go determines the
+//     outcome that a refusal may report.
 //   - claim.go claims a non-idempotent request with a key through the log, so
 //     that it runs at most once over all nodes.
-//   - hold.go gives a long request's copy to a peer, the holder, before the
-//     request is accepted; copy.go is the holder's side. stall.go says what
-//     becomes of the answer while there is no holder.
+//   - hold.go sends a copy of a long request to a peer, the holder, before the
+//     request is accepted; copy.go is the holder's side. stall.go handles the
+//     answer while there is no holder.
 //   - attempt.go sends the current attempt to a backend server, and progress.go
-//     decides what follows from its events. A running request has one current
-//     attempt; between two attempts it waits.
+//     handles its events. A running request has one current attempt; between two
+//     attempts it waits.
 //   - wave.go plans for the streams on servers that are leaving, and move.go
-//     carries the plan out.
-//   - finish.go ends a request, and caller.go notes who reads its answer.
+//     carries out the plan.
+//   - finish.go ends a request, and caller.go tracks whether a caller is
+//     connected.
 //
-// A request leaves the node early when it is handed over to a successor
-// (drain.go, handover.go), and enters it in the middle of its life when a peer
-// hands it over or the node adopts the copy of a dead owner (adopt.go). Two
-// nodes may then take themselves for the owner; epoch.go says who yields.
+// A request leaves the node early if it is handed over to a successor (drain.go,
+// handover.go). It joins the node already running if a peer hands it over or if
+// the node adopts the copy of a dead owner (adopt.go). Two nodes may then both
+// consider themselves the owner; epoch.go decides which of them yields.
 //
-// The package decides and does nothing: its methods change the Conductor's
-// tables and return effects. It reads the other slices of the state through a
-// Env, which the reducer fills for each event.
+// The package has no side effects: its methods change the Conductor's tables and
+// return effects. They read the rest of the node's state through an Env, which the
+// reducer fills for each event.
 package conductor
 
 import (
@@ -40,14 +41,14 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Config says which node the conductor works for and what it may use.
+// Config identifies the node and sets its limits and rules.
 type Config struct {
 	Self        identifier.VMID
 	Incarnation identifier.Incarnation
 	Zone        identifier.Zone
-	// MaxRequests bounds the requests in flight on this node.
+	// MaxRequests is the maximum number of requests in flight on this node.
 	MaxRequests int
-	// MaxCopies bounds the copies held for peers.
+	// MaxCopies is the maximum number of copies held for peers.
 	MaxCopies    int
 	Safeguards   Safeguards
 	RoutingRules router.Rules
@@ -59,43 +60,44 @@
 	config   Config
 	requests map[identifier.RequestID]*request
 	copies   map[identifier.RequestID]*heldCopy
-	// onServer counts this node's own attempts in flight, which no load
-	// report shows yet.
+	// attemptsOnServer counts this node's attempts in flight on each server.
+	// Load reports may not include them yet.
 	attemptsOnServer map[identifier.VMID]int
-	// prefilling sums the prompt tokens of own attempts without a first token.
+	// prefillTokens is the number of prompt tokens of this node's attempts that
+	// have not produced a first token.
 	prefillTokens map[identifier.VMID]identifier.Tokens
 	// arrivals counts the requests received for each pool.
 	arrivals map[identifier.PoolName]int
-	// draining tells that this node leaves, by drainBy.
+	// draining is set once this node is leaving; drainDeadline is when it ends.
 	draining      bool
 	drainDeadline timekeeper.Time
-	// planned tells that the drain ends the process itself, and exited that
-	// it was told so.
+	// plannedStop is set if the process exits at the end of the drain, and
+	// exitSent once the Exit effect has been returned.
 	plannedStop bool
 	exitSent    bool
-	// nonces counts the nonces of this process's claims.
+	// lastNonce numbers the claims of this process.
 	lastNonce uint64
 	counters  Counters
 }
 
-// Counters counts what the conductor did, for metrics and measurements.
+// Counters holds cumulative totals for metrics.
 type Counters struct {
 	Accepted int64
 	Refused  int64
 	Done     int64
 	Attempts int64
-	// Resumed counts the attempts that joined a stream under way.
+	// Resumed counts the attempts that joined an existing stream.
 	Resumed    int64
 	Adopted    int64
 	HandedOver int64
-	// RecomputedTokens counts what attempts after the first made servers read
-	// or make again.
+	// RecomputedTokens counts the tokens that attempts after the first made
+	// servers process or generate again.
 	RecomputedTokens identifier.Tokens
-	// CopiesRefused counts the copies for which there was no room.
+	// CopiesRefused counts the copies refused because MaxCopies was reached.
 	CopiesRefused int64
 }
 
-// New returns a conductor without requests.
+// New returns a Conductor without requests.
 func New(c Config) *Conductor {
 	return &Conductor{
 		config:           c,
@@ -107,7 +109,7 @@
 	}
 }
 
-// Counters returns what the conductor did so far.
+// Counters returns the totals since the process started.
 func (c *Conductor) Counters() Counters { return c.counters }
 
 // Draining reports whether this node is leaving.
@@ -119,8 +121,8 @@
 // Copies returns the number of copies held for peers.
 func (c *Conductor) Copies() int { return len(c.copies) }
 
-// sortedRequests returns the requests in the order of their ids, so that the
-// same events always give the same effects.
+// sortedRequests returns the requests ordered by id, which makes the effects
+// deterministic.
 func (c *Conductor) sortedRequests() []*request {
 	all := make([]*request, 0, len(c.requests))
 	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
@@ -129,7 +131,7 @@
 	return all
 }
 
-// Tick moves every request whose time has come.
+// Tick performs the work that is due for every request, copy and handover.
 func (c *Conductor) Tick(env *Env) []messenger.Effect {
 	var out []messenger.Effect
 	for _, r := range c.sortedRequests() {
@@ -140,8 +142,7 @@
 	return append(out, c.advanceDrain(env)...)
 }
 
-// advance does what is due for r: its deadline first, then the work of its
-// phase.
+// advance performs the work that is due for r. Its deadline takes precedence.
 func (c *Conductor) advance(env *Env, r *request) []messenger.Effect {
 	if !env.Now.Before(r.spec.Deadline) {
 		return c.expire(env, r)
--- a/internal/conductor/copy.go
+++ b/internal/conductor/copy.go
@@ -11,8 +11,8 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// heldCopy is what this node keeps of a peer's long request. The runner keeps
-// the body and the answer so far.
+// heldCopy is the state of a peer's long request. The runner stores the body
+// and the answer so far.
 type heldCopy struct {
 	spec      messenger.RequestSpec
 	epoch     identifier.Epoch
@@ -24,10 +24,10 @@
 	heldAt    timekeeper.Time
 }
 
-// CopyHeld keeps or renews the copy of a peer's request. Where this node took
-// itself for the owner, the peer came after it: two nodes that both went on
-// would answer one caller from different states, and two that both yielded
-// would leave it without an answer, so the larger epoch decides.
+// CopyHeld stores or updates the copy of a peer's request. If this node
+// considered itself the owner, the peer has the larger epoch and this node
+// yields: two nodes that both continued would answer one caller from different
+// states, and two that both yielded would leave it without an answer.
 func (c *Conductor) CopyHeld(env *Env, e messenger.CopyHeld) []messenger.Effect {
 	var out []messenger.Effect
 	if r, known := c.requests[e.Spec.Request]; known {
@@ -54,31 +54,32 @@
 	return out
 }
 
-// CopyDropped forgets the copy of a request that has ended.
+// CopyDropped deletes the copy of a request that has ended.
 func (c *Conductor) CopyDropped(_ *Env, e messenger.CopyDropped) []messenger.Effect {
 	delete(c.copies, e.Request)
 	return nil
 }
 
 const (
-	// copyGrace is how long a copy of an owner that is taken for dead waits
-	// before it is adopted: its push was a sign of life.
+	// orphanAdoptionDelay is how long a copy received from an owner that was
+	// already declared dead is kept before it is adopted: sending it was a sign
+	// of life.
 	orphanAdoptionDelay = 2 * timekeeper.Second
-	// rescueTime is kept free before this node's own end to adopt the copies
-	// of silent owners and hand them on.
+	// drainAdoptionWindow is the time reserved before this node ends for
+	// adopting the copies of unresponsive owners and handing them over.
 	drainAdoptionWindow = 3 * timekeeper.Second
-	// rescueSilence is how long such an owner has not been heard of.
+	// drainOwnerTimeout is the time without messages after which an owner
+	// counts as unresponsive in that window.
 	drainOwnerTimeout = 1500 * timekeeper.Millisecond
 )
 
 // adoptOrphans adopts copies that no event will adopt:
 //
-//   - Those that came after their owner was declared dead. An owner that thawed
-//     sends them, and if it lives it takes them back or is heard of, so that
-//     adopting at once would make two owners.
-//   - Those of an owner that is silent while this node itself is leaving. By
-//     the time that the owner is declared dead, they would be gone with this
-//     node.
+//   - Copies received after their owner was declared dead. They come from an owner
+//     that resumed after a freeze. If it is alive, it takes them back or sends
+//     other messages, so adopting them immediately would create two owners.
+//   - Copies of an unresponsive owner while this node is leaving. They would be
+//     lost with this node before the owner is declared dead.
 func (c *Conductor) adoptOrphans(env *Env) []messenger.Effect {
 	if !c.config.Safeguards.AdoptCopies {
 		return nil
@@ -97,10 +98,9 @@
 	return out
 }
 
-// dropOverdueCopies forgets the copies of requests whose deadline has passed.
-// Nothing is owed of them any more, and an owner that died after its answer
-// had ended, or whose word to drop the copy was lost, would leave its copies
-// here until the table is full.
+// dropExpiredCopies deletes the copies of requests whose deadline has passed.
+// Their requests have expired, and without this the copies of an owner that
+// died after the answer ended, or whose release was lost, would fill the table.
 func (c *Conductor) dropExpiredCopies(env *Env) []messenger.Effect {
 	var out []messenger.Effect
 	for _, id := range slices.Sorted(maps.Keys(c.copies)) {
@@ -113,7 +113,7 @@
 	return out
 }
 
-// copiesOf returns the copies of an owner's requests, by request.
+// copiesOf returns the copies of an owner's requests, ordered by request id.
 func (c *Conductor) copiesOf(owner identifier.VMID) []*heldCopy {
 	var out []*heldCopy
 	for _, id := range slices.Sorted(maps.Keys(c.copies)) {
--- a/internal/conductor/drain.go
+++ b/internal/conductor/drain.go
@@ -7,11 +7,11 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// drainMargin is kept free before this node's end: what would end within
-// it is handed over, because predictions err.
+// drainMargin is the safety margin before this node ends: requests predicted to
+// end within it are handed over, because predictions are inexact.
 const drainMargin = 1 * timekeeper.Second
 
-// Drain begins this node's end: by a reclaim notice, or as a planned stop.
+// Drain starts draining this node after a reclaim notice or for a planned stop.
 func (c *Conductor) Drain(env *Env, deadline timekeeper.Time, planned bool) []messenger.Effect {
 	if c.draining {
 		c.drainDeadline = min(c.drainDeadline, deadline)
@@ -34,8 +34,8 @@
 	return append(out, c.advanceDrain(env)...)
 }
 
-// drainUnaccepted refuses what was not yet promised. A claim that is still
-// being read back is given up and released.
+// refuseUnaccepted refuses a request that is not yet accepted. A claim that has
+// not been read back is released.
 func (c *Conductor) refuseUnaccepted(env *Env, r *request) []messenger.Effect {
 	if r.accepted {
 		return nil
@@ -43,8 +43,8 @@
 	return c.refuseAndReleaseCopy(env, r)
 }
 
-// advanceDrain hands over what cannot end here in time, and ends a planned stop
-// when nothing is left.
+// advanceDrain hands over the requests that cannot end here in time, and exits
+// the process once a planned stop has no requests left.
 func (c *Conductor) advanceDrain(env *Env) []messenger.Effect {
 	if !c.draining {
 		return nil
--- a/internal/conductor/end_test.go
+++ b/internal/conductor/end_test.go
@@ -10,13 +10,13 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// phases brings a request to each phase of its life, and says what it may
-// truthfully be called when it ends there.
+// phases contains a function that brings a request to each phase, and the
+// outcomes that are correct if it ends there.
 var phases = []struct {
 	name    string
 	service identifier.ServiceName
 	reach   func(*fixture)
-	// refused tells that the request was not accepted yet.
+	// refused reports whether the request was not yet accepted.
 	refused   bool
 	cancelled messenger.Outcome
 	expired   messenger.Outcome
@@ -79,9 +79,9 @@
 	},
 }
 
-// A caller gives its request up, or the deadline comes. In each phase the
-// request ends at once, and not_run is said only where nothing can have run: a
-// caller that is told so repeats it under a new key.
+// In each phase, a cancelled or expired request ends at once and reports
+// not_run only if it cannot have run: the caller would repeat it under a new
+// key.
 func TestCancelAndExpireInEachPhase(t *testing.T) {
 	for _, phase := range phases {
 		t.Run(phase.name+", cancelled", func(t *testing.T) {
@@ -116,8 +116,8 @@
 	requireNone[messenger.Refuse](t, out)
 }
 
-// A cancelled attempt is dropped at its server, and the holder of a copy is
-// told: it would adopt the request when this node dies, and run it again.
+// If the holder kept its copy of a cancelled request, it would adopt the
+// request when this node dies and run it again.
 func TestCancelReachesServerAndHolder(t *testing.T) {
 	f := newFixture(t)
 	attempt := f.run("report")
@@ -128,9 +128,9 @@
 	require.Equal(t, peer, requireOne[messenger.Unhold](t, out).Holder)
 }
 
-// A caller of a short answer goes away and does not come back: the answer is
-// given up, so that it takes no slot from others. A long one is made to its
-// end, and a plain call may have had its effect.
+// A short answer whose caller does not reconnect is cancelled, so that it takes
+// no slot from others. Long answers are completed, and plain calls may have had
+// an effect.
 func TestAbandonedRequest(t *testing.T) {
 	tests := []struct {
 		name          string
@@ -146,12 +146,12 @@
 			wantCancelled: true,
 		},
 		{
-			name:    "short answer, not yet long gone",
+			name:    "short answer, before the timeout",
 			service: "tag",
 			after:   10 * timekeeper.Second,
 		},
 		{
-			name:       "short answer, caller back",
+			name:       "short answer, caller reconnects",
 			service:    "tag",
 			reconnects: true,
 			after:      20 * timekeeper.Second,
--- a/internal/conductor/quarantine.go
+++ b/internal/conductor/ended.go
@@ -7,15 +7,16 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// fingerprint names what a request asks: its caller may submit it again under another
-// id and key, to any node.
+// fingerprint identifies the content of a request: its caller may submit it
+// again with another id and key, to any node.
 func fingerprint(spec messenger.RequestSpec) identifier.Fingerprint {
 	return quarantiner.FingerprintOf(string(spec.Account), spec.Content)
 }
 
-// noteEnd notes where a server ended under r. One that was leaving, or is taken away
-// already, did not end for what it had, and one that r never reached not for r. An
-// attempt that joins a stream finds that its server has ended since.
+// recordServerEnd records in the quarantine that a server ended while running
+// r. A server that was leaving or is already removed did not end because of its
+// requests, and r is not the cause if it never reached the server. An attempt
+// that joins a stream counts too, as the server ended after the stream started.
 func (c *Conductor) recordServerEnd(env *Env, r *request, e messenger.AttemptEnded, mayHaveRun bool) {
 	server, known := env.Members.Server(r.server)
 	if !e.ServerEnded || !known || server.Leaving {
@@ -26,8 +27,8 @@
 	}
 }
 
-// endQuarantined ends a request under which too many servers ended, so that it takes
-// no further ones.
+// finishQuarantined ends a request that is quarantined, so that no further
+// servers fail on it.
 func (c *Conductor) finishQuarantined(env *Env, r *request, after timekeeper.Duration) []messenger.Effect {
 	outcome := messenger.Unknown
 	if r.neverRan() {
--- a/internal/conductor/quarantine_test.go
+++ b/internal/conductor/ended_test.go
@@ -13,16 +13,17 @@
 
 const queryOfDeath identifier.ContentHash = 7
 
-// endElsewhere lets peers report that servers ended under the request.
+// failServersElsewhere records that servers ended under the request on other
+// nodes.
 func (f *fixture) failServersElsewhere(servers ...identifier.VMID) {
 	for _, s := range servers {
 		f.env.Quarantine.ServerEnded(f.env.Now, quarantiner.FingerprintOf("agent", queryOfDeath), s)
 	}
 }
 
-// Servers end at other nodes under the same request while this node waits to send it
-// again, or takes it over from a node that died. It goes to no server any more, and its
-// caller hears at once that it may have run.
+// A request is quarantined while this node waits to send it again, or before
+// the node takes it over. It is not sent to any server, and the caller is
+// informed of whether it may have run.
 func TestQuarantinedRequestIsNotSent(t *testing.T) {
 	t.Run("before the next attempt", func(t *testing.T) {
 		f := newFixture(t)
@@ -34,7 +35,7 @@
 		out := f.tickUntil(5 * timekeeper.Second)
 		requireNone[messenger.SendAttempt](t, out)
 		require.Equal(t, messenger.ReasonServersEnded, requireOne[messenger.Finish](t, out).Reason)
-		require.Equal(t, messenger.NotRun, requireOne[messenger.Finish](t, out).Outcome, "the one server it had refused it")
+		require.Equal(t, messenger.NotRun, requireOne[messenger.Finish](t, out).Outcome, "its only attempt was refused by the server")
 	})
 	t.Run("taken over", func(t *testing.T) {
 		f := newFixture(t)
@@ -52,9 +53,8 @@
 	})
 }
 
-// A server of this node ends under a request whose stream it wanted to join again: the
-// connection broke, and the next one was refused. It counts once, and the stream goes
-// on elsewhere without another try to join it.
+// A server ends under a request, and the attempt to rejoin the stream fails as
+// well. The server counts once, and the stream is not joined there again.
 func TestNoRejoinAfterServerEnded(t *testing.T) {
 	f := newFixture(t)
 	request := spec("tag")
--- a/internal/conductor/env.go
+++ b/internal/conductor/env.go
@@ -27,7 +27,7 @@
 	Suspicions *detector.Suspicions
 	Hints      *router.Hints
 	Claims     *claimer.Table
-	// Quarantine records which requests were running on servers that failed.
+	// Quarantine records the servers that ended while running a request.
 	Quarantine *quarantiner.Quarantine
 	Loads      map[identifier.VMID]messenger.ServerLoad
 	Rand       *rand.Rand
--- a/internal/conductor/finish.go
+++ b/internal/conductor/finish.go
@@ -8,7 +8,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// ending is how an accepted request ends.
+// requestResult is the result of an accepted request.
 type requestResult struct {
 	outcome    messenger.Outcome
 	reason     messenger.Reason
@@ -35,8 +35,8 @@
 	return out
 }
 
-// settleClaim records the outcome of a claimed request for those who repeat
-// its key, or frees the key where nothing ran.
+// settleClaim records the outcome of a claimed request for callers that repeat
+// its key, or frees the key if the request did not run.
 func (c *Conductor) settleClaim(env *Env, r *request, outcome messenger.Outcome) []messenger.Effect {
 	if !r.claim.won {
 		return nil
@@ -58,7 +58,7 @@
 	}
 }
 
-// remove forgets r, and returns to its account the tokens it did not use.
+// remove deletes r from the table and returns its unused tokens to its account.
 func (c *Conductor) remove(env *Env, r *request, usedTokens identifier.Tokens) {
 	c.uncountAttempt(r)
 	if r.reservedTokens > 0 {
@@ -67,12 +67,12 @@
 	delete(c.requests, r.spec.Request)
 }
 
-// expire ends a request whose deadline has come.
+// expire ends a request whose deadline has passed.
 func (c *Conductor) expire(env *Env, r *request) []messenger.Effect {
 	return c.endEarly(env, r, messenger.ReasonDeadlineExpired, messenger.Unknown)
 }
 
-// Cancel ends a request that its caller gave up.
+// Cancel ends a request that its caller cancelled.
 func (c *Conductor) Cancel(env *Env, id identifier.RequestID) []messenger.Effect {
 	r, known := c.requests[id]
 	if !known {
@@ -89,8 +89,8 @@
 	return c.endEarly(env, r, messenger.ReasonCancelled, outcome)
 }
 
-// giveUp ends r early: as not_run where nothing can have run, else with the
-// given outcome.
+// endEarly ends r before its answer is complete, with outcome not_run if it
+// cannot have run and with outcomeIfRun otherwise.
 func (c *Conductor) endEarly(env *Env, r *request, reason messenger.Reason, outcomeIfRun messenger.Outcome) []messenger.Effect {
 	if r.neverRan() || !c.config.Safeguards.TruthfulNotRun {
 		outcomeIfRun = messenger.NotRun
--- a/internal/conductor/handover.go
+++ b/internal/conductor/handover.go
@@ -11,32 +11,35 @@
 )
 
 const (
-	// handoverAgain is the spacing of handover tries of one request.
+	// handoverRetryInterval is the interval between handover attempts of one
+	// request.
 	handoverRetryInterval = 500 * timekeeper.Millisecond
-	// handoverTries is how often one successor is asked. A handover whose
-	// answer was lost may have taken effect, and repeating it to the same
-	// node does no harm, while asking another would give the request two
-	// owners.
+	// maxHandoverAttempts is the number of handover attempts to one successor.
+	// A handover whose answer was lost may have taken effect. Repeating it to
+	// the same node is harmless, but a handover to another node would give the
+	// request two owners.
 	maxHandoverAttempts = 3
-	// handoverPatience bounds the wait for a successor's answer.
+	// handoverTimeout is how long a successor may take to answer.
 	handoverTimeout = 3 * timekeeper.Second
 )
 
-// handoverState is a request's way to a successor.
+// handoverState is the state of a request's handover.
 type handoverState struct {
-	// successor is the node asked last, or empty, and asked how often.
+	// successor is the node that the request was last handed to, or empty, and
+	// attempts the number of handovers to it.
 	successor identifier.VMID
 	attempts  int
-	// againAt is when the next try is due.
+	// retryAt is when the next attempt is due.
 	retryAt timekeeper.Time
-	// pending tells that no answer has come yet; overdueAt ends the wait.
+	// awaitingAnswer is set until the successor answers; timeoutAt ends the
+	// wait.
 	awaitingAnswer bool
 	timeoutAt      timekeeper.Time
-	// failed names the nodes that were asked in vain.
+	// failed contains the nodes that did not take over the request.
 	failed map[identifier.VMID]bool
 }
 
-// handOverIfDue gives r to a successor where it can't end here in time.
+// handOverIfDue hands r over to a successor if it can't end here in time.
 func (c *Conductor) handOverIfDue(env *Env, r *request) []messenger.Effect {
 	if !c.needsHandover(env, r) || env.Now.Before(r.handover.retryAt) {
 		return nil
@@ -49,7 +52,8 @@
 		return nil
 	}
 	if previous != "" && previous != successor.VM {
-		// The one asked before may have taken it: the next comes after it.
+		// The previous successor may have taken over the request: the next
+		// owner needs a larger epoch.
 		r.epoch += renewalEpochIncrement
 	}
 	r.handover.successor = successor.VM
@@ -62,8 +66,8 @@
 	}
 }
 
-// handOverTo returns the order to give r, and the stream of its current
-// attempt, to another node.
+// handOverTo returns the effect that hands r and the stream of its current
+// attempt over to another node.
 func (r *request) handOverTo(vm identifier.VMID, address string) messenger.HandOver {
 	return messenger.HandOver{
 		Request:   r.spec.Request,
@@ -76,8 +80,9 @@
 	}
 }
 
-// needsHandover reports whether r is to be handed over. What may not be
-// repeated stays: its one attempt is bound to this node's connection.
+// needsHandover reports whether r must be handed over now. A request that may
+// not be repeated stays, because its only attempt depends on this node's
+// connection.
 func (c *Conductor) needsHandover(env *Env, r *request) bool {
 	awaitingAnswer := r.handover.awaitingAnswer && env.Now.Before(r.handover.timeoutAt)
 	if !r.accepted || !r.spec.Idempotent || awaitingAnswer {
@@ -90,8 +95,9 @@
 	return r.predictedCompletion == 0 || end.After(c.drainDeadline.Add(-drainMargin))
 }
 
-// successor stays with the node asked last while it may still answer, then
-// prefers the holder, which has the copy already.
+// successor returns the previous successor while attempts remain for it, then
+// the holder, which already has the copy, then the first other node that has
+// not failed.
 func (c *Conductor) successor(env *Env, r *request) (gossiper.Node, bool) {
 	leavingZones := map[identifier.Zone]bool{c.config.Zone: true}
 	nodes := placer.Successors(r.spec.Request, env.Members.Nodes(), c.config.Self, leavingZones)
@@ -110,7 +116,7 @@
 	return gossiper.Node{}, false
 }
 
-// giveUpSuccessor passes the node asked last over from here on.
+// markSuccessorFailed excludes the current successor from further attempts.
 func (h *handoverState) markSuccessorFailed() {
 	if h.successor == "" {
 		return
@@ -131,7 +137,7 @@
 	return gossiper.Node{}, false
 }
 
-// HandoverAcked ends this node's part in a request that a successor has.
+// HandoverAcked yields a request that its successor has taken over.
 func (c *Conductor) HandoverAcked(env *Env, e messenger.HandoverAcked) []messenger.Effect {
 	r, known := c.requests[e.Request]
 	if !known || r.handover.successor != e.Successor {
@@ -145,7 +151,7 @@
 	return append(out, c.yieldTo(env, r, e.Successor)...)
 }
 
-// HandoverFailed lets the request be handed over again.
+// HandoverFailed allows another handover attempt.
 func (c *Conductor) HandoverFailed(_ *Env, e messenger.HandoverFailed) []messenger.Effect {
 	if r, known := c.requests[e.Request]; known && r.handover.successor == e.Successor {
 		r.handover.awaitingAnswer = false
@@ -153,10 +159,10 @@
 	return nil
 }
 
-// RequestHandedOver goes on with a request of a leaving peer.
+// RequestHandedOver takes over a request from a leaving peer.
 func (c *Conductor) RequestHandedOver(env *Env, e messenger.RequestHandedOver) []messenger.Effect {
 	if r, known := c.requests[e.Spec.Request]; known {
-		// The peer's first message took effect and its answer was lost.
+		// The request was already taken over, but the confirmation was lost.
 		r.epoch = max(r.epoch, e.Epoch+takeoverEpochIncrement)
 		r.hold.confirmPending = true
 		if r.spec.Long && !r.hold.acked {
@@ -177,7 +183,8 @@
 	})
 }
 
-// confirm tells the peer that handed r over that it is safe here.
+// confirmHandover confirms to the peer that handed r over that this node has
+// taken it over.
 func (c *Conductor) confirmHandover(r *request) []messenger.Effect {
 	if !r.hold.confirmPending {
 		return nil
--- a/internal/conductor/harness_test.go
+++ b/internal/conductor/harness_test.go
@@ -29,7 +29,7 @@
 	requestTimeout = 60 * timekeeper.Second
 )
 
-// services are those of the tests: two of a model and two plain ones.
+// services has two model services and two plain ones.
 var services = map[identifier.ServiceName]catalog.Service{
 	"report": {
 		Name:       "report",
@@ -85,7 +85,7 @@
 	}
 }
 
-// fixture is a conductor with the slices of the state that it reads.
+// fixture is a conductor with its environment.
 type fixture struct {
 	t          *testing.T
 	env        *conductor.Env
@@ -166,7 +166,7 @@
 	}
 }
 
-// meetPeer lets the peer tell the node of itself.
+// receivePeerGossip adds the peer to the node's members.
 func (f *fixture) receivePeerGossip() {
 	other := gossiper.New(gossiper.Config{
 		Self:        peer,
@@ -181,7 +181,7 @@
 	require.NoError(f.t, err)
 }
 
-// readClaims reads the records of the only stream of claims.
+// readClaims appends records to the only claim stream and reads them back.
 func (f *fixture) readClaims(data ...[]byte) []messenger.Effect {
 	read := messenger.LogRead{
 		Stream: "claims-0",
@@ -199,7 +199,7 @@
 	return f.c.ClaimsDecided(f.env, f.env.Claims.Absorb(f.env.Now, read))
 }
 
-// spec returns a request of a service; one that is not idempotent has a key.
+// spec returns a request for a service. It has a key if it is not idempotent.
 func spec(name identifier.ServiceName) messenger.RequestSpec {
 	s := messenger.RequestSpec{
 		Request:      id,
@@ -219,12 +219,12 @@
 	return s
 }
 
-// receive gives the node a request of a service.
+// receive submits a request for a service to the node.
 func (f *fixture) receive(name identifier.ServiceName) []messenger.Effect {
 	return f.c.Receive(f.env, spec(name))
 }
 
-// run brings a request of a service to its first attempt.
+// run brings a request for a service to its first attempt.
 func (f *fixture) run(name identifier.ServiceName) messenger.SendAttempt {
 	f.t.Helper()
 	out := f.receive(name)
@@ -240,7 +240,7 @@
 	return requireOne[messenger.SendAttempt](f.t, out)
 }
 
-// progress reports tokens of the current attempt.
+// progress reports the tokens delivered by an attempt.
 func (f *fixture) progress(a messenger.SendAttempt, delivered identifier.Tokens) {
 	f.c.AttemptProgress(f.env, messenger.AttemptProgress{
 		Request:   id,
@@ -261,13 +261,13 @@
 	})
 }
 
-// tickAt lets the instant d after the start come.
+// tickAt sets the time to d after the start and ticks once.
 func (f *fixture) tickAt(d timekeeper.Duration) []messenger.Effect {
 	f.env.Now = start.Add(d)
 	return f.c.Tick(f.env)
 }
 
-// tickUntil lets time pass up to the instant d after the start.
+// tickUntil ticks every 100 ms up to d after the start.
 func (f *fixture) tickUntil(d timekeeper.Duration) []messenger.Effect {
 	var out []messenger.Effect
 	for at := f.env.Now.Sub(start); at < d; at += 100 * timekeeper.Millisecond {
@@ -276,7 +276,7 @@
 	return append(out, f.tickAt(d)...)
 }
 
-// find returns the first effect of a type.
+// findEffect returns the first effect of a type.
 func findEffect[E messenger.Effect](effects []messenger.Effect) (E, bool) {
 	for _, e := range effects {
 		if found, ok := e.(E); ok {
--- a/internal/conductor/hold.go
+++ b/internal/conductor/hold.go
@@ -11,43 +11,45 @@
 )
 
 const (
-	// holdTries is how many peers a new long request is offered to.
+	// maxHoldAttempts is the number of peers that a new long request is offered
+	// to.
 	maxHoldAttempts = 3
-	// holdAgain is the spacing of tries to find a new holder for a request
-	// that lost its own.
+	// holdRetryInterval is the interval between attempts to find a new holder
+	// for a request that lost its holder.
 	holdRetryInterval = 1 * timekeeper.Second
-	// holdPatience bounds the wait for the first holder's answer.
+	// holdTimeout is how long a holder may take to confirm a copy.
 	holdTimeout = 2 * timekeeper.Second
 )
 
-// holdState is the off-node copy of a long request.
+// holdState is the state of a long request's copy on a peer.
 type holdState struct {
-	// holder is the peer that was asked last, or empty. With acked set it has
-	// the copy.
+	// holder is the peer that the copy was last sent to, or empty. It has
+	// confirmed the copy if acked is set.
 	holder  identifier.VMID
 	address string
 	acked   bool
 	sentAt  timekeeper.Time
-	// tries counts the peers asked, failed names those that did not answer,
-	// and againAt is when another is looked for.
+	// attempts counts the peers tried, failed contains those that did not
+	// confirm the copy, and retryAt is when the next attempt is due.
 	attempts int
 	failed   map[identifier.VMID]bool
 	retryAt  timekeeper.Time
-	// exposed is the last holder that had a copy and may adopt it, unless it
-	// is known to be gone.
+	// lastHolder is the last peer that confirmed a copy. It may adopt the
+	// request. It is empty
+	// once that peer's process is known to have ended.
 	lastHolder        identifier.VMID
 	lastHolderAddress string
-	// stalledAt is when the answer stopped going out for want of a holder, or
+	// stalledAt is when the answer was first withheld for lack of a holder, or
 	// Never.
 	stalledAt timekeeper.Time
-	// confirm tells that the peer that handed the request over waits for the
-	// copy to stand.
+	// confirmPending is set while the peer that handed over the request waits
+	// for confirmation that a copy exists.
 	confirmPending bool
 }
 
-// beginHold gives a peer in another zone a copy before the request is
-// accepted: this node may die without notice right after it promised the
-// answer, and then nobody else would know of the request.
+// beginHold sends a copy to a peer in another zone before the request is
+// accepted: if this node died without notice right after accepting it, no other
+// node would know of the request.
 func (c *Conductor) beginHold(env *Env, r *request) []messenger.Effect {
 	r.phase = holding
 	out, ok := c.sendHold(env, r)
@@ -57,7 +59,7 @@
 	return out
 }
 
-// sendHold asks the next possible holder.
+// sendHold sends the copy to the next possible holder.
 func (c *Conductor) sendHold(env *Env, r *request) ([]messenger.Effect, bool) {
 	holder, ok := c.nextHolder(env, r)
 	if !ok {
@@ -79,13 +81,12 @@
 	}, true
 }
 
-// nextHolder returns the first node of the request's own order that has not
-// failed it, in another zone where there is one.
+// nextHolder returns the first node in the request's placement order that has
+// not failed, preferring other zones.
 //
-// A stalled request goes to the node that may have adopted it and to no other.
-// With another holder this node would go on while that node serves the caller
-// from a different state as soon as this one dies; only its own answer tells
-// who has the request.
+// A stalled request is offered only to the node that may have adopted it. With
+// another holder, this node would continue while that node may serve the caller
+// from a different state; only its answer shows which of them owns the request.
 func (c *Conductor) nextHolder(env *Env, r *request) (gossiper.Node, bool) {
 	if r.hold.stalledAt != timekeeper.Never {
 		if n, known := env.Members.Node(r.hold.lastHolder); known && n.State == gossiper.Alive {
@@ -100,7 +101,8 @@
 	return gossiper.Node{}, false
 }
 
-// checkFirstHold moves on when a holder does not answer at all.
+// checkHoldTimeout tries another holder if the first one has not answered
+// within holdTimeout.
 func (c *Conductor) checkHoldTimeout(env *Env, r *request) []messenger.Effect {
 	if env.Now.Sub(r.hold.sentAt) < holdTimeout {
 		return nil
@@ -108,7 +110,7 @@
 	return c.holdFailed(env, r)
 }
 
-// HoldAcked accepts a request whose copy now stands off the node.
+// HoldAcked accepts a request once a holder has confirmed the copy.
 func (c *Conductor) HoldAcked(env *Env, e messenger.HoldAcked) []messenger.Effect {
 	r, known := c.requests[e.Request]
 	if !known || r.hold.holder != e.Holder {
@@ -127,8 +129,8 @@
 	return c.accept(env, r)
 }
 
-// refuseHeld refuses a request that a holder has a copy of, and takes the
-// copy back: the holder must not adopt what was refused.
+// refuseAndReleaseCopy refuses a request and releases its copy, so that the
+// holder does not adopt a refused request.
 func (c *Conductor) refuseAndReleaseCopy(env *Env, r *request) []messenger.Effect {
 	out := c.releaseCopy(r)
 	return append(out, c.refuse(env, r, notRun(messenger.ReasonLeaving, retryAfterLeaving))...)
@@ -157,8 +159,8 @@
 		r.hold.failed = map[identifier.VMID]bool{}
 	}
 	r.hold.failed[r.hold.holder] = true
-	// The failed holder may have the copy all the same; if this request is
-	// refused it must be told, so that it does not adopt it.
+	// The failed holder may still have received the copy. It must be released,
+	// so that it is not adopted if this request is refused.
 	out := c.releaseCopy(r)
 	if r.phase == holding && r.hold.attempts >= maxHoldAttempts {
 		return append(out, c.refuse(env, r, notRun(messenger.ReasonUnprotected, retryAfterNoHolder))...)
@@ -180,9 +182,9 @@
 	return append(out, c.continueUnprotected(r)...)
 }
 
-// HoldRefused ends this node's part in a request that its holder has adopted.
-// This node was frozen or cut off for so long that it was taken for dead; were
-// it to go on, two nodes would answer one caller from different states.
+// HoldRefused yields a request that its holder has adopted. This node was
+// frozen or partitioned for so long that it was declared dead; if it continued,
+// two nodes would answer one caller from different states.
 func (c *Conductor) HoldRefused(env *Env, e messenger.HoldRefused) []messenger.Effect {
 	r, known := c.requests[e.Request]
 	if !known || r.hold.holder != e.Holder || !c.config.Safeguards.YieldToHolder {
@@ -192,7 +194,8 @@
 	return append(out, c.yieldTo(env, r, e.Holder)...)
 }
 
-// holderLost moves the copies that stood with a node that is dead or leaving.
+// replaceHolder looks for new holders for the requests whose holder is dead or
+// leaving.
 func (c *Conductor) replaceHolder(env *Env, vm identifier.VMID) []messenger.Effect {
 	var out []messenger.Effect
 	for _, r := range c.sortedRequests() {
@@ -203,7 +206,7 @@
 	return out
 }
 
-// keepHeld finds a holder for an accepted long request without one.
+// ensureHolder looks for a holder for an accepted long request that has none.
 func (c *Conductor) ensureHolder(env *Env, r *request) []messenger.Effect {
 	if !r.spec.Long || r.hold.holder != "" || env.Now.Before(r.hold.retryAt) {
 		return c.dropUnresponsiveHolder(env, r)
@@ -213,7 +216,8 @@
 	return out
 }
 
-// dropSilentHolder gives up a holder of which nothing is heard at all.
+// dropUnresponsiveHolder replaces a holder that has not confirmed the copy
+// within holdTimeout.
 func (c *Conductor) dropUnresponsiveHolder(env *Env, r *request) []messenger.Effect {
 	if r.hold.holder == "" || r.hold.acked || env.Now.Sub(r.hold.sentAt) < holdTimeout {
 		return nil
@@ -221,7 +225,7 @@
 	return c.holdFailed(env, r)
 }
 
-// unhold takes the copy back from the holder, if there is one.
+// releaseCopy tells the holder, if any, to drop the copy.
 func (c *Conductor) releaseCopy(r *request) []messenger.Effect {
 	if r.hold.holder == "" {
 		return nil
--- a/internal/conductor/move.go
+++ b/internal/conductor/move.go
@@ -9,16 +9,16 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// moveState is what the plan of a wave says of one stream.
+// moveState is the planned move of one stream.
 type moveState struct {
 	action  planner.Action
 	target  identifier.VMID
 	startAt timekeeper.Time
-	// sent tells that the KV export is under way.
+	// exportStarted is set while the KV export is in progress.
 	exportStarted bool
 }
 
-// startDueMove carries out the planned move of a stream when its time has come.
+// startDueMove carries out the planned move of a stream once it is due.
 func (c *Conductor) startDueMove(env *Env, r *request) []messenger.Effect {
 	if r.move.action == "" || r.move.exportStarted || env.Now.Before(r.move.startAt) {
 		return nil
@@ -52,7 +52,7 @@
 	}
 }
 
-// moveByPrefill ends the attempt on the leaving server and resumes elsewhere
+// moveByPrefill ends the attempt on the leaving server and resumes on another
 // from the prompt and the tokens delivered so far.
 func (c *Conductor) moveByPrefill(env *Env, r *request) []messenger.Effect {
 	r.move = moveState{}
@@ -61,7 +61,8 @@
 	return append(out, c.startAttempt(env, r)...)
 }
 
-// KVMoved continues a stream where its KV cache went, or by prefill.
+// KVMoved continues a stream on the server that received its KV cache, or by
+// prefill if the export failed.
 func (c *Conductor) KVMoved(env *Env, e messenger.KVMoved) []messenger.Effect {
 	r, ok := c.lookupCurrent(e.Request, e.Attempt)
 	if !ok || r.phase != running || !r.move.exportStarted {
--- a/internal/conductor/move_test.go
+++ b/internal/conductor/move_test.go
@@ -10,16 +10,15 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// reclaim announces that a server goes in four seconds.
+// reclaim announces the reclaim of a server in four seconds.
 func (f *fixture) reclaim(vm identifier.VMID) []messenger.Effect {
 	f.env.Members.MarkReclaimed(f.env.Now, vm, f.env.Now.Add(4*timekeeper.Second))
 	return f.c.ServersLeaving(f.env)
 }
 
-// An engine is reclaimed in the middle of an answer, whose KV cache is copied
-// to another. The copy may end well or badly, and its target may be reclaimed
-// too before it ends: the stream then starts on a third engine from the
-// tokens delivered, and never on one that is leaving.
+// If the KV export of a stream on a reclaimed engine fails, or its target is
+// reclaimed too, the stream resumes from the delivered tokens on an engine that
+// is not leaving.
 func TestMoveKV(t *testing.T) {
 	tests := []struct {
 		name         string
@@ -37,7 +36,7 @@
 			mode: messenger.StartPrefill,
 		},
 		{
-			name:         "target noticed midway",
+			name:         "target reclaimed during the export",
 			targetLeaves: true,
 			ok:           true,
 			mode:         messenger.StartPrefill,
@@ -72,8 +71,7 @@
 	}
 }
 
-// The end of a copy comes after the stream has moved on by itself: it changes
-// nothing.
+// The end of an export is ignored if the stream has already moved on.
 func TestLateKVMovedIsIgnored(t *testing.T) {
 	f := newFixture(t)
 	first := f.run("tag")
--- a/internal/conductor/pool.go
+++ b/internal/conductor/pool.go
@@ -9,8 +9,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Demand returns what this node's callers ask of a pool now, and how many
-// requests for it they ever sent.
+// Demand returns the current demand of this node's callers for a pool.
 func (c *Conductor) Demand(name identifier.PoolName) provisioner.Demand {
 	d := provisioner.Demand{Arrivals: c.arrivals[name]}
 	for _, r := range c.requests {
@@ -25,10 +24,10 @@
 	return d
 }
 
-// loadTooOld is the age past which a load report says nothing any more.
+// loadReportMaxAge is the age from which a load report is ignored.
 const loadReportMaxAge = 10 * timekeeper.Second
 
-// choose picks a server for the next attempt of r.
+// chooseServer selects a server for the next attempt of r.
 func (c *Conductor) chooseServer(env *Env, r *request) (router.Choice, bool) {
 	if env.Catalog == nil {
 		return router.Choice{}, false
@@ -74,8 +73,8 @@
 	}
 }
 
-// poolLoad sums the free slots, all slots and the queue of a pool's servers
-// that take work.
+// poolLoad returns the numbers of free slots, of all slots and of queued
+// requests of the pool's servers that accept work.
 func (c *Conductor) poolLoad(env *Env, name identifier.PoolName) (free, slots, queued int) {
 	pool := env.Catalog.Pools[name]
 	for _, s := range env.Members.Servers(name) {
--- a/internal/conductor/progress.go
+++ b/internal/conductor/progress.go
@@ -10,10 +10,9 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// current returns the request whose current attempt is n. Messages of any
-// other attempt are late or crossed: were they heeded, a request could be
-// ended by the failure of an attempt that it has long left behind, or be
-// given another attempt's answer.
+// lookupCurrent returns the request whose current attempt is n. Events of other
+// attempts are late: they could end a request because of an earlier attempt, or
+// give it another attempt's answer.
 func (c *Conductor) lookupCurrent(id identifier.RequestID, n identifier.AttemptNumber) (*request, bool) {
 	r, known := c.requests[id]
 	if !known {
@@ -25,7 +24,7 @@
 	return r, true
 }
 
-// AttemptStarted records that the server took the attempt.
+// AttemptStarted records that the server has started the attempt.
 func (c *Conductor) AttemptStarted(env *Env, e messenger.AttemptStarted) []messenger.Effect {
 	r, ok := c.lookupCurrent(e.Request, e.Attempt)
 	if !ok {
@@ -36,7 +35,7 @@
 	return nil
 }
 
-// AttemptProgress records how much of the answer stands with this node.
+// AttemptProgress records how much of the answer this node has received.
 func (c *Conductor) AttemptProgress(env *Env, e messenger.AttemptProgress) []messenger.Effect {
 	r, ok := c.lookupCurrent(e.Request, e.Attempt)
 	if !ok {
@@ -56,7 +55,7 @@
 	c.observe(env, r, detector.FirstToken, env.Now.Sub(r.sentAt), r.predictedFirstToken)
 }
 
-// AttemptEnded decides what follows an attempt.
+// AttemptEnded finishes the request, rejoins its stream, or retries.
 func (c *Conductor) AttemptEnded(env *Env, e messenger.AttemptEnded) []messenger.Effect {
 	r, ok := c.lookupCurrent(e.Request, e.Attempt)
 	if !ok {
@@ -85,16 +84,16 @@
 }
 
 // rejoin resumes the stream on the same server over a new connection. An open
-// connection may be dead while new ones work: the stream then goes on at the
-// server and nothing need be computed again. It is tried once for each stretch
-// of progress, so that a server that is really gone costs one dial.
+// connection may be broken while new ones work; the stream then continues on
+// the server and nothing is computed again. It is tried only once without
+// progress, so that a server that is unreachable costs one connection attempt.
 func (c *Conductor) rejoin(env *Env, r *request, e messenger.AttemptEnded) ([]messenger.Effect, bool) {
 	connectionLost := e.Result == messenger.AttemptBroken || e.Result == messenger.AttemptTimedOut
 	if !connectionLost || e.ServerEnded || !r.isModel() {
 		return nil, false
 	}
 	if r.rejoined && r.rejoinedTokens == r.delivered {
-		return nil, false // tried already, with no progress since
+		return nil, false // already tried, no progress since
 	}
 	server, known := env.Members.Server(r.server)
 	if !known {
@@ -109,13 +108,13 @@
 	}), true
 }
 
-// markRejoined notes that the stream is joined at what is delivered now.
 func (r *request) markRejoined() {
 	r.rejoined = true
 	r.rejoinedTokens = r.delivered
 }
 
-// afterFailure asks the retrier whether there is a next attempt.
+// retryOrFinish schedules the next attempt if the retrier allows one, and
+// otherwise finishes the request.
 func (c *Conductor) retryOrFinish(env *Env, r *request, e messenger.AttemptEnded) []messenger.Effect {
 	verdict := env.Budgets.Next(env.Now, retrier.EndedAttempt{
 		Service:       r.spec.Service,
@@ -147,15 +146,16 @@
 	return nil
 }
 
-// budgetFree reports whether the next attempt costs no retry budget: its server
-// was taken away, or the request is long. Both were accepted before, and a wave
-// of reclaims that used the budget up would end them.
+// exemptFromBudget reports whether the next attempt does not count against the
+// retry budget: its server is leaving or removed, or the request is long. Such
+// requests are already accepted, and a wave of reclaims that exhausted the
+// budget would end them.
 func (c *Conductor) exemptFromBudget(env *Env, r *request) bool {
 	server, known := env.Members.Server(r.server)
 	return r.spec.Long || !known || server.Leaving
 }
 
-// truthful turns not_run into unknown where something may have run.
+// correctNotRun replaces not_run by unknown if something may have run.
 func (c *Conductor) correctNotRun(r *request, o messenger.Outcome) messenger.Outcome {
 	if o == messenger.NotRun && r.mayHaveRun && c.config.Safeguards.TruthfulNotRun {
 		return messenger.Unknown
@@ -163,7 +163,7 @@
 	return o
 }
 
-// blame tells the detector what the server did.
+// reportFailure reports a failed attempt to the detector.
 func (c *Conductor) reportFailure(env *Env, r *request, result messenger.AttemptResult) {
 	switch result {
 	case messenger.AttemptNotSent:
@@ -177,8 +177,9 @@
 	}
 }
 
-// completed tells the detector of a whole answer. Only a plain one is timed: a
-// model's length is the request's doing, not the server's.
+// reportCompletion reports a complete answer to the detector. Only plain
+// answers are timed: the length of a model's answer depends on the request, not
+// on the server.
 func (c *Conductor) reportCompletion(env *Env, r *request) {
 	if r.isModel() {
 		c.observe(env, r, detector.Completed, 0, 0)
--- a/internal/conductor/receive.go
+++ b/internal/conductor/receive.go
@@ -7,7 +7,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// Receive admits or refuses a request. What is refused ends here and at once.
+// Receive admits or refuses a request. A refused request is not kept.
 func (c *Conductor) Receive(env *Env, spec messenger.RequestSpec) []messenger.Effect {
 	if _, known := c.requests[spec.Request]; known {
 		return nil
@@ -28,7 +28,7 @@
 	return c.holdOrAccept(env, r)
 }
 
-// screen refuses what needs no look at the backend servers.
+// screen performs the checks that do not depend on backend servers.
 func (c *Conductor) screen(env *Env, spec messenger.RequestSpec) (catalog.Service, messenger.Refusal) {
 	switch {
 	case env.Catalog == nil:
@@ -50,8 +50,8 @@
 	return service, messenger.Refusal{}
 }
 
-// admit asks the router whether the request can be served in time, and the
-// limiter whether its account may have it served now.
+// admit checks with the router whether the request can be served in time, and
+// with the limiter whether its account is within its limits.
 func (c *Conductor) admit(env *Env, r *request) messenger.Refusal {
 	choice, ok := c.chooseServer(env, r)
 	if !ok {
@@ -78,7 +78,7 @@
 	return messenger.Refusal{}
 }
 
-// afterClaim goes on with a request that needs no claim or has won it.
+// holdOrAccept continues a request that needs no claim or has won it.
 func (c *Conductor) holdOrAccept(env *Env, r *request) []messenger.Effect {
 	if r.spec.Long && c.config.Safeguards.HoldFirst {
 		return c.beginHold(env, r)
@@ -86,7 +86,7 @@
 	return c.accept(env, r)
 }
 
-// accept promises the whole answer and sends the first attempt.
+// accept guarantees the complete answer and sends the first attempt.
 func (c *Conductor) accept(env *Env, r *request) []messenger.Effect {
 	r.accepted = true
 	c.counters.Accepted++
@@ -97,7 +97,7 @@
 	return append(out, c.startAttempt(env, r)...)
 }
 
-// service returns the present settings of a service that a peer speaks of.
+// serviceConfig returns the current configuration of a service named by a peer.
 func serviceConfig(env *Env, name identifier.ServiceName) (catalog.Service, bool) {
 	if env.Catalog == nil {
 		return catalog.Service{}, false
--- a/internal/conductor/refuse.go
+++ b/internal/conductor/refuse.go
@@ -7,7 +7,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// When a refused caller should come back.
+// Retry-After values for refused callers.
 const (
 	retryAfterLeaving         = 100 * timekeeper.Millisecond
 	retryAfterNoServer        = 2 * timekeeper.Second
@@ -16,9 +16,9 @@
 	retryAfterNoConfiguration = 1 * timekeeper.Second
 )
 
-// refuse ends a request that was not accepted and that nothing has run. The
-// holder of the claim alone knows that its key did not run: only it sends, and
-// it has just dropped the request for good.
+// refuse ends a request that was not accepted and that has not run. The winner
+// of a claim can report not_run: no other node may send the request, and this
+// node has dropped it.
 func (c *Conductor) refuse(env *Env, r *request, refusal messenger.Refusal) []messenger.Effect {
 	var out []messenger.Effect
 	if r.claim.won {
@@ -31,13 +31,13 @@
 	return out
 }
 
-// refuseNew refuses a request of which this node holds no claim.
+// refuseNew refuses a request for which this node has not won a claim.
 func (c *Conductor) refuseNew(spec messenger.RequestSpec, refusal messenger.Refusal) []messenger.Effect {
 	if spec.Key != "" && !spec.Idempotent && c.config.Safeguards.TruthfulNotRun {
 		// The caller may have sent the key to another node, which may be
-		// running it now. Told not_run, the caller would repeat the request
-		// under a new key, and both would run. Unknown with Retry-After makes
-		// it repeat the same key, which is safe.
+		// running it now. If it received not_run, the caller would repeat the
+		// request under a new key, and both would run. Unknown with Retry-After
+		// makes it repeat the same key, which is safe.
 		refusal.Outcome = messenger.Unknown
 	}
 	return c.sendRefusal(spec, refusal)
--- a/internal/conductor/refuse_test.go
+++ b/internal/conductor/refuse_test.go
@@ -10,9 +10,9 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// A node refuses a request at the door. Of one without a key, or an idempotent
-// one, it knows that nothing ran. A non-idempotent key may run at another node
-// at this moment: told not_run, its caller would run it again under a new key.
+// A non-idempotent key may be running on another node when this node refuses
+// it: if the refusal reported not_run, the caller would run it again under a
+// new key. All other refused requests have not run.
 func TestRefusedOnReceipt(t *testing.T) {
 	tests := []struct {
 		name      string
@@ -76,8 +76,8 @@
 	}
 }
 
-// What a keyed request is called when it ends depends on whether this node
-// holds its claim: only then does it know that nobody else ran it.
+// Only a node that holds the claim of a keyed request knows that no other node
+// ran it, and may report not_run.
 func TestKeyedOutcomes(t *testing.T) {
 	tests := []struct {
 		name string
@@ -85,7 +85,7 @@
 		want messenger.Outcome
 	}{
 		{
-			name: "log out before the claim",
+			name: "log unavailable before the claim",
 			end: func(f *fixture) []messenger.Effect {
 				f.env.Claims.Unavailable(f.env.Now, "claims-0")
 				f.env.Now = f.env.Now.Add(timekeeper.Second)
@@ -138,8 +138,8 @@
 	}
 }
 
-// A booking's connection breaks: it may have run, and is never sent again, also
-// not after a while.
+// A non-idempotent request whose connection broke may have run and is never
+// sent again.
 func TestNonIdempotentIsSentOnce(t *testing.T) {
 	f := newFixture(t)
 	out := f.end(f.run("booking"), messenger.AttemptBroken, 0)
--- a/internal/conductor/request.go
+++ b/internal/conductor/request.go
@@ -7,30 +7,29 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// phase is where a request stands in its life.
+// phase is the state of a request in flight.
 type phase int
 
 const (
-	// claiming: its claim was appended and not yet read back.
+	// claiming: the claim was appended to the log and has not been read back.
 	claiming phase = iota
-	// holding: its copy is on the way to a holder; it is not yet accepted.
+	// holding: the copy was sent to a holder; the request is not yet accepted.
 	holding
-	// waiting: it is accepted and no attempt is under way.
+	// waiting: the request is accepted and no attempt is in progress.
 	waiting
-	// running: its current attempt is under way.
+	// running: the current attempt is in progress.
 	running
 )
 
-// request is a request in flight on this node.
 type request struct {
 	spec     messenger.RequestSpec
 	service  catalog.Service
 	phase    phase
 	accepted bool
 	epoch    identifier.Epoch
-	// reserved are the tokens that count against the account's limit.
+	// reservedTokens counts against the account's limit.
 	reservedTokens identifier.Tokens
-	// callerGoneAt is when the last caller detached, or Never.
+	// callerDisconnectedAt is when the last caller disconnected, or Never.
 	callerDisconnectedAt timekeeper.Time
 
 	claim    claimState
@@ -38,38 +37,38 @@
 	move     moveState
 	handover handoverState
 
-	// attempt is the number of the current or last attempt; tries counts
-	// those of this node.
+	// attempt is the number of the current or last attempt; localAttempts
+	// counts the attempts sent by this node.
 	attempt       identifier.AttemptNumber
 	localAttempts int
-	// server, zone, address and stream tell where the attempt runs.
+	// server, zone, address and stream identify where the attempt runs.
 	server  identifier.VMID
 	zone    identifier.Zone
 	address string
 	stream  identifier.StreamName
-	// began is when the attempt was sent, and firstAt when its first token
-	// came, or zero.
+	// sentAt is when the attempt was sent, and firstTokenAt when its first
+	// token was received, or zero.
 	sentAt       timekeeper.Time
 	firstTokenAt timekeeper.Time
-	// expected is the predicted completion of the attempt, perToken its
-	// predicted pace.
+	// predictedCompletion is the predicted duration of the attempt, and
+	// predictedPerToken the predicted time between tokens.
 	predictedCompletion timekeeper.Duration
 	predictedPerToken   timekeeper.Duration
-	// awaited is the predicted time to the first token, or zero where the
-	// attempt joins a stream that is under way.
+	// predictedFirstToken is the predicted time to the first token, or zero if
+	// the attempt joins an existing stream.
 	predictedFirstToken timekeeper.Duration
-	// joins tells that the attempt joins such a stream.
+	// joinsStream reports whether the attempt joins an existing stream.
 	joinsStream bool
-	// delivered counts the tokens of the answer that stand with this node.
+	// delivered is the number of tokens of the answer received by this node.
 	delivered identifier.Tokens
-	// mayHaveRun tells that an attempt may have had an effect. While it is
-	// false, and nothing is under way, not_run is true.
+	// mayHaveRun reports whether an attempt may have had an effect. The outcome
+	// not_run is correct only while it is false and no attempt is in progress.
 	mayHaveRun bool
 
-	// retryAt is when the next attempt is due, in the phase waiting.
+	// retryAt is when the next attempt is due in the phase waiting.
 	retryAt timekeeper.Time
-	// rejoined tells that the current stream was rejoined over a new
-	// connection, at rejoinedAt tokens.
+	// rejoined is set if the current stream was rejoined over a new connection,
+	// after rejoinedTokens tokens.
 	rejoined       bool
 	rejoinedTokens identifier.Tokens
 	// failedZones and failedServers are avoided by the next attempt.
@@ -89,16 +88,17 @@
 	}
 }
 
-// claimed reports whether the request needs a claim before it may run.
+// needsClaim reports whether the request needs a claim before it may run.
 func (r *request) needsClaim() bool { return !r.spec.Idempotent && r.spec.Key != "" }
 
-// model reports whether the answer is a stream of tokens.
+// isModel reports whether the answer is a stream of tokens.
 func (r *request) isModel() bool { return r.service.Kind == catalog.ModelService }
 
-// untouched reports whether nothing of the request can have run.
+// neverRan reports whether no attempt of the request can have run.
 func (r *request) neverRan() bool { return !r.mayHaveRun && r.phase != running }
 
-// pace returns the tokens per second the stream is expected to make.
+// tokensPerSecond returns the expected rate of the stream, or unloaded if it is
+// not predicted.
 func (r *request) tokensPerSecond(unloaded float64) float64 {
 	if r.predictedPerToken <= 0 {
 		return unloaded
--- a/internal/conductor/stall.go
+++ b/internal/conductor/stall.go
@@ -8,15 +8,15 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// stallPatience is how long an answer is kept back for want of a holder
-// before the node that had the copy is left to go on. It is longer than
-// that node takes to declare this one dead.
+// stallTimeout is how long an answer is withheld for lack of a holder before
+// the request is left to the node that had the copy. It is longer than that
+// node takes to declare this one dead.
 const stallTimeout = 9 * timekeeper.Second
 
-// stall keeps the answer back while no node confirms a copy and one that had
-// a copy may be alive. This node is then likely to be the one that is cut off,
-// and taken for dead: what it gave its caller now would not be known to the
-// node that adopts the request, which would go on differently from there.
+// stall withholds the answer while no node confirms a copy and a node that had
+// one may be alive. This node is then probably partitioned and declared dead:
+// tokens sent to the caller now would be unknown to the node that adopts the
+// request, which would continue the answer differently.
 func (c *Conductor) stall(env *Env, r *request) []messenger.Effect {
 	if r.hold.stalledAt != timekeeper.Never {
 		return nil
@@ -25,9 +25,9 @@
 	return []messenger.Effect{c.timelineEntry("stalled", r, fmt.Sprintf("copy=%s", r.hold.lastHolder))}
 }
 
-// yieldLongStall ends a stall that lasts: the node with the copy has adopted
-// the request by now, unless it hears this node; then it is told to take it
-// over.
+// yieldAfterStall ends a stall that has reached stallTimeout. By then the node
+// with the copy has adopted the request, unless it still receives this node's
+// messages; in that case the handover makes it take over.
 func (c *Conductor) yieldAfterStall(env *Env, r *request) []messenger.Effect {
 	if r.hold.stalledAt == timekeeper.Never || env.Now.Sub(r.hold.stalledAt) < stallTimeout {
 		return nil
@@ -39,9 +39,9 @@
 	return append(out, c.yieldTo(env, r, r.hold.lastHolder)...)
 }
 
-// goUnprotected lets an accepted answer go out without a copy: no node can
-// hold one, and none that had one is alive. The time line says so, and
-// keepHeld goes on looking for a holder.
+// continueUnprotected releases an accepted answer without a copy: no node can
+// hold one, and no node that had one is alive. It records a timeline entry, and
+// ensureHolder keeps looking for a holder.
 func (c *Conductor) continueUnprotected(r *request) []messenger.Effect {
 	r.hold.stalledAt = timekeeper.Never
 	out := c.confirmHandover(r)
@@ -51,9 +51,9 @@
 	)
 }
 
-// releaseAnswer lets the end of an answer go out. A stalled one has no holder
-// to take leave of, and would be kept back for good: nobody looks after it any
-// more. It is whole, so that no other node's part need follow it.
+// releaseAnswer releases the end of a complete answer. A stalled answer has no
+// holder whose copy could be released, and would be withheld forever once the
+// request is removed. No other node needs to continue a complete answer.
 func (c *Conductor) releaseAnswer(r *request) []messenger.Effect {
 	if r.hold.stalledAt == timekeeper.Never || r.hold.holder != "" {
 		return c.releaseCopy(r)
@@ -61,7 +61,8 @@
 	return []messenger.Effect{messenger.Unhold{Request: r.spec.Request}}
 }
 
-// leaveTo ends this node's part in a request that another node has.
+// yieldTo removes a request that another node has taken over and redirects its
+// callers there.
 func (c *Conductor) yieldTo(env *Env, r *request, owner identifier.VMID) []messenger.Effect {
 	out := c.detachAttempt(r)
 	out = append(out, messenger.Redirect{
--- a/internal/conductor/stall_test.go
+++ b/internal/conductor/stall_test.go
@@ -9,7 +9,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// fail reports that the holder did not take a push.
+// failHold reports that the holder did not accept a copy.
 func (f *fixture) failHold(holderEnded bool) []messenger.Effect {
 	return f.c.HoldFailed(f.env, messenger.HoldFailed{
 		Request:     id,
@@ -18,21 +18,20 @@
 	})
 }
 
-// The only possible holder of a long answer falls silent. It may live, have the
-// copy and take this node for dead, so the answer stalls. Then the holder
-// answers again, its process turns out to be gone, or the silence lasts: the
-// answer goes on, goes on without a copy, or is left to the holder.
+// The only possible holder of a long answer stops responding. It may have the
+// copy and declare this node dead, so the answer stalls until the holder
+// answers, turns out to have ended, or the stall times out.
 func TestStall(t *testing.T) {
 	tests := []struct {
 		name string
 		next func(*fixture) []messenger.Effect
-		// yields tells that the node gives the request up in the end, and
-		// unprotected that the answer goes out without a copy.
+		// yields is set if the node yields the request after the stall timeout,
+		// and unprotected if the answer is released without a copy.
 		yields      bool
 		unprotected bool
 	}{
 		{
-			name:   "silence lasts",
+			name:   "no answer until the timeout",
 			next:   func(*fixture) []messenger.Effect { return nil },
 			yields: true,
 		},
@@ -48,7 +47,7 @@
 			},
 		},
 		{
-			name: "holder is gone",
+			name: "holder has ended",
 			next: func(f *fixture) []messenger.Effect {
 				f.tickUntil(timekeeper.Second)
 				return f.failHold(true)
@@ -64,7 +63,7 @@
 			require.True(t, hasTimelineEntry(out, "stalled"))
 			require.False(t, hasTimelineEntry(out, "unprotected"))
 			out = append(test.next(f), f.tickUntil(8900*timekeeper.Millisecond)...)
-			require.False(t, hasTimelineEntry(out, "yielded"), "it waits for longer than a peer takes to call it dead")
+			require.False(t, hasTimelineEntry(out, "yielded"), "yielded before a peer declares the node dead")
 			require.Equal(t, test.unprotected, hasTimelineEntry(out, "unprotected"))
 
 			out = f.tickAt(9 * timekeeper.Second)
@@ -78,8 +77,7 @@
 	}
 }
 
-// A stalled answer becomes whole. Nobody looks after it any more, so the stall
-// ends with it, and the caller gets the rest.
+// A complete answer is released even if it was stalled.
 func TestCompletionEndsStall(t *testing.T) {
 	f := newFixture(t)
 	attempt := f.run("report")
@@ -89,8 +87,8 @@
 	require.Empty(t, requireOne[messenger.Unhold](t, out).Holder)
 }
 
-// The holder has adopted the request: it took this node for dead. This node
-// sends its callers there and leaves the stream alone, which the holder reads.
+// The holder has adopted the request. This node redirects its callers and does
+// not cancel the stream, which the holder reads.
 func TestYieldToHolder(t *testing.T) {
 	f := newFixture(t)
 	f.run("report")
--- a/internal/conductor/takeover_test.go
+++ b/internal/conductor/takeover_test.go
@@ -10,7 +10,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// handOver gives the node a running request of a leaving peer.
+// handOver hands a running request of a leaving peer over to the node.
 func (f *fixture) handOver(name identifier.ServiceName) []messenger.Effect {
 	s := spec(name)
 	s.EntryNode = "n3"
@@ -25,8 +25,8 @@
 	})
 }
 
-// A node takes over a stream: it joins it by name at the last token, under an
-// attempt number that the former owner never reaches, and with a larger epoch.
+// A taken-over stream is resumed after its last token, under an attempt number
+// that the former owner never reaches.
 func TestTakeover(t *testing.T) {
 	f := newFixture(t)
 	out := f.handOver("tag")
@@ -38,8 +38,8 @@
 	require.Greater(t, next.Attempt, identifier.AttemptNumber(300))
 }
 
-// The former owner of a long request may go only once another node has a copy
-// here: were it told before, this node's death would lose the request.
+// If a long request were confirmed before its copy, the former owner could
+// leave and the death of this node would lose the request.
 func TestLongTakeoverIsConfirmedAfterCopy(t *testing.T) {
 	f := newFixture(t)
 	out := f.handOver("report")
@@ -51,8 +51,8 @@
 	}))
 }
 
-// Two nodes leave at once, and one hands a request to the other before it
-// hears of that. The other takes it, so that it is not lost, and hands it on.
+// A draining node still takes over a request, so that it is not lost, and hands
+// it over again.
 func TestTakeoverWhileDraining(t *testing.T) {
 	f := newFixture(t)
 	pending := spec("lookup")
@@ -76,8 +76,8 @@
 	requireOne[messenger.Exit](t, f.tickAt(300*timekeeper.Millisecond))
 }
 
-// A node that has no configuration yet is handed a request. It keeps it and
-// starts it when the configuration comes.
+// A request that is taken over before the first configuration starts once the
+// configuration is known.
 func TestTakeoverBeforeConfiguration(t *testing.T) {
 	f := newFixture(t)
 	configuration := f.env.Catalog
--- a/internal/conductor/timeline.go
+++ b/internal/conductor/timeline.go
@@ -4,7 +4,7 @@
 	"github.com/dotterelhollow/dotterelhollow/internal/messenger"
 )
 
-// note puts an event of request r on the time line.
+// timelineEntry returns a timeline entry for r.
 func (c *Conductor) timelineEntry(kind messenger.TimelineKind, r *request, detail string) messenger.TimelineEntry {
 	vm := r.server
 	if vm == "" {
--- a/internal/conductor/wave.go
+++ b/internal/conductor/wave.go
@@ -10,9 +10,9 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// ServersLeaving plans once for all streams of this node that run on servers
-// that are leaving. It is called again when a further notice comes in the
-// middle; exports under way are left alone.
+// ServersLeaving makes one plan for all streams of this node on servers that
+// are leaving. It is called again for each further notice; exports in progress
+// are not changed.
 func (c *Conductor) ServersLeaving(env *Env) []messenger.Effect {
 	if env.Catalog == nil {
 		return nil
@@ -25,7 +25,8 @@
 			continue
 		}
 		if !r.hasTokens() {
-			// It waits in the server's queue, with nothing to export yet.
+			// The request is queued on the server, so there is nothing to
+			// export.
 			out = append(out, c.moveByPrefill(env, r)...)
 			continue
 		}
@@ -69,8 +70,8 @@
 	return out
 }
 
-// partOfWave says which part of the room and bandwidth this node plans with:
-// all nodes plan at the same moment, each for its own streams.
+// nodeShare returns this node's share of the headroom and bandwidth: all nodes
+// plan at the same time, each for its own streams.
 func (c *Conductor) nodeShare(env *Env, leaving map[identifier.VMID]timekeeper.Time, own int) planner.NodeShare {
 	share := planner.NodeShare{
 		Self:       c.config.Self,
@@ -87,8 +88,8 @@
 	return share
 }
 
-// onLeaving reports whether the stream of r runs on a server that is leaving
-// and is not on its way to another.
+// runsOnLeavingServer reports whether the stream of r runs on a server that is
+// leaving and is not being exported to another.
 func (r *request) runsOnLeavingServer(env *Env) bool {
 	if r.phase != running || !r.isModel() || r.move.exportStarted {
 		return false
@@ -97,7 +98,7 @@
 	return known && server.Leaving
 }
 
-// begun reports whether r has a token of its answer.
+// hasTokens reports whether r has received a token of its answer.
 func (r *request) hasTokens() bool { return r.firstTokenAt != 0 || r.delivered > 0 }
 
 // plannerStream describes the stream of r to the planner.
