--- a/internal/promoter/choose.go
+++ b/internal/promoter/choose.go
@@ -14,169 +14,171 @@
 )
 
 const (
-	// usableShare is the part of the users' share that a node lets the new version
-	// get, and usableSlack that of their slack which all nodes have together: each
-	// start of a process begins its part anew.
+	// usableShare and usableSlack are the fractions of the configured share and slack
+	// that all nodes together spend on the new version. The rest is a reserve, because
+	// the count of a process starts at zero when it restarts.
 	usableShare = 0.92
 	usableSlack = 0.45
-	// turnTime is how long the same servers of the new version get requests. They
-	// change so that one that is faulty by itself does not speak for its version.
-	turnTime = 1200 * timekeeper.Millisecond
-	// mostOfRoute bounds the part of a route's requests that goes to the new
-	// version while others of the service are far more frequent.
-	mostOfRoute = 0.5
-	// warmUp is how long a server of the new version is known before it gets
-	// requests.
-	warmUp = 300 * timekeeper.Millisecond
+	// rotationPeriod is the time after which the active servers of the new version
+	// change, so that a single faulty server does not decide the verdict.
+	rotationPeriod = 1200 * timekeeper.Millisecond
+	// maxRouteFraction limits the fraction of a route's requests that goes to the new
+	// version if the service's other routes are far more frequent.
+	maxRouteFraction = 0.5
+	// warmUpTime is the time between the discovery of a server of the new version and
+	// its first request.
+	warmUpTime = 300 * timekeeper.Millisecond
 )
 
-// Request is a request that is about to be sent.
+// Request is the input of Candidates: a request that is about to be sent.
 type Request struct {
 	Now     timekeeper.Time
 	Service identifier.ServiceName
 	Route   identifier.RouteName
-	// Servers are all of the service.
+	// Servers are all servers of the service.
 	Servers []*registrar.Server
-	// FirstAttempt tells that it was not sent anywhere yet. What was sent before goes to
-	// the version that is known to be good.
+	// FirstAttempt is set if no attempt of the request has been sent. Retries go to the
+	// version that is known to be good.
 	FirstAttempt bool
-	// OrdersAsOf is the instant up to which this node knows the operators' orders.
+	// OrdersAsOf is the time up to which this node knows the operators' orders.
 	OrdersAsOf timekeeper.Time
 	Rand       *rand.Rand
 }
 
-// Candidates are the servers that a request may be sent to: one of First, or where none
-// of these can take it, of Rest.
+// Candidates are the servers that a request may be sent to: one of Preferred or, if
+// none of these can accept it, one of Fallback.
 type Candidates struct {
 	Preferred []*registrar.Server
 	Fallback  []*registrar.Server
 }
 
-// Candidates returns the servers that a request may go to by their versions.
-func (p *Promoter) Candidates(a Request) Candidates {
-	r := p.rollouts[a.Service]
+// Candidates returns the servers that a request may be sent to, given their versions
+// and the state of the service's rollout.
+func (p *Promoter) Candidates(req Request) Candidates {
+	r := p.rollouts[req.Service]
 	if r == nil {
-		return Candidates{Preferred: p.ordinary(a)}
+		return Candidates{Preferred: p.serversOfKnownVersions(req)}
 	}
-	next, old := r.split(a.Servers)
-	fresh := a.Now.Sub(r.led) <= freshFor
+	newServers, oldServers := r.split(req.Servers)
+	leaderFresh := req.Now.Sub(r.leaderSeen) <= maxLeaderAge
 	switch {
 	case r.phase == messenger.RolloutRolledBack || r.order.To == "":
-		return Candidates{Preferred: old}
-	case r.phase == messenger.RolloutCompleted, r.phase == messenger.RolloutPromoting && fresh:
+		return Candidates{Preferred: oldServers}
+	case r.phase == messenger.RolloutCompleted, r.phase == messenger.RolloutPromoting && leaderFresh:
 		return Candidates{
-			Preferred: next,
-			Fallback:  old,
+			Preferred: newServers,
+			Fallback:  oldServers,
 		}
 	case r.phase == messenger.RolloutPromoting:
-		// Whether it was rolled back or completed since is not known here. Old
-		// servers that are still there are the safe choice.
+		// This node does not know whether the rollout has since been completed or
+		// rolled back. Old servers that still run are the safe choice.
 		return Candidates{
-			Preferred: old,
-			Fallback:  next,
+			Preferred: oldServers,
+			Fallback:  newServers,
 		}
 	}
-	left := registrar.CountReady(old)
-	if left == 0 && (r.phase == messenger.RolloutOrdered && r.led == 0 || p.sole(r)) {
-		// The service has servers of this version only: it is the one that it had, or
-		// the roll-out was completed before this node started.
-		return Candidates{Preferred: next}
+	readyOld := registrar.CountReady(oldServers)
+	if readyOld == 0 && (r.phase == messenger.RolloutOrdered && r.leaderSeen == 0 || p.hasSoleVersion(r)) {
+		// The service has servers of this version only: it had no other, or the rollout
+		// was completed before this node started.
+		return Candidates{Preferred: newServers}
 	}
-	if fresh && a.FirstAttempt && p.exposes(a, r, left) {
+	if leaderFresh && req.FirstAttempt && p.mayExpose(req, r, readyOld) {
 		return Candidates{
-			Preferred: exposed(a.Now, next, r.focus),
-			Fallback:  old,
+			Preferred: activeServers(req.Now, newServers, r.activeServers),
+			Fallback:  oldServers,
 		}
 	}
-	return Candidates{Preferred: old}
+	return Candidates{Preferred: oldServers}
 }
 
-// ordinary returns the servers of a service without a roll-out. Those of a version
-// that appeared since this node last knew the operators' orders get nothing: an order
-// that this node has not heard of may have started them.
-func (p *Promoter) ordinary(a Request) []*registrar.Server {
-	seen := p.versions[a.Service]
-	if len(seen) < 2 {
-		return a.Servers
+// serversOfKnownVersions returns the servers of a service without a rollout. It leaves
+// out versions that appeared after this node last read the operators' orders, because
+// an order unknown to this node may have started them.
+func (p *Promoter) serversOfKnownVersions(req Request) []*registrar.Server {
+	versions := p.versions[req.Service]
+	if len(versions) < 2 {
+		return req.Servers
 	}
-	known := slices.DeleteFunc(slices.Clone(a.Servers), func(s *registrar.Server) bool {
-		at, known := seen[s.Version]
-		return !known || at.After(a.OrdersAsOf)
+	known := slices.DeleteFunc(slices.Clone(req.Servers), func(s *registrar.Server) bool {
+		firstSeen, known := versions[s.Version]
+		return !known || firstSeen.After(req.OrdersAsOf)
 	})
 	if registrar.CountReady(known) == 0 {
-		return a.Servers
+		return req.Servers
 	}
 	return known
 }
 
-// split divides servers into those of the new version and those of others, without
+// split separates the servers of the new version from those of other versions and drops
 // those of versions that were rolled back.
-func (r *rollout) split(servers []*registrar.Server) (next, old []*registrar.Server) {
+func (r *rollout) split(servers []*registrar.Server) (newServers, oldServers []*registrar.Server) {
 	for _, s := range servers {
 		switch {
 		case s.Version == r.order.To && r.order.To != "" && r.phase != messenger.RolloutRolledBack:
-			next = append(next, s)
-		case !slices.Contains(r.barred, s.Version):
-			old = append(old, s)
+			newServers = append(newServers, s)
+		case !slices.Contains(r.rolledBack, s.Version):
+			oldServers = append(oldServers, s)
 		}
 	}
-	return next, old
+	return newServers, oldServers
 }
 
-// PrimaryServers returns the servers that bear a service's load: those of the old version
-// until the new one is promoted.
+// PrimaryServers returns the servers that carry a service's load: those of the old
+// version until the new one is promoted, then those of the new one.
 func (p *Promoter) PrimaryServers(service identifier.ServiceName, servers []*registrar.Server) []*registrar.Server {
 	r := p.rollouts[service]
 	if r == nil {
 		return servers
 	}
-	next, old := r.split(servers)
-	moved := r.phase == messenger.RolloutPromoting || r.phase == messenger.RolloutCompleted
-	if moved && len(next) > 0 {
-		return next
+	newServers, oldServers := r.split(servers)
+	promoted := r.phase == messenger.RolloutPromoting || r.phase == messenger.RolloutCompleted
+	if promoted && len(newServers) > 0 {
+		return newServers
 	}
-	return old
+	return oldServers
 }
 
-// exposes decides whether a request goes to the new version. The node's own part of
-// the requests bounds it whatever the leader says: if every node keeps to its part,
-// so do all together.
-func (p *Promoter) exposes(a Request, r *rollout, old int) bool {
-	t := &r.tallies
-	allowed := usableShare*p.config.Share*float64(t.sent+1) + usableSlack*p.config.Slack/float64(p.nodes)
+// mayExpose decides whether a request may go to the new version. Each node enforces the
+// limit on its own requests, whatever the leader asks for, so the limit holds for all
+// nodes together.
+func (p *Promoter) mayExpose(req Request, r *rollout, readyOld int) bool {
+	t := &r.counts
+	allowed := usableShare*p.config.Share*float64(t.sent+1) + usableSlack*p.config.Slack/float64(p.nodeCount)
 	if float64(t.exposed+1) > allowed {
 		return false
 	}
-	if old == 0 {
+	if readyOld == 0 {
 		return true
 	}
-	return a.Rand.Float64() < r.pace*t.evenness(a.Route)
+	return req.Rand.Float64() < r.trafficShare*t.routeWeight(req.Route)
 }
 
-// evenness is by how much more than others a route's requests are exposed: half of
-// what the new version gets is spread over routes by their requests, and half evenly,
-// since each route is judged by itself.
-func (t *tallies) evenness(route identifier.RouteName) float64 {
-	routes, of := len(t.routes), t.routes[route]
-	if routes == 0 || of == 0 {
+// routeWeight returns the factor by which a route's requests are sent to the new
+// version more often than the average. Half of the exposed requests is spread over the
+// routes by their traffic and half evenly, because each route is assessed separately.
+func (t *rolloutCounts) routeWeight(route identifier.RouteName) float64 {
+	routes, sentOnRoute := len(t.sentByRoute), t.sentByRoute[route]
+	if routes == 0 || sentOnRoute == 0 {
 		return 1
 	}
-	part := float64(of) / float64(t.sent)
-	return min(0.5+0.5/float64(routes)/part, mostOfRoute/part)
+	fraction := float64(sentOnRoute) / float64(t.sent)
+	return min(0.5+0.5/float64(routes)/fraction, maxRouteFraction/fraction)
 }
 
-// exposed returns the servers of the new version that get requests now: all, or so many
-// whose turn it is, the same on all nodes that know the same servers.
-func exposed(now timekeeper.Time, next []*registrar.Server, count int) []*registrar.Server {
-	warm := slices.DeleteFunc(slices.Clone(next), func(s *registrar.Server) bool {
-		return s.State != messenger.ServerReady || now.Before(max(s.WarmAt, s.ChangedAt.Add(warmUp)))
+// activeServers returns the servers of the new version that receive requests now: all,
+// or a rotating subset of count servers. Nodes that know the same servers choose the
+// same subset.
+func activeServers(now timekeeper.Time, newServers []*registrar.Server, count int) []*registrar.Server {
+	ready := slices.DeleteFunc(slices.Clone(newServers), func(s *registrar.Server) bool {
+		return s.State != messenger.ServerReady || now.Before(max(s.WarmAt, s.ChangedAt.Add(warmUpTime)))
 	})
-	if count <= 0 || count >= len(warm) {
-		return warm
+	if count <= 0 || count >= len(ready) {
+		return ready
 	}
-	slices.SortFunc(warm, func(a, b *registrar.Server) int { return cmp.Compare(hashOf(a), hashOf(b)) })
-	from := int(int64(now) / int64(turnTime) * int64(count) % int64(len(warm)))
-	return append(warm[from:], warm[:from]...)[:count]
+	slices.SortFunc(ready, func(a, b *registrar.Server) int { return cmp.Compare(serverHash(a), serverHash(b)) })
+	from := int(int64(now) / int64(rotationPeriod) * int64(count) % int64(len(ready)))
+	return append(ready[from:], ready[:from]...)[:count]
 }
 
-func hashOf(s *registrar.Server) uint64 { return xxhash.Sum64String(string(s.Server)) }
+func serverHash(s *registrar.Server) uint64 { return xxhash.Sum64String(string(s.Server)) }
--- a/internal/promoter/count.go
+++ b/internal/promoter/count.go
@@ -13,72 +13,73 @@
 )
 
 const (
-	// maxTallies bounds what is counted apart of one roll-out at one node, and
-	// maxProcesses the processes of peers whose counts are kept.
-	maxTallies   = 1024
+	// maxCountKeys limits the keys that are counted for one rollout, and maxProcesses
+	// the peer processes whose counts are stored.
+	maxCountKeys = 1024
 	maxProcesses = 4096
-	// leftAfter is the multiple of the predicted time after which a caller that
-	// left without an event counts as one whose answer was that late.
-	leftAfter = 3
+	// abandonedFactor is the multiple of the predicted time after which a request that
+	// its caller abandoned without a response counts as one with a response as late as
+	// that.
+	abandonedFactor = 3
 )
 
-// place is what is counted apart: a route's requests at one server of the new
-// version, or at all others.
-type place struct {
+// countKey identifies what is counted separately: a route's requests at one server of
+// the new version or, with an empty server, at all servers of the old version.
+type countKey struct {
 	route  identifier.RouteName
 	server identifier.VMID
 }
 
-// tally is what became of the requests of a place.
-type tally struct {
+// attemptCounts are the results of the attempts with one countKey.
+type attemptCounts struct {
 	sent, answers, failed int
-	// running is the requests in flight, waiting those without an answer's beginning.
-	running, waiting int
-	first, pace      assessor.Histogram
+	// waiting are the attempts in flight whose response has not started.
+	inFlight, waiting               int
+	firstEventTimes, eventIntervals assessor.Histogram
 }
 
-// tallies is what this node, and its peers, counted of one roll-out.
-type tallies struct {
-	own map[place]*tally
-	// sent is all requests of the service that this node sent, exposed those of
-	// them that went to the new version, and routes the first by their route.
-	sent    int
-	exposed int
-	routes  map[identifier.RouteName]int
-	peers   map[process]*report
+// rolloutCounts are the counts of one rollout by this node and its peers.
+type rolloutCounts struct {
+	local map[countKey]*attemptCounts
+	// sent counts all requests of the service that this node sent, exposed those of
+	// them that went to the new version, and sentByRoute the sent ones by route.
+	sent        int
+	exposed     int
+	sentByRoute map[identifier.RouteName]int
+	peers       map[peerProcess]*peerCounts
 }
 
-// process is one start of a peer.
-type process struct {
+// peerProcess identifies one incarnation of a peer.
+type peerProcess struct {
 	vm          identifier.VMID
 	incarnation identifier.Incarnation
 }
 
-// report is what a peer's process counted.
-type report struct {
-	at      timekeeper.Time
-	phase   messenger.RolloutPhase
-	tallies map[place]tally
+// peerCounts are the counts that one process of a peer reported.
+type peerCounts struct {
+	receivedAt timekeeper.Time
+	phase      messenger.RolloutPhase
+	counts     map[countKey]attemptCounts
 }
 
-func newTallies() tallies {
-	return tallies{
-		own:    map[place]*tally{},
-		routes: map[identifier.RouteName]int{},
-		peers:  map[process]*report{},
+func newRolloutCounts() rolloutCounts {
+	return rolloutCounts{
+		local:       map[countKey]*attemptCounts{},
+		sentByRoute: map[identifier.RouteName]int{},
+		peers:       map[peerProcess]*peerCounts{},
 	}
 }
 
-// TrackedAttempt is a request at a server while a roll-out of its service is under way. The
-// zero value is that of any other request.
+// TrackedAttempt is an attempt sent while a rollout of its service is in progress. The
+// zero value stands for any other attempt.
 type TrackedAttempt struct {
 	service identifier.ServiceName
 	order   identifier.Offset
-	place   place
+	key     countKey
 }
 
-// Exposed reports whether the request is at a server of the new version.
-func (t TrackedAttempt) Exposed() bool { return t.place.server != "" }
+// Exposed reports whether the attempt was sent to a server of the new version.
+func (t TrackedAttempt) Exposed() bool { return t.key.server != "" }
 
 // RecordSent counts a request that is sent to a server.
 func (p *Promoter) RecordSent(service identifier.ServiceName, route identifier.RouteName, s *registrar.Server) TrackedAttempt {
@@ -88,106 +89,107 @@
 	}
 	t := TrackedAttempt{
 		service: service,
-		order:   r.first,
-		place:   place{route: route},
+		order:   r.firstOffset,
+		key:     countKey{route: route},
 	}
-	r.tallies.sent++
-	r.tallies.routes[route]++
+	r.counts.sent++
+	r.counts.sentByRoute[route]++
 	if s.Version == r.order.To {
-		t.place.server = s.Server
-		r.tallies.exposed++
+		t.key.server = s.Server
+		r.counts.exposed++
 	}
-	if of := r.tallies.at(t.place); of != nil {
-		of.sent++
-		of.running++
-		of.waiting++
+	if counts := r.counts.counts(t.key); counts != nil {
+		counts.sent++
+		counts.inFlight++
+		counts.waiting++
 	}
 	return t
 }
 
-func (t *tallies) at(at place) *tally {
-	of := t.own[at]
-	if of == nil && len(t.own) < maxTallies {
-		of = &tally{}
-		t.own[at] = of
+func (t *rolloutCounts) counts(key countKey) *attemptCounts {
+	counts := t.local[key]
+	if counts == nil && len(t.local) < maxCountKeys {
+		counts = &attemptCounts{}
+		t.local[key] = counts
 	}
-	return of
+	return counts
 }
 
-// tally returns where a request is counted, or nil where it no longer is.
-func (p *Promoter) tally(t TrackedAttempt) *tally {
+// countsOf returns the counts that include an attempt, or nil if its rollout is no
+// longer tracked.
+func (p *Promoter) countsOf(t TrackedAttempt) *attemptCounts {
 	r := p.rollouts[t.service]
-	if r == nil || r.first != t.order {
+	if r == nil || r.firstOffset != t.order {
 		return nil
 	}
-	return r.tallies.own[t.place]
+	return r.counts.local[t.key]
 }
 
-// RecordResponseStart counts the first byte or event of an answer, which came after some time where
-// another was predicted. An answer counts from then on: were it counted at its end,
-// failures, which are short, would come long before the good answers that began with
-// them, and each crowd of requests would look bad at first.
+// RecordResponseStart counts the first byte or event of a response. A response counts
+// from its start: if it counted at its end, failures, which are short, would be counted
+// long before successes that started at the same time, and every burst of requests
+// would look bad at first.
 func (p *Promoter) RecordResponseStart(t TrackedAttempt, took, predicted timekeeper.Duration) {
-	if of := p.tally(t); of != nil {
-		of.answers++
-		of.waiting = max(of.waiting-1, 0)
-		of.first[assessor.BucketOf(float64(took)/float64(max(predicted, 1)))]++
+	if counts := p.countsOf(t); counts != nil {
+		counts.answers++
+		counts.waiting = max(counts.waiting-1, 0)
+		counts.firstEventTimes[assessor.BucketOf(float64(took)/float64(max(predicted, 1)))]++
 	}
 }
 
-// AttemptEnd is how an attempt ended.
+// AttemptEnd describes the end of an attempt.
 type AttemptEnd struct {
 	Result messenger.AttemptResult
-	// ResponseStarted tells that its answer had begun; else Took is for how long it was
-	// waited for, and Predicted for how long it should have been.
+	// ResponseStarted is set if the response had started. Otherwise Elapsed is the time
+	// for which it was awaited, and Predicted the predicted time to its start.
 	ResponseStarted bool
 	Elapsed         timekeeper.Duration
 	Predicted       timekeeper.Duration
-	// Events is how many events came, and EventsTook the time from the first to
-	// the last.
+	// Events is the number of events received, and EventsDuration the time from the
+	// first to the last.
 	Events         int
 	EventsDuration timekeeper.Duration
-	// ServerEnded tells that the server ended, for whatever reason.
+	// ServerEnded is set if the server ended, for whatever reason.
 	ServerEnded bool
 }
 
-// RecordEnd counts the end of an attempt. What did not run, and what ended with its
-// server, says nothing of the version.
+// RecordEnd counts the end of an attempt. Attempts that did not run, and those that
+// ended with their server, are no evidence about the version.
 func (p *Promoter) RecordEnd(t TrackedAttempt, e AttemptEnd) {
-	of := p.tally(t)
-	if of == nil {
+	counts := p.countsOf(t)
+	if counts == nil {
 		return
 	}
-	of.running = max(of.running-1, 0)
+	counts.inFlight = max(counts.inFlight-1, 0)
 	if !e.ResponseStarted {
-		of.waiting = max(of.waiting-1, 0)
+		counts.waiting = max(counts.waiting-1, 0)
 	}
 	if e.Events > 1 {
-		gap := float64(e.EventsDuration) / float64(e.Events-1)
-		of.pace[assessor.BucketOf(gap/paceUnit)]++
+		interval := float64(e.EventsDuration) / float64(e.Events-1)
+		counts.eventIntervals[assessor.BucketOf(interval/referenceInterval)]++
 	}
 	switch e.Result {
 	case messenger.AttemptFailed, messenger.AttemptBroken, messenger.AttemptTimedOut:
 		if e.ServerEnded {
 			break
 		}
-		of.failed++
+		counts.failed++
 		if !e.ResponseStarted {
-			of.answers++
+			counts.answers++
 		}
 	case "":
-		if !e.ResponseStarted && e.Elapsed >= leftAfter*e.Predicted {
-			of.first[assessor.BucketOf(float64(e.Elapsed)/float64(max(e.Predicted, 1)))]++
+		if !e.ResponseStarted && e.Elapsed >= abandonedFactor*e.Predicted {
+			counts.firstEventTimes[assessor.BucketOf(float64(e.Elapsed)/float64(max(e.Predicted, 1)))]++
 		}
 	}
 }
 
-// paceUnit is the time between events, in milliseconds, to which paces are set in
-// relation. Only the two versions are compared, so that any would do.
-const paceUnit = 30.0
+// referenceInterval is the time between events, in milliseconds, that belongs to the
+// even bucket of eventIntervals. Only the two versions are compared with each other, so
+// any value near the usual one works.
+const referenceInterval = 30.0
 
-// Counts returns what this node counted of roll-outs that are under way, for the node
-// that leads them.
+// Counts returns this node's counts of the rollouts in progress, for the leader.
 func (p *Promoter) Counts() []messenger.VersionCount {
 	var out []messenger.VersionCount
 	for _, service := range slices.Sorted(maps.Keys(p.rollouts)) {
@@ -195,45 +197,45 @@
 		if r.phase.Final() {
 			continue
 		}
-		for _, at := range slices.SortedFunc(maps.Keys(r.tallies.own), comparePlaces) {
-			of := r.tallies.own[at]
+		for _, key := range slices.SortedFunc(maps.Keys(r.counts.local), compareKeys) {
+			counts := r.counts.local[key]
 			out = append(out, messenger.VersionCount{
 				Service:         service,
 				Order:           r.order.Offset,
-				Route:           at.route,
-				Server:          at.server,
-				Sent:            of.sent,
-				Answers:         of.answers,
-				Failed:          of.failed,
-				FirstEventTimes: slices.Clone(of.first[:]),
-				EventIntervals:  slices.Clone(of.pace[:]),
-				Running:         of.running,
-				Waiting:         of.waiting,
+				Route:           key.route,
+				Server:          key.server,
+				Sent:            counts.sent,
+				Answers:         counts.answers,
+				Failed:          counts.failed,
+				FirstEventTimes: slices.Clone(counts.firstEventTimes[:]),
+				EventIntervals:  slices.Clone(counts.eventIntervals[:]),
+				Running:         counts.inFlight,
+				Waiting:         counts.waiting,
 			})
 		}
 	}
 	return out
 }
 
-func comparePlaces(a, b place) int {
+func compareKeys(a, b countKey) int {
 	return cmp.Or(cmp.Compare(a.route, b.route), cmp.Compare(a.server, b.server))
 }
 
-// MergePeerCounts merges what a peer's process counted, and how far it follows the
-// roll-outs.
+// MergePeerCounts merges the counts that a peer's process reported and the phases that
+// it follows.
 func (p *Promoter) MergePeerCounts(now timekeeper.Time, vm identifier.VMID, i identifier.Incarnation, s messenger.StateUpdate) {
-	from := process{
+	from := peerProcess{
 		vm:          vm,
 		incarnation: i,
 	}
-	for _, n := range s.Rollouts {
-		r := p.rollouts[n.Order.Service]
-		if r == nil || r.order.Offset != n.Order.Offset || r.phase.Final() {
+	for _, update := range s.Rollouts {
+		r := p.rollouts[update.Order.Service]
+		if r == nil || r.order.Offset != update.Order.Offset || r.phase.Final() {
 			continue
 		}
-		if rep := r.tallies.report(from); rep != nil {
-			rep.at = now
-			rep.phase = n.Phase
+		if peer := r.counts.peer(from); peer != nil {
+			peer.receivedAt = now
+			peer.phase = update.Phase
 		}
 	}
 	for _, c := range s.Versions {
@@ -241,64 +243,64 @@
 		if r == nil || r.order.Offset != c.Order {
 			continue
 		}
-		if rep := r.tallies.report(from); rep != nil {
-			rep.take(c)
+		if peer := r.counts.peer(from); peer != nil {
+			peer.merge(c)
 		}
 	}
 }
 
-func (t *tallies) report(from process) *report {
-	rep := t.peers[from]
-	if rep == nil && len(t.peers) < maxProcesses {
-		rep = &report{tallies: map[place]tally{}}
-		t.peers[from] = rep
+func (t *rolloutCounts) peer(from peerProcess) *peerCounts {
+	peer := t.peers[from]
+	if peer == nil && len(t.peers) < maxProcesses {
+		peer = &peerCounts{counts: map[countKey]attemptCounts{}}
+		t.peers[from] = peer
 	}
-	return rep
+	return peer
 }
 
-func (rep *report) take(c messenger.VersionCount) {
-	at := place{
+func (rep *peerCounts) merge(c messenger.VersionCount) {
+	key := countKey{
 		route:  c.Route,
 		server: c.Server,
 	}
-	known, ok := rep.tallies[at]
-	if !ok && len(rep.tallies) >= maxTallies || c.Sent < known.sent {
+	known, ok := rep.counts[key]
+	if !ok && len(rep.counts) >= maxCountKeys || c.Sent < known.sent {
 		return
 	}
-	rep.tallies[at] = tally{
-		sent:    c.Sent,
-		answers: max(c.Answers, known.answers),
-		failed:  max(c.Failed, known.failed),
-		running: c.Running,
-		waiting: c.Waiting,
-		first:   assessor.FromCounts(c.FirstEventTimes),
-		pace:    assessor.FromCounts(c.EventIntervals),
+	rep.counts[key] = attemptCounts{
+		sent:            c.Sent,
+		answers:         max(c.Answers, known.answers),
+		failed:          max(c.Failed, known.failed),
+		inFlight:        c.Running,
+		waiting:         c.Waiting,
+		firstEventTimes: assessor.FromCounts(c.FirstEventTimes),
+		eventIntervals:  assessor.FromCounts(c.EventIntervals),
 	}
 }
 
-// total returns what all nodes counted, by place.
-func (t *tallies) total() map[place]tally {
-	sum := make(map[place]tally, len(t.own))
-	for at, of := range t.own {
-		sum[at] = *of
+// total returns the sums of the counts of all nodes by key.
+func (t *rolloutCounts) total() map[countKey]attemptCounts {
+	sum := make(map[countKey]attemptCounts, len(t.local))
+	for key, counts := range t.local {
+		sum[key] = *counts
 	}
-	for _, rep := range t.peers {
-		for at, of := range rep.tallies {
-			sum[at] = sum[at].plus(of)
+	for _, peer := range t.peers {
+		for key, counts := range peer.counts {
+			sum[key] = sum[key].plus(counts)
 		}
 	}
 	return sum
 }
 
-func (t tally) plus(o tally) tally {
+func (t attemptCounts) plus(o attemptCounts) attemptCounts {
 	t.sent += o.sent
 	t.answers += o.answers
 	t.failed += o.failed
-	t.running += o.running
+	t.inFlight += o.inFlight
 	t.waiting += o.waiting
-	for i := range t.first {
-		t.first[i] += o.first[i]
-		t.pace[i] += o.pace[i]
+	for i := range t.firstEventTimes {
+		t.firstEventTimes[i] += o.firstEventTimes[i]
+		t.eventIntervals[i] += o.eventIntervals[i]
 	}
 	return t
 }
--- a/internal/promoter/judgement_test.go
+++ b/internal/promoter/judgement_test.go
@@ -11,10 +11,10 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// seeds is how many roll-outs of each kind are played.
-var seeds = flag.Int("seeds", seedsOfAKind, "roll-outs of each kind")
+// seeds is the number of rollouts simulated for each kind.
+var seeds = flag.Int("seeds", seedsPerKind, "rollouts of each kind")
 
-var sizes = []size{
+var workloads = []workload{
 	{
 		name:    "portal",
 		nodes:   24,
@@ -22,14 +22,14 @@
 		servers: 4,
 		routes: []routeSpec{
 			{
-				name:  "lookup",
-				part:  0.81,
-				fails: 0.004,
+				name:        "lookup",
+				fraction:    0.81,
+				failureRate: 0.004,
 			},
 			{
-				name:  "ping",
-				part:  0.19,
-				fails: 0.14,
+				name:        "ping",
+				fraction:    0.19,
+				failureRate: 0.14,
 			},
 		},
 	},
@@ -40,55 +40,56 @@
 		servers: 40,
 		routes: []routeSpec{
 			{
-				name:   "report",
-				part:   0.2,
-				stream: true,
+				name:     "report",
+				fraction: 0.2,
+				stream:   true,
 			},
 			{
-				name:   "summary",
-				part:   0.4,
-				stream: true,
+				name:     "summary",
+				fraction: 0.4,
+				stream:   true,
 			},
 			{
-				name:   "tag",
-				part:   0.4,
-				stream: true,
+				name:     "tag",
+				fraction: 0.4,
+				stream:   true,
 			},
 		},
 	},
 	{
 		name:    "small",
-		few:     true,
+		sparse:  true,
 		nodes:   6,
 		rate:    21,
 		servers: 4,
 		routes: []routeSpec{
 			{
-				name:  "lookup",
-				part:  0.7,
-				fails: 0.004,
+				name:        "lookup",
+				fraction:    0.7,
+				failureRate: 0.004,
 			},
 			{
-				name:  "ping",
-				part:  0.3,
-				fails: 0.14,
+				name:        "ping",
+				fraction:    0.3,
+				failureRate: 0.14,
 			},
 		},
 	},
 }
 
-// The ways in which a version may be bad, and those in which a good one may look it.
-var kinds = []badness{
+// versionKinds are the ways in which a version may be bad, and those in which a good
+// one may look bad.
+var versionKinds = []versionKind{
 	{
 		name: "good",
 		good: true,
 	},
 	{
-		name: "good, a fault of both versions",
-		good: true,
-		rare: true,
-		both: true,
-		spoil: func(_ routeSpec, s *serverState, since timekeeper.Duration) (float64, float64) {
+		name:            "good, a fault of both versions",
+		good:            true,
+		verdictOptional: true,
+		bothVersions:    true,
+		degrade: func(_ routeSpec, s *serverState, since timekeeper.Duration) (float64, float64) {
 			if since > 5*timekeeper.Second && since < 9*timekeeper.Second {
 				return 0.3, 0
 			}
@@ -96,10 +97,10 @@
 		},
 	},
 	{
-		name: "good, one server at fault",
-		good: true,
-		rare: true,
-		spoil: func(_ routeSpec, s *serverState, since timekeeper.Duration) (float64, float64) {
+		name:            "good, one server at fault",
+		good:            true,
+		verdictOptional: true,
+		degrade: func(_ routeSpec, s *serverState, since timekeeper.Duration) (float64, float64) {
 			if s.index == 0 && since > 4*timekeeper.Second && since < 8*timekeeper.Second {
 				return 0.45, 0
 			}
@@ -107,12 +108,12 @@
 		},
 	},
 	{
-		name:  "fails",
-		spoil: func(routeSpec, *serverState, timekeeper.Duration) (float64, float64) { return 0.35, 0 },
+		name:    "fails",
+		degrade: func(routeSpec, *serverState, timekeeper.Duration) (float64, float64) { return 0.35, 0 },
 	},
 	{
 		name: "fails later",
-		spoil: func(_ routeSpec, _ *serverState, since timekeeper.Duration) (float64, float64) {
+		degrade: func(_ routeSpec, _ *serverState, since timekeeper.Duration) (float64, float64) {
 			if since > 5500 {
 				return 0.4, 0
 			}
@@ -121,18 +122,18 @@
 	},
 	{
 		name: "fails under load",
-		spoil: func(_ routeSpec, s *serverState, _ timekeeper.Duration) (float64, float64) {
-			if s.recent > 0.6*s.usual {
+		degrade: func(_ routeSpec, s *serverState, _ timekeeper.Duration) (float64, float64) {
+			if s.shortRate > 0.6*s.fullRate {
 				return 0.5, 0
 			}
 			return 0, 0
 		},
 	},
 	{
-		name: "fails under lasting load",
-		rare: true,
-		spoil: func(_ routeSpec, s *serverState, _ timekeeper.Duration) (float64, float64) {
-			if s.lasting > 0.6*s.usual {
+		name:            "fails under lasting load",
+		verdictOptional: true,
+		degrade: func(_ routeSpec, s *serverState, _ timekeeper.Duration) (float64, float64) {
+			if s.longRate > 0.6*s.fullRate {
 				return 0.5, 0
 			}
 			return 0, 0
@@ -140,7 +141,7 @@
 	},
 	{
 		name: "fails on one route",
-		spoil: func(r routeSpec, _ *serverState, _ timekeeper.Duration) (float64, float64) {
+		degrade: func(r routeSpec, _ *serverState, _ timekeeper.Duration) (float64, float64) {
 			if r.name == "ping" || r.name == "report" {
 				return 0.5, 0
 			}
@@ -148,61 +149,60 @@
 		},
 	},
 	{
-		name:  "slow",
-		spoil: func(routeSpec, *serverState, timekeeper.Duration) (float64, float64) { return 0, 0.4 },
+		name:    "slow",
+		degrade: func(routeSpec, *serverState, timekeeper.Duration) (float64, float64) { return 0, 0.4 },
 	},
 	{
-		name:  "slow always",
-		spoil: func(routeSpec, *serverState, timekeeper.Duration) (float64, float64) { return 0, 1 },
+		name:    "slow always",
+		degrade: func(routeSpec, *serverState, timekeeper.Duration) (float64, float64) { return 0, 1 },
 	},
 }
 
-// Operators order a version. A good one has to be completed in time, whatever else goes
-// wrong meanwhile; of a bad one callers must notice next to nothing, and it has to be
-// rolled back. The table goes to the log.
+// A good version must be completed in time, whatever else fails meanwhile. A bad one
+// must be rolled back after few bad responses. The results are logged as a table.
 func TestJudgement(t *testing.T) {
-	for _, z := range sizes {
-		for _, limit := range []timekeeper.Duration{12 * timekeeper.Second, 25 * timekeeper.Second}[:limitsOfAll] {
-			for _, b := range kinds {
-				t.Run(fmt.Sprintf("%s/%s/%s", z.name, limit, b.name), func(t *testing.T) { judge(t, z, limit, b) })
+	for _, z := range workloads {
+		for _, limit := range []timekeeper.Duration{12 * timekeeper.Second, 25 * timekeeper.Second}[:testedLimits] {
+			for _, b := range versionKinds {
+				t.Run(fmt.Sprintf("%s/%s/%s", z.name, limit, b.name), func(t *testing.T) { checkRollouts(t, z, limit, b) })
 			}
 		}
 	}
 }
 
-func judge(t *testing.T, z size, limit timekeeper.Duration, b badness) {
-	wrong, spoilt, exposed, cut, broken := 0, 0, 0, 0, 0
+func checkRollouts(t *testing.T, load workload, limit timekeeper.Duration, kind versionKind) {
+	wrong, badAnswers, exposed, cutOff, violated := 0, 0, 0, 0, 0
 	took := timekeeper.Duration(0)
 	for seed := range *seeds {
-		w := newWorld(uint64(seed), z, b, limit)
-		w.order("v2", 1)
+		c := newCluster(uint64(seed), load, kind, limit)
+		c.order("v2", 1)
 		ended := timekeeper.Duration(0)
 		for at := timekeeper.Duration(0); at < limit; at += 100 {
-			w.run(100)
-			if ended == 0 && w.final().Final() {
-				ended = w.now.Sub(worldStart)
+			c.run(100)
+			if ended == 0 && c.final().Final() {
+				ended = c.now.Sub(startTime)
 			}
 		}
-		if faults := w.check(); len(faults) > 0 {
-			broken++
+		if faults := c.check(); len(faults) > 0 {
+			violated++
 			t.Logf("seed %d: %v", seed, faults)
 		}
-		if (w.final() == messenger.RolloutCompleted) != b.good || !w.final().Final() {
+		if (c.final() == messenger.RolloutCompleted) != kind.good || !c.final().Final() {
 			wrong++
-			t.Logf("seed %d: %s, %s", seed, w.final(), w.why)
+			t.Logf("seed %d: %s, %s", seed, c.final(), c.why)
 		}
-		spoilt += w.spoilt
-		exposed += w.exposed
-		cut += w.cutOff
+		badAnswers += c.badAnswers
+		exposed += c.exposed
+		cutOff += c.cutOff
 		took += ended
 	}
 	n := float64(*seeds)
 	t.Logf("| %s, %s | %s | wrong %.3f | spoilt %.1f | exposed %.1f | cut off %.2f | took %.1f s | rule broken %d |",
-		z.name, limit, b.name, float64(wrong)/n, float64(spoilt)/n, float64(exposed)/n, float64(cut)/n,
-		float64(took)/n/float64(timekeeper.Second), broken)
-	if z.few && b.good || b.rare {
-		return // docs/design/shifted-work.md says how far these are.
+		load.name, limit, kind.name, float64(wrong)/n, float64(badAnswers)/n, float64(exposed)/n, float64(cutOff)/n,
+		float64(took)/n/float64(timekeeper.Second), violated)
+	if load.sparse && kind.good || kind.verdictOptional {
+		return // See docs/design/shifted-work.md for the results of these.
 	}
 	require.LessOrEqual(t, float64(wrong), 0.01*n+1, "one in a hundred, and one by chance")
-	require.LessOrEqual(t, broken, wrong)
+	require.LessOrEqual(t, violated, wrong)
 }
--- a/internal/promoter/lead.go
+++ b/internal/promoter/lead.go
@@ -14,73 +14,76 @@
 )
 
 const (
-	// leadEvery is the spacing of decisions.
-	leadEvery = 100 * timekeeper.Millisecond
-	// keepAgain is the spacing of writes whose answer was lost. They may be
-	// repeated without harm.
-	keepAgain = 1 * timekeeper.Second
-	// earliest is the part of its time that a version is watched for at least: some
-	// turn bad only after a while.
-	earliest = 0.6
-	// movePart is the part of its time that is left for the move, within moveLeast
-	// and moveMost: the news takes half a second, and what is in flight at the old
-	// servers some seconds.
-	movePart  = 0.25
-	moveLeast = 2 * timekeeper.Second
-	moveMost  = 6 * timekeeper.Second
-	// lastCall is when before its end a roll-out is completed though some requests
-	// are still at the old servers.
-	lastCall = 1 * timekeeper.Second
-	// spreadTime is how long after the promotion nodes may not have heard of it, and
-	// what the new servers make of the whole load has not shown.
-	spreadTime = 1500 * timekeeper.Millisecond
-	// heardLately is the age up to which what a node reported counts: two shares.
-	heardLately = 1200 * timekeeper.Millisecond
-	// bearing is the part of the old servers of which there have to be as many new
-	// ones before these get all requests.
-	bearing = 0.6
-	// firstPace and mostPace are the least and the most part of the requests that the
-	// new version is to get, as multiples of the users' share.
-	firstPace = 0.5
-	mostPace  = 3.5
-	// loadFrom is the part of the watch after which its servers get the load that they
-	// would bear, and overload by how much more.
-	loadFrom = 0.6
-	overload = 1.1
-	// leastRate stands for the requests of a service without any, by the millisecond.
-	leastRate = 1e-3
-	// paceShare is the part of the users' share that is spent by the time of the
-	// decision, below what a node allows at the most.
-	paceShare = 0.9
-	// rememberFor is how long a node must have known servers of the ordered version,
-	// and of no other, for it to be the one that the service has already.
-	rememberFor = 2 * timekeeper.Second
+	decisionInterval = 100 * timekeeper.Millisecond
+	// storeRetryInterval is the time between writes whose answer was lost. Writes are
+	// idempotent.
+	storeRetryInterval = 1 * timekeeper.Second
+	// minWatchFraction is the minimum fraction of the order's time limit for which a
+	// version is watched, because some versions fail only after a while.
+	minWatchFraction = 0.6
+	// migrationFraction is the fraction of the order's time limit that is reserved for
+	// the migration, within minMigrationTime and maxMigrationTime. Updates take half a
+	// second to reach all nodes, and attempts at the old servers take some seconds to
+	// end.
+	migrationFraction = 0.25
+	minMigrationTime  = 2 * timekeeper.Second
+	maxMigrationTime  = 6 * timekeeper.Second
+	// completionReserve is the time before the limit at which a promoted rollout is
+	// completed even if requests are still in flight at the old servers.
+	completionReserve = 1 * timekeeper.Second
+	// propagationTime is the time after the promotion within which some nodes may not
+	// know of it, and the new servers have not shown how they handle the full load.
+	propagationTime = 1500 * timekeeper.Millisecond
+	// maxReportAge is the age up to which a peer's report counts: two update intervals
+	// and a margin.
+	maxReportAge = 1200 * timekeeper.Millisecond
+	// minServerRatio is the minimum ratio of new to old servers for the new ones to
+	// receive all requests.
+	minServerRatio = 0.6
+	// initialShareFactor and maxShareFactor are the minimum and maximum fraction of the
+	// requests that goes to the new version, as multiples of Config.Share.
+	initialShareFactor = 0.5
+	maxShareFactor     = 3.5
+	// loadTestStart is the fraction of the watch time after which servers of the new
+	// version receive the load that each will have after the migration, times
+	// loadTestFactor.
+	loadTestStart  = 0.6
+	loadTestFactor = 1.1
+	// minRatePerMS replaces the request rate of a service without requests.
+	minRatePerMS = 1e-3
+	// targetShareFactor is the fraction of Config.Share that is to be used by the end
+	// of the watch time. It is below the limit that each node enforces.
+	targetShareFactor = 0.9
+	// soleVersionTime is the time for which a node must have seen servers of the
+	// ordered version only to conclude that the service already runs it.
+	soleVersionTime = 2 * timekeeper.Second
 )
 
-// claim is what this node knows of the states in the store under its tenure.
+// claim is the state of this node's claim on the rollout states in the store under its
+// current fence.
 type claim struct {
-	fence identifier.Fence
-	asked timekeeper.Time
-	done  bool
-	next  timekeeper.Time
+	fence        identifier.Fence
+	requestedAt  timekeeper.Time
+	done         bool
+	nextDecision timekeeper.Time
 }
 
-// lead is the leader's part of a roll-out.
-type lead struct {
-	// superseded are earlier roll-outs of the service whose end is yet to be written.
+// leaderState is what only the leader knows of a rollout.
+type leaderState struct {
+	// superseded are earlier rollouts of the service whose end is not yet written.
 	superseded []messenger.Rollout
-	// kept is the phase that stands in the store under a fence, and sending what was
-	// sent last under a tenure's.
-	kept     messenger.RolloutPhase
-	fence    identifier.Fence
-	sending  messenger.RolloutPhase
-	tenure   identifier.Fence
-	sent     timekeeper.Time
-	promoted timekeeper.Time
-	why      string
-	// judge is what the answers say, and judged those that it has seen.
-	judge  *assessor.Assessor
-	judged map[place]tally
+	// storedPhase is the phase in the store and storedFence the fence it was written
+	// under. pendingPhase and pendingFence are those of the last write sent.
+	storedPhase  messenger.RolloutPhase
+	storedFence  identifier.Fence
+	pendingPhase messenger.RolloutPhase
+	pendingFence identifier.Fence
+	sentAt       timekeeper.Time
+	promotedAt   timekeeper.Time
+	why          string
+	// assessed are the counts that the assessor has seen.
+	assessor *assessor.Assessor
+	assessed map[countKey]attemptCounts
 }
 
 // Input is what the leader's decisions read.
@@ -88,26 +91,27 @@
 	Now      timekeeper.Time
 	Fence    identifier.Fence
 	NotAfter timekeeper.Time
-	// Nodes are the other nodes that live.
+	// Nodes are the other nodes that are alive.
 	Nodes []identifier.VMID
 	// Servers returns the servers of a service.
 	Servers func(identifier.ServiceName) []*registrar.Server
 }
 
-// Lead returns what the holder of the lease has to do for roll-outs now.
+// Lead returns the effects that the holder of the lease has to carry out for rollouts
+// now.
 func (p *Promoter) Lead(in Input) []messenger.Effect {
-	if len(p.rollouts) == 0 || in.Now.Before(p.claim.next) {
+	if len(p.rollouts) == 0 || in.Now.Before(p.claim.nextDecision) {
 		return nil
 	}
-	p.claim.next = in.Now.Add(leadEvery)
+	p.claim.nextDecision = in.Now.Add(decisionInterval)
 	if p.claim.fence != in.Fence {
 		p.claim = claim{
-			fence: in.Fence,
-			next:  p.claim.next,
+			fence:        in.Fence,
+			nextDecision: p.claim.nextDecision,
 		}
 	}
 	if !p.claim.done {
-		return p.claimNow(in)
+		return p.claimRollouts(in)
 	}
 	var out []messenger.Effect
 	for _, service := range slices.Sorted(maps.Keys(p.rollouts)) {
@@ -116,14 +120,13 @@
 	return out
 }
 
-// claimNow keeps earlier holders from writing. One that was frozen, or whose write is
-// on its way, could otherwise write that a version is completed which this one turns
-// back.
-func (p *Promoter) claimNow(in Input) []messenger.Effect {
-	if p.claim.asked != 0 && in.Now.Sub(p.claim.asked) < keepAgain {
+// claimRollouts fences off earlier holders. Otherwise the delayed write of a paused one
+// could complete a version that this holder rolls back.
+func (p *Promoter) claimRollouts(in Input) []messenger.Effect {
+	if p.claim.requestedAt != 0 && in.Now.Sub(p.claim.requestedAt) < storeRetryInterval {
 		return nil
 	}
-	p.claim.asked = in.Now
+	p.claim.requestedAt = in.Now
 	return []messenger.Effect{
 		messenger.ClaimRollouts{
 			Fence:    in.Fence,
@@ -132,7 +135,7 @@
 	}
 }
 
-// Claimed takes in the states that earlier holders wrote.
+// Claimed merges the states that earlier holders wrote, once the claim is stored.
 func (p *Promoter) Claimed(now timekeeper.Time, e messenger.RolloutsClaimed) {
 	if e.Fence != p.claim.fence || e.Result != messenger.LeaderTaskDone {
 		return
@@ -146,46 +149,47 @@
 	}
 }
 
-// supersede ends an earlier roll-out of the service that was under way: the operators
-// changed their mind, and nobody knows whether its version is good.
+// supersede ends an earlier rollout of the service that was in progress: a newer order
+// replaced it, and its version was not shown to be good.
 func (r *rollout) supersede(earlier messenger.Rollout) {
 	known := func(s messenger.Rollout) bool { return s.Order.Offset == earlier.Order.Offset }
-	if earlier.Phase.Final() || earlier.Order.To == r.order.To || slices.ContainsFunc(r.lead.superseded, known) {
+	if earlier.Phase.Final() || earlier.Order.To == r.order.To || slices.ContainsFunc(r.leader.superseded, known) {
 		return
 	}
-	r.bar(earlier.Order.To)
-	r.lead.superseded = append(r.lead.superseded, earlier)
+	r.markRolledBack(earlier.Order.To)
+	r.leader.superseded = append(r.leader.superseded, earlier)
 }
 
-// step decides on one roll-out and writes what was decided.
+// step decides on one rollout and writes the decision.
 func (p *Promoter) step(in Input, r *rollout) []messenger.Effect {
-	if n := len(r.lead.superseded); n > 0 {
+	if n := len(r.leader.superseded); n > 0 {
 		return p.endSuperseded(in, r)
 	}
-	want, why := p.decide(in, r)
+	phase, why := p.decide(in, r)
 	if why != "" {
-		r.lead.why = why
+		r.leader.why = why
 	}
-	if want == messenger.RolloutRolledBack {
-		// Nodes hear of it before it is written: nothing is lost by that.
-		p.enter(in.Now, r, want, why)
+	if phase == messenger.RolloutRolledBack {
+		// Nodes may follow a rollback before it is stored: it does no harm if the write
+		// fails.
+		p.advance(in.Now, r, phase, why)
 	}
-	r.led = in.Now
-	_, old := r.split(in.Servers(r.order.Service))
-	p.direct(in.Now, r, registrar.CountReady(old))
-	if r.lead.kept == want && r.lead.fence == in.Fence {
+	r.leaderSeen = in.Now
+	_, oldServers := r.split(in.Servers(r.order.Service))
+	p.setExposure(in.Now, r, registrar.CountReady(oldServers))
+	if r.leader.storedPhase == phase && r.leader.storedFence == in.Fence {
 		return nil
 	}
-	if r.lead.sending == want && in.Now.Sub(r.lead.sent) < keepAgain {
+	if r.leader.pendingPhase == phase && in.Now.Sub(r.leader.sentAt) < storeRetryInterval {
 		return nil
 	}
-	r.lead.sending = want
-	r.lead.tenure = in.Fence
-	r.lead.sent = in.Now
-	return []messenger.Effect{keep(in, p.tell(in.Now, r), want)}
+	r.leader.pendingPhase = phase
+	r.leader.pendingFence = in.Fence
+	r.leader.sentAt = in.Now
+	return []messenger.Effect{storeRollout(in, p.update(in.Now, r), phase)}
 }
 
-func keep(in Input, r messenger.Rollout, phase messenger.RolloutPhase) messenger.StoreRollout {
+func storeRollout(in Input, r messenger.Rollout, phase messenger.RolloutPhase) messenger.StoreRollout {
 	r.Phase = phase
 	return messenger.StoreRollout{
 		Rollout:  r,
@@ -194,13 +198,13 @@
 	}
 }
 
-// endSuperseded tells the operators that an earlier roll-out is over.
+// endSuperseded records an earlier rollout as rolled back.
 func (p *Promoter) endSuperseded(in Input, r *rollout) []messenger.Effect {
-	if in.Now.Sub(r.lead.sent) < keepAgain {
+	if in.Now.Sub(r.leader.sentAt) < storeRetryInterval {
 		return nil
 	}
-	r.lead.sent = in.Now
-	return []messenger.Effect{keep(in, r.lead.superseded[0], messenger.RolloutRolledBack)}
+	r.leader.sentAt = in.Now
+	return []messenger.Effect{storeRollout(in, r.leader.superseded[0], messenger.RolloutRolledBack)}
 }
 
 // Stored processes the end of a write.
@@ -209,172 +213,176 @@
 	if r == nil || e.Result != messenger.LeaderTaskDone {
 		return
 	}
-	if n := r.lead.superseded; len(n) > 0 && n[0].Order.Offset == e.Order {
-		r.lead.superseded = n[1:]
-		r.lead.sent = 0
+	if n := r.leader.superseded; len(n) > 0 && n[0].Order.Offset == e.Order {
+		r.leader.superseded = n[1:]
+		r.leader.sentAt = 0
 		return
 	}
 	if r.order.Offset != e.Order {
 		return
 	}
-	r.lead.kept = e.Phase
-	r.lead.fence = e.Fence
+	r.leader.storedPhase = e.Phase
+	r.leader.storedFence = e.Fence
 	if e.Phase == messenger.RolloutPromoting {
-		r.lead.promoted = now
+		r.leader.promotedAt = now
 	}
-	p.enter(now, r, e.Phase, r.lead.why)
+	p.advance(now, r, e.Phase, r.leader.why)
 }
 
-// decide returns the phase that a roll-out should be in.
+// decide returns the phase that a rollout should be in, and the reason.
 func (p *Promoter) decide(in Input, r *rollout) (messenger.RolloutPhase, string) {
 	switch {
 	case r.phase.Final():
 		return r.phase, ""
-	case r.lead.sending == messenger.RolloutCompleted && r.lead.tenure == in.Fence:
-		// It may stand in the store already, and then the old servers are gone.
-		return messenger.RolloutCompleted, r.lead.why
+	case r.leader.pendingPhase == messenger.RolloutCompleted && r.leader.pendingFence == in.Fence:
+		// The write may have taken effect, and then the platform has removed the old
+		// servers.
+		return messenger.RolloutCompleted, r.leader.why
 	case r.order.To == "":
 		return messenger.RolloutRolledBack, "the order was withdrawn"
 	case r.order.TimeLimit <= 0:
 		return messenger.RolloutRolledBack, "the order leaves no time"
 	}
-	next, old := r.split(in.Servers(r.order.Service))
-	ready, before := registrar.CountReady(next), registrar.CountReady(old)
-	v := p.judge(r, ready)
+	newServers, oldServers := r.split(in.Servers(r.order.Service))
+	readyNew, readyOld := registrar.CountReady(newServers), registrar.CountReady(oldServers)
+	v := p.assess(r, readyNew)
 	if v.Bad {
 		return messenger.RolloutRolledBack, "worse than the old version: " + v.Why
 	}
-	left := r.order.TimeLimit - in.Now.Sub(r.ordered)
+	remaining := r.order.TimeLimit - in.Now.Sub(r.orderedAt)
 	if r.phase == messenger.RolloutPromoting {
-		if left <= lastCall || p.moved(in, r) {
-			return messenger.RolloutCompleted, fmt.Sprintf("moved, left=%s", left)
+		if remaining <= completionReserve || p.migrated(in, r) {
+			return messenger.RolloutCompleted, fmt.Sprintf("moved, left=%s", remaining)
 		}
 		return r.phase, ""
 	}
-	if ready > 0 && p.only(in.Now, r) {
+	if readyNew > 0 && p.soleVersionConfirmed(in.Now, r) {
 		return messenger.RolloutCompleted, "there are servers of this version only"
 	}
-	bears := ready > 0 && float64(ready) >= bearing*float64(before)
-	evidence := fmt.Sprintf("servers=%d before=%d left=%s %s", ready, before, left, v.Why)
-	if bears && v.Trusted && in.Now.Sub(r.ordered) >= r.watchTime() {
+	enoughServers := readyNew > 0 && float64(readyNew) >= minServerRatio*float64(readyOld)
+	evidence := fmt.Sprintf("servers=%d before=%d left=%s %s", readyNew, readyOld, remaining, v.Why)
+	if enoughServers && v.Trusted && in.Now.Sub(r.orderedAt) >= r.watchTime() {
 		return messenger.RolloutPromoting, evidence
 	}
-	if left > r.moveTime() {
+	if remaining > r.migrationTime() {
 		return messenger.RolloutRunning, evidence
 	}
-	if bears && v.Acceptable {
+	if enoughServers && v.Acceptable {
 		return messenger.RolloutPromoting, evidence
 	}
 	return messenger.RolloutRolledBack, "not shown to be good in time: " + evidence
 }
 
-// only reports whether the service has had servers of the ordered version only.
-func (p *Promoter) only(now timekeeper.Time, r *rollout) bool {
-	return p.sole(r) && now.Sub(p.versions[r.order.Service][r.order.To]) >= rememberFor
+// soleVersionConfirmed reports whether this node has seen servers of the ordered
+// version only, for soleVersionTime.
+func (p *Promoter) soleVersionConfirmed(now timekeeper.Time, r *rollout) bool {
+	return p.hasSoleVersion(r) && now.Sub(p.versions[r.order.Service][r.order.To]) >= soleVersionTime
 }
 
-// sole reports whether this node has seen no servers of another version.
-func (p *Promoter) sole(r *rollout) bool {
-	seen := p.versions[r.order.Service]
-	_, known := seen[r.order.To]
-	return known && len(seen) == 1
+// hasSoleVersion reports whether this node has seen the ordered version and no other.
+func (p *Promoter) hasSoleVersion(r *rollout) bool {
+	versions := p.versions[r.order.Service]
+	_, known := versions[r.order.To]
+	return known && len(versions) == 1
 }
 
-// moveTime is the time that the move may take, and watchTime how long the version is
-// watched before.
-func (r *rollout) moveTime() timekeeper.Duration {
-	part := timekeeper.Duration(movePart * float64(r.order.TimeLimit))
-	return min(max(part, min(moveLeast, r.order.TimeLimit/2)), moveMost)
+// migrationTime returns the time reserved for the migration, and watchTime the minimum
+// time for which the version is watched before.
+func (r *rollout) migrationTime() timekeeper.Duration {
+	time := timekeeper.Duration(migrationFraction * float64(r.order.TimeLimit))
+	return min(max(time, min(minMigrationTime, r.order.TimeLimit/2)), maxMigrationTime)
 }
 
 func (r *rollout) watchTime() timekeeper.Duration {
-	return min(timekeeper.Duration(earliest*float64(r.order.TimeLimit)), r.order.TimeLimit-r.moveTime())
+	return min(timekeeper.Duration(minWatchFraction*float64(r.order.TimeLimit)), r.order.TimeLimit-r.migrationTime())
 }
 
-// judge takes in the answers since the last decision and returns what all say.
-func (p *Promoter) judge(r *rollout, servers int) assessor.Verdict {
-	if r.lead.judge == nil {
-		r.lead.judge = assessor.New()
-		r.lead.judged = map[place]tally{}
-	}
-	total := r.tallies.total()
+// assess passes the counts since the last decision to the assessor and returns its
+// verdict.
+func (p *Promoter) assess(r *rollout, servers int) assessor.Verdict {
+	if r.leader.assessor == nil {
+		r.leader.assessor = assessor.New()
+		r.leader.assessed = map[countKey]attemptCounts{}
+	}
+	total := r.counts.total()
 	var samples []assessor.Sample
-	for _, at := range slices.SortedFunc(maps.Keys(total), comparePlaces) {
-		now, before := total[at], r.lead.judged[at]
+	for _, key := range slices.SortedFunc(maps.Keys(total), compareKeys) {
+		now, before := total[key], r.leader.assessed[key]
 		samples = append(samples, assessor.Sample{
-			Route:           at.route,
-			Server:          at.server,
+			Route:           key.route,
+			Server:          key.server,
 			Answers:         max(now.answers-before.answers, 0),
 			Failed:          max(now.failed-before.failed, 0),
 			Waiting:         now.waiting,
-			UnderLoad:       r.focus > 0,
-			FirstEventTimes: now.first.Minus(before.first),
-			EventIntervals:  now.pace.Minus(before.pace),
+			UnderLoad:       r.activeServers > 0,
+			FirstEventTimes: now.firstEventTimes.Minus(before.firstEventTimes),
+			EventIntervals:  now.eventIntervals.Minus(before.eventIntervals),
 		})
 	}
-	r.lead.judged = total
-	r.lead.judge.Observe(samples)
-	return r.lead.judge.Verdict(servers)
+	r.leader.assessed = total
+	r.leader.assessor.Observe(samples)
+	return r.leader.assessor.Verdict(servers)
 }
 
-// moved reports whether all nodes that live send the old servers nothing any more, and
-// nothing of what they sent before is in flight there.
-func (p *Promoter) moved(in Input, r *rollout) bool {
-	if r.lead.promoted == 0 {
-		r.lead.promoted = in.Now
+// migrated reports whether all nodes that are alive send requests to the new version
+// only, and no attempt is in flight at the old servers.
+func (p *Promoter) migrated(in Input, r *rollout) bool {
+	if r.leader.promotedAt == 0 {
+		r.leader.promotedAt = in.Now
 	}
-	if in.Now.Sub(r.lead.promoted) < spreadTime {
+	if in.Now.Sub(r.leader.promotedAt) < propagationTime {
 		return false
 	}
-	follows := map[identifier.VMID]bool{}
-	running := 0
-	for at, of := range r.tallies.own {
-		if at.server == "" {
-			running += of.running
+	promoting := map[identifier.VMID]bool{}
+	inFlight := 0
+	for key, counts := range r.counts.local {
+		if key.server == "" {
+			inFlight += counts.inFlight
 		}
 	}
-	for from, rep := range r.tallies.peers {
-		if in.Now.Sub(rep.at) > heardLately {
+	for process, peer := range r.counts.peers {
+		if in.Now.Sub(peer.receivedAt) > maxReportAge {
 			continue
 		}
-		follows[from.vm] = rep.phase == messenger.RolloutPromoting
-		for at, of := range rep.tallies {
-			if at.server == "" {
-				running += of.running
+		promoting[process.vm] = peer.phase == messenger.RolloutPromoting
+		for key, counts := range peer.counts {
+			if key.server == "" {
+				inFlight += counts.inFlight
 			}
 		}
 	}
-	if running > 0 {
+	if inFlight > 0 {
 		return false
 	}
-	return !slices.ContainsFunc(in.Nodes, func(vm identifier.VMID) bool { return !follows[vm] })
+	return !slices.ContainsFunc(in.Nodes, func(vm identifier.VMID) bool { return !promoting[vm] })
 }
 
-// direct says what part of the requests the new version should get now, and at how many
-// of its servers. At first a few go to all of them, which shows a version that is bad in
-// any plain way, and one server that is at fault by itself. What may be spent beyond that
-// is kept for the rest of the watch. Then a few servers at a time get as much as each
-// would bear after the move, since some versions are bad only under load.
-func (p *Promoter) direct(now timekeeper.Time, r *rollout, old int) {
-	age := now.Sub(r.ordered)
-	r.pace = firstPace * p.config.Share
-	r.focus = 0
-	if age < timekeeper.Duration(loadFrom*float64(r.watchTime())) || old == 0 {
+// setExposure sets the fraction of the requests that the new version receives, and the
+// number of its servers that receive them. At first a small fraction goes to all of
+// them, which reveals versions that are plainly bad and single faulty servers. The rest
+// of the allowed exposure is saved for the end of the watch time, when a few servers at
+// a time receive as much load as each will have after the migration, because some
+// versions fail only under load.
+func (p *Promoter) setExposure(now timekeeper.Time, r *rollout, readyOld int) {
+	age := now.Sub(r.orderedAt)
+	r.trafficShare = initialShareFactor * p.config.Share
+	r.activeServers = 0
+	if age < timekeeper.Duration(loadTestStart*float64(r.watchTime())) || readyOld == 0 {
 		return
 	}
 	sent, exposed := 0, 0
-	for at, of := range r.lead.judged {
-		sent += of.sent
-		if at.server != "" {
-			exposed += of.sent
+	for key, counts := range r.leader.assessed {
+		sent += counts.sent
+		if key.server != "" {
+			exposed += counts.sent
 		}
 	}
-	left := max(r.watchTime()-age, turnTime)
-	rate := max(float64(sent)/float64(max(age, turnTime)), leastRate)
-	share := paceShare * p.config.Share
-	spare := share*float64(sent) + usableSlack*p.config.Slack - float64(exposed)
-	pace := share + spare/(rate*float64(left))
-	r.pace = min(max(pace, firstPace*p.config.Share), mostPace*p.config.Share)
-	r.focus = max(int(math.Round(r.pace*float64(old)/overload)), 1)
-	r.pace = min(r.pace, overload*float64(r.focus)/float64(old))
+	remaining := max(r.watchTime()-age, rotationPeriod)
+	rate := max(float64(sent)/float64(max(age, rotationPeriod)), minRatePerMS)
+	share := targetShareFactor * p.config.Share
+	unused := share*float64(sent) + usableSlack*p.config.Slack - float64(exposed)
+	trafficShare := share + unused/(rate*float64(remaining))
+	r.trafficShare = min(max(trafficShare, initialShareFactor*p.config.Share), maxShareFactor*p.config.Share)
+	r.activeServers = max(int(math.Round(r.trafficShare*float64(readyOld)/loadTestFactor)), 1)
+	r.trafficShare = min(r.trafficShare, loadTestFactor*float64(r.activeServers)/float64(readyOld))
 }
--- a/internal/promoter/promoter.go
+++ b/internal/promoter/promoter.go
@@ -1,30 +1,29 @@
-// Package promoter moves services to new versions of their servers, as operators
-// order:
+// Package promoter rolls out new versions of services' servers as operators order:
 //
 //	ordered -> running -> promoting -> completed
 //	              |           |
 //	              +-----------+-> rolled back
 //
-// The platform starts servers of the new version beside the old ones. While the
-// roll-out runs, a bounded part of the service's requests goes to some of them, and
-// what becomes of these is compared with what becomes of the others. A version that
-// proves good gets all new requests, the old one's end, and then the operators hear
-// that the old servers can go. One that proves bad, or that can't be judged in time,
-// is rolled back: that can be undone by another order, while servers that are gone
-// can't be had back.
+// The platform starts servers of the new version in addition to the old ones. While the
+// rollout runs, a limited fraction of the service's requests goes to some of them, and
+// the results are compared with those of the old servers. A version that proves good
+// then receives all new requests, and once the requests at the old servers have ended,
+// the rollout is stored as completed and the platform removes these servers. A version
+// that proves bad, or can't be assessed in time, is rolled back. A rollback can be
+// undone by another order; a removed server can't be brought back.
 //
-// The holder of the duties' lease leads. Every node follows what it says, which
-// travels with the news between nodes; a node that has not heard of it for a while
-// sends the new version nothing. The part of the requests that the new version gets
-// is bounded at each node by itself, so that it holds for all of them whomever they
-// hear.
+// The holder of the leader tasks' lease leads. All nodes follow the leader's decisions,
+// which travel with the state updates between nodes. A node that has not received one
+// for a while sends nothing to the new version. Each node limits the fraction of its
+// own requests that goes to the new version, so the limit holds for all nodes together,
+// whatever updates they receive.
 //
-//   - promoter.go keeps what is known of roll-outs.
-//   - choose.go says which servers a request may go to.
-//   - count.go counts what became of requests.
-//   - lead.go is for the node that leads.
+//   - promoter.go holds the state of rollouts.
+//   - choose.go chooses the servers that a request may be sent to.
+//   - count.go counts the results of attempts.
+//   - lead.go has the leader's decisions.
 //
-// Everything is pure: time and randomness are arguments. Nothing is safe for
+// The package is pure: time and randomness are arguments. Nothing in it is safe for
 // concurrent use.
 package promoter
 
@@ -39,78 +38,80 @@
 )
 
 const (
-	// maxRollouts bounds the services of which a roll-out is remembered, and
-	// maxBarred the versions of each that were rolled back.
-	maxRollouts = 64
-	maxBarred   = 8
-	// maxVersions bounds the versions of a service that are remembered.
+	// maxRollouts limits the services whose rollout is remembered, and maxRolledBack
+	// the rolled-back versions remembered for each.
+	maxRollouts   = 64
+	maxRolledBack = 8
+	// maxVersions limits the versions of a service that are remembered.
 	maxVersions = 16
-	// maxLimit bounds the time that an order may give.
+	// maxLimit is the maximum time limit of an order; longer ones are shortened.
 	maxLimit = timekeeper.Hour
-	// freshFor is how old the leader's word may be for a request to go to a
-	// version that is not trusted yet: news takes half a second, and the users'
-	// bound on rolling back is some seconds.
-	freshFor = 1500 * timekeeper.Millisecond
+	// maxLeaderAge is the age of the leader's last decision up to which requests go to
+	// a version that is not trusted. Updates take half a second to arrive, and a bad
+	// version has to be rolled back within a few seconds.
+	maxLeaderAge = 1500 * timekeeper.Millisecond
 )
 
-// Config sets up a Promoter. The figures are the users'.
+// Config configures a Promoter.
 type Config struct {
 	Self        identifier.VMID
 	Incarnation identifier.Incarnation
-	// Share is the part of a service's requests that a version which is not
-	// trusted yet may get of all nodes together, and Slack a number beside.
+	// Share is the fraction of a service's requests that all nodes together may send to
+	// a version that is not trusted yet. Slack is a number of requests that is allowed
+	// in addition.
 	Share float64
 	Slack float64
 }
 
-// Promoter is the roll-outs as one node knows them.
+// Promoter is the state of all rollouts, as known to one node.
 type Promoter struct {
 	config   Config
 	rollouts map[identifier.ServiceName]*rollout
-	// versions holds when each version of a service was first seen.
-	versions map[identifier.ServiceName]map[identifier.Version]timekeeper.Time
-	nodes    int
-	claim    claim
-	// changes are the phases since Changes was last called.
+	// versions holds the time at which each version of a service was first seen.
+	versions  map[identifier.ServiceName]map[identifier.Version]timekeeper.Time
+	nodeCount int
+	claim     claim
+	// changes are the phase changes since the last call of Changes.
 	changes []Change
 }
 
-// rollout is what is known of the newest roll-out of a service.
+// rollout is the state of a service's newest rollout.
 type rollout struct {
 	order messenger.RolloutOrder
-	// first is the offset at which the order was first read.
-	first identifier.Offset
-	phase messenger.RolloutPhase
-	// ordered is when the order was given, and led when the leader last said that
-	// it leads, or zero.
-	ordered timekeeper.Time
-	led     timekeeper.Time
-	pace    float64
-	focus   int
-	barred  []identifier.Version
-	tallies tallies
-	lead    lead
+	// firstOffset is the offset at which the order was first read. It identifies the
+	// rollout when the order is read again at another offset.
+	firstOffset identifier.Offset
+	phase       messenger.RolloutPhase
+	// orderedAt is the time of the order, and leaderSeen the time of the leader's last
+	// decision that this node received, or zero.
+	orderedAt     timekeeper.Time
+	leaderSeen    timekeeper.Time
+	trafficShare  float64
+	activeServers int
+	rolledBack    []identifier.Version
+	counts        rolloutCounts
+	leader        leaderState
 }
 
-// Change is a step of a roll-out, for the time line.
+// Change is a phase change of a rollout, for the timeline.
 type Change struct {
 	Rollout messenger.Rollout
-	// Why is what it was decided on, empty where another node decided.
+	// Why is the reason of the decision, empty if another node decided.
 	Why string
 }
 
-// New returns a Promoter that knows of no roll-out.
+// New returns a Promoter without rollouts.
 func New(c Config) *Promoter {
 	return &Promoter{
-		config:   c,
-		rollouts: map[identifier.ServiceName]*rollout{},
-		versions: map[identifier.ServiceName]map[identifier.Version]timekeeper.Time{},
-		nodes:    1,
+		config:    c,
+		rollouts:  map[identifier.ServiceName]*rollout{},
+		versions:  map[identifier.ServiceName]map[identifier.Version]timekeeper.Time{},
+		nodeCount: 1,
 	}
 }
 
-// SetNodes sets by how many nodes the users' slack is divided.
-func (p *Promoter) SetNodes(nodes int) { p.nodes = max(nodes, 1) }
+// SetNodes sets the number of nodes that share the slack.
+func (p *Promoter) SetNodes(nodes int) { p.nodeCount = max(nodes, 1) }
 
 // ApplyOrders applies orders that this node read from the store.
 func (p *Promoter) ApplyOrders(now timekeeper.Time, orders []messenger.RolloutOrder) {
@@ -119,15 +120,15 @@
 	}
 }
 
-// applyOrder applies an order and returns the roll-out that it is about, or nil where
-// a newer one is known or there is no room.
+// applyOrder applies an order and returns its rollout, or nil if a newer one is known
+// or the table is full.
 func (p *Promoter) applyOrder(now timekeeper.Time, o messenger.RolloutOrder) *rollout {
 	o.TimeLimit = min(o.TimeLimit, maxLimit)
 	r := p.rollouts[o.Service]
 	switch {
 	case r != nil && o.Offset == r.order.Offset:
 		return r
-	case r != nil && r.isAgain(o):
+	case r != nil && r.isRepeated(o):
 		r.order.Offset = o.Offset
 		return r
 	case r != nil && o.Offset < r.order.Offset:
@@ -136,42 +137,42 @@
 		return nil
 	}
 	next := &rollout{
-		order:   o,
-		first:   o.Offset,
-		ordered: now,
-		tallies: newTallies(),
+		order:       o,
+		firstOffset: o.Offset,
+		orderedAt:   now,
+		counts:      newRolloutCounts(),
 	}
 	if r != nil {
-		next.barred = r.barred
-		next.lead.superseded = r.lead.superseded
-		next.supersede(p.tell(now, r))
+		next.rolledBack = r.rolledBack
+		next.leader.superseded = r.leader.superseded
+		next.supersede(p.update(now, r))
 	}
 	// An order for a version that was rolled back gives it another chance.
-	next.barred = slices.DeleteFunc(slices.Clone(next.barred), func(v identifier.Version) bool { return v == o.To })
+	next.rolledBack = slices.DeleteFunc(slices.Clone(next.rolledBack), func(v identifier.Version) bool { return v == o.To })
 	p.rollouts[o.Service] = next
-	p.note(now, next, "ordered")
+	p.recordChange(now, next, "ordered")
 	return next
 }
 
-// isAgain reports whether an order is one that is known, read from a store that came back
-// from a copy, or written there again.
-func (r *rollout) isAgain(o messenger.RolloutOrder) bool {
-	return o.Offset.Generation() > r.first.Generation() && o.Offset > r.order.Offset && o.To == r.order.To && o.TimeLimit == r.order.TimeLimit
+// isRepeated reports whether an order is the known one, read from a store that was
+// restored from a copy or written there again.
+func (r *rollout) isRepeated(o messenger.RolloutOrder) bool {
+	return o.Offset.Generation() > r.firstOffset.Generation() && o.Offset > r.order.Offset && o.To == r.order.To && o.TimeLimit == r.order.TimeLimit
 }
 
-func (r *rollout) bar(v identifier.Version) {
-	if v == "" || slices.Contains(r.barred, v) {
+func (r *rollout) markRolledBack(v identifier.Version) {
+	if v == "" || slices.Contains(r.rolledBack, v) {
 		return
 	}
-	r.barred = append(slices.Clone(r.barred), v)
-	if len(r.barred) > maxBarred {
-		r.barred = r.barred[1:]
+	r.rolledBack = append(slices.Clone(r.rolledBack), v)
+	if len(r.rolledBack) > maxRolledBack {
+		r.rolledBack = r.rolledBack[1:]
 	}
 }
 
-// rank orders the phases: of two that nodes heard of the later one counts. What was
-// completed can't be rolled back any more.
-var rank = map[messenger.RolloutPhase]int{
+// phaseRank orders the phases: of two that nodes report, the one with the higher rank
+// holds. A completed rollout can't be rolled back.
+var phaseRank = map[messenger.RolloutPhase]int{
 	messenger.RolloutOrdered:    0,
 	messenger.RolloutRunning:    1,
 	messenger.RolloutPromoting:  2,
@@ -179,61 +180,61 @@
 	messenger.RolloutCompleted:  4,
 }
 
-// Merge merges what a peer knows.
-func (p *Promoter) Merge(now timekeeper.Time, news []messenger.Rollout) {
-	for _, n := range news {
-		if _, known := rank[n.Phase]; !known || n.Order.Service == "" {
+// Merge merges the rollouts that a peer or the store reported.
+func (p *Promoter) Merge(now timekeeper.Time, updates []messenger.Rollout) {
+	for _, update := range updates {
+		if _, known := phaseRank[update.Phase]; !known || update.Order.Service == "" {
 			continue
 		}
-		if r := p.applyOrder(now, n.Order); r != nil {
-			p.mergeRollout(now, r, n)
+		if r := p.applyOrder(now, update.Order); r != nil {
+			p.mergeRollout(now, r, update)
 		}
 	}
 }
 
-func (p *Promoter) mergeRollout(now timekeeper.Time, r *rollout, n messenger.Rollout) {
-	r.ordered = min(r.ordered, now.Add(-n.Age))
-	for _, v := range n.RolledBackVersions[:min(len(n.RolledBackVersions), maxBarred)] {
+func (p *Promoter) mergeRollout(now timekeeper.Time, r *rollout, update messenger.Rollout) {
+	r.orderedAt = min(r.orderedAt, now.Add(-update.Age))
+	for _, v := range update.RolledBackVersions[:min(len(update.RolledBackVersions), maxRolledBack)] {
 		if v != r.order.To {
-			r.bar(v)
+			r.markRolledBack(v)
 		}
 	}
-	if led := now.Add(-n.LeaderAge); n.LeaderAge >= 0 && led.After(r.led) {
-		r.led = led
-		r.pace = n.TrafficShare
-		r.focus = n.ActiveServers
+	if leaderSeen := now.Add(-update.LeaderAge); update.LeaderAge >= 0 && leaderSeen.After(r.leaderSeen) {
+		r.leaderSeen = leaderSeen
+		r.trafficShare = update.TrafficShare
+		r.activeServers = update.ActiveServers
 	}
-	p.enter(now, r, n.Phase, "")
+	p.advance(now, r, update.Phase, "")
 }
 
-// enter brings a roll-out to a phase unless it is further.
-func (p *Promoter) enter(now timekeeper.Time, r *rollout, phase messenger.RolloutPhase, why string) {
-	if rank[phase] <= rank[r.phase] {
+// advance moves a rollout to a phase unless it is in a later one.
+func (p *Promoter) advance(now timekeeper.Time, r *rollout, phase messenger.RolloutPhase, why string) {
+	if phaseRank[phase] <= phaseRank[r.phase] {
 		return
 	}
 	r.phase = phase
 	if phase == messenger.RolloutRolledBack {
-		r.bar(r.order.To)
+		r.markRolledBack(r.order.To)
 	}
-	p.note(now, r, why)
+	p.recordChange(now, r, why)
 }
 
-func (p *Promoter) note(now timekeeper.Time, r *rollout, why string) {
+func (p *Promoter) recordChange(now timekeeper.Time, r *rollout, why string) {
 	p.changes = append(p.changes, Change{
-		Rollout: p.tell(now, r),
+		Rollout: p.update(now, r),
 		Why:     why,
 	})
 }
 
-// Changes returns the steps of roll-outs since the last call.
+// Changes returns the phase changes since the last call.
 func (p *Promoter) Changes() []Change {
 	out := p.changes
 	p.changes = nil
 	return out
 }
 
-// Urgent reports whether requests move to a version now. The leader should hear soon
-// what becomes of them: if the version proves bad only then, each moment counts.
+// Urgent reports whether a service is being moved to a new version. Nodes then send
+// their counts sooner, because a version that proves bad now serves most requests.
 func (p *Promoter) Urgent() bool {
 	for _, r := range p.rollouts {
 		if r.phase == messenger.RolloutPromoting {
@@ -243,93 +244,93 @@
 	return false
 }
 
-// Updates returns all roll-outs that are known, for peers and operators.
+// Updates returns all known rollouts, for peers and operators.
 func (p *Promoter) Updates(now timekeeper.Time) []messenger.Rollout {
 	if len(p.rollouts) == 0 {
 		return nil
 	}
 	out := make([]messenger.Rollout, 0, len(p.rollouts))
 	for _, r := range p.rollouts {
-		out = append(out, p.tell(now, r))
+		out = append(out, p.update(now, r))
 	}
 	slices.SortFunc(out, func(a, b messenger.Rollout) int { return cmp.Compare(a.Order.Service, b.Order.Service) })
 	return out
 }
 
-func (p *Promoter) tell(now timekeeper.Time, r *rollout) messenger.Rollout {
+func (p *Promoter) update(now timekeeper.Time, r *rollout) messenger.Rollout {
 	out := messenger.Rollout{
 		Order:              r.order,
 		Phase:              r.phase,
-		Age:                now.Sub(r.ordered),
+		Age:                now.Sub(r.orderedAt),
 		LeaderAge:          -1,
-		TrafficShare:       r.pace,
-		ActiveServers:      r.focus,
-		RolledBackVersions: r.barred,
+		TrafficShare:       r.trafficShare,
+		ActiveServers:      r.activeServers,
+		RolledBackVersions: r.rolledBack,
 	}
-	if r.led != 0 {
-		out.LeaderAge = now.Sub(r.led)
+	if r.leaderSeen != 0 {
+		out.LeaderAge = now.Sub(r.leaderSeen)
 	}
 	return out
 }
 
-// ObserveVersion records the version of a server that serves.
+// ObserveVersion records that a server of a version serves.
 func (p *Promoter) ObserveVersion(now timekeeper.Time, service identifier.ServiceName, v identifier.Version) {
-	seen := p.versions[service]
-	if seen == nil {
-		seen = map[identifier.Version]timekeeper.Time{}
-		p.versions[service] = seen
+	firstSeen := p.versions[service]
+	if firstSeen == nil {
+		firstSeen = map[identifier.Version]timekeeper.Time{}
+		p.versions[service] = firstSeen
 	}
-	if _, known := seen[v]; known {
+	if _, known := firstSeen[v]; known {
 		return
 	}
-	if len(seen) >= maxVersions {
-		oldest := slices.MinFunc(slices.Sorted(maps.Keys(seen)), func(a, b identifier.Version) int {
-			return cmp.Compare(seen[a], seen[b])
+	if len(firstSeen) >= maxVersions {
+		oldest := slices.MinFunc(slices.Sorted(maps.Keys(firstSeen)), func(a, b identifier.Version) int {
+			return cmp.Compare(firstSeen[a], firstSeen[b])
 		})
-		delete(seen, oldest)
+		delete(firstSeen, oldest)
 	}
-	seen[v] = now
+	firstSeen[v] = now
 }
 
-// Status is a roll-out for operators. The counts are those of all nodes at the node that
-// leads, and its own at any other.
+// Status describes a rollout to operators. The counts cover all nodes at the leader,
+// and only the node's own attempts elsewhere.
 type Status struct {
-	Service string   `json:"service"`
-	To      string   `json:"to"`
-	Phase   string   `json:"phase"`
-	AgeMS   int64    `json:"age_ms"`
-	LimitMS int64    `json:"limit_ms"`
-	LedAgo  int64    `json:"led_ago_ms"`
-	Barred  []string `json:"barred,omitempty"`
-	Sent    int      `json:"sent"`
-	Exposed int      `json:"exposed"`
-	Failed  int      `json:"failed"`
-	// Why is what the node that leads decided on last.
+	Service            string   `json:"service"`
+	To                 string   `json:"to"`
+	Phase              string   `json:"phase"`
+	AgeMS              int64    `json:"age_ms"`
+	LimitMS            int64    `json:"limit_ms"`
+	LeaderAgeMS        int64    `json:"led_ago_ms"`
+	RolledBackVersions []string `json:"barred,omitempty"`
+	Sent               int      `json:"sent"`
+	Exposed            int      `json:"exposed"`
+	Failed             int      `json:"failed"`
+	// Why is the reason of the leader's last decision.
 	Why string `json:"why,omitempty"`
 }
 
-// Statuses returns all roll-outs that are known.
+// Statuses returns all known rollouts.
 func (p *Promoter) Statuses(now timekeeper.Time) []Status {
 	var out []Status
-	for _, n := range p.Updates(now) {
-		r := p.rollouts[n.Order.Service]
+	for _, update := range p.Updates(now) {
+		r := p.rollouts[update.Order.Service]
 		s := Status{
-			Service: string(n.Order.Service),
-			To:      string(n.Order.To),
-			Phase:   string(n.Phase),
-			AgeMS:   int64(n.Age),
-			LimitMS: int64(n.Order.TimeLimit),
-			LedAgo:  int64(n.LeaderAge),
-			Why:     r.lead.why,
+			Service:     string(update.Order.Service),
+			To:          string(update.Order.To),
+			Phase:       string(update.Phase),
+			AgeMS:       int64(update.Age),
+			LimitMS:     int64(update.Order.TimeLimit),
+			LeaderAgeMS: int64(update.LeaderAge),
+			Why:         r.leader.why,
 		}
-		for _, v := range n.RolledBackVersions {
-			s.Barred = append(s.Barred, string(v))
+		for _, v := range update.RolledBackVersions {
+			s.RolledBackVersions = append(s.RolledBackVersions, string(v))
 		}
-		for at, of := range r.tallies.total() {
-			s.Sent += of.sent
-			if at.server != "" {
-				s.Exposed += of.sent
-				s.Failed += of.failed
+		for key, counts := range r.counts.total() {
+			s.Sent += counts.sent
+			if key.server != "" {
+				s.Exposed += counts.sent
+				s.Failed += counts.failed
 			}
 		}
 		out = append(out, s)
@@ -337,16 +338,17 @@
 	return out
 }
 
-// Restored takes in that the store may have lost the newest states: they are written again.
+// Restored makes the leader write all states again, because the store may have lost the
+// newest ones.
 func (p *Promoter) Restored() {
 	p.claim.done = false
-	p.claim.asked = 0
+	p.claim.requestedAt = 0
 	for _, r := range p.rollouts {
-		r.lead.fence = 0
+		r.leader.storedFence = 0
 	}
 }
 
-// InProgress reports whether a roll-out of a service is under way.
+// InProgress reports whether a rollout of a service is in progress.
 func (p *Promoter) InProgress(service identifier.ServiceName) bool {
 	r := p.rollouts[service]
 	return r != nil && !r.phase.Final()
--- a/internal/promoter/promoter_test.go
+++ b/internal/promoter/promoter_test.go
@@ -13,116 +13,116 @@
 
 const testLimit = 16 * timekeeper.Second
 
-// strike is a fault that hits a roll-out.
-type strike struct {
-	name string
-	do   func(w *world)
-	// late tells that a good version may be rolled back: nobody could judge it in time.
-	late bool
+// fault is a fault during a rollout.
+type fault struct {
+	name   string
+	inject func(c *cluster)
+	// rollbackAllowed is set if a good version may be rolled back because it can't be
+	// assessed in time.
+	rollbackAllowed bool
 }
 
-// takeOver gives the lease to another node after a while in which nobody has it.
-func takeOver(w *world, to int) {
-	w.leader = -1
-	w.after(3500, func() {
-		w.leader = to
-		w.fence++
+// takeOver moves the lease to another node after a time without a holder.
+func takeOver(c *cluster, to int) {
+	c.leader = -1
+	c.after(3500, func() {
+		c.leader = to
+		c.fence++
 	})
 }
 
-var strikes = []strike{
+var rolloutFaults = []fault{
 	{
 		name: "the leader dies",
-		do: func(w *world) {
-			old := w.leader
-			takeOver(w, old+1)
-			w.nodes[old] = w.newNode(old)
+		inject: func(c *cluster) {
+			old := c.leader
+			takeOver(c, old+1)
+			c.nodes[old] = c.newNode(old)
 		},
 	},
 	{
 		name: "the leader freezes, and its last write arrives after its successor's",
-		do: func(w *world) {
-			old := w.nodes[w.leader]
+		inject: func(c *cluster) {
+			old := c.nodes[c.leader]
 			late := messenger.StoreRollout{
 				Rollout: messenger.Rollout{
 					Order: old.rollouts["reader"].order,
 					Phase: messenger.RolloutCompleted,
 				},
-				Fence: w.fence,
+				Fence: c.fence,
 			}
-			takeOver(w, w.leader+1)
-			w.after(4500, func() { w.carryOut(old, late) })
+			takeOver(c, c.leader+1)
+			c.after(4500, func() { c.execute(old, late) })
 		},
 	},
 	{
 		name: "all nodes die",
-		do: func(w *world) {
-			for i := range w.nodes {
-				w.nodes[i] = w.newNode(i)
-				// Those that read the store know the order, but not how far it is.
-				w.nodes[i].ApplyOrders(w.now, []messenger.RolloutOrder{{
+		inject: func(c *cluster) {
+			for i := range c.nodes {
+				c.nodes[i] = c.newNode(i)
+				// Nodes that read the store know the order, but not its phase.
+				c.nodes[i].ApplyOrders(c.now, []messenger.RolloutOrder{{
 					Service:   "reader",
 					Offset:    1,
 					To:        "v2",
-					TimeLimit: w.limit,
+					TimeLimit: c.limit,
 				}})
-				w.nodes[i].ObserveVersion(w.now, "reader", "v1")
-				w.nodes[i].ObserveVersion(w.now, "reader", "v2")
+				c.nodes[i].ObserveVersion(c.now, "reader", "v1")
+				c.nodes[i].ObserveVersion(c.now, "reader", "v2")
 			}
-			takeOver(w, 2)
+			takeOver(c, 2)
 		},
-		late: true,
+		rollbackAllowed: true,
 	},
 	{
 		name: "the store is down",
-		do: func(w *world) {
-			w.down = true
-			w.after(4000, func() { w.down = false })
+		inject: func(c *cluster) {
+			c.storeDown = true
+			c.after(4000, func() { c.storeDown = false })
 		},
-		late: true,
+		rollbackAllowed: true,
 	},
 	{
 		name: "a node is cut off",
-		do: func(w *world) {
-			n := w.nodes[len(w.nodes)-1]
-			n.cut = true
-			w.after(5000, func() { n.cut = false })
+		inject: func(c *cluster) {
+			n := c.nodes[len(c.nodes)-1]
+			n.isolated = true
+			c.after(5000, func() { n.isolated = false })
 		},
 	},
 	{
 		name: "servers of the new version go",
-		do: func(w *world) {
-			for _, s := range w.servers {
+		inject: func(c *cluster) {
+			for _, s := range c.servers {
 				if s.Version == "v2" && s.index > 0 {
 					s.State = messenger.ServerRemoved
 				}
 			}
 		},
-		late: true,
+		rollbackAllowed: true,
 	},
 }
 
-// Faults strike at any step of a roll-out: the node that leads it dies between deciding
-// and writing, its write arrives late, the store is away at the end. Whatever happens,
-// operators must read one final state, a bad version must get no more than its part of
-// the requests and none for long after it showed, and a good one is completed unless
-// nobody could judge it.
+// The leader, the store or servers fail at any step of a rollout. Operators must read
+// one final state, a bad version must stay within its exposure limit and lose its
+// requests soon after it shows, and a good one is completed unless it could not be
+// assessed.
 func TestRolloutUnderFaults(t *testing.T) {
-	for _, s := range strikes {
-		for _, b := range []badness{kinds[0], kinds[3]} {
+	for _, s := range rolloutFaults {
+		for _, b := range []versionKind{versionKinds[0], versionKinds[3]} {
 			t.Run(fmt.Sprintf("%s/%s", s.name, b.name), func(t *testing.T) {
 				for at := timekeeper.Duration(300); at < testLimit-1000; at += 1150 * stepEvery {
-					w := newWorld(uint64(at), sizes[0], b, testLimit)
-					w.order("v2", 1)
-					w.after(at, func() { s.do(w) })
-					w.run(testLimit + 8*timekeeper.Second)
-					require.Empty(t, w.check(), "struck at %s", at)
-					require.True(t, w.final().Final(), "struck at %s: %s", at, w.final())
+					c := newCluster(uint64(at), workloads[0], b, testLimit)
+					c.order("v2", 1)
+					c.after(at, func() { s.inject(c) })
+					c.run(testLimit + 8*timekeeper.Second)
+					require.Empty(t, c.check(), "struck at %s", at)
+					require.True(t, c.final().Final(), "struck at %s: %s", at, c.final())
 					if !b.good {
-						require.Equal(t, messenger.RolloutRolledBack, w.final(), "struck at %s", at)
+						require.Equal(t, messenger.RolloutRolledBack, c.final(), "struck at %s", at)
 					}
-					if b.good && !s.late {
-						require.Equal(t, messenger.RolloutCompleted, w.final(), "struck at %s: %s", at, w.why)
+					if b.good && !s.rollbackAllowed {
+						require.Equal(t, messenger.RolloutCompleted, c.final(), "struck at %s: %s", at, c.why)
 					}
 				}
 			})
@@ -130,57 +130,57 @@
 	}
 }
 
-// A version is completed, and the platform stops the old servers at once. Requests that
-// ran there would be cut off, so nobody may have one there by then.
+// The platform removes the old servers as soon as a rollout is completed, so no request
+// may be in flight there by then.
 func TestNobodyIsCutOffByTheMove(t *testing.T) {
-	w := newWorld(1, sizes[1], kinds[0], testLimit)
-	w.order("v2", 1)
-	w.run(testLimit)
-	require.Equal(t, messenger.RolloutCompleted, w.final())
-	require.Zero(t, w.cutOff)
+	c := newCluster(1, workloads[1], versionKinds[0], testLimit)
+	c.order("v2", 1)
+	c.run(testLimit)
+	require.Equal(t, messenger.RolloutCompleted, c.final())
+	require.Zero(t, c.cutOff)
 }
 
-// An operator's second thoughts, and orders that make no sense. Each ends in a clear
-// state, and requests go to what is known to be good.
+// Orders that are withdrawn, replaced or invalid each end in a final state, and
+// requests go to the version known to be good.
 func TestOrders(t *testing.T) {
 	tests := []struct {
 		name  string
 		limit timekeeper.Duration
-		do    func(w *world)
+		do    func(c *cluster)
 		want  []messenger.RolloutPhase
-		// last is the version that a request gets at the end.
+		// last is the version that a request is sent to at the end.
 		last identifier.Version
 	}{
 		{
-			name:  "no time",
+			name:  "zero time limit",
 			limit: 0,
-			do:    func(w *world) { w.order("v2", 1) },
+			do:    func(c *cluster) { c.order("v2", 1) },
 			want:  []messenger.RolloutPhase{messenger.RolloutRolledBack},
 			last:  "v1",
 		},
 		{
-			name:  "less than no time",
+			name:  "negative time limit",
 			limit: -5 * timekeeper.Second,
-			do:    func(w *world) { w.order("v2", 1) },
+			do:    func(c *cluster) { c.order("v2", 1) },
 			want:  []messenger.RolloutPhase{messenger.RolloutRolledBack},
 			last:  "v1",
 		},
 		{
 			name:  "no servers of the version come",
 			limit: 8 * timekeeper.Second,
-			do: func(w *world) {
-				w.boot = timekeeper.Hour
-				w.order("v2", 1)
+			do: func(c *cluster) {
+				c.bootTime = timekeeper.Hour
+				c.order("v2", 1)
 			},
 			want: []messenger.RolloutPhase{messenger.RolloutRunning, messenger.RolloutRolledBack},
 			last: "v1",
 		},
 		{
-			name:  "the version that there is",
+			name:  "current version",
 			limit: testLimit,
-			do: func(w *world) {
-				w.boot = timekeeper.Hour
-				w.after(3000, func() { w.order("v1", 1) })
+			do: func(c *cluster) {
+				c.bootTime = timekeeper.Hour
+				c.after(3000, func() { c.order("v1", 1) })
 			},
 			want: []messenger.RolloutPhase{messenger.RolloutCompleted},
 			last: "v1",
@@ -188,10 +188,10 @@
 		{
 			name:  "withdrawn",
 			limit: testLimit,
-			do: func(w *world) {
-				w.order("v2", 1)
-				w.after(5000, func() {
-					w.tell(messenger.RolloutOrder{
+			do: func(c *cluster) {
+				c.order("v2", 1)
+				c.after(5000, func() {
+					c.applyOrder(messenger.RolloutOrder{
 						Service: "reader",
 						Offset:  2,
 					})
@@ -203,9 +203,9 @@
 		{
 			name:  "a newer order",
 			limit: testLimit,
-			do: func(w *world) {
-				w.order("v2", 1)
-				w.after(5000, func() { w.order("v3", 2) })
+			do: func(c *cluster) {
+				c.order("v2", 1)
+				c.after(5000, func() { c.order("v3", 2) })
 			},
 			want: []messenger.RolloutPhase{
 				messenger.RolloutRunning, messenger.RolloutRolledBack,
@@ -216,13 +216,13 @@
 		{
 			name:  "the version that was rolled back, again",
 			limit: 8 * timekeeper.Second,
-			do: func(w *world) {
-				w.boot = timekeeper.Hour
-				w.order("v2", 1)
-				w.after(9000, func() {
-					w.limit = testLimit
-					w.boot = 2000
-					w.order("v2", 2)
+			do: func(c *cluster) {
+				c.bootTime = timekeeper.Hour
+				c.order("v2", 1)
+				c.after(9000, func() {
+					c.limit = testLimit
+					c.bootTime = 2000
+					c.order("v2", 2)
 				})
 			},
 			want: []messenger.RolloutPhase{
@@ -234,18 +234,18 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			w := newWorld(1, sizes[0], kinds[0], test.limit)
-			test.do(w)
-			w.run(30 * timekeeper.Second)
+			c := newCluster(1, workloads[0], versionKinds[0], test.limit)
+			test.do(c)
+			c.run(30 * timekeeper.Second)
 			var got []messenger.RolloutPhase
-			for _, s := range w.told {
+			for _, s := range c.storedStates {
 				if s.Order.To != "" {
 					got = append(got, s.Phase)
 				}
 			}
-			require.Equal(t, test.want, got, w.why)
-			for i, n := range w.nodes {
-				s := w.pick(n.Candidates(w.asks()).Preferred)
+			require.Equal(t, test.want, got, c.why)
+			for i, n := range c.nodes {
+				s := c.pick(n.Candidates(c.request()).Preferred)
 				require.NotNil(t, s)
 				require.Equal(t, test.last, s.Version, "node %d", i)
 			}
@@ -253,96 +253,94 @@
 	}
 }
 
-// asks is a request that is sent now.
-func (w *world) asks() Request {
+// request returns a request that is sent now.
+func (c *cluster) request() Request {
 	return Request{
-		Now:          w.now,
+		Now:          c.now,
 		Service:      "reader",
 		Route:        "lookup",
-		Servers:      w.published,
+		Servers:      c.published,
 		FirstAttempt: true,
-		OrdersAsOf:   w.now,
-		Rand:         w.rng,
+		OrdersAsOf:   c.now,
+		Rand:         c.rng,
 	}
 }
 
-// A node is cut off from all others while a version is tried. It can't hear that the
-// version was rolled back, so it may not send it anything, whatever it may have left of
-// its part.
+// An isolated node can't learn that the version was rolled back, so it must not send it
+// any requests, even within its limit.
 func TestNodeWithoutNewsSendsTheNewVersionNothing(t *testing.T) {
-	w := newWorld(1, sizes[0], kinds[0], testLimit)
-	w.order("v2", 1)
-	w.run(5 * timekeeper.Second)
-	deaf := w.nodes[5]
-	deaf.cut = true
-	w.run(freshFor + 200)
+	c := newCluster(1, workloads[0], versionKinds[0], testLimit)
+	c.order("v2", 1)
+	c.run(5 * timekeeper.Second)
+	deaf := c.nodes[5]
+	deaf.isolated = true
+	c.run(maxLeaderAge + 200)
 	for range 2000 {
-		w.now = w.now.Add(1)
-		require.Equal(t, identifier.Version("v1"), w.pick(deaf.Candidates(w.asks()).Preferred).Version)
+		c.now = c.now.Add(1)
+		require.Equal(t, identifier.Version("v1"), c.pick(deaf.Candidates(c.request()).Preferred).Version)
 	}
 }
 
-// Servers of another version show up before the node has heard of the order that started
-// them. They get nothing until it knows the orders of that time; then, if there was none,
-// they are servers like others.
+// Servers of a version that appear before the node knows the order behind them receive
+// no requests until it knows all orders up to that time. Without an order they are then
+// used like others.
 func TestServersOfAnUnknownVersion(t *testing.T) {
-	w := newWorld(1, sizes[0], kinds[0], testLimit)
-	n := w.nodes[0]
-	w.now = w.now.Add(1000)
-	w.add("v2", 0)
-	a := w.asks()
-	a.OrdersAsOf = w.now.Add(-1)
+	c := newCluster(1, workloads[0], versionKinds[0], testLimit)
+	n := c.nodes[0]
+	c.now = c.now.Add(1000)
+	c.addServer("v2", 0)
+	a := c.request()
+	a.OrdersAsOf = c.now.Add(-1)
 	for _, s := range n.Candidates(a).Preferred {
 		require.Equal(t, identifier.Version("v1"), s.Version)
 	}
-	a.OrdersAsOf = w.now
+	a.OrdersAsOf = c.now
 	require.Len(t, n.Candidates(a).Preferred, 5)
-	for _, s := range w.servers[:4] {
+	for _, s := range c.servers[:4] {
 		s.State = messenger.ServerRemoved
 	}
 	a.OrdersAsOf = 0
-	require.NotNil(t, w.pick(n.Candidates(a).Preferred), "better than none")
+	require.NotNil(t, c.pick(n.Candidates(a).Preferred), "better than none")
 }
 
-// All nodes started after a roll-out was completed. They read the order, and nobody leads
-// yet: the only servers that there are have to serve.
+// All nodes restart after a rollout was completed, and there is no leader: the servers
+// of the ordered version, the only ones, must be used.
 func TestCompletedBeforeTheStart(t *testing.T) {
-	w := newWorld(1, sizes[0], kinds[0], testLimit)
-	for _, s := range w.servers {
+	c := newCluster(1, workloads[0], versionKinds[0], testLimit)
+	for _, s := range c.servers {
 		s.Version = "v2"
 	}
-	n := w.newNode(0)
-	n.ApplyOrders(w.now, []messenger.RolloutOrder{{
+	n := c.newNode(0)
+	n.ApplyOrders(c.now, []messenger.RolloutOrder{{
 		Service:   "reader",
 		Offset:    1,
 		To:        "v2",
 		TimeLimit: testLimit,
 	}})
-	require.NotNil(t, w.pick(n.Candidates(w.asks()).Preferred))
+	require.NotNil(t, c.pick(n.Candidates(c.request()).Preferred))
 }
 
-// Operators order the version that a service has already. Nobody may refuse a request for
-// it meanwhile, as too many for a version that is not trusted.
+// An order for the version that the service already runs must not make any node reject
+// requests.
 func TestOrderOfTheVersionThatThereIs(t *testing.T) {
-	w := newWorld(1, sizes[0], kinds[0], testLimit)
-	w.tell(messenger.RolloutOrder{
+	c := newCluster(1, workloads[0], versionKinds[0], testLimit)
+	c.applyOrder(messenger.RolloutOrder{
 		Service:   "reader",
 		Offset:    1,
 		To:        "v1",
 		TimeLimit: testLimit,
 	})
 	for range 300 {
-		w.run(10)
-		for _, n := range w.nodes {
-			require.NotNil(t, w.pick(n.Candidates(w.asks()).Preferred), "at %s", w.now.Sub(worldStart))
+		c.run(10)
+		for _, n := range c.nodes {
+			require.NotNil(t, c.pick(n.Candidates(c.request()).Preferred), "at %s", c.now.Sub(startTime))
 		}
 	}
 }
 
-// News that can't be true changes nothing.
 func TestUnbelievableNews(t *testing.T) {
 	n := New(Config{})
-	n.Merge(worldStart, []messenger.Rollout{
+	n.Merge(startTime, []messenger.Rollout{
 		{
 			Phase: messenger.RolloutCompleted,
 		},
@@ -355,49 +353,49 @@
 			Phase: "halfway",
 		},
 	})
-	require.Empty(t, n.Updates(worldStart))
+	require.Empty(t, n.Updates(startTime))
 	for i := range 2 * maxRollouts {
-		n.ApplyOrders(worldStart, []messenger.RolloutOrder{{
+		n.ApplyOrders(startTime, []messenger.RolloutOrder{{
 			Service:   identifier.ServiceName(fmt.Sprint("service-", i)),
 			Offset:    1,
 			To:        "v2",
 			TimeLimit: testLimit,
 		}})
 	}
-	require.Len(t, n.Updates(worldStart), maxRollouts)
+	require.Len(t, n.Updates(startTime), maxRollouts)
 }
 
-// What is checked above would show, were the safeguards not there.
+// The checks above fail if a safeguard is disabled.
 func TestControls(t *testing.T) {
 	t.Run("a store that takes writes of earlier holders", func(t *testing.T) {
-		w := newWorld(3, sizes[0], kinds[3], testLimit)
-		w.unfenced = true
-		w.order("v2", 1)
-		w.after(4000, func() { strikes[1].do(w) })
-		w.run(testLimit)
-		require.NotEmpty(t, w.check())
+		c := newCluster(3, workloads[0], versionKinds[3], testLimit)
+		c.acceptStaleFence = true
+		c.order("v2", 1)
+		c.after(4000, func() { rolloutFaults[1].inject(c) })
+		c.run(testLimit)
+		require.NotEmpty(t, c.check())
 	})
 	t.Run("a version so little worse that it is completed", func(t *testing.T) {
-		w := newWorld(3, sizes[0], badness{
-			name:  "hardly bad",
-			spoil: func(routeSpec, *serverState, timekeeper.Duration) (float64, float64) { return 0.005, 0 },
+		c := newCluster(3, workloads[0], versionKind{
+			name:    "hardly bad",
+			degrade: func(routeSpec, *serverState, timekeeper.Duration) (float64, float64) { return 0.005, 0 },
 		}, testLimit)
-		w.order("v2", 1)
-		w.run(testLimit)
-		require.NotEmpty(t, w.check())
+		c.order("v2", 1)
+		c.run(testLimit)
+		require.NotEmpty(t, c.check())
 	})
-	t.Run("news that does not get through", func(t *testing.T) {
-		w := newWorld(3, sizes[0], kinds[3], testLimit)
-		w.order("v2", 1)
-		w.run(5 * timekeeper.Second)
-		for i, n := range w.nodes {
-			n.cut = i > 0
+	t.Run("updates that are lost", func(t *testing.T) {
+		c := newCluster(3, workloads[0], versionKinds[3], testLimit)
+		c.order("v2", 1)
+		c.run(5 * timekeeper.Second)
+		for i, n := range c.nodes {
+			n.isolated = i > 0
 			if r := n.rollouts["reader"]; i > 0 {
-				r.led = w.now.Add(timekeeper.Hour)
+				r.leaderSeen = c.now.Add(timekeeper.Hour)
 				r.phase = messenger.RolloutPromoting
 			}
 		}
-		w.run(testLimit)
-		require.NotEmpty(t, w.check())
+		c.run(testLimit)
+		require.NotEmpty(t, c.check())
 	})
 }
--- a/internal/promoter/race_test.go
+++ b/internal/promoter/race_test.go
@@ -2,8 +2,8 @@
 
 package promoter
 
-// Under the race detector, which makes these worlds ten times as slow, one roll-out of each
-// kind is played, and each sixth step. Nothing here runs in several goroutines.
+// The race detector makes these simulations ten times as slow, and nothing here runs in
+// several goroutines, so only a part of them runs under it.
 const (
 	seedsOfAKind = 1
 	stepEvery    = 6
