--- a/internal/promoter/promoter_test.go
+++ b/internal/promoter/promoter_test.go
@@ -132,7 +132,7 @@
 
 // The platform removes the old servers as soon as a rollout is completed, so no request
 // may be in flight there by then.
-func TestNobodyIsCutOffByTheMove(t *testing.T) {
+func TestMigrationCutsOffNothing(t *testing.T) {
 	c := newCluster(1, workloads[1], versionKinds[0], testLimit)
 	c.order("v2", 1)
 	c.run(testLimit)
@@ -268,16 +268,16 @@
 
 // An isolated node can't learn that the version was rolled back, so it must not send it
 // any requests, even within its limit.
-func TestNodeWithoutNewsSendsTheNewVersionNothing(t *testing.T) {
+func TestIsolatedNodeSendsNothingToTheNewVersion(t *testing.T) {
 	c := newCluster(1, workloads[0], versionKinds[0], testLimit)
 	c.order("v2", 1)
 	c.run(5 * timekeeper.Second)
-	deaf := c.nodes[5]
-	deaf.isolated = true
+	isolated := c.nodes[5]
+	isolated.isolated = true
 	c.run(maxLeaderAge + 200)
 	for range 2000 {
 		c.now = c.now.Add(1)
-		require.Equal(t, identifier.Version("v1"), c.pick(deaf.Candidates(c.request()).Preferred).Version)
+		require.Equal(t, identifier.Version("v1"), c.pick(isolated.Candidates(c.request()).Preferred).Version)
 	}
 }
 
@@ -305,7 +305,7 @@
 
 // All nodes restart after a rollout was completed, and there is no leader: the servers
 // of the ordered version, the only ones, must be used.
-func TestCompletedBeforeTheStart(t *testing.T) {
+func TestCompletedBeforeStart(t *testing.T) {
 	c := newCluster(1, workloads[0], versionKinds[0], testLimit)
 	for _, s := range c.servers {
 		s.Version = "v2"
@@ -322,7 +322,7 @@
 
 // An order for the version that the service already runs must not make any node reject
 // requests.
-func TestOrderOfTheVersionThatThereIs(t *testing.T) {
+func TestOrderOfTheCurrentVersion(t *testing.T) {
 	c := newCluster(1, workloads[0], versionKinds[0], testLimit)
 	c.applyOrder(messenger.RolloutOrder{
 		Service:   "reader",
@@ -338,7 +338,7 @@
 	}
 }
 
-func TestUnbelievableNews(t *testing.T) {
+func TestInvalidUpdates(t *testing.T) {
 	n := New(Config{})
 	n.Merge(startTime, []messenger.Rollout{
 		{
