--- a/internal/bencher/node.go
+++ b/internal/bencher/node.go
@@ -432,7 +432,7 @@
 		Model:      r.kind.Service.Kind == catalog.ModelService,
 		Planned:    n.owed(a),
 	}, n.rng)
-	if !verdict.Again {
+	if !verdict.Retry {
 		n.end(r)
 		n.world.tally.lost(r, outcomeFailed)
 		return
@@ -440,7 +440,7 @@
 	n.world.tally.retries++
 	r.avoidServers = map[identifier.VMID]bool{a.server.state.VM: true}
 	r.avoidZones = map[identifier.Zone]bool{a.server.state.Zone: true}
-	n.world.after(verdict.After, func() { n.resume(r) })
+	n.world.after(verdict.Delay, func() { n.resume(r) })
 }
 
 // owed tells that an attempt costs no retry budget, as for the conductor.
--- a/internal/conductor/progress.go
+++ b/internal/conductor/progress.go
@@ -128,7 +128,7 @@
 		Planned:       c.exemptFromBudget(env, r),
 		EarlierNotRun: !r.mayHaveRun,
 	}, env.Rand)
-	if !verdict.Again {
+	if !verdict.Retry {
 		return c.finish(env, r, requestResult{
 			outcome:    c.correctNotRun(r, verdict.Outcome),
 			reason:     verdict.Reason,
@@ -139,8 +139,8 @@
 	if e.Result != messenger.AttemptRefused {
 		r.failedZones[r.zone] = true
 	}
-	r.retryAt = env.Now.Add(verdict.After)
-	if verdict.After == 0 {
+	r.retryAt = env.Now.Add(verdict.Delay)
+	if verdict.Delay == 0 {
 		return c.startAttempt(env, r)
 	}
 	return nil
--- a/internal/estimator/estimator_test.go
+++ b/internal/estimator/estimator_test.go
@@ -12,20 +12,20 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// engine is a model engine as the tests imagine it.
+// engine is a simulated model engine.
 type engine struct {
 	base    float64
-	read    float64 // of 1,000 tokens
-	pairs   float64 // of a million
+	read    float64 // per 1,000 tokens
+	pairs   float64 // per million pairs
 	running float64
 }
 
-func (e engine) wait(w estimator.Work) float64 {
-	unread := float64(w.Uncached)
-	return e.base + e.read*unread/1e3 + e.pairs*unread*(float64(w.Cached)+unread/2)/1e6 + e.running*float64(w.Running)
+func (e engine) firstEventTime(w estimator.Work) float64 {
+	uncached := float64(w.Uncached)
+	return e.base + e.read*uncached/1e3 + e.pairs*uncached*(float64(w.Cached)+uncached/2)/1e6 + e.running*float64(w.Running)
 }
 
-func draw(rng *rand.Rand) estimator.Work {
+func randomWork(rng *rand.Rand) estimator.Work {
 	return estimator.Work{
 		Uncached: identifier.Tokens(200 + rng.ExpFloat64()*4000),
 		Cached:   identifier.Tokens(rng.ExpFloat64() * 10_000),
@@ -33,9 +33,9 @@
 	}
 }
 
-// Engines of any speed are known after some seconds of a node's answers, though
-// a tenth of these took many times as long for a reason that is not known.
-func TestLearnsAnyEngine(t *testing.T) {
+// The estimates must converge for engines of any speed within some seconds of answers,
+// although a tenth of the answers are outliers.
+func TestConvergesForAnyEngine(t *testing.T) {
 	tests := []engine{
 		{
 			base:    30,
@@ -56,31 +56,31 @@
 			running: 4,
 		},
 	}
-	for _, real := range tests {
-		t.Run(fmt.Sprint(real.read), func(t *testing.T) {
+	for _, actual := range tests {
+		t.Run(fmt.Sprint(actual.read), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(1, 2))
 			e := estimator.New()
 			for range 150 {
-				w := draw(rng)
-				took := real.wait(w) * (0.8 + 0.4*rng.Float64())
+				w := randomWork(rng)
+				took := actual.firstEventTime(w) * (0.8 + 0.4*rng.Float64())
 				if rng.IntN(10) == 0 {
 					took *= 8
 				}
 				e.Observe("i-1", w, timekeeper.Duration(took))
 			}
 			for range 50 {
-				w := draw(rng)
-				require.InEpsilon(t, real.wait(w), float64(e.FirstEventTime("i-1", w)), 0.4)
+				w := randomWork(rng)
+				require.InEpsilon(t, actual.firstEventTime(w), float64(e.FirstEventTime("i-1", w)), 0.4)
 			}
 		})
 	}
 }
 
-// One server of three is slower than the others. Requests of the same work are
-// predicted to wait longer there.
-func TestServersDiffer(t *testing.T) {
+// A server that is slower than the others must get longer predictions for the same
+// work.
+func TestSlowServerHasItsOwnFactor(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	real := engine{
+	actual := engine{
 		base:    20,
 		read:    16,
 		pairs:   0.4,
@@ -94,8 +94,8 @@
 	}
 	for range 200 {
 		for server, f := range factors {
-			w := draw(rng)
-			e.Observe(server, w, timekeeper.Duration(f*real.wait(w)))
+			w := randomWork(rng)
+			e.Observe(server, w, timekeeper.Duration(f*actual.firstEventTime(w)))
 		}
 	}
 	w := estimator.Work{Uncached: 10_000}
@@ -104,10 +104,10 @@
 	require.InDelta(t, float64(e.FirstEventTime("i-1", w)), float64(e.FirstEventTime("i-3", w)), 0.3*float64(e.FirstEventTime("i-1", w)))
 }
 
-// A server that lies, or answers that come at once or never, move what is
-// predicted no further than its bounds, and good answers bring it back.
-func TestAbsurdAnswers(t *testing.T) {
-	real := engine{
+// Implausible observations must not move the predictions out of their bounds, and
+// plausible ones must correct them again.
+func TestImplausibleObservations(t *testing.T) {
+	actual := engine{
 		base:    20,
 		read:    16,
 		pairs:   0.4,
@@ -117,7 +117,7 @@
 		rng := rand.New(rand.NewPCG(1, 2))
 		e := estimator.New()
 		for range 2000 {
-			e.Observe("i-1", draw(rng), took)
+			e.Observe("i-1", randomWork(rng), took)
 			wait := e.FirstEventTime("i-1", estimator.Work{Uncached: 1000})
 			require.Positive(t, wait)
 			require.Less(t, wait, 10*timekeeper.Second)
@@ -128,16 +128,16 @@
 			Running:  -1,
 		}, took)
 		for range 600 {
-			w := draw(rng)
-			e.Observe("i-1", w, timekeeper.Duration(real.wait(w)))
+			w := randomWork(rng)
+			e.Observe("i-1", w, timekeeper.Duration(actual.firstEventTime(w)))
 		}
 		w := estimator.Work{Uncached: 5000}
-		require.InEpsilon(t, real.wait(w), float64(e.FirstEventTime("i-1", w)), 0.3, "after %d", took)
+		require.InEpsilon(t, actual.firstEventTime(w), float64(e.FirstEventTime("i-1", w)), 0.3, "after %d", took)
 	}
 }
 
-// What is read before the answer begins is a part of the wait.
-func TestReading(t *testing.T) {
+// The prefill is a part of the time to the first event.
+func TestPrefillTime(t *testing.T) {
 	e := estimator.New()
 	w := estimator.Work{
 		Uncached: 4000,
--- a/internal/indexer/indexer.go
+++ b/internal/indexer/indexer.go
@@ -1,13 +1,14 @@
-// Package indexer remembers which backend servers probably keep which shared
-// parts of prompts, so that a request goes where little of its prompt has to be
-// read, or copies from there what its own server lacks.
+// Package indexer estimates which backend servers have cached which shared parts of
+// prompts. Requests are then sent to servers that need to read little of their prompt,
+// or that can copy what they lack from another server.
 //
-// A node notes the parts of each prompt that it sends, and its peers report what
-// they noted. Of a server it remembers as much as that keeps: the parts that
-// were used least recently give way, as they do there. What is remembered may
-// be wrong: a server may keep less, which costs the time to read it again.
+// A node adds the parts of each prompt that it sends, and merges what its peers report.
+// The index of a server is bounded by the server's cache capacity and evicts the least
+// recently used parts, as the server does. It may be wrong: if a server has cached
+// less, the prompt is read again.
 //
-// Everything is pure: time is an argument. Nothing is safe for concurrent use.
+// All functions are deterministic: time is passed in. Nothing is safe for concurrent
+// use.
 package indexer
 
 import (
@@ -23,105 +24,106 @@
 )
 
 const (
-	// maxParts bounds the parts remembered of one server, and maxServers the
-	// servers: 600 servers of 4,096 parts take some 100 MB at worst, which only
-	// parts of less than 150 tokens would reach.
+	// maxParts bounds the parts per server, and maxServers the servers. 600 servers
+	// with 4,096 parts each take about 100 MB, a worst case that needs parts of less
+	// than 150 tokens.
 	maxParts   = 4096
 	maxServers = 1024
-	// leastTokens is the size below which a part is not remembered: it is read
-	// in less time than two servers' loads differ by.
-	leastTokens = 512
-	// newsTime is for how long a part is reported to peers: each share goes out
-	// within it at least twice.
-	newsTime = 1100 * timekeeper.Millisecond
-	// relayedTime is the same for one of two relays, which tells every half second.
-	relayedTime = 600 * timekeeper.Millisecond
-	// maxNews bounds the parts that are reported at a time, and maxAll those that
-	// a peer hears of which joined: some 40 KB.
-	maxNews = 256
-	maxAll  = 2048
+	// minTokens is the size below which a part is not indexed: reading it takes less
+	// time than the load of two servers typically differs by.
+	minTokens = 512
+	// updateWindow is the time for which a part is reported to peers, so that at least
+	// two state updates contain it.
+	updateWindow = 1100 * timekeeper.Millisecond
+	// relayWindow is the same for a relay. Each node has two relays, which send every
+	// half second.
+	relayWindow = 600 * timekeeper.Millisecond
+	// maxUpdates bounds the parts in one report, and maxSnapshot those in the report
+	// for a joining peer, which is then about 40 KB.
+	maxUpdates  = 256
+	maxSnapshot = 2048
 )
 
-// Index is what one node remembers of all servers.
+// Index holds the prompt parts that all servers are assumed to have cached.
 type Index struct {
-	servers map[identifier.VMID]*kept
-	updates []item
+	servers map[identifier.VMID]*serverCache
+	updates []update
 }
 
-// kept is the parts of one server.
-type kept struct {
+// serverCache holds the parts of one server.
+type serverCache struct {
 	parts  *simplelru.LRU[identifier.PrefixHash, identifier.Tokens]
 	tokens identifier.Tokens
 }
 
-// item is a part that peers hear of.
-type item struct {
+// update is a part to be reported to peers.
+type update struct {
 	at   timekeeper.Time
 	part messenger.CachedPrefix
 }
 
-// New returns an Index that remembers nothing.
+// New returns an empty Index.
 func New() *Index {
-	return &Index{servers: map[identifier.VMID]*kept{}}
+	return &Index{servers: map[identifier.VMID]*serverCache{}}
 }
 
-// AddSent takes in that a server has read the shared parts of a prompt, or will
-// have before it reads another prompt. Peers hear of those that were not
-// remembered. Capacity is how many tokens the server keeps; zero where that is
-// not known.
+// AddSent records that a server has read the shared parts of a prompt, or will have
+// read them before it reads another prompt. Parts that were not indexed are reported to
+// peers. Capacity is the number of tokens that the server can cache, or zero if
+// unknown.
 func (x *Index) AddSent(now timekeeper.Time, server identifier.VMID, prefix []messenger.PromptPart, capacity identifier.Tokens) {
-	for _, p := range shared(prefix) {
+	for _, p := range sharedParts(prefix) {
 		if x.add(server, p, capacity) {
 			x.queueUpdate(now, server, p)
 		}
 	}
 }
 
-// Merge takes in what a peer reported. With passOn set this node's own peers
-// hear of it too, if it is new.
+// Merge adds a part that a peer reported. If passOn is set and the part is new, this
+// node reports it to its own peers as well.
 func (x *Index) Merge(now timekeeper.Time, p messenger.CachedPrefix, capacity identifier.Tokens, passOn bool) {
 	if x.add(p.Server, p.Part, capacity) && passOn {
 		x.queueUpdate(now, p.Server, p.Part)
 	}
 }
 
-// add reports whether the part was not remembered.
+// add adds a part and reports whether it was new.
 func (x *Index) add(server identifier.VMID, p messenger.PromptPart, capacity identifier.Tokens) bool {
-	if p.Tokens < leastTokens {
+	if p.Tokens < minTokens {
 		return false
 	}
-	k := x.servers[server]
-	if k == nil {
+	cache := x.servers[server]
+	if cache == nil {
 		if len(x.servers) >= maxServers {
 			return false
 		}
-		k = newKept()
-		x.servers[server] = k
+		cache = newServerCache()
+		x.servers[server] = cache
 	}
-	if _, known := k.parts.Get(p.Hash); known {
+	if _, known := cache.parts.Get(p.Hash); known {
 		return false
 	}
-	k.parts.Add(p.Hash, p.Tokens)
-	k.tokens += p.Tokens
-	for capacity > 0 && k.tokens > capacity && k.parts.Len() > 1 {
-		k.parts.RemoveOldest()
+	cache.parts.Add(p.Hash, p.Tokens)
+	cache.tokens += p.Tokens
+	for capacity > 0 && cache.tokens > capacity && cache.parts.Len() > 1 {
+		cache.parts.RemoveOldest()
 	}
 	return true
 }
 
-func newKept() *kept {
-	k := &kept{}
-	parts, err := simplelru.NewLRU(maxParts, func(_ identifier.PrefixHash, n identifier.Tokens) { k.tokens -= n })
+func newServerCache() *serverCache {
+	cache := &serverCache{}
+	parts, err := simplelru.NewLRU(maxParts, func(_ identifier.PrefixHash, n identifier.Tokens) { cache.tokens -= n })
 	if err != nil {
-		// Only a size that is not positive is an error.
+		// NewLRU fails only for a size that is not positive.
 		panic(err)
 	}
-	k.parts = parts
-	return k
+	cache.parts = parts
+	return cache
 }
 
 func (x *Index) queueUpdate(now timekeeper.Time, server identifier.VMID, p messenger.PromptPart) {
-	x.updates = append(x.updates, item{
+	x.updates = append(x.updates, update{
 		at: now,
 		part: messenger.CachedPrefix{
 			Server: server,
@@ -130,16 +132,16 @@
 	})
 }
 
-// CachedTokens returns how many tokens of a prompt's shared parts a server keeps. A
-// part counts only if all before it are kept too.
+// CachedTokens returns how many tokens of a prompt's shared parts a server is assumed
+// to have cached. A part counts only if all parts before it are cached.
 func (x *Index) CachedTokens(server identifier.VMID, prefix []messenger.PromptPart) identifier.Tokens {
-	k := x.servers[server]
-	if k == nil {
+	cache := x.servers[server]
+	if cache == nil {
 		return 0
 	}
 	var sum identifier.Tokens
-	for _, p := range shared(prefix) {
-		if p.Tokens >= leastTokens && !k.parts.Contains(p.Hash) {
+	for _, p := range sharedParts(prefix) {
+		if p.Tokens >= minTokens && !cache.parts.Contains(p.Hash) {
 			break
 		}
 		sum += p.Tokens
@@ -147,56 +149,53 @@
 	return sum
 }
 
-// Remove forgets what a prompt's server was noted to keep of it: the server did
-// not read it.
+// Remove drops the shared parts of a prompt that the server did not read.
 func (x *Index) Remove(server identifier.VMID, prefix []messenger.PromptPart) {
-	k := x.servers[server]
-	if k == nil {
+	cache := x.servers[server]
+	if cache == nil {
 		return
 	}
-	for _, p := range shared(prefix) {
-		k.parts.Remove(p.Hash)
+	for _, p := range sharedParts(prefix) {
+		cache.parts.Remove(p.Hash)
 	}
 }
 
-// Forget drops a server that is gone.
+// Forget drops a removed server.
 func (x *Index) Forget(server identifier.VMID) { delete(x.servers, server) }
 
-// Updates returns what peers hear of, the newest last.
+// Updates returns the parts to report to peers, oldest first.
 func (x *Index) Updates(now timekeeper.Time) []messenger.CachedPrefix {
-	x.updates = slices.DeleteFunc(x.updates, func(i item) bool { return now.Sub(i.at) > newsTime })
-	x.updates = x.updates[max(len(x.updates)-maxNews, 0):]
-	return x.updatesWithin(now, newsTime)
+	x.updates = slices.DeleteFunc(x.updates, func(i update) bool { return now.Sub(i.at) > updateWindow })
+	x.updates = x.updates[max(len(x.updates)-maxUpdates, 0):]
+	return x.updatesWithin(now, updateWindow)
 }
 
-// RelayedUpdates returns the part of News that a relay passes on: each of its peers
-// hears of a part from two relays, so that each need tell it no longer than for one
-// of its turns.
+// RelayedUpdates returns the part of Updates that a relay passes on. Each peer receives
+// it from two relays, so that each relay reports it for one interval only.
 func (x *Index) RelayedUpdates(now timekeeper.Time) []messenger.CachedPrefix {
-	return x.updatesWithin(now, relayedTime)
+	return x.updatesWithin(now, relayWindow)
 }
 
 func (x *Index) updatesWithin(now timekeeper.Time, span timekeeper.Duration) []messenger.CachedPrefix {
 	out := make([]messenger.CachedPrefix, 0, len(x.updates))
-	for _, i := range x.updates {
-		if now.Sub(i.at) <= span {
-			out = append(out, i.part)
+	for _, u := range x.updates {
+		if now.Sub(u.at) <= span {
+			out = append(out, u.part)
 		}
 	}
 	return out
 }
 
-// All returns what is remembered of all servers, up to a bound, for a peer that
-// remembers nothing.
+// All returns the parts of all servers, up to a bound, for a peer that has just joined.
 func (x *Index) All() []messenger.CachedPrefix {
 	var out []messenger.CachedPrefix
 	for _, server := range slices.Sorted(maps.Keys(x.servers)) {
-		k := x.servers[server]
-		for _, hash := range k.parts.Keys() {
-			if len(out) == maxAll {
+		cache := x.servers[server]
+		for _, hash := range cache.parts.Keys() {
+			if len(out) == maxSnapshot {
 				return out
 			}
-			tokens, _ := k.parts.Peek(hash)
+			tokens, _ := cache.parts.Peek(hash)
 			out = append(out, messenger.CachedPrefix{
 				Server: server,
 				Part: messenger.PromptPart{
@@ -209,19 +208,19 @@
 	return out
 }
 
-// shared returns the parts of a prompt that other requests may share: all but
-// the last, which is the request's own.
-func shared(prefix []messenger.PromptPart) []messenger.PromptPart {
+// sharedParts returns the parts of a prompt that other requests may share: all but the
+// last.
+func sharedParts(prefix []messenger.PromptPart) []messenger.PromptPart {
 	if len(prefix) < 2 {
 		return nil
 	}
 	return prefix[:len(prefix)-1]
 }
 
-// SharedTokens returns the tokens of a prompt's shared parts.
+// SharedTokens returns the number of tokens in a prompt's shared parts.
 func SharedTokens(prefix []messenger.PromptPart) identifier.Tokens {
 	var sum identifier.Tokens
-	for _, p := range shared(prefix) {
+	for _, p := range sharedParts(prefix) {
 		sum += min(p.Tokens, math.MaxInt32)
 	}
 	return sum
--- a/internal/indexer/indexer_test.go
+++ b/internal/indexer/indexer_test.go
@@ -16,7 +16,8 @@
 	capacity identifier.Tokens = 50_000
 )
 
-// prompt has two shared parts, named by their hashes, and one of its own.
+// prompt returns two shared parts with the given hashes, and one that no other prompt
+// shares.
 func prompt(first, second identifier.PrefixHash) []messenger.PromptPart {
 	return []messenger.PromptPart{
 		{
@@ -34,7 +35,7 @@
 	}
 }
 
-func TestKept(t *testing.T) {
+func TestCachedTokens(t *testing.T) {
 	x := indexer.New()
 	x.AddSent(start, "i-1", prompt(1, 2), capacity)
 	tests := []struct {
@@ -50,13 +51,13 @@
 			want:   12_000,
 		},
 		{
-			name:   "the first part",
+			name:   "first part",
 			server: "i-1",
 			prefix: prompt(1, 3),
 			want:   2000,
 		},
 		{
-			name:   "a part without the one before it",
+			name:   "part without the one before it",
 			server: "i-1",
 			prefix: prompt(3, 2),
 		},
@@ -66,7 +67,7 @@
 			prefix: prompt(1, 2),
 		},
 		{
-			name:   "a request that says nothing of its prompt",
+			name:   "request without prompt parts",
 			server: "i-1",
 		},
 	}
@@ -77,9 +78,9 @@
 	}
 }
 
-// A server has read more than it keeps. The parts that were used least recently
-// are gone there; a request that counted on one would wait for it to be read.
-func TestLeastRecentlyUsedGivesWay(t *testing.T) {
+// A server evicts the least recently used parts when its cache is full, and the index
+// must do the same.
+func TestLeastRecentlyUsedIsEvicted(t *testing.T) {
 	x := indexer.New()
 	for hash := identifier.PrefixHash(10); hash < 14; hash++ {
 		x.AddSent(start, "i-1", prompt(1, hash), capacity)
@@ -91,9 +92,9 @@
 	require.Equal(t, identifier.Tokens(12_000), x.CachedTokens("i-1", prompt(1, 14)))
 }
 
-// Peers hear what is new, for as long as a share goes out twice. What a peer
-// reported goes no further, but from a node that relays: else it would go round.
-func TestNews(t *testing.T) {
+// New parts are reported for at least two updates. A part from a peer is passed on only
+// by a relay, or it would circulate forever.
+func TestUpdates(t *testing.T) {
 	x, peer, relay := indexer.New(), indexer.New(), indexer.New()
 	x.AddSent(start, "i-1", prompt(1, 2), capacity)
 	require.Len(t, x.Updates(start), 2)
@@ -108,13 +109,13 @@
 	}
 	require.Empty(t, peer.Updates(start))
 	require.Len(t, relay.Updates(start), 1)
-	require.Zero(t, peer.CachedTokens("i-1", prompt(1, 3)), "the first part was reported before")
+	require.Zero(t, peer.CachedTokens("i-1", prompt(1, 3)), "the first part was not reported again")
 	require.Empty(t, x.Updates(start.Add(timekeeper.Minute)))
 }
 
-// A server was sent a prompt that it never read, or ended. What was noted of it
-// would draw requests to a server that has to read all of them.
-func TestForgotten(t *testing.T) {
+// Parts that a server never read, and those of a removed server, must not attract
+// requests.
+func TestRemoveAndForget(t *testing.T) {
 	x := indexer.New()
 	x.AddSent(start, "i-1", prompt(1, 2), capacity)
 	x.Remove("i-1", prompt(1, 2))
@@ -124,7 +125,7 @@
 	require.Zero(t, x.CachedTokens("i-1", prompt(1, 2)))
 }
 
-// A peer may tell anything. What one node remembers stays bounded.
+// The index must stay bounded whatever a peer reports.
 func TestBounded(t *testing.T) {
 	x := indexer.New()
 	for i := range 20_000 {
@@ -140,16 +141,16 @@
 	require.LessOrEqual(t, len(x.Updates(start)), 256)
 }
 
-// A node joins and remembers nothing. With all that a peer remembers it finds the
-// servers that keep its callers' prompts.
-func TestAllForANewcomer(t *testing.T) {
-	x, newcomer := indexer.New(), indexer.New()
+// A joining node that merges a peer's index knows which servers have its callers'
+// prompts cached.
+func TestAllForJoiningNode(t *testing.T) {
+	x, joined := indexer.New(), indexer.New()
 	x.AddSent(start, "i-1", prompt(1, 2), capacity)
 	x.AddSent(start, "i-2", prompt(1, 3), capacity)
 	for _, p := range x.All() {
-		newcomer.Merge(start, p, capacity, false)
+		joined.Merge(start, p, capacity, false)
 	}
-	require.Equal(t, identifier.Tokens(12_000), newcomer.CachedTokens("i-1", prompt(1, 2)))
-	require.Equal(t, identifier.Tokens(12_000), newcomer.CachedTokens("i-2", prompt(1, 3)))
-	require.Empty(t, newcomer.Updates(start))
+	require.Equal(t, identifier.Tokens(12_000), joined.CachedTokens("i-1", prompt(1, 2)))
+	require.Equal(t, identifier.Tokens(12_000), joined.CachedTokens("i-2", prompt(1, 3)))
+	require.Empty(t, joined.Updates(start))
 }
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -30,7 +30,7 @@
 	nodes[1].State = gossiper.Leaving
 	nodes[2].State = gossiper.Suspect
 	holders := placer.Holders("r1", nodes, "entry-000")
-	require.Len(t, holders, 6, "neither self, nor leaving, nor suspect")
+	require.Len(t, holders, 6, "self, leaving and suspect nodes are excluded")
 	for i, n := range holders {
 		require.Equal(t, i >= 4, n.Zone == "zone-0", "own zone last: %v", holders)
 	}
@@ -47,15 +47,15 @@
 	}
 }
 
-// A caller whose node died asks any other node for its request. That node asks
-// the first candidates; the holder must be among them whichever node was the
-// home, or the caller loses a request that is still held.
+// A node that is asked for a request of a failed node queries the first candidates. The
+// holder must be one of the first two, whichever node accepted the request, or the
+// caller loses it.
 func TestHolderIsAmongFirstTwoCandidates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := cluster(rapid.IntRange(2, 40).Draw(t, "nodes"), rapid.IntRange(2, 4).Draw(t, "zones"))
 		request := identifier.RequestID(rapid.StringN(1, 20, 20).Draw(t, "request"))
-		home := rapid.IntRange(0, len(nodes)-1).Draw(t, "home")
-		holder := placer.Holders(request, nodes, nodes[home].VM)[0]
+		entry := rapid.IntRange(0, len(nodes)-1).Draw(t, "home")
+		holder := placer.Holders(request, nodes, nodes[entry].VM)[0]
 		first := placer.Candidates(request, nodes)[:2]
 		require.Contains(t, first, holder)
 	})
@@ -85,7 +85,7 @@
 	require.Len(t, zones, 4)
 }
 
-func TestSubsetOfServers(t *testing.T) {
+func TestWatchedServers(t *testing.T) {
 	tests := []struct {
 		nodes, servers, k, watchers int
 	}{
--- a/internal/placer/seed_test.go
+++ b/internal/placer/seed_test.go
@@ -2,8 +2,7 @@
 
 import "flag"
 
-// The schedules are the same in every run, so that the verdict is. Another
-// seed is tried with -rapid.seed.
+// A fixed seed makes the property tests reproducible; -rapid.seed overrides it.
 func init() {
 	if err := flag.Set("rapid.seed", "20260101"); err != nil {
 		panic(err)
--- a/internal/placer/subset.go
+++ b/internal/placer/subset.go
@@ -9,23 +9,22 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// WatchedServers returns the servers that node self watches and routes to,
-// about k of them, sorted. With up to k servers these are all of them, at every
-// node. With more, each server is given to the same number of nodes, so that
-// the load of being polled does not grow with the number of nodes and no server
-// is left without work.
+// WatchedServers returns the servers that node self watches and routes to, sorted: all
+// servers if there are at most size, otherwise about size of them. Then each server is
+// watched by the same number of nodes, so that the load of polling does not grow with
+// the number of nodes and no server is left without work.
 //
-// Give it the servers of one pool at a time, so that each pool is covered.
-func WatchedServers(self identifier.VMID, nodes []gossiper.Node, servers []identifier.VMID, k int) []identifier.VMID {
-	if len(servers) <= k {
+// Callers pass the servers of one pool at a time, so that each pool is covered.
+func WatchedServers(self identifier.VMID, nodes []gossiper.Node, servers []identifier.VMID, size int) []identifier.VMID {
+	if len(servers) <= size {
 		return slices.Sorted(slices.Values(servers))
 	}
-	sums := sumsOfOthers(self, nodes)
-	watchers := (k*(len(sums)+1) + len(servers) - 1) / len(servers)
-	own := xxhash.Sum64String(string(self))
+	others := otherHashes(self, nodes)
+	watchers := (size*(len(others)+1) + len(servers) - 1) / len(servers)
+	selfHash := xxhash.Sum64String(string(self))
 	var watched []identifier.VMID
 	for _, s := range servers {
-		if watches(xxhash.Sum64String(string(s)), own, sums, watchers) {
+		if watches(xxhash.Sum64String(string(s)), selfHash, others, watchers) {
 			watched = append(watched, s)
 		}
 	}
@@ -33,12 +32,12 @@
 	return watched
 }
 
-// watches reports whether own is among the first n nodes of the server.
-func watches(server, own uint64, others []uint64, n int) bool {
-	mine := Weight(server, own)
+// watches reports whether self is among the first n nodes of the server.
+func watches(server, self uint64, others []uint64, n int) bool {
+	ownWeight := Weight(server, self)
 	ahead := 0
 	for _, other := range others {
-		if Weight(server, other) <= mine {
+		if Weight(server, other) <= ownWeight {
 			continue
 		}
 		ahead++
@@ -49,12 +48,12 @@
 	return true
 }
 
-func sumsOfOthers(self identifier.VMID, nodes []gossiper.Node) []uint64 {
-	var sums []uint64
+func otherHashes(self identifier.VMID, nodes []gossiper.Node) []uint64 {
+	var hashes []uint64
 	for _, n := range nodes {
 		if n.VM != self && (n.State == gossiper.Alive || n.State == gossiper.Suspect) {
-			sums = append(sums, xxhash.Sum64String(string(n.VM)))
+			hashes = append(hashes, xxhash.Sum64String(string(n.VM)))
 		}
 	}
-	return sums
+	return hashes
 }
--- a/internal/ranker/ranker.go
+++ b/internal/ranker/ranker.go
@@ -1,10 +1,10 @@
-// Package ranker chooses, for each purpose that needs only a few of the nodes,
-// which ones these are: those that may hold the lease, those that read the
-// platform's store for the others, the relays of an availability zone.
+// Package ranker selects the few nodes that serve a purpose for all: those that may
+// hold the lease, those that read the platform's store for the others, the relays of an
+// availability zone.
 //
-// All nodes with the same view of the membership choose alike without a message.
-// What is chosen follows from the membership alone, so it is worked out when
-// that changes and kept until it changes again.
+// All nodes with the same view of the membership select the same nodes without
+// communication. Selections depend on the membership alone and are cached until it
+// changes.
 package ranker
 
 import (
@@ -15,64 +15,65 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// Members is the membership that a Ranking follows.
+// Members is the membership from which a Ranking selects.
 type Members interface {
-	// Nodes returns the members, this node included and dead ones left out.
+	// Nodes returns all members that are not dead, including this node.
 	Nodes() []gossiper.Node
-	// Version changes when Nodes does, but for when a member was last heard.
+	// Version changes when the result of Nodes changes in more than the time a member
+	// was last seen.
 	Version() uint64
 }
 
 var _ Members = (*gossiper.Members)(nil)
 
-// Config says whose view of the membership a Ranking is.
+// Config identifies the node and its membership.
 type Config struct {
 	Self    identifier.VMID
 	Zone    identifier.Zone
 	Members Members
 }
 
-// Ranking is the order of nodes for each purpose, as one node sees it. It is not
-// safe for concurrent use, and what it returns must not be changed.
+// Ranking selects nodes as seen by one node. It is not safe for concurrent use, and
+// callers must not modify what it returns.
 type Ranking struct {
 	config  Config
 	version uint64
-	fresh   bool
+	loaded  bool
 
-	// eligible are the nodes that work can be given to: those that are alive,
-	// and this one.
+	// eligible are the nodes that can be selected: the live ones and this node in any
+	// state.
 	eligible   []gossiper.Node
 	peers      []gossiper.Node
 	neighbours []identifier.VMID
-	zones      []identifier.Zone
-	chosen     map[choice][]gossiper.Node
+	otherZones []identifier.Zone
+	selections map[selection][]gossiper.Node
 }
 
-// choice names what was chosen; the zone is empty where all nodes may be.
-type choice struct {
+// selection identifies a cached selection. An empty zone stands for all zones.
+type selection struct {
 	purpose string
 	zone    identifier.Zone
 	n       int
 }
 
-// New returns a ranking of the members as they are when it is asked.
+// New returns a Ranking of the current members.
 func New(c Config) *Ranking { return &Ranking{config: c} }
 
-// refresh works out anew what depends on the membership, if that has changed.
+// refresh recomputes everything that depends on the membership if it has changed.
 //
-// It is asked for many times a second, and copying, hashing and sorting all nodes each
-// time would be most of what a node among hundreds costs: see BenchmarkNodeCost of
-// package reducer.
+// Queries arrive many times a second. With hundreds of nodes, copying, hashing and
+// sorting all of them for each query would dominate the cost of a node; see
+// BenchmarkNodeCost of package reducer.
 func (r *Ranking) refresh() {
 	version := r.config.Members.Version()
-	if r.fresh && r.version == version {
+	if r.loaded && r.version == version {
 		return
 	}
 	*r = Ranking{
-		config:  r.config,
-		version: version,
-		fresh:   true,
-		chosen:  map[choice][]gossiper.Node{},
+		config:     r.config,
+		version:    version,
+		loaded:     true,
+		selections: map[selection][]gossiper.Node{},
 	}
 	for _, n := range r.config.Members.Nodes() {
 		if n.State == gossiper.Alive || n.VM == r.config.Self {
@@ -86,10 +87,10 @@
 			r.neighbours = append(r.neighbours, n.VM)
 			continue
 		}
-		r.zones = append(r.zones, n.Zone)
+		r.otherZones = append(r.otherZones, n.Zone)
 	}
-	slices.Sort(r.zones)
-	r.zones = slices.Compact(r.zones)
+	slices.Sort(r.otherZones)
+	r.otherZones = slices.Compact(r.otherZones)
 }
 
 // Peers returns the other nodes that are not dead.
@@ -104,15 +105,15 @@
 	return r.neighbours
 }
 
-// OtherZones returns the zones of the peers that are not neighbours, in order.
+// OtherZones returns the zones of all other peers, sorted.
 func (r *Ranking) OtherZones() []identifier.Zone {
 	r.refresh()
-	return r.zones
+	return r.otherZones
 }
 
 // First returns the first n nodes for a purpose.
 func (r *Ranking) First(purpose string, n int) []gossiper.Node {
-	return r.first(choice{
+	return r.nodesFor(selection{
 		purpose: purpose,
 		n:       n,
 	})
@@ -120,7 +121,7 @@
 
 // FirstInZone returns the first n nodes of an availability zone for a purpose.
 func (r *Ranking) FirstInZone(zone identifier.Zone, purpose string, n int) []gossiper.Node {
-	return r.first(choice{
+	return r.nodesFor(selection{
 		purpose: purpose,
 		zone:    zone,
 		n:       n,
@@ -132,53 +133,53 @@
 	return Contains(r.First(purpose, n), r.config.Self)
 }
 
-func (r *Ranking) first(c choice) []gossiper.Node {
+func (r *Ranking) nodesFor(key selection) []gossiper.Node {
 	r.refresh()
-	found, known := r.chosen[c]
+	ranked, known := r.selections[key]
 	if known {
-		return found
+		return ranked
 	}
-	from := r.eligible
-	if c.zone != "" {
-		from = nil
+	eligible := r.eligible
+	if key.zone != "" {
+		eligible = nil
 		for _, n := range r.eligible {
-			if n.Zone == c.zone {
-				from = append(from, n)
+			if n.Zone == key.zone {
+				eligible = append(eligible, n)
 			}
 		}
 	}
-	found = Rank(c.purpose, from, c.n)
-	r.chosen[c] = found
-	return found
+	ranked = Rank(key.purpose, eligible, key.n)
+	r.selections[key] = ranked
+	return ranked
 }
 
-// Rank returns the first n of nodes for a purpose, by rendezvous hash among
-// those that can carry much beside the others.
+// Rank returns the first n nodes for a purpose, by rendezvous hashing. Nodes with at
+// least half of the largest capacity come before all others.
 //
-// The holder of the lease answers the questions of all nodes for limits, and a relay
-// reports to all nodes of its zone. That chokes a VM with a small link while callers
-// press it.
+// The holder of the lease answers the limit requests of all nodes, and a relay reports
+// to all nodes of its zone. Under load this traffic would exceed the link of a small
+// VM.
 func Rank(purpose string, nodes []gossiper.Node, n int) []gossiper.Node {
-	var most uint32
+	var maxCapacity uint32
 	for _, node := range nodes {
-		most = max(most, node.Capacity)
+		maxCapacity = max(maxCapacity, node.Capacity)
 	}
 	var strong, weak []gossiper.Node
 	for _, node := range nodes {
-		if 2*node.Capacity >= most {
+		if 2*node.Capacity >= maxCapacity {
 			strong = append(strong, node)
 			continue
 		}
 		weak = append(weak, node)
 	}
-	first := placer.Candidates(identifier.RequestID(purpose), strong)
-	if len(first) < n {
-		first = slices.Concat(first, placer.Candidates(identifier.RequestID(purpose), weak))
+	ranked := placer.Candidates(identifier.RequestID(purpose), strong)
+	if len(ranked) < n {
+		ranked = slices.Concat(ranked, placer.Candidates(identifier.RequestID(purpose), weak))
 	}
-	return slices.Clip(first[:min(n, len(first))])
+	return slices.Clip(ranked[:min(n, len(ranked))])
 }
 
-// Contains reports whether a VM is one of nodes.
+// Contains reports whether nodes contains the VM.
 func Contains(nodes []gossiper.Node, vm identifier.VMID) bool {
 	return slices.ContainsFunc(nodes, func(n gossiper.Node) bool { return n.VM == vm })
 }
--- a/internal/ranker/ranker_test.go
+++ b/internal/ranker/ranker_test.go
@@ -13,13 +13,13 @@
 
 const (
 	zones = 4
-	// Of many nodes the first strongNodes can carry much more than the rest.
+	// The first strongNodes of many nodes have a much larger capacity than the rest.
 	strongNodes = 8
 	strong      = uint32(800)
 	weak        = uint32(40)
 )
 
-// members is a membership that counts how often it is read.
+// members is a membership that counts its reads.
 type members struct {
 	nodes   []gossiper.Node
 	version uint64
@@ -35,7 +35,7 @@
 
 func (m *members) Version() uint64 { return m.version }
 
-func (m *members) change(nodes []gossiper.Node) {
+func (m *members) set(nodes []gossiper.Node) {
 	m.nodes = nodes
 	m.version++
 }
@@ -50,14 +50,13 @@
 }
 
 func ExampleRank() {
-	few := ranker.Rank("duties", []gossiper.Node{node(0, strong), node(1, weak), node(2, strong)}, 2)
-	fmt.Println(len(few), ranker.Contains(few, "entry-1"))
+	selected := ranker.Rank("leader", []gossiper.Node{node(0, strong), node(1, weak), node(2, strong)}, 2)
+	fmt.Println(len(selected), ranker.Contains(selected, "entry-1"))
 	// Output: 2 false
 }
 
-// A few VMs have much more processor and bandwidth than the rest. Work for all
-// nodes goes to them, in different zones where it can, and to others only where
-// they are too few.
+// Nodes with a large capacity must be selected first, in different zones if possible,
+// and others only if there are too few of them.
 func TestStrongNodesComeFirst(t *testing.T) {
 	var nodes []gossiper.Node
 	for i := range 60 {
@@ -68,27 +67,26 @@
 		nodes = append(nodes, node(i, capacity))
 	}
 	seen := map[identifier.Zone]bool{}
-	for _, n := range ranker.Rank("duties", nodes, zones) {
+	for _, n := range ranker.Rank("leader", nodes, zones) {
 		require.Equal(t, strong, n.Capacity)
 		seen[n.Zone] = true
 	}
 	require.Len(t, seen, zones)
-	require.Len(t, ranker.Rank("duties", nodes, 12), 12)
+	require.Len(t, ranker.Rank("leader", nodes, 12), 12)
 
 	unknown := []gossiper.Node{node(0, 0), node(1, 0), node(2, 0)}
-	require.Len(t, ranker.Rank("duties", unknown, 2), 2)
+	require.Len(t, ranker.Rank("leader", unknown, 2), 2)
 }
 
-// A node leaves, and another dies. What was chosen before counts no more from that
-// moment on: a node that took the dead one for a relay would report to nobody.
-// While nothing changes the membership is not read again.
-func TestFollowsTheMembership(t *testing.T) {
+// After a node leaves or dies it must not be selected, or nodes would report to a dead
+// relay. Without a change the membership must not be read again.
+func TestFollowsMembershipChanges(t *testing.T) {
 	var nodes []gossiper.Node
 	for i := range 12 {
 		nodes = append(nodes, node(i, weak))
 	}
 	m := &members{}
-	m.change(nodes)
+	m.set(nodes)
 	r := ranker.New(ranker.Config{
 		Self:    "entry-0",
 		Zone:    "zone-0",
@@ -107,7 +105,7 @@
 	require.Equal(t, []identifier.VMID{"entry-4", "entry-8"}, r.Neighbours())
 	require.Equal(t, []identifier.Zone{"zone-1", "zone-2", "zone-3"}, r.OtherZones())
 
-	var left []gossiper.Node
+	var remaining []gossiper.Node
 	for _, n := range nodes {
 		if n.VM == relays[0].VM {
 			continue
@@ -115,28 +113,28 @@
 		if n.VM == relays[1].VM {
 			n.State = gossiper.Leaving
 		}
-		left = append(left, n)
+		remaining = append(remaining, n)
 	}
-	m.change(left)
+	m.set(remaining)
 	after := r.FirstInZone("zone-1", "relay", 2)
 	require.Len(t, after, 1)
 	require.NotContains(t, relays, after[0])
-	require.Len(t, r.Peers(), 10, "one that leaves still hears")
+	require.Len(t, r.Peers(), 10, "a leaving node is still a peer")
 	require.Equal(t, 2, m.reads)
 }
 
-// A node that leaves, or is alone, still has its own part of the work to finish,
-// and asks itself whether it is chosen.
+// A node that is leaving or alone must still be able to select itself, to finish its
+// work.
 func TestSelfIsAlwaysEligible(t *testing.T) {
 	self := node(0, weak)
 	self.State = gossiper.Leaving
 	m := &members{}
-	m.change([]gossiper.Node{self})
+	m.set([]gossiper.Node{self})
 	r := ranker.New(ranker.Config{
 		Self:    self.VM,
 		Zone:    self.Zone,
 		Members: m,
 	})
-	require.True(t, r.Chosen("duties", 3))
+	require.True(t, r.Chosen("leader", 3))
 	require.Empty(t, r.Peers())
 }
--- a/internal/retrier/allowance.go
+++ b/internal/retrier/allowance.go
@@ -5,47 +5,44 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// allowanceSlots is into how many parts the span of an Allowance is divided.
+// allowanceSlots is the number of slots into which the span of an Allowance is divided.
 const allowanceSlots = 20
 
-// AllowanceConfig sets up an Allowance.
+// AllowanceConfig configures an Allowance.
 type AllowanceConfig struct {
-	// Share is how many retries a request earns.
+	// Share is the number of retries that one request earns.
 	Share float64
-	// Span is the time over which requests earn retries.
+	// Span is the length of the sliding window.
 	Span timekeeper.Duration
-	// MaxServices bounds the number of services remembered.
+	// MaxServices bounds the number of services that are tracked.
 	MaxServices int
 }
 
-// Allowance bounds the retries of each service in any span of time: to a share of the
-// span's requests and a number beside. All nodes together keep a bound if their shares
-// are alike and their numbers add up to that of all.
+// Allowance bounds the retries of each service in a sliding window: to a share of the
+// window's requests plus a fixed number. If all nodes use the same share, and their
+// fixed numbers add up to that of the cluster, the cluster as a whole keeps the bound.
 //
-// A balance that is saved up and refilled allows both within one span: with 40 that
-// come back in ten seconds, 80. And a process knows nothing of what was spent under its
-// node's name before it started, so that the number has to leave room for as much again
-// after a restart. With a balance of 40 instead, 15 retries more arrive than the users
-// bear while servers fail every request, and 63 more where all nodes are killed twice
-// (four nodes, 17 requests a second, in virtual time).
+// A token bucket would not keep it, because its balance and its refill can be spent
+// within the same window. A restarted process does not know how many retries its
+// predecessor made, so the fixed number must leave room for using it twice.
 //
 // Nothing is safe for concurrent use.
 type Allowance struct {
 	config AllowanceConfig
-	// extra is the number beside the share.
+	// extra is the number of retries per window in addition to the share.
 	extra    float64
 	services map[identifier.ServiceName]*usage
 	dropped  uint64
 }
 
-// usage is what one service had in the last span.
+// usage counts the events of one service in the current window.
 type usage struct {
-	at       timekeeper.Time
+	lastUsed timekeeper.Time
 	requests ring
 	retries  ring
 }
 
-// NewAllowance returns an Allowance of which nothing is spent.
+// NewAllowance returns an Allowance without any use.
 func NewAllowance(c AllowanceConfig) *Allowance {
 	if c.MaxServices <= 0 {
 		c.MaxServices = DefaultMaxServices
@@ -56,20 +53,21 @@
 	}
 }
 
-// SetExtra sets the number of retries in a span beside the share of requests.
+// SetExtra sets the number of retries per window that are allowed in addition to the
+// share of the requests.
 func (a *Allowance) SetExtra(extra float64) { a.extra = extra }
 
-// Requested notes a new request of a service.
+// Requested counts a new request of a service.
 func (a *Allowance) Requested(now timekeeper.Time, service identifier.ServiceName) {
 	a.service(now, service).requests.add(a.slotOf(now))
 }
 
-// Spend takes one retry of a service and reports whether there was one.
+// Spend uses one retry of a service and reports whether it was allowed.
 func (a *Allowance) Spend(now timekeeper.Time, service identifier.ServiceName) bool {
 	u := a.service(now, service)
 	slot := a.slotOf(now)
-	// The slot that is under way makes the requests those of less than a span, and the
-	// retries those of more.
+	// The current slot is incomplete. Requests are counted over slightly less than the
+	// window and retries over slightly more, so that the bound holds for any window.
 	allowed := a.extra + a.config.Share*float64(u.requests.sum(slot, allowanceSlots))
 	if float64(u.retries.sum(slot, allowanceSlots+1)+1) > allowed {
 		return false
@@ -78,7 +76,7 @@
 	return true
 }
 
-// Dropped returns how many services were forgotten for lack of room.
+// Dropped returns the number of services that were dropped because the table was full.
 func (a *Allowance) Dropped() uint64 { return a.dropped }
 
 func (a *Allowance) slot() timekeeper.Duration { return a.config.Span / allowanceSlots }
@@ -88,39 +86,39 @@
 func (a *Allowance) service(now timekeeper.Time, name identifier.ServiceName) *usage {
 	u, known := a.services[name]
 	if !known {
-		a.makeRoom()
+		a.evictIdle()
 		u = &usage{}
 		a.services[name] = u
 	}
-	u.at = now
+	u.lastUsed = now
 	return u
 }
 
-// makeRoom forgets the service that was idle longest when the table is full.
-func (a *Allowance) makeRoom() {
+// evictIdle drops the least recently used service if the table is full.
+func (a *Allowance) evictIdle() {
 	if len(a.services) < a.config.MaxServices {
 		return
 	}
-	delete(a.services, idlest(a.services, func(u *usage) timekeeper.Time { return u.at }))
+	delete(a.services, leastRecentlyUsed(a.services, func(u *usage) timekeeper.Time { return u.lastUsed }))
 	a.dropped++
 }
 
-// idlest returns the service that was idle longest.
-func idlest[S any](services map[identifier.ServiceName]S, used func(S) timekeeper.Time) identifier.ServiceName {
+// leastRecentlyUsed returns the service with the earliest last use.
+func leastRecentlyUsed[S any](services map[identifier.ServiceName]S, lastUsed func(S) timekeeper.Time) identifier.ServiceName {
 	var oldest identifier.ServiceName
 	at := timekeeper.Never
 	for name, s := range services {
-		if u := used(s); u.Before(at) || u == at && name < oldest {
-			oldest, at = name, u
+		if usedAt := lastUsed(s); usedAt.Before(at) || usedAt == at && name < oldest {
+			oldest, at = name, usedAt
 		}
 	}
 	return oldest
 }
 
-// ring counts events by slot of time, for one slot more than a span has.
+// ring counts events by time slot, for one slot more than a window has.
 type ring struct {
 	counts [allowanceSlots + 1]int
-	// last is the newest slot that has a count.
+	// last is the newest slot.
 	last int64
 }
 
@@ -129,7 +127,8 @@
 	r.counts[slot%int64(len(r.counts))]++
 }
 
-// sum returns the events of the last slots, that of slot included.
+// sum returns the number of events in the given number of slots up to and including
+// slot.
 func (r *ring) sum(slot int64, slots int) int {
 	r.advance(slot)
 	n := 0
@@ -141,7 +140,7 @@
 	return n
 }
 
-// advance empties the slots that have begun since the last event.
+// advance clears the slots that have begun since the last call.
 func (r *ring) advance(slot int64) {
 	size := int64(len(r.counts))
 	for s := max(r.last+1, slot-size+1); s <= slot; s++ {
--- a/internal/retrier/allowance_test.go
+++ b/internal/retrier/allowance_test.go
@@ -37,7 +37,7 @@
 	// false
 }
 
-// spendAll spends what there is and returns how much that was.
+// spendAll uses all allowed retries and returns their number.
 func spendAll(a *Allowance, now timekeeper.Time) int {
 	n := 0
 	for a.Spend(now, "reader") {
@@ -46,19 +46,19 @@
 	return n
 }
 
-// A service has few requests, and its servers fail. The number beside the share lets
-// some of them go on at once, and again when a span has passed.
-func TestExtraOfServiceWithFewRequests(t *testing.T) {
+// A service with few requests may use the extra retries at once, and again after a
+// window.
+func TestExtraRetriesWithFewRequests(t *testing.T) {
 	a := newTestAllowance()
 	a.SetExtra(3)
 	require.Equal(t, 3, spendAll(a, testNow))
 	require.Zero(t, spendAll(a, testNow.Add(testSpan)))
 	require.Equal(t, 3, spendAll(a, testNow.Add(testSpan+testSpan/allowanceSlots)))
-	require.True(t, a.Spend(testNow, "portal"), "each service has its own")
+	require.True(t, a.Spend(testNow, "portal"), "each service has its own allowance")
 }
 
-// Whatever comes when, the retries of any span are no more than the share of its
-// requests and of those of the moment before, and the number beside.
+// For any sequence of events, the retries of any window must not exceed the share of
+// its requests plus the extra retries.
 func TestAllowanceHoldsInAnySpan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := newTestAllowance()
--- a/internal/retrier/budget.go
+++ b/internal/retrier/budget.go
@@ -8,7 +8,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// window is the time over which requests earn retries.
+// window is the time constant with which earned retries decay.
 const window = 10 * timekeeper.Second
 
 // Budgets holds the retry budget of each service.
@@ -18,7 +18,7 @@
 	dropped  uint64
 }
 
-// New returns Budgets with nothing spent.
+// New returns Budgets with all budgets unused.
 func New(c Config) *Budgets {
 	return &Budgets{
 		config:   c.withDefaults(),
@@ -26,19 +26,18 @@
 	}
 }
 
-// budget is what one service may still spend on retries.
+// budget is the retry budget of one service.
 type budget struct {
-	at timekeeper.Time
-	// balance is the number of retries left; ceiling bounds it to what the
-	// requests of the last window earn, or the floor if that is more.
+	lastUsed timekeeper.Time
+	// balance is the number of retries left. It is bounded by what the requests of the
+	// last window earned, or by the floor if that is larger.
 	balance float64
 	earned  float64
-	// retried is the recent number of retries, decaying within a second.
+	// retried is the number of recent retries, with a decay constant of one second.
 	retried float64
 }
 
-// Requested notes a new request of the service, which earns percent
-// hundredths of a retry.
+// Requested counts a new request of the service, which earns percent/100 retries.
 func (b *Budgets) Requested(now timekeeper.Time, service identifier.ServiceName, percent int) {
 	s := b.service(now, service)
 	gain := float64(max(percent, 0)) / 100
@@ -51,16 +50,16 @@
 	return int(b.service(now, service).balance)
 }
 
-// Dropped returns how many services were forgotten for lack of room.
+// Dropped returns the number of services that were dropped because the table was full.
 func (b *Budgets) Dropped() uint64 { return b.dropped }
 
 func (b *Budgets) service(now timekeeper.Time, name identifier.ServiceName) *budget {
 	s, ok := b.services[name]
 	if !ok {
-		b.makeRoom()
+		b.evictIdle()
 		s = &budget{
-			at:      now,
-			balance: b.config.Floor,
+			lastUsed: now,
+			balance:  b.config.Floor,
 		}
 		b.services[name] = s
 	}
@@ -68,21 +67,21 @@
 	return s
 }
 
-// makeRoom forgets the service that was idle longest when the table is full.
-func (b *Budgets) makeRoom() {
+// evictIdle drops the least recently used service if the table is full.
+func (b *Budgets) evictIdle() {
 	if len(b.services) < b.config.MaxServices {
 		return
 	}
-	delete(b.services, idlest(b.services, func(s *budget) timekeeper.Time { return s.at }))
+	delete(b.services, leastRecentlyUsed(b.services, func(s *budget) timekeeper.Time { return s.lastUsed }))
 	b.dropped++
 }
 
 func (s *budget) advance(now timekeeper.Time, c Config) {
-	passed := now.Sub(s.at)
+	passed := now.Sub(s.lastUsed)
 	if passed <= 0 {
 		return
 	}
-	s.at = now
+	s.lastUsed = now
 	s.earned *= math.Exp(-float64(passed) / float64(window))
 	s.retried *= math.Exp(-passed.Seconds())
 	refill := float64(passed) / float64(c.FloorEvery)
@@ -94,7 +93,7 @@
 
 func (s *budget) ceiling(floor float64) float64 { return max(s.earned, floor) }
 
-func (s *budget) spend() bool {
+func (s *budget) takeRetry() bool {
 	if s.balance < 1 {
 		return false
 	}
@@ -102,57 +101,56 @@
 	return true
 }
 
-// pause draws the wait before the next attempt and reports whether it ends
-// before the deadline.
+// pause returns the delay before the next attempt and whether it ends before the
+// deadline.
 func (b *Budgets) pause(now timekeeper.Time, a EndedAttempt, s *budget, rng *rand.Rand) (timekeeper.Duration, bool) {
-	left := a.Deadline.Sub(now)
-	longest := timekeeper.Duration(0)
+	remaining := a.Deadline.Sub(now)
+	maxPause := timekeeper.Duration(0)
 	if b.config.Rules.Backoff {
-		longest = b.backoff(a.Attempts)
+		maxPause = b.backoff(a.Attempts)
 	}
 	if b.config.Rules.Spread {
-		longest += b.spread(s)
+		maxPause += b.spread(s)
 	}
-	after := longest
+	delay := maxPause
 	if b.config.Rules.Jitter {
-		after = jittered(longest, rng)
+		delay = jittered(maxPause, rng)
 	}
-	after = min(after, left/4)
-	if a.Attempts > 1 && a.RetryAfter > after {
-		after = a.RetryAfter
+	delay = min(delay, remaining/4)
+	if a.Attempts > 1 && a.RetryAfter > delay {
+		delay = a.RetryAfter
 	}
-	return after, after < left
+	return delay, delay < remaining
 }
 
-// jittered draws a pause of at most longest, so that requests that failed
-// together do not come back together.
-func jittered(longest timekeeper.Duration, rng *rand.Rand) timekeeper.Duration {
-	return timekeeper.Duration(rng.Int64N(int64(max(longest, 0)) + 1))
+// jittered returns a random delay of at most maxPause, so that requests that failed
+// together are not retried together.
+func jittered(maxPause timekeeper.Duration, rng *rand.Rand) timekeeper.Duration {
+	return timekeeper.Duration(rng.Int64N(int64(max(maxPause, 0)) + 1))
 }
 
-// backoff is the longest pause after so many attempts.
+// backoff returns the maximum delay after the given number of attempts.
 func (b *Budgets) backoff(attempts int) timekeeper.Duration {
-	longest := b.config.Backoff
-	for i := 1; i < attempts && longest < b.config.MaxBackoff; i++ {
-		longest *= 2
+	maxPause := b.config.Backoff
+	for i := 1; i < attempts && maxPause < b.config.MaxBackoff; i++ {
+		maxPause *= 2
 	}
-	return min(longest, b.config.MaxBackoff)
+	return min(maxPause, b.config.MaxBackoff)
 }
 
-// spread stretches pauses so that the retries of the last second would leave
-// at the pace that is allowed.
+// spread returns an additional delay that keeps the rate of retries near the configured
+// pace.
 //
-// When a zone goes, all its streams break in one instant and budgets saved
-// over time would be spent in it: the surviving servers see a spike of
-// prefills just when they are short. Spread over their number divided by the
-// pace, the spike becomes a slope that they can take.
+// When a zone is lost, all its streams break at once, and without it the accumulated
+// budget would be spent at once too. The prefills would then peak on the remaining
+// servers just when their capacity is short.
 func (b *Budgets) spread(s *budget) timekeeper.Duration {
 	over := s.retried/b.config.SpreadPace - 1
 	return min(timekeeper.Duration(max(over, 0)*float64(timekeeper.Second)), b.config.MaxBackoff)
 }
 
-// comeBack is the time until a caller may hope for a retry budget again.
-func (b *Budgets) comeBack(s *budget, rng *rand.Rand) timekeeper.Duration {
+// retryDelay returns the time after which a caller may expect a retry budget again.
+func (b *Budgets) retryDelay(s *budget, rng *rand.Rand) timekeeper.Duration {
 	missing := max(1-s.balance, 0)
 	wait := timekeeper.Duration(missing*float64(b.config.FloorEvery)) + timekeeper.Second
 	return wait + timekeeper.Duration(rng.Int64N(int64(wait)))
--- a/internal/retrier/classify.go
+++ b/internal/retrier/classify.go
@@ -2,13 +2,12 @@
 
 import "github.com/dotterelhollow/dotterelhollow/internal/messenger"
 
-// Repeatable reports whether a request may be attempted again after an
-// attempt that ended so.
+// Repeatable reports whether a request may be attempted again after an attempt with the
+// given result.
 //
-// A second run of a non-idempotent request books the slot twice or sends the
-// letter twice. Only an attempt that provably did not run is repeated then:
-// no byte left, or the server itself said that it did not run it. A broken or
-// silent connection proves nothing.
+// A non-idempotent request is repeated only if the attempt provably did not run: no
+// byte was sent, or the server itself stated that it did not run it. Otherwise a
+// booking could be made twice. A broken connection or a timeout proves nothing.
 func Repeatable(result messenger.AttemptResult, idempotent bool) bool {
 	if ProvablyNotRun(result) {
 		return true
@@ -20,7 +19,7 @@
 	return false
 }
 
-// ProvablyNotRun reports whether an attempt that ended so cannot have run.
+// ProvablyNotRun reports whether an attempt with the given result cannot have run.
 func ProvablyNotRun(result messenger.AttemptResult) bool {
 	switch result {
 	case messenger.AttemptNotSent, messenger.AttemptRefused, messenger.AttemptMisdirected:
@@ -29,12 +28,11 @@
 	return false
 }
 
-// OutcomeOf returns what the caller can truthfully be told when no attempt
-// follows.
+// OutcomeOf returns the outcome that is reported to the caller if no attempt follows.
 //
-// A last attempt that did not run proves nothing of the earlier ones: an
-// idempotent request may have been broken off before. A non-idempotent one
-// has only attempts that did not run before its last, by Repeatable.
+// That the last attempt did not run proves nothing about earlier ones: an earlier
+// attempt of an idempotent request may have broken off. A non-idempotent request can
+// have only attempts that did not run before its last one, because of Repeatable.
 func OutcomeOf(a EndedAttempt) messenger.Outcome {
 	switch {
 	case a.Result == messenger.AttemptComplete:
--- a/internal/retrier/retrier.go
+++ b/internal/retrier/retrier.go
@@ -1,16 +1,14 @@
-// Package retrier decides what becomes of a request whose attempt has ended:
-// whether another attempt may be made, after what pause, and if not, what the
-// caller can truthfully be told.
+// Package retrier decides what follows an attempt that has ended: whether there is
+// another attempt and after what delay, or which outcome is reported to the caller.
 //
-// Two questions come before all others. May the request be repeated at all?
-// That follows from how the attempt ended and from whether the request is
-// idempotent. Is there a retry to spend? Each service has a budget that grows
-// with its requests, so that retries stay a small share of the load when a
-// backend fails. Moves that an announced reclaim causes cost nothing: they
-// are load that was accepted before.
+// A request is repeated only if the result of the attempt and the idempotency of the
+// request permit it, and if the service has a retry left. Each service has a budget
+// that grows with its requests, so that retries stay a small share of the load when a
+// backend fails. Moves caused by an announced reclaim use no budget, because their load
+// was already accepted.
 //
-// Everything is pure: time and randomness are arguments. Nothing is safe for
-// concurrent use.
+// All functions are deterministic: time and randomness are passed in. Nothing is safe
+// for concurrent use.
 package retrier
 
 import (
@@ -21,7 +19,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// The defaults of a Config.
+// Defaults of Config.
 const (
 	DefaultBackoff     = 50 * timekeeper.Millisecond
 	DefaultMaxBackoff  = 5 * timekeeper.Second
@@ -32,24 +30,24 @@
 	DefaultMaxServices = 1024
 )
 
-// maxMovePause bounds the pause before a planned move is tried again.
+// maxMovePause bounds the delay before a planned move is tried again.
 const maxMovePause = 1 * timekeeper.Second
 
-// Rules switches the safeguards on and off, for measurement.
+// Rules enables the single safeguards, so that the effect of each can be measured.
 type Rules struct {
 	// Budget bounds the retries of a service.
 	Budget bool
-	// Backoff pauses before a retry.
+	// Backoff delays retries by a time that doubles with each attempt.
 	Backoff bool
-	// Jitter draws the pause at random.
+	// Jitter draws the delay at random.
 	Jitter bool
-	// Spread stretches the pauses when many retries fall together.
+	// Spread lengthens the delays when many retries coincide.
 	Spread bool
-	// PlannedFree lets moves caused by a reclaim cost no budget.
+	// PlannedFree exempts moves caused by a reclaim from the budget.
 	PlannedFree bool
 }
 
-// AllRules returns the rules with each one on.
+// AllRules returns Rules with every safeguard enabled.
 func AllRules() Rules {
 	return Rules{
 		Budget:      true,
@@ -60,24 +58,24 @@
 	}
 }
 
-// Config sets up Budgets. Zero numbers mean the defaults, but zero Rules
-// mean that all rules are off: see AllRules.
+// Config configures Budgets. Zero numbers select the defaults, but zero Rules disable
+// all safeguards: see AllRules.
 type Config struct {
 	Rules Rules
-	// Backoff is the longest pause before the first retry; it doubles with
-	// each attempt up to MaxBackoff.
+	// Backoff is the maximum delay before the first retry. It doubles with each attempt
+	// up to MaxBackoff.
 	Backoff    timekeeper.Duration
 	MaxBackoff timekeeper.Duration
-	// MaxAttempts bounds the attempts of one request, planned moves aside.
+	// MaxAttempts bounds the attempts of one request, except planned moves.
 	MaxAttempts int
-	// Floor is the number of retries that a service with little traffic may
-	// make at once, and FloorEvery the time in which it gets one back.
+	// Floor is the minimum budget, for services with little traffic. FloorEvery is the
+	// time in which one retry is refilled up to the floor.
 	Floor      float64
 	FloorEvery timekeeper.Duration
-	// SpreadPace is the number of retries a second of one service above which
-	// they are spread over time.
+	// SpreadPace is the number of retries per second of one service above which they
+	// are spread over time.
 	SpreadPace float64
-	// MaxServices bounds the number of services remembered.
+	// MaxServices bounds the number of services that are tracked.
 	MaxServices int
 }
 
@@ -106,34 +104,34 @@
 	return c
 }
 
-// EndedAttempt describes the attempt that has ended and its request.
+// EndedAttempt describes an attempt that has ended and its request.
 type EndedAttempt struct {
 	Service    identifier.ServiceName
 	Idempotent bool
 	Result     messenger.AttemptResult
-	// Attempts is the number of attempts made, this one included.
+	// Attempts is the number of attempts made, including this one.
 	Attempts int
 	Deadline timekeeper.Time
-	// Delivered is the number of tokens of the answer that stand with the
-	// node, over all attempts.
+	// Delivered is the number of answer tokens that the node has received over all
+	// attempts.
 	Delivered identifier.Tokens
 	Model     bool
-	// RetryAfter is the server's own wish, or zero.
+	// RetryAfter is the retry delay that the server requested, or zero.
 	RetryAfter timekeeper.Duration
-	// Planned tells that an announced reclaim or planned stop ended it.
+	// Planned reports whether an announced reclaim or a planned stop ended the attempt.
 	Planned bool
-	// EarlierNotRun tells that all attempts before this one ended not_sent or
-	// refused. Without it an idempotent request with earlier attempts is
-	// taken to have run perhaps.
+	// EarlierNotRun reports whether all earlier attempts ended not_sent or refused.
+	// Otherwise an idempotent request with earlier attempts is assumed to have possibly
+	// run.
 	EarlierNotRun bool
 }
 
-// Verdict tells what to do. With Again, another attempt starts After; a model
-// stream with delivered tokens goes on from them. Else Outcome and Reason are
-// final, and RetryAfter tells the caller when coming back makes sense.
+// Verdict is the decision on an ended attempt. If Retry is set, another attempt starts
+// after Delay; a model stream with delivered tokens continues behind them. Otherwise
+// Outcome and Reason are final, and RetryAfter is the retry delay for the caller.
 type Verdict struct {
-	Again      bool
-	After      timekeeper.Duration
+	Retry      bool
+	Delay      timekeeper.Duration
 	Outcome    messenger.Outcome
 	Reason     messenger.Reason
 	RetryAfter timekeeper.Duration
@@ -156,47 +154,47 @@
 	return b.retry(now, a, rng)
 }
 
-// move lets a planned move go on, out of budget and without a pause at first.
+// move continues a planned move, without budget and at first without delay.
 //
-// A move whose next server refuses it too must not go round without end in
-// the meantime, so that later ones pause like retries, if not as long: their
-// request was accepted and is owed its answer.
+// If a server refuses the move, further attempts are delayed as retries are, but less,
+// so that a move that is always refused does not loop without delay. It is not
+// abandoned, because the request was accepted.
 func (b *Budgets) move(now timekeeper.Time, a EndedAttempt, rng *rand.Rand) Verdict {
 	if !b.config.Rules.PlannedFree {
 		return b.retry(now, a, rng)
 	}
 	if a.Attempts <= 1 || !ProvablyNotRun(a.Result) {
-		return Verdict{Again: true}
+		return Verdict{Retry: true}
 	}
-	longest := min(b.backoff(a.Attempts), maxMovePause, a.Deadline.Sub(now)/4)
+	maxPause := min(b.backoff(a.Attempts), maxMovePause, a.Deadline.Sub(now)/4)
 	return Verdict{
-		Again: true,
-		After: jittered(longest, rng),
+		Retry: true,
+		Delay: jittered(maxPause, rng),
 	}
 }
 
 func (b *Budgets) retry(now timekeeper.Time, a EndedAttempt, rng *rand.Rand) Verdict {
 	s := b.service(now, a.Service)
 	if a.Attempts >= b.config.MaxAttempts {
-		return final(a, b.spentReason(a), b.comeBack(s, rng))
+		return final(a, b.exhaustedReason(a), b.retryDelay(s, rng))
 	}
-	after, fits := b.pause(now, a, s, rng)
+	delay, fits := b.pause(now, a, s, rng)
 	if !fits {
 		return final(a, messenger.ReasonDeadlineExpired, a.RetryAfter)
 	}
-	if b.config.Rules.Budget && !s.spend() {
-		return final(a, b.spentReason(a), b.comeBack(s, rng))
+	if b.config.Rules.Budget && !s.takeRetry() {
+		return final(a, b.exhaustedReason(a), b.retryDelay(s, rng))
 	}
 	s.retried++
 	return Verdict{
-		Again: true,
-		After: after,
+		Retry: true,
+		Delay: delay,
 	}
 }
 
-// spentReason names the server's refusal rather than the spent budget where
-// that is what the caller met.
-func (b *Budgets) spentReason(a EndedAttempt) messenger.Reason {
+// exhaustedReason returns the server's own failure or refusal as the reason if there
+// was one, and otherwise that the retries are exhausted.
+func (b *Budgets) exhaustedReason(a EndedAttempt) messenger.Reason {
 	switch a.Result {
 	case messenger.AttemptRefused:
 		return messenger.ReasonServerRefusedWork
--- a/internal/retrier/retrier_test.go
+++ b/internal/retrier/retrier_test.go
@@ -15,7 +15,7 @@
 
 func seeded(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, seed)) }
 
-// broken is an idempotent request whose first attempt broke off.
+// broken returns an idempotent request whose first attempt broke off, modified by edit.
 func broken(edit func(*EndedAttempt)) EndedAttempt {
 	a := EndedAttempt{
 		Service:    "report",
@@ -31,14 +31,14 @@
 }
 
 func TestClassification(t *testing.T) {
-	// check tells whether another attempt follows while budget and time last,
-	// and what the caller is told when they don't.
+	// check verifies whether another attempt follows within budget and deadline, and
+	// the outcome after the deadline.
 	check := func(result messenger.AttemptResult, idempotent, again bool, outcome messenger.Outcome) {
 		t.Helper()
 		a := broken(func(a *EndedAttempt) { a.Result, a.Idempotent = result, idempotent })
-		require.Equal(t, again, New(Config{Rules: AllRules()}).Next(testNow, a, seeded(1)).Again)
+		require.Equal(t, again, New(Config{Rules: AllRules()}).Next(testNow, a, seeded(1)).Retry)
 		late := New(Config{Rules: AllRules()}).Next(a.Deadline, a, seeded(1))
-		require.False(t, late.Again)
+		require.False(t, late.Retry)
 		require.Equal(t, outcome, late.Outcome)
 	}
 	for _, idempotent := range []bool{true, false} {
@@ -52,9 +52,9 @@
 	}
 }
 
-// The caller is told not_run and sends the request again by hand. If the
-// attempt before the refused one had broken off, it may have run all the same.
-func TestNotRunIsSaidOnlyOfRequestsThatNeverRan(t *testing.T) {
+// A caller that is told not_run may repeat the request by hand. This must not be
+// reported if an earlier attempt may have run.
+func TestNotRunOnlyIfNoAttemptRan(t *testing.T) {
 	last := func(edit func(*EndedAttempt)) messenger.Outcome {
 		a := broken(func(a *EndedAttempt) { a.Result, a.Attempts = messenger.AttemptRefused, DefaultMaxAttempts })
 		edit(&a)
@@ -86,10 +86,10 @@
 				a.Deadline = now.Add(timekeeper.Duration(rapid.IntRange(-10, 10_000).Draw(t, "left")))
 			})
 			v := b.Next(now, a, rng)
-			if v.Again {
-				require.True(t, a.Idempotent || ProvablyNotRun(a.Result), "a second run")
-				require.True(t, now.Add(v.After).Before(a.Deadline), "an attempt after the deadline")
-				require.GreaterOrEqual(t, v.After, timekeeper.Duration(0))
+			if v.Retry {
+				require.True(t, a.Idempotent || ProvablyNotRun(a.Result), "an unsafe repetition")
+				require.True(t, now.Add(v.Delay).Before(a.Deadline), "an attempt after the deadline")
+				require.GreaterOrEqual(t, v.Delay, timekeeper.Duration(0))
 				require.Empty(t, v.Outcome)
 			} else {
 				require.NotEmpty(t, v.Outcome)
@@ -99,37 +99,35 @@
 	})
 }
 
-// retries has a service make requests of which each first attempt breaks, and
-// counts the retries over ten seconds.
+// retries returns the number of retries in ten seconds if each first attempt breaks.
 func retries(r Rules, perSecond, percent int) int {
 	b, rng, count := New(Config{Rules: r}), seeded(1), 0
 	for i := range 10 * perSecond {
 		now := testNow.Add(timekeeper.Duration(i * 1000 / perSecond))
 		b.Requested(now, "report", percent)
 		a := broken(func(a *EndedAttempt) { a.Deadline = now.Add(timekeeper.Minute) })
-		if b.Next(now, a, rng).Again {
+		if b.Next(now, a, rng).Retry {
 			count++
 		}
 	}
 	return count
 }
 
-// Every backend fails. Without a budget each request becomes two, and the
-// doubled load keeps the backends from coming back.
+// If every attempt fails, the budget must keep retries from doubling the load.
 func TestBudgetBoundsRetries(t *testing.T) {
 	rules := AllRules()
-	const floor = DefaultFloor + 2 // and what comes back in ten seconds
+	const floor = DefaultFloor + 2 // the floor and the refill in ten seconds
 	require.LessOrEqual(t, retries(rules, 100, 10), 100+floor)
 	require.GreaterOrEqual(t, retries(rules, 100, 10), 100)
-	require.Equal(t, DefaultFloor+1, retries(rules, 1, 0), "a service with little traffic has the floor, and one back after five seconds")
+	require.Equal(t, DefaultFloor+1, retries(rules, 1, 0), "the floor and one refill after five seconds")
 	rules.Budget = false
 	require.Equal(t, 1000, retries(rules, 100, 10))
 }
 
-// An announced reclaim breaks streams while the budget is spent. They go on
-// at once all the same: their requests were accepted.
-func TestPlannedMovesCostNothing(t *testing.T) {
-	moved := func(r Rules) Verdict {
+// Moves caused by an announced reclaim continue at once even if the budget is
+// exhausted.
+func TestPlannedMovesUseNoBudget(t *testing.T) {
+	moveWithoutBudget := func(r Rules) Verdict {
 		b := New(Config{Rules: r})
 		for range 20 {
 			b.Next(testNow, broken(nil), seeded(1))
@@ -138,22 +136,22 @@
 		return b.Next(testNow, broken(func(a *EndedAttempt) { a.Planned = true }), seeded(1))
 	}
 	rules := AllRules()
-	require.Equal(t, Verdict{Again: true}, moved(rules))
+	require.Equal(t, Verdict{Retry: true}, moveWithoutBudget(rules))
 	rules.PlannedFree = false
-	require.Equal(t, messenger.ReasonRetriesExhausted, moved(rules).Reason)
+	require.Equal(t, messenger.ReasonRetriesExhausted, moveWithoutBudget(rules).Reason)
 
 	b, rng := New(Config{Rules: AllRules()}), seeded(1)
 	pause := timekeeper.Duration(0)
 	for range 20 {
 		pause = max(pause, b.Next(testNow, broken(func(a *EndedAttempt) {
 			a.Planned, a.Attempts, a.Result = true, 5, messenger.AttemptRefused
-		}), rng).After)
+		}), rng).Delay)
 	}
-	require.Positive(t, pause, "a move refused again and again does not go round without a pause")
+	require.Positive(t, pause, "a move that is refused repeatedly is delayed")
 	require.LessOrEqual(t, pause, maxMovePause)
 }
 
-// longestPause is the longest pause among so many retries in one instant.
+// longestPause returns the longest delay of count simultaneous retries.
 func longestPause(r Rules, attempts, count int) timekeeper.Duration {
 	b, rng := New(Config{
 		Rules: r,
@@ -162,14 +160,14 @@
 	longest := timekeeper.Duration(0)
 	for range count {
 		v := b.Next(testNow, broken(func(a *EndedAttempt) { a.Attempts = attempts }), rng)
-		longest = max(longest, v.After)
+		longest = max(longest, v.Delay)
 	}
 	return longest
 }
 
-// A zone goes and all its streams break in one instant. Retried together they
-// hit the surviving servers as one spike of prefills.
-func TestStormIsSpread(t *testing.T) {
+// The streams of a lost zone break at the same time. Their retries must not reach the
+// remaining servers all at once.
+func TestSimultaneousRetriesAreSpread(t *testing.T) {
 	rules := AllRules()
 	require.Greater(t, longestPause(rules, 1, 300), 2*timekeeper.Second)
 	rules.Spread = false
--- a/internal/router/choose.go
+++ b/internal/router/choose.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// reclaimsPerHour is the assumed rate at which a reclaimable VM is taken.
+	// reclaimsPerHour is the assumed reclaim rate of a reclaimable VM.
 	reclaimsPerHour = 0.2
-	// missCost is the cost in milliseconds of a sure miss of a target.
+	// missCost is the cost in milliseconds of a certain miss of a target.
 	missCost = 2000.0
 )
 
-// tier groups candidates: a later tier is used only where all earlier ones
-// are empty.
+// tier groups candidates by preference. A tier is used only if all lower ones are
+// empty.
 type tier int
 
 const (
 	tierGood tier = iota
 	tierAvoidedZone
 	tierDoubtful
-	tierNever
+	tierExcluded
 )
 
 func tierOf(j *Job, c *Candidate, r Rules) tier {
 	switch {
 	case c.Leaving:
-		return tierNever
+		return tierExcluded
 	case r.Suspicion && c.Suspect:
 		return tierDoubtful
 	case r.Avoid && j.AvoidServers[c.Server]:
@@ -41,68 +41,67 @@
 	return tierGood
 }
 
-// Choose picks the server for the job, or reports that there is none.
-func Choose(now timekeeper.Time, j Job, cs []Candidate, r Rules, rng *rand.Rand) (Choice, bool) {
-	best := bestTier(&j, cs, r)
-	if best == tierNever {
+// Choose returns the best server for the job, or false if no candidate is usable.
+func Choose(now timekeeper.Time, j Job, candidates []Candidate, r Rules, rng *rand.Rand) (Choice, bool) {
+	best := bestTier(&j, candidates, r)
+	if best == tierExcluded {
 		return Choice{}, false
 	}
-	// Nodes that all begin with the same server would all send it the first
-	// request after a quiet moment.
+	// A random start avoids that all nodes prefer the same one of equal servers.
 	first := 0
 	if r.Spread {
-		first = rng.IntN(len(cs))
+		first = rng.IntN(len(candidates))
 	}
-	left := timeLeft(now, &j)
-	least := leastInFlight(&j, cs, r, best)
+	timeToDeadline := timeLeft(now, &j)
+	fewest := minInFlight(&j, candidates, r, best)
 	winner := scored{score: math.Inf(1)}
-	for i := range cs {
-		k := (first + i) % len(cs)
-		if tierOf(&j, &cs[k], r) != best {
+	for i := range candidates {
+		index := (first + i) % len(candidates)
+		if tierOf(&j, &candidates[index], r) != best {
 			continue
 		}
-		c := cs[k]
-		if c.OwnInFlight > least {
+		c := candidates[index]
+		if c.OwnInFlight > fewest {
 			c.PrefixHit = 0
 		}
 		s := predict(&j, &c, r)
-		if cost := score(&j, &c, r, s, left); cost < winner.score {
+		if cost := score(&j, &c, r, s, timeToDeadline); cost < winner.score {
 			winner = scored{
-				index:     k,
+				index:     index,
 				score:     cost,
 				predicted: s,
 			}
 		}
 	}
 	return Choice{
-		Server:      cs[winner.index].Server,
+		Server:      candidates[winner.index].Server,
 		Predicted:   winner.predicted.rounded(),
-		Explanation: explain(winner, &cs[winner.index], best),
+		Explanation: explain(winner, &candidates[winner.index], best),
 	}, true
 }
 
-// leastInFlight returns the fewest of this node's requests on a server of the
-// tier. Only there do cached prefixes count: they save a part of a second, and
-// the requests about one document that follow them to a busier server are lost
-// together when it goes.
-func leastInFlight(j *Job, cs []Candidate, r Rules, t tier) int {
-	least := math.MaxInt
-	for i := range cs {
-		if tierOf(j, &cs[i], r) == t {
-			least = min(least, cs[i].OwnInFlight)
+// minInFlight returns the lowest number of this node's requests on a server of the
+// tier. Cached prefixes count only on servers with that number: they save a fraction of
+// a second, but would gather the requests about one document on a busy server, where
+// all of them are lost if it is reclaimed.
+func minInFlight(j *Job, candidates []Candidate, r Rules, t tier) int {
+	fewest := math.MaxInt
+	for i := range candidates {
+		if tierOf(j, &candidates[i], r) == t {
+			fewest = min(fewest, candidates[i].OwnInFlight)
 		}
 	}
-	return least
+	return fewest
 }
 
 // scored is a candidate with its cost in milliseconds.
 type scored struct {
 	index     int
 	score     float64
-	predicted span
+	predicted estimate
 }
 
-// explain tells the choice in a line for operators.
+// explain describes the choice for operators.
 func explain(s scored, c *Candidate, t tier) string {
 	var buf [160]byte
 	b := append(buf[:0], "score="...)
@@ -122,22 +121,22 @@
 	return string(b)
 }
 
-func bestTier(j *Job, cs []Candidate, r Rules) tier {
-	best := tierNever
-	for i := range cs {
-		best = min(best, tierOf(j, &cs[i], r))
+func bestTier(j *Job, candidates []Candidate, r Rules) tier {
+	best := tierExcluded
+	for i := range candidates {
+		best = min(best, tierOf(j, &candidates[i], r))
 	}
 	return best
 }
 
-// score is the cost of the candidate in milliseconds.
-func score(j *Job, c *Candidate, r Rules, s span, left timekeeper.Duration) float64 {
+// score returns the cost of the candidate in milliseconds.
+func score(j *Job, c *Candidate, r Rules, s estimate, timeToDeadline timekeeper.Duration) float64 {
 	cost := s.first
 	if r.Completion {
 		cost += completionWeight(j.Priority) * s.total
 	}
 	if r.Target {
-		cost += missCost * lateness(s, j.Target, left)
+		cost += missCost * lateness(s, j.Target, timeToDeadline)
 	}
 	if r.ReclaimRisk && c.Market == catalog.Reclaimable {
 		cost += expectedLoss(j, c, s)
@@ -156,8 +155,8 @@
 	}
 }
 
-// timeLeft is the time to the job's deadline, at least a millisecond, or zero
-// for none.
+// timeLeft returns the time to the job's deadline, at least a millisecond, or zero if
+// it has none.
 func timeLeft(now timekeeper.Time, j *Job) timekeeper.Duration {
 	if j.Deadline == 0 || j.Deadline == timekeeper.Never {
 		return 0
@@ -165,10 +164,11 @@
 	return max(j.Deadline.Sub(now), timekeeper.Millisecond)
 }
 
-// lateness rises from 0 at four fifths of a target to 1 at one and a half
-// times the target. The deadline counts as one more target.
-func lateness(s span, t catalog.Target, left timekeeper.Duration) float64 {
-	return max(overrun(s.first, t.FirstToken), overrun(s.total, t.Completion), overrun(s.total, left))
+// lateness rises linearly from 0 at 0.8 times a target to 1 at 1.5 times the target,
+// and returns the highest value of all targets. The deadline is treated as a target for
+// the completion.
+func lateness(s estimate, t catalog.Target, timeToDeadline timekeeper.Duration) float64 {
+	return max(overrun(s.first, t.FirstToken), overrun(s.total, t.Completion), overrun(s.total, timeToDeadline))
 }
 
 func overrun(ms float64, target timekeeper.Duration) float64 {
@@ -178,9 +178,9 @@
 	return min(max((ms/float64(target)-0.8)/0.7, 0), 1)
 }
 
-// expectedLoss is the chance that the VM is taken while the job runs, times
-// the work that is lost then: the prompt's prefill and half of the answer.
-func expectedLoss(j *Job, c *Candidate, s span) float64 {
+// expectedLoss is the probability that the VM is reclaimed during the job times the
+// work that would be lost: the prompt's prefill and half of the answer.
+func expectedLoss(j *Job, c *Candidate, s estimate) float64 {
 	hours := s.total / float64(timekeeper.Hour)
 	chance := 1 - math.Exp(-hours*reclaimsPerHour)
 	lost := (s.total - s.first) / 2
--- a/internal/router/choose_test.go
+++ b/internal/router/choose_test.go
@@ -18,8 +18,8 @@
 
 const testNow = timekeeper.Time(1_000_000)
 
-// engine returns an idle on-demand engine in this node's zone with a report
-// of this instant, changed by edit.
+// engine returns an idle on-demand engine in this node's zone with a current report,
+// modified by edit.
 func engine(id identifier.VMID, edit func(*Candidate)) Candidate {
 	c := Candidate{
 		Server:           id,
@@ -37,7 +37,7 @@
 	return c
 }
 
-func lookup() Job {
+func lookupJob() Job {
 	return Job{
 		PromptTokens: 800,
 		MaxTokens:    50,
@@ -46,7 +46,7 @@
 	}
 }
 
-func report() Job {
+func reportJob() Job {
 	return Job{
 		PromptTokens: 8000,
 		MaxTokens:    4000,
@@ -57,37 +57,36 @@
 
 func seeded(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, seed)) }
 
-// Each rule makes the better server win, and with the rule off the other one
-// does: the table is the negative control of every rule.
+// Each rule must make the better server win; with the rule off, the worse one wins.
 func TestEachRuleDecides(t *testing.T) {
-	strict := func(c *Candidate) { c.OwnInFlight = 7 }
+	loaded := func(c *Candidate) { c.OwnInFlight = 7 }
 	cases := []struct {
 		name string
 		job  Job
 		off  func(*Rules)
-		// better wins with all rules, worse without the one.
+		// better wins with all rules on, and worse without the rule under test.
 		worse  Candidate
 		better Candidate
 	}{
 		{
 			name:   "own requests",
-			job:    lookup(),
+			job:    lookupJob(),
 			off:    func(r *Rules) { r.OwnInFlight = false },
 			worse:  engine("a", func(c *Candidate) { c.OwnInFlight = 12 }),
 			better: engine("b", func(c *Candidate) { c.OwnInFlight = 1 }),
 		},
 		{
 			name:   "prefix",
-			job:    lookup(),
+			job:    lookupJob(),
 			off:    func(r *Rules) { r.Prefix = false },
 			worse:  engine("a", nil),
 			better: engine("b", func(c *Candidate) { c.PrefixHit, c.SameZone = 768, false }),
 		},
 		{
-			name:   "slow-down of the batch",
-			job:    report(),
+			name:   "batch slowdown",
+			job:    reportJob(),
 			off:    func(r *Rules) { r.Slowdown = false },
-			worse:  engine("a", strict),
+			worse:  engine("a", loaded),
 			better: engine("b", func(c *Candidate) { c.SameZone = false }),
 		},
 		{
@@ -102,18 +101,18 @@
 			job:    Job{AvoidServers: map[identifier.VMID]bool{"a": true}},
 			off:    func(r *Rules) { r.Avoid = false },
 			worse:  engine("a", nil),
-			better: engine("b", strict),
+			better: engine("b", loaded),
 		},
 		{
 			name:   "suspicion",
-			job:    lookup(),
+			job:    lookupJob(),
 			off:    func(r *Rules) { r.Suspicion = false },
 			worse:  engine("a", func(c *Candidate) { c.Suspect = true }),
-			better: engine("b", strict),
+			better: engine("b", loaded),
 		},
 		{
 			name:   "completion",
-			job:    report(),
+			job:    reportJob(),
 			off:    func(r *Rules) { r.Completion = false },
 			worse:  engine("a", func(c *Candidate) { c.PrefixHit, c.TokensPerSecond = 1000, 40 }),
 			better: engine("b", nil),
@@ -149,8 +148,8 @@
 			better: engine("b", func(c *Candidate) { c.TokensPerSecond = 0 }),
 		},
 		{
-			name:   "risk of a reclaim",
-			job:    report(),
+			name:   "reclaim risk",
+			job:    reportJob(),
 			off:    func(r *Rules) { r.ReclaimRisk = false },
 			worse:  engine("a", func(c *Candidate) { c.Market = catalog.Reclaimable }),
 			better: engine("b", nil),
@@ -160,12 +159,12 @@
 		t.Run(tc.name, func(t *testing.T) {
 			rules := AllRules()
 			rules.Spread = false
-			cs := []Candidate{tc.worse, tc.better}
-			chosen, ok := Choose(testNow, tc.job, cs, rules, seeded(1))
+			candidates := []Candidate{tc.worse, tc.better}
+			chosen, ok := Choose(testNow, tc.job, candidates, rules, seeded(1))
 			require.True(t, ok)
 			require.Equal(t, tc.better.Server, chosen.Server, chosen.Explanation)
 			tc.off(&rules)
-			chosen, ok = Choose(testNow, tc.job, cs, rules, seeded(1))
+			chosen, ok = Choose(testNow, tc.job, candidates, rules, seeded(1))
 			require.True(t, ok)
 			require.Equal(t, tc.worse.Server, chosen.Server, chosen.Explanation)
 		})
@@ -175,74 +174,73 @@
 func TestDoubtfulServersAreTheLastResort(t *testing.T) {
 	leaving := engine("a", func(c *Candidate) { c.Leaving = true })
 	suspect := engine("b", func(c *Candidate) { c.Suspect = true })
-	_, ok := Choose(testNow, lookup(), []Candidate{leaving}, Rules{}, seeded(1))
-	require.False(t, ok, "a leaving server gets no work, whatever the rules")
-	chosen, ok := Choose(testNow, lookup(), []Candidate{leaving, suspect}, AllRules(), seeded(1))
+	_, ok := Choose(testNow, lookupJob(), []Candidate{leaving}, Rules{}, seeded(1))
+	require.False(t, ok, "a leaving server is never chosen")
+	chosen, ok := Choose(testNow, lookupJob(), []Candidate{leaving, suspect}, AllRules(), seeded(1))
 	require.True(t, ok)
 	require.Equal(t, identifier.VMID("b"), chosen.Server)
 	require.Contains(t, chosen.Explanation, "only=doubtful")
 }
 
-// Callers see first tokens come late in bursts. Each of eight nodes finds ten
-// servers alike, and all send their next request to the one that sorts first.
-func TestNodesWithOnePictureDoNotHerd(t *testing.T) {
-	cs := make([]Candidate, 10)
-	for i := range cs {
-		cs[i] = engine(identifier.VMID(fmt.Sprint(i)), nil)
+// Nodes with the same view of equal servers must not all choose the same one.
+func TestEqualCandidatesAreChosenAtRandom(t *testing.T) {
+	candidates := make([]Candidate, 10)
+	for i := range candidates {
+		candidates[i] = engine(identifier.VMID(fmt.Sprint(i)), nil)
 	}
-	// most counts the choices of the most chosen server in a hundred rounds.
-	most := func(r Rules) int {
+	// maxChoices returns how often the most chosen server is chosen in a hundred
+	// rounds.
+	maxChoices := func(r Rules) int {
 		count := make(map[identifier.VMID]int)
 		for seed := range uint64(8 * 100) {
-			chosen, _ := Choose(testNow, lookup(), cs, r, seeded(seed))
+			chosen, _ := Choose(testNow, lookupJob(), candidates, r, seeded(seed))
 			count[chosen.Server]++
 		}
 		return slices.Max(slices.Collect(maps.Values(count)))
 	}
 	rules := AllRules()
-	require.Less(t, most(rules), 8*100/7, "a tenth each")
+	require.Less(t, maxChoices(rules), 8*100/7, "expect about a tenth each")
 	rules.Spread = false
-	require.Equal(t, 8*100, most(rules), "without the rule all eight choose the same each time")
+	require.Equal(t, 8*100, maxChoices(rules), "without the rule all choose the same server")
 }
 
-// Callers see first tokens come late. A server that lies, or whose report is
-// old, looks idle to all nodes and draws the requests of all: so what servers
-// report moves no choice, and this node's own requests do.
-func TestReportsMoveNoChoice(t *testing.T) {
-	liar := engine("a", func(c *Candidate) { c.OwnInFlight = 2 })
-	honest := engine("b", func(c *Candidate) { c.OwnInFlight, c.Load.Running, c.Load.Waiting = 1, 8, 20 })
+// A server's report may be false or stale and is the same for all nodes. It must not
+// affect the choice, or all nodes would choose the same server.
+func TestServerReportsDoNotAffectChoice(t *testing.T) {
+	underreporting := engine("a", func(c *Candidate) { c.OwnInFlight = 2 })
+	idler := engine("b", func(c *Candidate) { c.OwnInFlight, c.Load.Running, c.Load.Waiting = 1, 8, 20 })
 	for seed := range uint64(20) {
-		chosen, _ := Choose(testNow, lookup(), []Candidate{liar, honest}, AllRules(), seeded(seed))
+		chosen, _ := Choose(testNow, lookupJob(), []Candidate{underreporting, idler}, AllRules(), seeded(seed))
 		require.Equal(t, identifier.VMID("b"), chosen.Server)
 	}
 }
 
-// The server that holds the prompt's prefix is chosen whichever server the
-// comparison begins with, and loses when it is busier than another.
+// The server that has the prefix cached must win whichever server the comparison starts
+// with, unless it is busier than another.
 func TestPrefixHolderIsChosen(t *testing.T) {
-	cs := make([]Candidate, 10)
-	for i := range cs {
-		cs[i] = engine(identifier.VMID(fmt.Sprint(i)), nil)
+	candidates := make([]Candidate, 10)
+	for i := range candidates {
+		candidates[i] = engine(identifier.VMID(fmt.Sprint(i)), nil)
 	}
-	job := report()
+	job := reportJob()
 	job.MaxTokens = 100
-	cs[7].PrefixHit = 7900
+	candidates[7].PrefixHit = 7900
 	for seed := range uint64(50) {
-		chosen, _ := Choose(testNow, job, cs, AllRules(), seeded(seed))
+		chosen, _ := Choose(testNow, job, candidates, AllRules(), seeded(seed))
 		require.Equal(t, identifier.VMID("7"), chosen.Server)
 	}
-	cs[7].OwnInFlight = 1
-	chosen, _ := Choose(testNow, job, cs, AllRules(), seeded(1))
+	candidates[7].OwnInFlight = 1
+	chosen, _ := Choose(testNow, job, candidates, AllRules(), seeded(1))
 	require.NotEqual(t, identifier.VMID("7"), chosen.Server)
 }
 
 func TestChooseProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "candidates")
-		cs := make([]Candidate, n)
-		clean := false
-		for i := range cs {
-			cs[i] = engine(identifier.VMID(fmt.Sprint(i)), func(c *Candidate) {
+		candidates := make([]Candidate, n)
+		trusted := false
+		for i := range candidates {
+			candidates[i] = engine(identifier.VMID(fmt.Sprint(i)), func(c *Candidate) {
 				c.Leaving = rapid.Bool().Draw(t, "leaving")
 				c.Suspect = rapid.Bool().Draw(t, "suspect")
 				c.Slots = rapid.IntRange(0, 16).Draw(t, "slots")
@@ -251,29 +249,29 @@
 				c.OwnInFlight = rapid.IntRange(0, 100).Draw(t, "own")
 				c.TokensPerSecond = float64(rapid.IntRange(0, 50).Draw(t, "pace"))
 			})
-			clean = clean || !cs[i].Leaving && !cs[i].Suspect
+			trusted = trusted || !candidates[i].Leaving && !candidates[i].Suspect
 		}
 		seed := rapid.Uint64().Draw(t, "seed")
-		first, ok := Choose(testNow, lookup(), cs, AllRules(), seeded(seed))
-		again, _ := Choose(testNow, lookup(), cs, AllRules(), seeded(seed))
-		require.Equal(t, first, again, "the choice follows from its arguments")
-		for _, c := range cs {
+		first, ok := Choose(testNow, lookupJob(), candidates, AllRules(), seeded(seed))
+		again, _ := Choose(testNow, lookupJob(), candidates, AllRules(), seeded(seed))
+		require.Equal(t, first, again, "the choice must be deterministic")
+		for _, c := range candidates {
 			if ok && c.Server == first.Server {
 				require.False(t, c.Leaving)
-				require.False(t, clean && c.Suspect)
+				require.False(t, trusted && c.Suspect)
 				require.GreaterOrEqual(t, first.Predicted.Completion, first.Predicted.FirstToken)
 			}
 		}
-		require.True(t, ok || !clean)
+		require.True(t, ok || !trusted)
 	})
 }
 
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{10, 14, 600} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			cs := make([]Candidate, n)
-			for i := range cs {
-				cs[i] = engine(identifier.VMID(fmt.Sprintf("server-%d", i)), func(c *Candidate) {
+			candidates := make([]Candidate, n)
+			for i := range candidates {
+				candidates[i] = engine(identifier.VMID(fmt.Sprintf("server-%d", i)), func(c *Candidate) {
 					c.OwnInFlight = i % 9
 					c.Load.AsOf = testNow.Add(-timekeeper.Duration(i % 1000))
 					c.PrefixHit = identifier.Tokens(i % 5 * 64)
@@ -282,7 +280,7 @@
 			rng := seeded(1)
 			b.ReportAllocs()
 			for b.Loop() {
-				Choose(testNow, lookup(), cs, AllRules(), rng)
+				Choose(testNow, lookupJob(), candidates, AllRules(), rng)
 			}
 		})
 	}
--- a/internal/router/hints.go
+++ b/internal/router/hints.go
@@ -8,10 +8,10 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// BlockTokens is the number of prompt tokens that one prefix hash stands for.
+// BlockTokens is the number of prompt tokens covered by one prefix hash.
 const BlockTokens identifier.Tokens = 64
 
-// The defaults of a HintsConfig.
+// Defaults of HintsConfig.
 const (
 	DefaultHintsPerServer = 2048
 	DefaultHintsTotal     = 16384
@@ -19,23 +19,22 @@
 )
 
 const (
-	// reportedConfidence is the confidence in a block that the server itself
-	// reported.
+	// reportedConfidence is the confidence in a block that the server itself reported.
 	reportedConfidence = 1.0
-	// routedConfidence is the confidence in a block that this node sent there
-	// and of which the server has said nothing yet.
+	// routedConfidence is the confidence in a block of a prompt that this node sent to
+	// the server, before the server reports it.
 	routedConfidence = 0.8
-	// gapFactor is what remains of the confidence after lost events: they may
-	// have said that the block was dropped.
+	// gapFactor is the factor on the confidence for each gap in a server's cache
+	// events, which may have been evictions.
 	gapFactor = 0.5
 )
 
-// HintsConfig bounds a table of hints. Zero fields mean the defaults.
+// HintsConfig bounds a table of hints. Zero fields select the defaults.
 type HintsConfig struct {
-	// PerServer and InAll bound the number of blocks remembered.
+	// PerServer and Total bound the number of blocks, per server and over all servers.
 	PerServer int
 	Total     int
-	// HalfLife is the age at which a hint counts half.
+	// HalfLife is the age at which the confidence in a hint is halved.
 	HalfLife timekeeper.Duration
 }
 
@@ -52,8 +51,8 @@
 	return c
 }
 
-// Hints remembers which server probably has which prompt prefix cached. A
-// full table drops the hints learned longest ago, of the server with the most.
+// Hints estimates which prompt prefixes each server has cached. If a bound is exceeded,
+// the oldest hint of the server, or of the server with the most hints, is dropped.
 type Hints struct {
 	config  HintsConfig
 	servers map[identifier.VMID]*serverHints
@@ -61,20 +60,20 @@
 	dropped uint64
 }
 
-// serverHints are the hints of one server, the one learned last in front.
+// serverHints are the hints of one server, most recent first.
 type serverHints struct {
 	blocks map[identifier.PrefixHash]*list.Element
 	order  *list.List
-	// gaps counts the gaps in the server's cache events so far.
+	// gaps counts the gaps in the server's cache events.
 	gaps int
 }
 
-// hint is one block that a server may hold.
+// hint is one block that a server may have cached.
 type hint struct {
 	hash       identifier.PrefixHash
-	learned    timekeeper.Time
+	updatedAt  timekeeper.Time
 	confidence float64
-	// gaps is the server's count of gaps when the hint was learned.
+	// gaps is the value of serverHints.gaps when the hint was updated.
 	gaps int
 }
 
@@ -86,22 +85,22 @@
 	}
 }
 
-// Observe takes in a server's cache events. A gap before them halves the
-// confidence in all that was known of the server.
-func (h *Hints) Observe(now timekeeper.Time, server identifier.VMID, held, gone []identifier.PrefixHash, gap bool) {
+// Observe applies a server's cache events. A gap before them halves the confidence in
+// all earlier hints of the server.
+func (h *Hints) Observe(now timekeeper.Time, server identifier.VMID, cached, evicted []identifier.PrefixHash, gap bool) {
 	s := h.server(server)
 	if gap {
 		s.gaps++
 	}
-	for _, hash := range held {
+	for _, hash := range cached {
 		h.put(s, now, hash, reportedConfidence)
 	}
-	for _, hash := range gone {
+	for _, hash := range evicted {
 		h.remove(s, hash)
 	}
 }
 
-// Routed notes that a prompt with this prefix was sent to the server.
+// Routed records that a prompt with this prefix was sent to the server.
 func (h *Hints) Routed(now timekeeper.Time, server identifier.VMID, prefix []identifier.PrefixHash) {
 	s := h.server(server)
 	for _, hash := range prefix {
@@ -109,26 +108,26 @@
 	}
 }
 
-// CachedTokens returns the expected number of leading prompt tokens that the server
-// has cached. A block counts no more than the block before it: an engine can
-// use only an unbroken prefix.
+// CachedTokens returns the expected number of leading prompt tokens that the server has
+// cached. The confidence in a block is at most that in the block before it, because an
+// engine can use only an unbroken prefix.
 func (h *Hints) CachedTokens(now timekeeper.Time, server identifier.VMID, prefix []identifier.PrefixHash) identifier.Tokens {
 	s, ok := h.servers[server]
 	if !ok {
 		return 0
 	}
-	blocks, sure := 0.0, 1.0
+	blocks, confidence := 0.0, 1.0
 	for _, hash := range prefix {
-		sure = min(sure, s.confidence(now, hash, h.config.HalfLife))
-		if sure == 0 {
+		confidence = min(confidence, s.confidence(now, hash, h.config.HalfLife))
+		if confidence == 0 {
 			break
 		}
-		blocks += sure
+		blocks += confidence
 	}
 	return identifier.Tokens(blocks * float64(BlockTokens))
 }
 
-// Forget drops all hints of a server.
+// Forget drops all hints of a removed server.
 func (h *Hints) Forget(server identifier.VMID) {
 	if s, ok := h.servers[server]; ok {
 		h.count -= len(s.blocks)
@@ -136,11 +135,10 @@
 	}
 }
 
-// Len returns the number of hints, Dropped how many were dropped for lack of
-// room so far.
+// Len returns the number of hints.
 func (h *Hints) Len() int { return h.count }
 
-// Dropped returns how many hints were dropped for lack of room so far.
+// Dropped returns the number of hints dropped so far because a bound was exceeded.
 func (h *Hints) Dropped() uint64 { return h.dropped }
 
 func (h *Hints) server(id identifier.VMID) *serverHints {
@@ -158,7 +156,7 @@
 func (h *Hints) put(s *serverHints, now timekeeper.Time, hash identifier.PrefixHash, confidence float64) {
 	fresh := hint{
 		hash:       hash,
-		learned:    now,
+		updatedAt:  now,
 		confidence: confidence,
 		gaps:       s.gaps,
 	}
@@ -190,27 +188,26 @@
 	h.dropped++
 }
 
-// largest returns the server with the most hints; of several, the one whose
-// id sorts first.
+// largest returns the server with the most hints; ties go to the lowest id.
 func (h *Hints) largest() *serverHints {
-	var found *serverHints
-	var foundID identifier.VMID
+	var largest *serverHints
+	var largestID identifier.VMID
 	for id, s := range h.servers {
-		if found == nil || len(s.blocks) > len(found.blocks) ||
-			len(s.blocks) == len(found.blocks) && id < foundID {
-			found, foundID = s, id
+		if largest == nil || len(s.blocks) > len(largest.blocks) ||
+			len(s.blocks) == len(largest.blocks) && id < largestID {
+			largest, largestID = s, id
 		}
 	}
-	return found
+	return largest
 }
 
-// confidence is the chance that the server still holds the block.
+// confidence returns the probability that the server still has the block cached.
 func (s *serverHints) confidence(now timekeeper.Time, hash identifier.PrefixHash, halfLife timekeeper.Duration) float64 {
 	e, ok := s.blocks[hash]
 	if !ok {
 		return 0
 	}
-	k := e.Value.(*hint)
-	age := float64(max(now.Sub(k.learned), 0)) / float64(halfLife)
-	return k.confidence * math.Exp2(-age) * math.Pow(gapFactor, float64(s.gaps-k.gaps))
+	entry := e.Value.(*hint)
+	age := float64(max(now.Sub(entry.updatedAt), 0)) / float64(halfLife)
+	return entry.confidence * math.Exp2(-age) * math.Pow(gapFactor, float64(s.gaps-entry.gaps))
 }
--- a/internal/router/hints_test.go
+++ b/internal/router/hints_test.go
@@ -22,12 +22,12 @@
 	require.Equal(t, 10*BlockTokens, h.CachedTokens(testNow, "a", blocks(0, 12)))
 	require.Zero(t, h.CachedTokens(testNow, "b", blocks(0, 12)))
 	later := testNow.Add(DefaultHintHalfLife)
-	require.Equal(t, 5*BlockTokens, h.CachedTokens(later, "a", blocks(0, 12)), "half after a half-life")
+	require.Equal(t, 5*BlockTokens, h.CachedTokens(later, "a", blocks(0, 12)), "half the confidence after a half-life")
 
 	h.Observe(testNow, "a", nil, nil, true)
-	require.Equal(t, 5*BlockTokens, h.CachedTokens(testNow, "a", blocks(0, 12)), "a gap halves what was known")
+	require.Equal(t, 5*BlockTokens, h.CachedTokens(testNow, "a", blocks(0, 12)), "a gap halves the confidence")
 	h.Observe(testNow, "a", blocks(0, 10), nil, false)
-	require.Equal(t, 10*BlockTokens, h.CachedTokens(testNow, "a", blocks(0, 12)), "what is heard after the gap is whole")
+	require.Equal(t, 10*BlockTokens, h.CachedTokens(testNow, "a", blocks(0, 12)), "events after the gap have full confidence")
 
 	h.Observe(testNow, "a", nil, blocks(4, 5), false)
 	require.Equal(t, 4*BlockTokens, h.CachedTokens(testNow, "a", blocks(0, 12)), "a prefix ends at its first missing block")
@@ -48,5 +48,5 @@
 	h.Routed(testNow, "b", blocks(0, 500))
 	require.Equal(t, 150, h.Len())
 	require.EqualValues(t, 850, h.Dropped())
-	require.Equal(t, BlockTokens, h.CachedTokens(testNow, "a", blocks(499, 500)), "the newest stay")
+	require.Equal(t, BlockTokens, h.CachedTokens(testNow, "a", blocks(499, 500)), "the newest hints are retained")
 }
--- a/internal/router/predict.go
+++ b/internal/router/predict.go
@@ -8,40 +8,41 @@
 )
 
 const (
-	// typicalTokens and typicalPrompt stand for requests that wait, of which
-	// only the number is known.
+	// typicalTokens and typicalPrompt are the assumed sizes of queued requests, of
+	// which only the number is known.
 	typicalTokens = 256
 	typicalPrompt = 1024
-	// batchSlowdown is the share by which a full batch lengthens the time
-	// between tokens.
+	// batchSlowdown is the relative increase of the time between tokens in a full
+	// batch.
 	batchSlowdown = 0.4
-	// plainServiceTime is the time of a call at an idle plain server.
+	// plainServiceTime is the duration of a call at an idle plain server, in
+	// milliseconds.
 	plainServiceTime = 20.0
-	// zoneHopTime is a round trip to another availability zone.
+	// zoneHopTime is the round trip to another availability zone, in milliseconds.
 	zoneHopTime = 1.0
-	// maxSpan bounds predictions, so that sums cannot overflow.
-	maxSpan = float64(24 * timekeeper.Hour)
+	// maxEstimate bounds predictions so that sums cannot overflow.
+	maxEstimate = float64(24 * timekeeper.Hour)
 )
 
-// Predict estimates the job's times on the candidate, by this node's own
-// requests there.
+// Predict estimates the job's times on the candidate from this node's own requests
+// there.
 //
-// What servers report of the others' requests is not counted. Reports are late,
-// and each node that acts on them corrects what the others have corrected
-// already; a server that lies draws the requests of all. Where each node
-// balances its own requests, the sum is balanced too.
+// Servers' reports of other nodes' requests are ignored. They arrive late, so that each
+// node that acts on them repeats the corrections of the others, and a false report
+// would attract the requests of all nodes. If each node balances its own requests, the
+// total is balanced as well.
 func Predict(_ timekeeper.Time, j Job, c Candidate, r Rules) Prediction {
 	return predict(&j, &c, r).rounded()
 }
 
-// span is a prediction in fractional milliseconds.
-type span struct {
+// estimate is a prediction in fractional milliseconds.
+type estimate struct {
 	first    float64
 	perToken float64
 	total    float64
 }
 
-func (s span) rounded() Prediction {
+func (s estimate) rounded() Prediction {
 	return Prediction{
 		FirstToken: wholeMillis(s.first),
 		PerToken:   wholeMillis(s.perToken),
@@ -50,66 +51,66 @@
 }
 
 func wholeMillis(ms float64) timekeeper.Duration {
-	return timekeeper.Duration(math.Ceil(min(ms, maxSpan)))
+	return timekeeper.Duration(math.Ceil(min(ms, maxEstimate)))
 }
 
-func predict(j *Job, c *Candidate, r Rules) span {
-	present, ownPrefill := 0.0, 0.0
+func predict(j *Job, c *Candidate, r Rules) estimate {
+	running, ownPrefill := 0.0, 0.0
 	if r.OwnInFlight {
-		present, ownPrefill = float64(c.OwnInFlight), float64(c.OwnPrefill)
+		running, ownPrefill = float64(c.OwnInFlight), float64(c.OwnPrefill)
 	}
 	slots := float64(max(c.Slots, 1))
 	if c.TokensPerSecond <= 0 {
-		return predictPlain(present, slots, c, r)
+		return predictPlain(running, slots, c, r)
 	}
-	return predictModel(j, present, ownPrefill, slots, c, r)
+	return predictModel(j, running, ownPrefill, slots, c, r)
 }
 
-func predictPlain(present, slots float64, c *Candidate, r Rules) span {
-	wait := max(0, present+1-slots) / slots * plainServiceTime
-	first := plainServiceTime + wait + hop(c, r)
+func predictPlain(running, slots float64, c *Candidate, r Rules) estimate {
+	wait := max(0, running+1-slots) / slots * plainServiceTime
+	first := plainServiceTime + wait + zoneHop(c, r)
 	if r.Slowdown {
-		first += plainServiceTime * batchSlowdown * min(present/slots, 1)
+		first += plainServiceTime * batchSlowdown * min(running/slots, 1)
 	}
-	return span{
+	return estimate{
 		first:    first,
 		perToken: 0,
 		total:    first,
 	}
 }
 
-func predictModel(j *Job, present, ownPrefill, slots float64, c *Candidate, r Rules) span {
+func predictModel(j *Job, running, ownPrefill, slots float64, c *Candidate, r Rules) estimate {
 	perToken := 1000 / c.TokensPerSecond
 	if r.Slowdown {
-		perToken *= 1 + batchSlowdown*min(present/slots, 1)
+		perToken *= 1 + batchSlowdown*min(running/slots, 1)
 	}
-	queued := max(0, present+1-slots)
+	queued := max(0, running+1-slots)
 	wait := queued / slots * typicalTokens * perToken * queueShare(j.Priority)
-	first := wait + prefillTime(j, queued, ownPrefill, c, r) + perToken + hop(c, r)
-	return span{
+	first := wait + prefillTime(j, queued, ownPrefill, c, r) + perToken + zoneHop(c, r)
+	return estimate{
 		first:    first,
 		perToken: perToken,
 		total:    first + perToken*float64(max(j.MaxTokens-1, 0)),
 	}
 }
 
-// prefillTime is the time to read the prompts that stand before the job's
-// first token: this node's own ones, others' that wait, and the job's less
-// what the cache holds.
+// prefillTime returns the time to read the prompts before the job's first token: the
+// larger of this node's own and the queued prompts, and the part of the job's prompt
+// that is not cached.
 func prefillTime(j *Job, queued, ownPrefill float64, c *Candidate, r Rules) float64 {
 	if c.PrefillPerSecond <= 0 {
 		return 0
 	}
-	own := j.PromptTokens
+	uncached := j.PromptTokens
 	if r.Prefix {
-		own -= min(c.PrefixHit, j.PromptTokens)
+		uncached -= min(c.PrefixHit, j.PromptTokens)
 	}
-	ahead := queued * typicalPrompt * queueShare(j.Priority)
-	return (float64(own) + max(ahead, ownPrefill)) / c.PrefillPerSecond * 1000
+	queuedTokens := queued * typicalPrompt * queueShare(j.Priority)
+	return (float64(uncached) + max(queuedTokens, ownPrefill)) / c.PrefillPerSecond * 1000
 }
 
-// queueShare is the part of an engine's queue that stands before a request:
-// engines honour priorities.
+// queueShare returns the fraction of an engine's queue that runs before a request of
+// the given priority.
 func queueShare(p catalog.Priority) float64 {
 	switch {
 	case p >= catalog.Interactive:
@@ -121,7 +122,7 @@
 	}
 }
 
-func hop(c *Candidate, r Rules) float64 {
+func zoneHop(c *Candidate, r Rules) float64 {
 	if c.SameZone || !r.ZoneHop {
 		return 0
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,12 +1,11 @@
 // Package router chooses the backend server for an attempt.
 //
-// Predict estimates when a server would give the first token and the last,
-// from what this node has in flight there and the prefix hints. Choose filters
-// the candidates and takes the one with the lowest score, in milliseconds; of
-// equal ones, any. Hints remembers which server probably has which prompt
-// prefix in its cache.
+// Predict estimates the times of a server's first and last token from this node's
+// requests in flight there and from the prefix hints. Choose filters the candidates and
+// takes the one with the lowest cost in milliseconds, with ties broken at random. Hints
+// estimates which prompt prefixes each server has cached.
 //
-// Everything here is pure: time and randomness are arguments. Nothing is safe
+// All functions are deterministic: time and randomness are passed in. Nothing is safe
 // for concurrent use.
 package router
 
@@ -17,34 +16,34 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Candidate is a backend server that could take the job.
+// Candidate is a backend server that could run the job.
 type Candidate struct {
 	Server identifier.VMID
 	Zone   identifier.Zone
-	// Market tells how likely the server is reclaimed. Its price is not asked
-	// for: the cheap servers are those that are reclaimed.
+	// Market determines the risk of a reclaim. The price is not considered, because the
+	// cheap servers are the reclaimable ones.
 	Market  catalog.Market
 	Leaving bool
 	Suspect bool
-	// OwnInFlight counts this node's own requests on the server; OwnPrefill
-	// is the part of their prompts that it has still to read.
+	// OwnInFlight is the number of this node's requests on the server, and OwnPrefill
+	// the number of their prompt tokens that are still to be read.
 	OwnInFlight int
 	OwnPrefill  identifier.Tokens
-	// Load is the last report, or zero. It is told in the explanation and
-	// moves no choice; see Predict.
+	// Load is the server's last report, or zero. It appears in the explanation but does
+	// not affect the choice; see Predict.
 	Load messenger.ServerLoad
-	// PrefixHit is the expected number of prompt tokens in the cache.
+	// PrefixHit is the expected number of cached prompt tokens.
 	PrefixHit identifier.Tokens
 	Slots     int
-	// TokensPerSecond and PrefillPerSecond are the paces of an unloaded
-	// server; they are zero for a plain server.
+	// TokensPerSecond and PrefillPerSecond are the rates of an idle server, or zero for
+	// a plain server.
 	TokensPerSecond  float64
 	PrefillPerSecond float64
-	// SameZone tells that the server is in this node's zone.
+	// SameZone reports whether the server is in this node's zone.
 	SameZone bool
 }
 
-// Job is the work to place.
+// Job is a request to be placed on a server.
 type Job struct {
 	PromptTokens identifier.Tokens
 	MaxTokens    identifier.Tokens
@@ -55,14 +54,14 @@
 	AvoidServers map[identifier.VMID]bool
 }
 
-// Prediction is how long the parts of an answer will take from now.
+// Prediction is the expected time to the first token, between tokens, and to the end.
 type Prediction struct {
 	FirstToken timekeeper.Duration
 	PerToken   timekeeper.Duration
 	Completion timekeeper.Duration
 }
 
-// Choice is the server chosen and the reason in short.
+// Choice is the chosen server with an explanation for operators.
 type Choice struct {
 	Server      identifier.VMID
 	Predicted   Prediction
--- a/internal/router/rules.go
+++ b/internal/router/rules.go
@@ -1,33 +1,32 @@
 package router
 
-// Rules switches the rules of the choice on and off, so that a measurement
-// can tell what each is worth. Leaving servers are never chosen; no switch
-// changes that.
+// Rules enables the single rules of the choice, so that the effect of each can be
+// measured. Leaving servers are never chosen, whatever the rules.
 type Rules struct {
 	// OwnInFlight counts this node's own requests on the server.
 	OwnInFlight bool
-	// Prefix skips the prefill of tokens that the server has cached, among the
-	// servers with the fewest of this node's requests.
+	// Prefix omits the prefill of cached tokens, among the servers with the fewest of
+	// this node's requests.
 	Prefix bool
-	// Slowdown lets the pace fall with the size of the batch.
+	// Slowdown lowers the token rate as the batch grows.
 	Slowdown bool
-	// Avoid keeps to servers and zones that the job does not avoid.
+	// Avoid prefers servers and zones that the job does not list to be avoided.
 	Avoid bool
-	// Suspicion keeps to servers that are not suspect.
+	// Suspicion prefers servers that are not suspected.
 	Suspicion bool
-	// Completion weighs the time to completion by priority.
+	// Completion adds the time to completion, weighted by priority.
 	Completion bool
-	// Target adds a cost to servers that would miss the account's target.
+	// Target adds a cost for the risk of missing the account's target or the deadline.
 	Target bool
-	// ZoneHop adds the time to another availability zone.
+	// ZoneHop adds the round trip to another availability zone.
 	ZoneHop bool
 	// ReclaimRisk adds the expected loss of work on a reclaimable VM.
 	ReclaimRisk bool
-	// Spread begins the comparison at a random server, which wins ties.
+	// Spread starts the comparison at a random server, which wins ties.
 	Spread bool
 }
 
-// AllRules returns the rules with each one on.
+// AllRules returns Rules with every rule enabled.
 func AllRules() Rules {
 	return Rules{
 		OwnInFlight: true,
