--- a/internal/quarantiner/cost_test.go
+++ b/internal/quarantiner/cost_test.go
@@ -9,7 +9,8 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// fullTable has as many requests as are remembered, with eight servers each.
+// fullTable returns a table with the maximum number of requests, each with eight ended
+// servers.
 func fullTable() *quarantiner.Quarantine {
 	q := quarantiner.New()
 	for r := range 1024 {
@@ -20,10 +21,8 @@
 	return q
 }
 
-// BenchmarkFullTable tells what the most that a node remembers costs: 0.42 MB, of the 32
-// that it may have; 0.7 ms for the verdicts after something changed, which is a server
-// that ended, where a look at all requests for each end took 108 ms; and 0.2 ms for what
-// it tells peers, some times a second. With nothing to remember neither takes anything.
+// BenchmarkFullTable measures the memory of a full table, and the time of an update of
+// the verdicts and of an update to peers.
 func BenchmarkFullTable(b *testing.B) {
 	b.Run("memory", func(b *testing.B) {
 		for b.Loop() {
@@ -47,7 +46,7 @@
 			q.Refuses(now, 1)
 		}
 	})
-	b.Run("news", func(b *testing.B) {
+	b.Run("updates", func(b *testing.B) {
 		q := fullTable()
 		now := start.Add(timekeeper.Minute)
 		for b.Loop() {
--- a/internal/quarantiner/news.go
+++ b/internal/quarantiner/news.go
@@ -9,123 +9,123 @@
 )
 
 const (
-	// newsTime is for how long a change is told: peers are told twice a second, so
-	// that each hears of it four times.
-	newsTime = 2 * timekeeper.Second
-	// maxNews bounds the changed requests in one message, some 40 bytes each. A node
-	// tells 72 of them in newsTime, more than a server has.
-	maxNews = 18
-	// graveEnds is how many servers ended under the requests that are told again and
-	// again, so that a node that was cut off or frozen hears of them as well, and
-	// maxGrave how many of these one message has. All of 64 are told in two seconds.
-	graveEnds = 2
-	maxGrave  = 16
-	// maxAll bounds what a node that joined is told at once.
-	maxAll = 256
-	// seenStep is the least difference by which hearsay moves the instant at which a
-	// request was last seen. Less may be the way of the message, which would keep a
-	// request that two nodes tell one another from being forgotten.
-	seenStep = 15 * timekeeper.Second
+	// updateWindow is the time for which a change is reported. Peers receive updates
+	// twice a second, so each change is sent four times.
+	updateWindow = 2 * timekeeper.Second
+	// maxUpdates bounds the changed requests in one message, of some 40 bytes each.
+	// Within updateWindow a node sends up to 72, more than one server runs.
+	maxUpdates = 18
+	// suspectThreshold is the number of ended servers from which a request is repeated
+	// to peers, for nodes that were partitioned or paused when it changed. maxRepeats
+	// bounds these requests in one message: 64 of them are sent within two seconds.
+	suspectThreshold = 2
+	maxRepeats       = 16
+	// maxExport bounds what a node that joins receives at once.
+	maxExport = 256
+	// minSeenChange is the minimum difference by which a peer's report changes
+	// lastSeen. Smaller differences may be the transit time of the message, which would
+	// keep a request alive for as long as two nodes exchange it.
+	minSeenChange = 15 * timekeeper.Second
 )
 
 // PendingUpdates reports whether this node found something since the last call that
 // peers should receive soon.
 func (q *Quarantine) PendingUpdates() bool {
-	tell := q.toTell
-	q.toTell = false
-	return tell
+	pending := q.updatesPending
+	q.updatesPending = false
+	return pending
 }
 
-// Updates returns what peers are told now: what changed lately, of what this node found
-// itself, or of all where it passes on news for others; and some of the requests under
-// which several servers ended.
+// Updates returns the requests to report to peers: those that changed recently, and
+// some of the others under which several servers ended. Recent changes that this node
+// received from peers are included only if includeReceived is set, as relays do.
 //
-// Of more than a message has, those told least come first: where a fixed order said
-// which, a query of death among sixty requests of each server that ended could stay
-// untold by every node.
-func (q *Quarantine) Updates(now timekeeper.Time, passOn bool) []messenger.SuspectRequest {
+// If a message can't hold all changed requests, those with the most ended servers go
+// first, and among equals those sent least often. In a fixed order, a query of death
+// among the sixty requests of each ended server might never be sent by any node.
+func (q *Quarantine) Updates(now timekeeper.Time, includeReceived bool) []messenger.SuspectRequest {
 	if len(q.records) == 0 {
 		return nil
 	}
-	if q.news.at == now && q.news.passOn == passOn {
-		return q.news.suspects // Relays tell many peers at an instant.
+	if q.lastUpdate.at == now && q.lastUpdate.includeReceived == includeReceived {
+		return q.lastUpdate.suspects // Relays send to many peers at the same instant.
 	}
-	q.news = news{
-		at:       now,
-		passOn:   passOn,
-		suspects: q.gatherNews(now, passOn),
+	q.lastUpdate = update{
+		at:              now,
+		includeReceived: includeReceived,
+		suspects:        q.collectUpdates(now, includeReceived),
 	}
-	return q.news.suspects
+	return q.lastUpdate.suspects
 }
 
-// news is what was told last.
-type news struct {
-	at       timekeeper.Time
-	passOn   bool
-	suspects []messenger.SuspectRequest
+// update is the result of the last call of Updates.
+type update struct {
+	at              timekeeper.Time
+	includeReceived bool
+	suspects        []messenger.SuspectRequest
 }
 
-func (q *Quarantine) gatherNews(now timekeeper.Time, passOn bool) []messenger.SuspectRequest {
-	var changed, grave []*record
-	for _, f := range q.requests() {
+func (q *Quarantine) collectUpdates(now timekeeper.Time, includeReceived bool) []messenger.SuspectRequest {
+	var changed, repeated []*record
+	for _, f := range q.sortedRequests() {
 		r := q.records[f]
 		switch {
-		case now.Sub(r.found) <= newsTime || passOn && now.Sub(r.changed) <= newsTime:
+		case now.Sub(r.foundAt) <= updateWindow || includeReceived && now.Sub(r.changedAt) <= updateWindow:
 			changed = append(changed, r)
-		case len(r.ends) >= graveEnds:
-			grave = append(grave, r)
+		case len(r.ends) >= suspectThreshold:
+			repeated = append(repeated, r)
 		}
 	}
 	slices.SortStableFunc(changed, func(a, b *record) int {
-		return cmp.Or(cmp.Compare(len(b.ends), len(a.ends)), cmp.Compare(a.tells, b.tells))
+		return cmp.Or(cmp.Compare(len(b.ends), len(a.ends)), cmp.Compare(a.timesSent, b.timesSent))
 	})
-	changed = changed[:min(len(changed), maxNews)]
+	changed = changed[:min(len(changed), maxUpdates)]
 	for _, r := range changed {
-		r.tells++
+		r.timesSent++
 	}
-	return q.tell(now, append(changed, q.turnOf(grave)...))
+	return q.export(now, append(changed, q.nextRepeats(repeated)...))
 }
 
-// turnOf returns the requests whose turn it is to be told.
-func (q *Quarantine) turnOf(grave []*record) []*record {
-	if len(grave) <= maxGrave {
-		return grave
+// nextRepeats returns the next requests to repeat, in rotation.
+func (q *Quarantine) nextRepeats(repeated []*record) []*record {
+	if len(repeated) <= maxRepeats {
+		return repeated
 	}
-	out := make([]*record, 0, maxGrave)
-	for range maxGrave {
-		q.turn = (q.turn + 1) % len(grave)
-		out = append(out, grave[q.turn])
+	out := make([]*record, 0, maxRepeats)
+	for range maxRepeats {
+		q.lastRepeated = (q.lastRepeated + 1) % len(repeated)
+		out = append(out, repeated[q.lastRepeated])
 	}
 	return out
 }
 
-// All returns what a node that joined is told, those under which most servers ended
-// first.
+// All returns the requests to report to a node that joined, those with the most ended
+// servers first.
 func (q *Quarantine) All(now timekeeper.Time) []messenger.SuspectRequest {
 	all := make([]*record, 0, len(q.records))
-	for _, f := range q.requests() {
+	for _, f := range q.sortedRequests() {
 		all = append(all, q.records[f])
 	}
 	slices.SortStableFunc(all, func(a, b *record) int { return cmp.Compare(len(b.ends), len(a.ends)) })
-	return q.tell(now, all[:min(len(all), maxAll)])
+	return q.export(now, all[:min(len(all), maxExport)])
 }
 
-func (q *Quarantine) tell(now timekeeper.Time, records []*record) []messenger.SuspectRequest {
+func (q *Quarantine) export(now timekeeper.Time, records []*record) []messenger.SuspectRequest {
 	out := make([]messenger.SuspectRequest, 0, len(records))
 	for _, r := range records {
-		out = append(out, r.told(now))
+		out = append(out, r.export(now))
 	}
 	return out
 }
 
-func (r *record) told(now timekeeper.Time) messenger.SuspectRequest {
+func (r *record) export(now timekeeper.Time) messenger.SuspectRequest {
 	s := messenger.SuspectRequest{
 		Request: r.request,
-		SeenAge: now.Sub(r.seen),
-		Cleared: r.cleared != 0,
+		SeenAge: now.Sub(r.lastSeen),
+		Cleared: r.clearedAt != 0,
 	}
 	if s.Cleared {
-		s.ClearedAge = now.Sub(r.cleared)
+		s.ClearedAge = now.Sub(r.clearedAt)
 	}
 	for _, e := range r.ends {
 		s.Ends = append(s.Ends, messenger.ServerEnd{
@@ -150,33 +150,33 @@
 		return
 	}
 	r := q.record(now, s.Request)
-	seen := now.Add(-max(s.SeenAge, 0))
-	if !known || seen.Sub(r.seen) >= seenStep {
-		r.seen = seen
+	lastSeen := now.Add(-max(s.SeenAge, 0))
+	if !known || lastSeen.Sub(r.lastSeen) >= minSeenChange {
+		r.lastSeen = lastSeen
 	}
 	changed := false
 	if s.Cleared {
-		changed = r.heardCleared(now.Add(-max(s.ClearedAge, 0)))
+		changed = r.mergeCleared(now.Add(-max(s.ClearedAge, 0)))
 	}
 	for _, e := range s.Ends[:min(len(s.Ends), maxServers)] {
-		if r.add(e.Server, now.Add(-max(e.Age, 0))) {
+		if r.addEnd(e.Server, now.Add(-max(e.Age, 0))) {
 			changed = true
 		}
 	}
 	if changed {
-		r.changed = now
-		q.unjudged = true
+		r.changedAt = now
+		q.verdictsStale = true
 	}
 }
 
-// heardCleared takes in a whole answer that a peer knows of, and reports whether that
-// is news.
-func (r *record) heardCleared(at timekeeper.Time) bool {
-	if !at.After(r.cleared) {
+// mergeCleared applies a peer's report of a complete answer, and reports whether it
+// changed the record.
+func (r *record) mergeCleared(at timekeeper.Time) bool {
+	if !at.After(r.clearedAt) {
 		return false
 	}
-	clears := slices.ContainsFunc(r.ends, func(e end) bool { return !e.at.After(at) })
-	if !clears && at.Sub(r.cleared) < seenStep {
+	removesEnds := slices.ContainsFunc(r.ends, func(e end) bool { return !e.at.After(at) })
+	if !removesEnds && at.Sub(r.clearedAt) < minSeenChange {
 		return false
 	}
 	r.clear(at)
--- a/internal/quarantiner/quarantiner.go
+++ b/internal/quarantiner/quarantiner.go
@@ -1,21 +1,21 @@
-// Package quarantiner remembers the requests under which backend servers ended, and
-// tells which of them no server may get any more.
+// Package quarantiner records the requests during which backend servers ended, and
+// decides which of them are refused.
 //
-// A request may end each server that begins to run it (a query of death). Its caller
-// sends it again, to any node and under another request id, and each time it takes
-// further servers, and all that they run, with it. So what counts is the request, by
-// caller and content, over all nodes:
+// A request may end every server that runs it (a query of death). Its caller sends it
+// again, to any node and under another request id, and each time it ends further
+// servers, along with all other requests on them. So requests are identified by caller
+// and content, and the ends of servers are counted over all nodes:
 //
-//   - A node reports each end of a server under a request of its own, and peers
-//     tell one another (news.go).
-//   - Once three servers have ended under a request it is refused everywhere.
-//     Servers that ended for another request, under which more have ended, do not
-//     count (verdict.go).
-//   - A whole answer clears a request: it does not end each server that runs it.
-//   - Requests that are refused are kept in the platform's store, for the case
-//     that all nodes are lost at once (snapshot.go).
+//   - A node records each end of a server under one of its own requests, and nodes
+//     exchange these records (news.go).
+//   - Once three servers have ended under a request, all nodes refuse it. Servers that
+//     probably ended for another request do not count (verdict.go).
+//   - A complete answer clears a request, because it shows that the request does not
+//     end every server that runs it.
+//   - Refused requests are stored in the platform's log, in case all nodes are lost at
+//     once (snapshot.go).
 //
-// Everything is pure: time is an argument. Nothing is safe for concurrent use.
+// The package is pure: time is an argument. Nothing is safe for concurrent use.
 package quarantiner
 
 import (
@@ -30,45 +30,45 @@
 )
 
 const (
-	// maxEnds is how many servers may end under a request: the users' bound.
-	maxEnds = 3
-	// patientEnds is how many servers end at the most under a request that always met
-	// another suspect one: the users bear three sends after the third.
-	patientEnds = maxEnds + 3
-	// forgetAfter is how long a request is remembered after it last came. Callers
-	// that return do so within minutes.
+	// refuseThreshold is the number of servers that end under a request before it is
+	// refused.
+	refuseThreshold = 3
+	// tieBreakThreshold is the number of ends from which a suspect with as many ends no
+	// longer explains the end of a server. It bounds the servers lost to two queries of
+	// death that always run together.
+	tieBreakThreshold = refuseThreshold + 3
+	// forgetAfter is the time for which a request is remembered after its last arrival.
+	// Callers retry within minutes.
 	forgetAfter = 10 * timekeeper.Minute
-	// holdTime is how long after the last server ended a request is refused though
-	// it keeps coming: by then servers may run another version. If one more ends
-	// it is refused for as long again.
-	holdTime = 1 * timekeeper.Hour
-	// maxRequests bounds the requests that are remembered. A server that ends has
-	// up to some sixty, so that these are the ends of a whole zone.
+	// refusalTime is the time for which a request is refused after the last end of a
+	// server, even if it keeps coming: by then servers may run another version. If
+	// another server ends, the request is refused for as long again.
+	refusalTime = 1 * timekeeper.Hour
+	// maxRequests bounds the remembered requests. A server runs up to about sixty
+	// requests when it ends, so the table holds those of a whole zone.
 	maxRequests = 1024
-	// maxServers bounds the servers that are remembered of one request, the last
-	// ones.
-	maxServers = 8
-	// tidyEvery is the spacing of looks for what can be forgotten.
-	tidyEvery = 1 * timekeeper.Second
+	// maxServers bounds the ended servers that are remembered per request. The latest
+	// are kept.
+	maxServers      = 8
+	cleanupInterval = 1 * timekeeper.Second
 )
 
-// record is what is known of one request.
+// record holds what is known of one request.
 type record struct {
 	request identifier.Fingerprint
-	// ends are the servers that ended under it, in the order of their ends.
+	// ends are the servers that ended under the request, in order of time.
 	ends []end
-	// seen is when it last came, or a server last ended under it.
-	seen timekeeper.Time
-	// cleared is when it last got a whole answer, or zero.
-	cleared timekeeper.Time
-	// changed is when ends or cleared last changed here, and found when they did so
-	// by what this node found itself.
-	changed timekeeper.Time
-	found   timekeeper.Time
-	// tells counts the messages that had it.
-	tells int
-	// refused is the verdict.
-	refused bool
+	// lastSeen is the time of the last arrival or the last end of a server.
+	lastSeen timekeeper.Time
+	// clearedAt is the time of the last complete answer, or zero.
+	clearedAt timekeeper.Time
+	// changedAt is the time of the last change of ends or clearedAt. foundAt is that of
+	// the last change that this node observed itself.
+	changedAt timekeeper.Time
+	foundAt   timekeeper.Time
+	// timesSent is the number of messages that contained the record.
+	timesSent int
+	refused   bool
 }
 
 // end is the end of a server.
@@ -77,34 +77,36 @@
 	at     timekeeper.Time
 }
 
-// Quarantine is what one node knows.
+// Quarantine is the table of suspect requests of one node.
 type Quarantine struct {
 	records map[identifier.Fingerprint]*record
-	// unjudged tells that records changed since the verdicts.
-	unjudged bool
-	// toTell tells that this node found something that peers do not know.
-	toTell   bool
-	nextTidy timekeeper.Time
-	// turn is where the next message goes on among the requests that are told
-	// again and again.
-	turn    int
-	news    news
-	changes []Change
-	kept    snapshot
+	// verdictsStale reports whether records changed since the last update of the
+	// verdicts.
+	verdictsStale bool
+	// updatesPending reports whether this node found something that its peers do not
+	// know.
+	updatesPending bool
+	nextCleanup    timekeeper.Time
+	// lastRepeated is the index of the last suspect that was repeated to peers.
+	lastRepeated int
+	lastUpdate   update
+	changes      []Change
+	snapshot     snapshot
 }
 
-// New returns a Quarantine that knows nothing.
+// New returns an empty Quarantine.
 func New() *Quarantine {
 	return &Quarantine{records: map[identifier.Fingerprint]*record{}}
 }
 
-// FingerprintOf returns the fingerprint of what a caller asks.
+// FingerprintOf returns the fingerprint of a request, by caller and content. It is zero
+// if the content is unknown.
 func FingerprintOf(caller string, content identifier.ContentHash) identifier.Fingerprint {
 	if content == 0 {
 		return 0
 	}
 	h := xxhash.NewWithSeed(uint64(content))
-	// It never fails.
+	// WriteString never returns an error.
 	_, _ = h.WriteString(caller)
 	return identifier.Fingerprint(h.Sum64())
 }
@@ -115,116 +117,117 @@
 		return
 	}
 	r := q.record(now, request)
-	r.seen = now
-	if !r.add(server, now) {
+	r.lastSeen = now
+	if !r.addEnd(server, now) {
 		return
 	}
-	r.changed = now
-	r.found = now
-	q.unjudged = true
-	q.toTell = true
+	r.changedAt = now
+	r.foundAt = now
+	q.verdictsStale = true
+	q.updatesPending = true
 }
 
-// Completed notes that a request got a whole answer.
+// Completed records that a request got a complete answer.
 func (q *Quarantine) Completed(now timekeeper.Time, request identifier.Fingerprint) {
 	r, known := q.records[request]
 	if !known || len(r.ends) == 0 {
 		return
 	}
 	r.clear(now)
-	r.changed = now
-	r.found = now
-	q.unjudged = true
-	q.toTell = true
+	r.changedAt = now
+	r.foundAt = now
+	q.verdictsStale = true
+	q.updatesPending = true
 }
 
-// Refuses notes that a request came, and reports whether it is refused and after
-// which time it will not be, if it does not come again.
+// Refuses records the arrival of a request, and reports whether it is refused. The
+// duration is the time until the refusal ends, if the request does not arrive again
+// before.
 func (q *Quarantine) Refuses(now timekeeper.Time, request identifier.Fingerprint) (timekeeper.Duration, bool) {
 	r, known := q.records[request]
 	if !known {
 		return 0, false
 	}
-	r.seen = now
-	q.judge(now)
+	r.lastSeen = now
+	q.updateVerdicts(now)
 	if !r.refused {
 		return 0, false
 	}
-	return min(forgetAfter, r.last().Add(holdTime).Sub(now)), true
+	return min(forgetAfter, r.lastEnd().Add(refusalTime).Sub(now)), true
 }
 
-// Tick forgets what is old.
+// Tick drops expired requests and updates the verdicts.
 func (q *Quarantine) Tick(now timekeeper.Time) {
-	if now.Before(q.nextTidy) {
+	if now.Before(q.nextCleanup) {
 		return
 	}
-	q.nextTidy = now.Add(tidyEvery)
-	for _, f := range q.requests() {
+	q.nextCleanup = now.Add(cleanupInterval)
+	for _, f := range q.sortedRequests() {
 		r := q.records[f]
-		q.unjudged = q.unjudged || r.refused && now.Sub(r.last()) >= holdTime
-		if now.Sub(r.seen) >= forgetAfter {
+		q.verdictsStale = q.verdictsStale || r.refused && now.Sub(r.lastEnd()) >= refusalTime
+		if now.Sub(r.lastSeen) >= forgetAfter {
 			q.drop(r)
 		}
 	}
-	q.judge(now)
+	q.updateVerdicts(now)
 }
 
-// requests returns the requests in the order of their fingerprints.
-func (q *Quarantine) requests() []identifier.Fingerprint {
+// sortedRequests returns the fingerprints of all records in ascending order.
+func (q *Quarantine) sortedRequests() []identifier.Fingerprint {
 	return slices.Sorted(maps.Keys(q.records))
 }
 
-// record returns the record of a request, a new one where there is none.
+// record returns the record of a request, and creates it if necessary.
 func (q *Quarantine) record(now timekeeper.Time, request identifier.Fingerprint) *record {
 	r, known := q.records[request]
 	if known {
 		return r
 	}
-	q.makeRoom()
+	q.evict()
 	r = &record{
-		request: request,
-		seen:    now,
+		request:  request,
+		lastSeen: now,
 	}
 	q.records[request] = r
 	return r
 }
 
-// makeRoom drops the request under which fewest servers ended when the table is
-// full, of these the one not seen for longest.
-func (q *Quarantine) makeRoom() {
+// evict makes room in a full table: it drops one of the requests with the fewest ended
+// servers, the least recently seen of them.
+func (q *Quarantine) evict() {
 	if len(q.records) < maxRequests {
 		return
 	}
 	var victim *record
 	for _, r := range q.records {
-		if victim == nil || r.before(victim) {
+		if victim == nil || r.evictedBefore(victim) {
 			victim = r
 		}
 	}
 	q.drop(victim)
 }
 
-// before reports whether r is dropped before other.
-func (r *record) before(other *record) bool {
+func (r *record) evictedBefore(other *record) bool {
 	return cmp.Or(
 		cmp.Compare(len(r.ends), len(other.ends)),
-		cmp.Compare(r.seen, other.seen),
+		cmp.Compare(r.lastSeen, other.lastSeen),
 		cmp.Compare(r.request, other.request),
 	) < 0
 }
 
 func (q *Quarantine) drop(r *record) {
 	delete(q.records, r.request)
-	q.unjudged = true
+	q.verdictsStale = true
 	if r.refused {
 		q.changes = append(q.changes, r.change(false))
 	}
 }
 
-// add adds the end of a server, and reports whether it is news. Of one that is known
-// the earlier instant holds: hearsay makes it later by its way.
-func (r *record) add(server identifier.VMID, at timekeeper.Time) bool {
-	if !at.After(r.cleared) && r.cleared != 0 {
+// addEnd adds the end of a server, and reports whether it is a new one. If the end is
+// known, the earlier time is kept: the transit time of messages makes reported times
+// later.
+func (r *record) addEnd(server identifier.VMID, at timekeeper.Time) bool {
+	if !at.After(r.clearedAt) && r.clearedAt != 0 {
 		return false
 	}
 	i := slices.IndexFunc(r.ends, func(e end) bool { return e.server == server })
@@ -245,14 +248,14 @@
 	return true
 }
 
-// clear takes the ends of servers back that came before a whole answer.
+// clear records a complete answer, and removes the ends of servers before it.
 func (r *record) clear(at timekeeper.Time) {
-	r.cleared = at
+	r.clearedAt = at
 	r.ends = slices.DeleteFunc(r.ends, func(e end) bool { return !e.at.After(at) })
 }
 
-// last returns when the last server ended, or zero.
-func (r *record) last() timekeeper.Time {
+// lastEnd returns the time of the last end of a server, or zero.
+func (r *record) lastEnd() timekeeper.Time {
 	if len(r.ends) == 0 {
 		return 0
 	}
--- a/internal/quarantiner/quarantiner_test.go
+++ b/internal/quarantiner/quarantiner_test.go
@@ -25,8 +25,9 @@
 	return refused
 }
 
-// endUnder lets servers end under a request, one second after another.
-func endUnder(q *quarantiner.Quarantine, now timekeeper.Time, f identifier.Fingerprint, servers ...int) timekeeper.Time {
+// endServers lets servers end under a request at intervals of a second, and returns the
+// time of the last end.
+func endServers(q *quarantiner.Quarantine, now timekeeper.Time, f identifier.Fingerprint, servers ...int) timekeeper.Time {
 	for _, i := range servers {
 		now = now.Add(timekeeper.Second)
 		q.ServerEnded(now, f, server(i))
@@ -36,30 +37,30 @@
 
 func ExampleQuarantine() {
 	q := quarantiner.New()
-	book := quarantiner.FingerprintOf("agency", 42)
+	request := quarantiner.FingerprintOf("agency", 42)
 	for i := range 3 {
-		q.ServerEnded(start, book, server(i))
+		q.ServerEnded(start, request, server(i))
 	}
-	again, refused := q.Refuses(start, book)
-	fmt.Println(refused, again)
+	retryAfter, refused := q.Refuses(start, request)
+	fmt.Println(refused, retryAfter)
 	// Output: true 10m0s
 }
 
 func TestFingerprints(t *testing.T) {
-	require.Zero(t, quarantiner.FingerprintOf("agency", 0), "content that is not known names nothing")
+	require.Zero(t, quarantiner.FingerprintOf("agency", 0), "unknown content has no fingerprint")
 	require.NotEqual(t, quarantiner.FingerprintOf("agency", 1), quarantiner.FingerprintOf("agency", 2))
 	require.NotEqual(t, quarantiner.FingerprintOf("agency", 1), quarantiner.FingerprintOf("bakery", 1),
-		"what one caller asks says nothing of another")
+		"the same content of another caller is another request")
 }
 
-// Callers whose request has met one or two servers that ended are served: two may end
-// by themselves. The third makes it the likely cause.
-func TestThirdServerIsOneTooMany(t *testing.T) {
+// A request is served after two servers ended under it, because both may have ended for
+// other reasons, and is refused after the third.
+func TestThirdEndRefuses(t *testing.T) {
 	q := quarantiner.New()
-	now := endUnder(q, start, query, 1, 2)
+	now := endServers(q, start, query, 1, 2)
 	q.ServerEnded(now, query, server(2))
 	require.False(t, refuses(q, now, query), "the same server counts once")
-	now = endUnder(q, now, query, 3)
+	now = endServers(q, now, query, 3)
 	require.True(t, refuses(q, now, query))
 	require.False(t, refuses(q, now, other))
 	require.Equal(t, []quarantiner.Change{
@@ -72,43 +73,42 @@
 	require.Empty(t, q.Changes())
 }
 
-// A request runs beside a query of death on three servers, and is sent again each time
-// one ends. Its caller must not be refused for it: the query has ended others as well.
-// What always runs where servers end, and no more often than the query, is not told
-// apart from it.
-func TestRequestThatRanBesideIsNotRefused(t *testing.T) {
+// A request that runs beside a query of death on three servers is not refused, because
+// more servers ended under the query. It is refused once three servers have ended under
+// it without the query.
+func TestInnocentRequestIsNotRefused(t *testing.T) {
 	q := quarantiner.New()
-	now := endUnder(q, start, query, 1, 2, 3, 4)
+	now := endServers(q, start, query, 1, 2, 3, 4)
 	for i := 2; i <= 4; i++ {
 		q.ServerEnded(now, other, server(i))
 	}
 	require.False(t, refuses(q, now, other))
 	require.True(t, refuses(q, now, query))
-	now = endUnder(q, now, other, 5, 6, 7)
+	now = endServers(q, now, other, 5, 6, 7)
 	require.True(t, refuses(q, now, other), "three servers ended under it without the query")
 }
 
-// A whole answer shows that a request does not end each server that runs it. Popular
-// ones, such as a ping without a body, run on every server that ends.
-func TestAnswerClears(t *testing.T) {
+// A complete answer clears a request. Guards against refusals of frequent requests,
+// such as pings, that run on every server that ends.
+func TestCompletionClears(t *testing.T) {
 	q := quarantiner.New()
-	now := endUnder(q, start, query, 1, 2)
+	now := endServers(q, start, query, 1, 2)
 	q.Completed(now, query)
-	now = endUnder(q, now, query, 3, 4)
+	now = endServers(q, now, query, 3, 4)
 	require.False(t, refuses(q, now, query))
-	now = endUnder(q, now, query, 5)
+	now = endServers(q, now, query, 5)
 	require.True(t, refuses(q, now, query))
 	q.Completed(now, query)
 	require.False(t, refuses(q, now, query))
 
 	peer := quarantiner.New()
-	endUnder(peer, start, query, 1, 2, 3)
+	endServers(peer, start, query, 1, 2, 3)
 	peer.Merge(now, q.Updates(now, false))
-	require.False(t, refuses(peer, now, query), "a peer hears that it was answered")
+	require.False(t, refuses(peer, now, query), "a peer receives the completion")
 }
 
-// Three nodes saw one server end each. None may send the request again once they have
-// told one another.
+// Each of three nodes observes the end of one server. After an exchange of updates, all
+// of them refuse the request.
 func TestEndsCountOverAllNodes(t *testing.T) {
 	nodes := []*quarantiner.Quarantine{quarantiner.New(), quarantiner.New(), quarantiner.New()}
 	for i, q := range nodes {
@@ -124,57 +124,57 @@
 	}
 	for _, q := range nodes {
 		require.True(t, refuses(q, now, query))
-		require.False(t, q.PendingUpdates(), "what a peer told needs not be told at once")
+		require.False(t, q.PendingUpdates(), "received updates are not pending")
 	}
 }
 
-// A node is cut off while two servers end, for longer than news is told. It hears of
-// them when it is back, and so does one that hears it from a third.
-func TestNewsReachesNodeThatWasCutOff(t *testing.T) {
-	q, cut, third := quarantiner.New(), quarantiner.New(), quarantiner.New()
-	now := endUnder(q, start, query, 1, 2, 3).Add(timekeeper.Minute)
-	cut.Merge(now, q.Updates(now, false))
-	require.True(t, refuses(cut, now, query))
-	third.Merge(now, cut.Updates(now, false))
+// A node is partitioned for longer than updateWindow while servers end. Afterwards it,
+// and a node that receives updates only from it, must refuse the request.
+func TestUpdatesReachNodeAfterPartition(t *testing.T) {
+	q, partitioned, third := quarantiner.New(), quarantiner.New(), quarantiner.New()
+	now := endServers(q, start, query, 1, 2, 3).Add(timekeeper.Minute)
+	partitioned.Merge(now, q.Updates(now, false))
+	require.True(t, refuses(partitioned, now, query))
+	third.Merge(now, partitioned.Updates(now, false))
 	require.True(t, refuses(third, now, query))
 }
 
-// A request that no longer comes is forgotten, also where nodes tell one another of it
-// all the time; one that keeps coming is tried again after an hour, as servers may run
-// another version by then, and at the next end is refused as before.
+// A request that no longer arrives is forgotten, even if nodes exchange it
+// continuously. A request that keeps arriving is served again after refusalTime, and
+// refused after the next end.
 func TestRequestsAreForgotten(t *testing.T) {
 	a, b := quarantiner.New(), quarantiner.New()
-	now := endUnder(a, start, query, 1, 2, 3)
-	const way = 20 * timekeeper.Millisecond
+	now := endServers(a, start, query, 1, 2, 3)
+	const transitTime = 20 * timekeeper.Millisecond
 	for range 1300 {
 		now = now.Add(500)
-		b.Merge(now.Add(way), a.Updates(now, true))
-		a.Merge(now.Add(2*way), b.Updates(now.Add(way), true))
+		b.Merge(now.Add(transitTime), a.Updates(now, true))
+		a.Merge(now.Add(2*transitTime), b.Updates(now.Add(transitTime), true))
 		a.Tick(now)
 		b.Tick(now)
 	}
 	require.Empty(t, a.All(now))
 	require.Empty(t, b.All(now))
 
-	now = endUnder(a, now, query, 1, 2, 3)
-	last := now
-	for now.Sub(last) < 59*timekeeper.Minute {
+	now = endServers(a, now, query, 1, 2, 3)
+	lastEnd := now
+	for now.Sub(lastEnd) < 59*timekeeper.Minute {
 		now = now.Add(timekeeper.Minute)
 		a.Tick(now)
-		require.True(t, refuses(a, now, query), "after %s", now.Sub(last))
+		require.True(t, refuses(a, now, query), "after %s", now.Sub(lastEnd))
 	}
 	now = now.Add(2 * timekeeper.Minute)
 	a.Tick(now)
 	require.False(t, refuses(a, now, query))
-	now = endUnder(a, now, query, 4)
+	now = endServers(a, now, query, 4)
 	require.True(t, refuses(a, now, query))
 }
 
-// A zone of servers ends at once, each with sixty requests. What a node remembers and
-// tells stays bounded, and a query of death among them is kept.
+// All servers of a zone end at once, with sixty requests each. The size of the table
+// and of the messages stays bounded, and a query of death among the requests is kept.
 func TestBounds(t *testing.T) {
 	q := quarantiner.New()
-	now := endUnder(q, start, query, 1, 2, 3)
+	now := endServers(q, start, query, 1, 2, 3)
 	for s := range 100 {
 		for r := range 60 {
 			q.ServerEnded(now, identifier.Fingerprint(1000+60*s+r), server(100+s))
@@ -184,44 +184,43 @@
 	require.LessOrEqual(t, len(q.All(now)), 256)
 	require.True(t, refuses(q, now, query))
 	later := now.Add(5 * timekeeper.Second)
-	require.Len(t, q.Updates(later, true), 1, "old single ends are not told again and again")
+	require.Len(t, q.Updates(later, true), 1, "old requests with one end are not repeated")
 	for i := range 200 {
 		f := identifier.Fingerprint(50_000 + i)
-		endUnder(q, now, f, 1000+3*i, 1001+3*i, 1002+3*i)
+		endServers(q, now, f, 1000+3*i, 1001+3*i, 1002+3*i)
 	}
-	told := map[identifier.Fingerprint]bool{}
+	sent := map[identifier.Fingerprint]bool{}
 	later = later.Add(5 * timekeeper.Second)
 	for range 20 {
 		later = later.Add(500)
-		news := q.Updates(later, true)
-		require.LessOrEqual(t, len(news), 34)
-		for _, s := range news {
-			told[s.Request] = true
+		updates := q.Updates(later, true)
+		require.LessOrEqual(t, len(updates), 34)
+		for _, s := range updates {
+			sent[s.Request] = true
 			require.LessOrEqual(t, len(s.Ends), 8)
 		}
 	}
-	require.Len(t, told, 201, "all that are grave have their turn")
+	require.Len(t, sent, 201, "all suspects are repeated in rotation")
 }
 
-// A server ends with sixty requests of one node, and the query of death that ended it
-// is any of these. All of them are told within the time that news is, whatever their
-// fingerprints.
-func TestAllRequestsOfAServerAreTold(t *testing.T) {
+// A server ends with sixty requests of one node. All of them are sent within
+// updateWindow, whatever their fingerprints.
+func TestAllRequestsOfAServerAreSent(t *testing.T) {
 	q := quarantiner.New()
 	for r := range 60 {
 		q.ServerEnded(start, identifier.Fingerprint(1000+r), server(1))
 	}
-	told := map[identifier.Fingerprint]bool{}
-	for tell := range timekeeper.Duration(4) {
-		for _, s := range q.Updates(start.Add(500*tell), false) {
-			told[s.Request] = true
+	sent := map[identifier.Fingerprint]bool{}
+	for round := range timekeeper.Duration(4) {
+		for _, s := range q.Updates(start.Add(500*round), false) {
+			sent[s.Request] = true
 		}
 	}
-	require.Len(t, told, 60)
+	require.Len(t, sent, 60)
 }
 
-// Reports that can't be true, or are old, change nothing.
-func TestLearnLeavesOut(t *testing.T) {
+// Invalid or expired reports change nothing.
+func TestMergeIgnoresInvalidReports(t *testing.T) {
 	q := quarantiner.New()
 	ends := []messenger.ServerEnd{
 		{Server: "i-1"},
@@ -245,44 +244,44 @@
 	require.Empty(t, q.All(start))
 }
 
-// The holder of the duties keeps what is refused in the log, once, and again only when
-// it changes; a node that starts after a loss of all takes it from there.
+// Refused requests are stored in the log once, and again only after a change. A node
+// that starts after the loss of all nodes restores them.
 func TestSnapshot(t *testing.T) {
 	q := quarantiner.New()
 	q.Tick(start)
 	_, due, err := q.SnapshotDue(start)
 	require.NoError(t, err)
 	require.False(t, due, "nothing is refused")
-	now := endUnder(q, start, query, 1, 2, 3)
+	now := endServers(q, start, query, 1, 2, 3)
 	q.Tick(now)
 	data, due, err := q.SnapshotDue(now)
 	require.NoError(t, err)
 	require.True(t, due)
 	_, due, _ = q.SnapshotDue(now)
-	require.False(t, due, "one is on its way")
+	require.False(t, due, "an append is in flight")
 	now = now.Add(2 * timekeeper.Second)
 	_, due, _ = q.SnapshotDue(now)
-	require.True(t, due, "that one may have been lost")
+	require.True(t, due, "the append may have been lost")
 	q.SnapshotStored()
 	for range 100 {
 		now = now.Add(2 * timekeeper.Second)
 		refuses(q, now, query)
 		_, due, _ = q.SnapshotDue(now)
-		require.False(t, due, "it stands")
+		require.False(t, due, "the snapshot is in the log")
 	}
 
-	again := quarantiner.New()
+	restored := quarantiner.New()
 	record := messenger.Record{
 		Offset:   1,
 		Appended: start.Add(3 * timekeeper.Second),
 		Data:     data,
 	}
-	require.NoError(t, again.ApplyRecords(now, []messenger.Record{record}))
-	require.True(t, refuses(again, now, query))
+	require.NoError(t, restored.ApplyRecords(now, []messenger.Record{record}))
+	require.True(t, refuses(restored, now, query))
 	late := quarantiner.New()
 	require.NoError(t, late.ApplyRecords(start.Add(timekeeper.Hour), []messenger.Record{record}))
-	require.False(t, refuses(late, start.Add(timekeeper.Hour), query), "nobody has asked for it since")
+	require.False(t, refuses(late, start.Add(timekeeper.Hour), query), "the request has not arrived since")
 	record.Data = []byte("[")
-	require.Error(t, again.ApplyRecords(now, []messenger.Record{record}))
-	require.True(t, refuses(again, now, query))
+	require.Error(t, restored.ApplyRecords(now, []messenger.Record{record}))
+	require.True(t, refuses(restored, now, query))
 }
--- a/internal/quarantiner/snapshot.go
+++ b/internal/quarantiner/snapshot.go
@@ -12,75 +12,75 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Stream is the stream of the log whose newest record names the requests that are
-// refused.
+// Stream is the log stream whose newest record lists the refused requests.
 //
-// Nodes keep nothing when their processes end. Were all killed at once, a query of
-// death would end three servers more after each time.
+// Nodes store nothing on disk. Without the record, a query of death would end three
+// more servers whenever all nodes were killed at once.
 const Stream identifier.LogStream = "quarantine"
 
 const (
-	// storeAgain is the spacing of appends until one is known to stand. Each record
-	// says all, so that repeating one does no harm.
-	storeAgain = 1 * timekeeper.Second
-	// maxStored bounds the requests in a record, some 200 bytes each.
+	// appendInterval is the time between appends of a snapshot until one succeeds. A
+	// repeated record is harmless, because each record is a complete snapshot.
+	appendInterval = 1 * timekeeper.Second
+	// maxStored bounds the requests in a record, of some 200 bytes each.
 	maxStored = 64
-	// refreshAfter is how much later than its record says a request that is still
-	// refused was seen when a new record is due.
+	// refreshAfter is the difference between a refused request's last arrival and the
+	// stored one from which a new record is due.
 	refreshAfter = forgetAfter / 2
 )
 
-// snapshot is what stands in the log.
+// snapshot tracks the state of the log.
 type snapshot struct {
-	// stored are the requests in the newest record that is known to stand, with the
-	// instants at which they were last seen, and sent those in the last one sent.
-	stored map[identifier.Fingerprint]timekeeper.Time
-	sent   map[identifier.Fingerprint]timekeeper.Time
-	next   timekeeper.Time
+	// stored are the requests in the newest record known to be in the log, with the
+	// times of their last arrival. sent are those in the last record sent.
+	stored     map[identifier.Fingerprint]timekeeper.Time
+	sent       map[identifier.Fingerprint]timekeeper.Time
+	nextAppend timekeeper.Time
 }
 
-// savedRequest is a request in a record.
-type savedRequest struct {
+// snapshotEntry is a refused request in a record.
+type snapshotEntry struct {
 	Request   uint64   `json:"request"`
 	Servers   []string `json:"servers"`
 	EndedAgo  []int64  `json:"ended_ago_ms"`
 	SeenAgoMS int64    `json:"seen_ago_ms"`
 }
 
-// SnapshotDue returns a record of the refused requests if the newest one in the log
-// differs.
+// SnapshotDue returns a record of the refused requests if the log does not have an
+// equivalent one.
 func (q *Quarantine) SnapshotDue(now timekeeper.Time) ([]byte, bool, error) {
-	if now.Before(q.kept.next) {
+	if now.Before(q.snapshot.nextAppend) {
 		return nil, false, nil
 	}
 	refused := q.refused()
-	seen := make(map[identifier.Fingerprint]timekeeper.Time, len(refused))
+	lastSeen := make(map[identifier.Fingerprint]timekeeper.Time, len(refused))
 	for _, r := range refused {
-		seen[r.request] = r.seen
+		lastSeen[r.request] = r.lastSeen
 	}
-	if maps.EqualFunc(seen, q.kept.stored, func(a, b timekeeper.Time) bool { return a.Sub(b) < refreshAfter }) {
+	if maps.EqualFunc(lastSeen, q.snapshot.stored, func(a, b timekeeper.Time) bool { return a.Sub(b) < refreshAfter }) {
 		return nil, false, nil
 	}
-	q.kept.next = now.Add(storeAgain)
-	q.kept.sent = seen
-	saved := make([]savedRequest, 0, len(refused))
+	q.snapshot.nextAppend = now.Add(appendInterval)
+	q.snapshot.sent = lastSeen
+	entries := make([]snapshotEntry, 0, len(refused))
 	for _, r := range refused {
-		saved = append(saved, r.saved(now))
+		entries = append(entries, r.snapshotEntry(now))
 	}
-	data, err := json.Marshal(saved)
+	data, err := json.Marshal(entries)
 	return data, err == nil, err
 }
 
-// SnapshotStored records that the snapshot sent last was appended.
-func (q *Quarantine) SnapshotStored() { q.kept.stored = q.kept.sent }
+// SnapshotStored records that the snapshot sent last is in the log.
+func (q *Quarantine) SnapshotStored() { q.snapshot.stored = q.snapshot.sent }
 
-// Restored takes in that the log may have lost the newest record: it is due again.
+// Restored makes a snapshot due, because the store was restored and may have lost the
+// newest record.
 func (q *Quarantine) Restored() {
-	q.kept.stored = nil
-	q.kept.next = 0
+	q.snapshot.stored = nil
+	q.snapshot.nextAppend = 0
 }
 
-// refused returns the requests that are refused, those last seen first.
+// refused returns the refused requests, most recently seen first.
 func (q *Quarantine) refused() []*record {
 	var out []*record
 	for _, r := range q.records {
@@ -89,15 +89,15 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b *record) int {
-		return cmp.Or(cmp.Compare(b.seen, a.seen), cmp.Compare(a.request, b.request))
+		return cmp.Or(cmp.Compare(b.lastSeen, a.lastSeen), cmp.Compare(a.request, b.request))
 	})
 	return out[:min(len(out), maxStored)]
 }
 
-func (r *record) saved(now timekeeper.Time) savedRequest {
-	s := savedRequest{
+func (r *record) snapshotEntry(now timekeeper.Time) snapshotEntry {
+	s := snapshotEntry{
 		Request:   uint64(r.request),
-		SeenAgoMS: int64(now.Sub(r.seen)),
+		SeenAgoMS: int64(now.Sub(r.lastSeen)),
 	}
 	for _, e := range r.ends {
 		s.Servers = append(s.Servers, string(e.server))
@@ -112,30 +112,30 @@
 		return nil
 	}
 	newest := records[len(records)-1]
-	var saved []savedRequest
-	if err := json.Unmarshal(newest.Data, &saved); err != nil {
+	var entries []snapshotEntry
+	if err := json.Unmarshal(newest.Data, &entries); err != nil {
 		return fmt.Errorf("record of refused requests at offset %d: %w", newest.Offset, err)
 	}
-	since := max(now.Sub(newest.Appended), 0)
-	q.kept.stored = map[identifier.Fingerprint]timekeeper.Time{}
-	for _, s := range saved[:min(len(saved), maxStored)] {
-		suspect := s.suspect(since)
+	age := max(now.Sub(newest.Appended), 0)
+	q.snapshot.stored = map[identifier.Fingerprint]timekeeper.Time{}
+	for _, s := range entries[:min(len(entries), maxStored)] {
+		suspect := s.suspect(age)
 		q.merge(now, suspect)
-		q.kept.stored[suspect.Request] = now.Add(-suspect.SeenAge)
+		q.snapshot.stored[suspect.Request] = now.Add(-suspect.SeenAge)
 	}
 	return nil
 }
 
-// suspect returns what a record says that was appended so long ago.
-func (s savedRequest) suspect(since timekeeper.Duration) messenger.SuspectRequest {
+// suspect converts an entry of a record that was appended age ago.
+func (s snapshotEntry) suspect(age timekeeper.Duration) messenger.SuspectRequest {
 	out := messenger.SuspectRequest{
 		Request: identifier.Fingerprint(s.Request),
-		SeenAge: since + timekeeper.Duration(max(s.SeenAgoMS, 0)),
+		SeenAge: age + timekeeper.Duration(max(s.SeenAgoMS, 0)),
 	}
 	for i, server := range s.Servers[:min(len(s.Servers), len(s.EndedAgo))] {
 		out.Ends = append(out.Ends, messenger.ServerEnd{
 			Server: identifier.VMID(server),
-			Age:    since + timekeeper.Duration(max(s.EndedAgo[i], 0)),
+			Age:    age + timekeeper.Duration(max(s.EndedAgo[i], 0)),
 		})
 	}
 	return out
--- a/internal/quarantiner/verdict.go
+++ b/internal/quarantiner/verdict.go
@@ -5,31 +5,31 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Change is a request that is refused from now on, or no longer.
+// Change is a request that is refused from now on, or no longer refused.
 type Change struct {
 	Request identifier.Fingerprint
 	Refused bool
-	// Servers are those that ended under it.
+	// Servers are those that ended under the request.
 	Servers []identifier.VMID
 }
 
-// Changes returns what changed since the last call.
+// Changes returns the changes since the last call.
 func (q *Quarantine) Changes() []Change {
 	out := q.changes
 	q.changes = nil
 	return out
 }
 
-// judge brings the verdicts to the present.
-func (q *Quarantine) judge(now timekeeper.Time) {
-	if !q.unjudged {
+// updateVerdicts decides again which requests are refused, if records changed.
+func (q *Quarantine) updateVerdicts(now timekeeper.Time) {
+	if !q.verdictsStale {
 		return
 	}
-	q.unjudged = false
-	worst := q.worstByServer()
-	for _, f := range q.requests() {
+	q.verdictsStale = false
+	top := q.topSuspectsByServer()
+	for _, f := range q.sortedRequests() {
 		r := q.records[f]
-		refused := worst.guilty(now, r)
+		refused := top.shouldRefuse(now, r)
 		if refused != r.refused {
 			r.refused = refused
 			q.changes = append(q.changes, r.change(refused))
@@ -37,70 +37,67 @@
 	}
 }
 
-// worst are, of the requests on each server that ended, the two under which most servers
-// ended. With them the verdicts on a full table take 0.7 ms; a look at all requests for
-// each end would take 108 ms, in which the node decides nothing else.
-type worst map[identifier.VMID]*[2]*record
+// topSuspects holds, for each ended server, the two of its requests under which the
+// most servers ended. It avoids a search over all requests for each end, which would
+// block a node with a full table for about 0.1 s.
+type topSuspects map[identifier.VMID]*[2]*record
 
-func (q *Quarantine) worstByServer() worst {
-	w := worst{}
+func (q *Quarantine) topSuspectsByServer() topSuspects {
+	top := topSuspects{}
 	for _, r := range q.records {
 		for _, e := range r.ends {
-			two := w[e.server]
-			if two == nil {
-				two = &[2]*record{}
-				w[e.server] = two
+			pair := top[e.server]
+			if pair == nil {
+				pair = &[2]*record{}
+				top[e.server] = pair
 			}
 			switch {
-			case two[0] == nil || len(r.ends) > len(two[0].ends):
-				two[0], two[1] = r, two[0]
-			case two[1] == nil || len(r.ends) > len(two[1].ends):
-				two[1] = r
+			case pair[0] == nil || len(r.ends) > len(pair[0].ends):
+				pair[0], pair[1] = r, pair[0]
+			case pair[1] == nil || len(r.ends) > len(pair[1].ends):
+				pair[1] = r
 			}
 		}
 	}
-	return w
+	return top
 }
 
-func (w worst) guilty(now timekeeper.Time, r *record) bool {
-	if len(r.ends) < maxEnds || now.Sub(r.last()) >= holdTime {
+func (top topSuspects) shouldRefuse(now timekeeper.Time, r *record) bool {
+	if len(r.ends) < refuseThreshold || now.Sub(r.lastEnd()) >= refusalTime {
 		return false
 	}
 	unexplained := 0
 	for _, e := range r.ends {
-		if !w.explained(r, e.server) {
+		if !top.explainedByOther(r, e.server) {
 			unexplained++
 		}
 	}
-	return unexplained >= maxEnds
+	return unexplained >= refuseThreshold
 }
 
-// explained reports whether a server that ended under r probably ended for another
-// request.
+// explainedByOther reports whether a server that ended under r probably ended because
+// of another request.
 //
-// What runs beside a query of death ends with its server too, is sent again, and may
-// meet it, or another one, at the next server. It meets one query less often than that
-// ends servers, so that of the requests on a server the one with most ends is to blame.
-// While these are few, another that is suspect itself explains an end: of two requests
-// that met each time neither is refused before the query has ended servers alone. From
-// patientEnds on only one with more ends does, so that two queries that always meet do
-// not keep one another from being found: the users bear three sends more.
+// Requests that run on the same server as a query of death end with it, are retried,
+// and may run beside a query of death again. Each of them does so less often than the
+// query ends servers, so on each server the request with the most ends is the likely
+// cause.
 //
-// Beside one query of death none of 35,000 other requests is refused, whose callers
-// send them again up to five times, nor on days when half of the servers end by
-// themselves each second; beside three queries at once, which end all of six servers
-// within 0.4 s, 5 are, where counting to three refuses 34 (four nodes, 100 days of each
-// kind in virtual time).
-func (w worst) explained(r *record, server identifier.VMID) bool {
-	least := len(r.ends) + 1
+// At refuseThreshold ends, any other suspect on the server explains its end, and up to
+// tieBreakThreshold one with at least as many ends does: of two requests that always
+// ran together, neither is refused before the query has ended servers alone. From
+// tieBreakThreshold on only one with more ends does, so that two queries of death that
+// always run together do not excuse each other forever.
+func (top topSuspects) explainedByOther(r *record, server identifier.VMID) bool {
+	required := len(r.ends) + 1
 	switch {
-	case len(r.ends) == maxEnds:
-		least = graveEnds
-	case len(r.ends) < patientEnds:
-		least = len(r.ends)
+	case len(r.ends) == refuseThreshold:
+		required = suspectThreshold
+	case len(r.ends) < tieBreakThreshold:
+		required = len(r.ends)
 	}
-	for _, other := range w[server] {
-		if other != nil && other != r && len(other.ends) >= least {
+	for _, other := range top[server] {
+		if other != nil && other != r && len(other.ends) >= required {
 			return true
 		}
 	}
