--- a/internal/assessor/assessor.go
+++ b/internal/assessor/assessor.go
@@ -1,21 +1,19 @@
-// Package assessor judges whether the servers of a new version of a service are
-// worse than those of the version that they are to replace, by what became of a
-// part of its requests.
+// Package assessor decides whether the servers of a new version of a service are worse
+// than those of the old version, from the results of a part of its requests.
 //
-// A bad version fails a part of its answers, or gives them several times slower:
-// from its start or only later, only under load, or on one route only. So each
-// route is tested by itself, for failures, for late first events and for slow
-// streams, and always against the old version at the same time: what hits both
-// condemns neither.
+// A bad version fails some requests or answers them several times slower: from its
+// start or only later, only under load, or on one route only. So each route is tested
+// separately for failures, for late first events and for slow streams, always against
+// the old version at the same time: a fault of both versions does not condemn the new
+// one.
 //
-// Each test adds up the logarithm of how much likelier each answer is of a bad
-// version than of the old one. A sum that never goes below zero shows a version
-// that becomes bad late (a cumulative sum test), and the plain sum shows how much
-// speaks for a good one. What only one of several servers shows is that server's
-// fault and not the version's.
+// Each test sums the log-likelihood ratios of the answers under a bad version and under
+// one like the old. A sum that is kept at zero or above detects a version that turns
+// bad late (a CUSUM test). The plain sum measures the evidence for a good one. A fault
+// that only one of several servers shows is attributed to that server and not to the
+// version.
 //
-// Everything is pure: nothing here reads a clock. Nothing is safe for concurrent
-// use.
+// The package is pure and reads no clock. Nothing in it is safe for concurrent use.
 package assessor
 
 import (
@@ -29,133 +27,136 @@
 )
 
 const (
-	// effect is the part of the answers that a bad version spoils at the least, of
-	// those that the old one would not, and effectGrowth how much larger that is
-	// taken for a part that the old one spoils: under a fault of both the answers
-	// tell little of a small difference.
-	effect       = 0.2
+	// minEffect is the minimum fraction of the answers that a bad version degrades,
+	// among those that the old version would not. effectGrowth raises it in proportion
+	// to the old version's rate, because answers tell little about a small difference
+	// while both versions are faulty.
+	minEffect    = 0.2
 	effectGrowth = 0.5
-	// condemned is the sum from which on a test condemns the version: e to that
-	// many answers of a good one pass between two false alarms, at the least.
-	condemned = 8.0
-	// besideWorst is how much of it the other servers have to show without the one
-	// that shows most, where there is more than one.
-	besideWorst = 1.5
-	// severalServers is how many have to have been seen for one of them to be left
-	// out of what speaks against trusting the version, and almostAll the part of that
-	// which it has to have shown.
-	severalServers = 3
-	almostAll      = 0.8
-	// doubted is the sum from which on a version is not trusted for now.
-	doubted = 4.0
-	// trustedRoute is the sum that speaks for a version on each route that has
-	// more than majorRoute of the service's answers. Where there were too few
-	// answers for that it is fairRoute on each, and fairAll over all of them.
-	trustedRoute = -1.0
-	fairRoute    = -0.5
-	fairAll      = -1.5
-	majorRoute   = 0.05
-	// slowSteps is how many steps beyond the old version's median an answer counts
-	// as slow: twice to nearly three times as long.
-	slowSteps = 3
-	// longWindow and shortWindow are the answers of the old version that count: many
-	// for a rate that holds still, few for a fault that has just begun.
+	// condemnThreshold is the sum at which a test condemns the version. At least
+	// e^condemnThreshold answers of a good version pass between two false alarms.
+	condemnThreshold = 8.0
+	// minSumWithoutWorst is the minimum sum of the servers other than the worst one for
+	// a test to condemn the version, if it has several servers.
+	minSumWithoutWorst = 1.5
+	// minServersForOutlier is the minimum number of servers observed for one of them to
+	// count as an outlier, and outlierShare the minimum share of the evidence against
+	// the version that this server contributes. An outlier does not prevent trust in
+	// the version.
+	minServersForOutlier = 3
+	outlierShare         = 0.8
+	// doubtThreshold is the sum at which a version is not trusted for now.
+	doubtThreshold = 4.0
+	// trustThreshold is the maximum sum, for a trusted version, of each route with at
+	// least majorRouteShare of the service's answers. With too few answers for that, a
+	// version is acceptable if each such route is at acceptThreshold or below and their
+	// total at acceptTotalThreshold or below.
+	trustThreshold       = -1.0
+	acceptThreshold      = -0.5
+	acceptTotalThreshold = -1.5
+	majorRouteShare      = 0.05
+	// slowBuckets is the number of buckets beyond the old version's median from which
+	// an answer counts as slow: two to almost three times as long.
+	slowBuckets = 3
+	// longWindow and shortWindow are the numbers of the old version's answers that
+	// count: many to estimate a steady rate, few to notice a fault that has just begun.
 	longWindow  = 400.0
 	shortWindow = 120.0
-	// priorAnswers and priorBad stand for answers before the first, and leastRate
-	// bounds the rate below.
-	// leastOld is the answers of the old version without which nothing is compared,
-	// and leastLast those of the last call without which these do not count alone.
-	leastOld     = 20.0
-	leastLast    = 10.0
-	priorAnswers = 10.0
-	priorBad     = 0.5
-	leastRate    = 0.01
+	// minBaselineAnswers is the number of the old version's answers that a comparison
+	// needs, and minLastAnswers the number in the last call for these to count
+	// separately. priorAnswers and priorBad are the pseudo-counts of the rate estimate,
+	// and minRate is its lower bound.
+	minBaselineAnswers = 20.0
+	minLastAnswers     = 10.0
+	priorAnswers       = 10.0
+	priorBad           = 0.5
+	minRate            = 0.01
 )
 
-// against is the sum over all answers from which on a version is not trusted. That a few
-// answers took long says less than that they failed.
-var against = [measures]float64{
-	failures:    0.5,
-	firstEvents: 1.5,
-	paces:       1.5,
+// againstThreshold is the plain sum at which a version is not trusted. Slow answers are
+// weaker evidence than failed ones.
+var againstThreshold = [numMeasures]float64{
+	failures:       0.5,
+	firstEvents:    1.5,
+	eventIntervals: 1.5,
 }
 
-// Sample is what became of a few requests of one route, at the servers of the old
-// version or at one of the new.
+// Sample holds the results of some requests of one route, at the servers of the old
+// version or at one server of the new version.
 type Sample struct {
 	Route identifier.RouteName
 	// Server is empty for the old version.
 	Server  identifier.VMID
 	Answers int
 	Failed  int
-	// Waiting is how many requests there have no answer yet.
+	// Waiting is the number of requests in flight without an answer.
 	Waiting int
-	// UnderLoad tells that the server has as much to do as it would have if it were
-	// alone with its like.
+	// UnderLoad is set if the server has the load that it would have if the service had
+	// this version only.
 	UnderLoad bool
-	// FirstEventTimes and EventIntervals count answers by their steps, see BucketOf.
+	// FirstEventTimes and EventIntervals count answers by bucket; see BucketOf.
 	FirstEventTimes Histogram
 	EventIntervals  Histogram
 }
 
-// Assessor is what the answers so far say of a version. The zero value is not
-// usable; use New.
+// Assessor accumulates the evidence about a version. The zero value is not usable; use
+// New.
 type Assessor struct {
 	routes map[identifier.RouteName]*route
 }
 
-// New returns an Assessor that has seen no answer.
+// New returns an Assessor without evidence.
 func New() *Assessor { return &Assessor{routes: map[identifier.RouteName]*route{}} }
 
-// route is the answers of one route.
+// route holds the evidence of one route.
 type route struct {
-	// long and short are the old version's answers over two windows, and last those
-	// of the last call.
+	// long and short are the old version's answers over two windows, and last those of
+	// the last call of Observe.
 	long, short, last baseline
-	// answers is those of both versions, and waiting the requests at the new one
-	// that have none yet.
+	// answers counts those of both versions, and waiting the requests at the new
+	// version without an answer.
 	answers int
 	waiting int
-	// early are answers of the new version that came before enough of the old one's
-	// to compare them with.
-	early []Sample
-	tests [measures]test
+	// pending are samples of the new version received before the old version had enough
+	// answers for a comparison.
+	pending []Sample
+	tests   [numMeasures]test
 }
 
-// measure names what is tested.
+// measure is a property of answers that is tested.
 type measure int
 
 const (
 	failures measure = iota
 	firstEvents
-	paces
-	measures
+	eventIntervals
+	numMeasures
 )
 
 func (m measure) String() string {
 	return [...]string{"failures", "late first events", "slow streams"}[m]
 }
 
-// test is the evidence of one route and measure.
+// test holds the evidence of one route and measure.
 type test struct {
-	// sum never goes below zero; servers is what each server added to it since it
-	// was zero last.
-	sum     float64
-	servers map[identifier.VMID]float64
-	// loaded is the sum over servers under load alone.
-	loaded float64
-	// all is the sum over all answers of each server, and answers and bad their
-	// numbers.
-	all     map[identifier.VMID]float64
-	answers int
-	bad     int
-	// rate is that of the old version as it was last compared with.
-	rate float64
+	// sum is never negative; sumByServer holds each server's contributions since it was
+	// last zero.
+	sum         float64
+	sumByServer map[identifier.VMID]float64
+	// loadedSum is the sum over answers of servers under load only.
+	loadedSum float64
+	// totalByServer holds the plain sum of each server. answers and bad count all
+	// answers.
+	totalByServer map[identifier.VMID]float64
+	answers       int
+	bad           int
+	// baselineRate is the old version's rate at the last comparison.
+	baselineRate float64
 }
 
-// Observe takes in what became of some requests since the last call. The samples of
-// the old version count first, so that a fault of both does not condemn the new one.
+// Observe adds the results of requests since the last call. The samples of the old
+// version are added first, so that a fault of both versions does not condemn the new
+// one.
 func (a *Assessor) Observe(samples []Sample) {
 	for _, r := range a.routes {
 		r.waiting = 0
@@ -170,17 +171,17 @@
 			r.last.add(s, longWindow)
 			continue
 		}
-		r.early = append(r.early, s)
+		r.pending = append(r.pending, s)
 		r.waiting += s.Waiting
 	}
 	for _, r := range a.routes {
-		if r.long.answers < leastOld {
+		if r.long.answers < minBaselineAnswers {
 			continue
 		}
-		for _, s := range r.early {
-			r.weigh(s)
+		for _, s := range r.pending {
+			r.addEvidence(s)
 		}
-		r.early = nil
+		r.pending = nil
 	}
 }
 
@@ -193,133 +194,134 @@
 	return r
 }
 
-// weigh takes in answers of a server of the new version.
-func (r *route) weigh(s Sample) {
-	cut := r.long.first.median() + slowSteps
-	paceCut := r.long.pace.median() + slowSteps
-	r.tests[failures].add(s, s.Failed, s.Answers, r.rate(func(b *baseline) float64 { return b.failureRate() }))
-	r.tests[firstEvents].add(s, s.FirstEventTimes.from(cut), s.FirstEventTimes.sum(), r.rate(func(b *baseline) float64 { return b.first.rateFrom(cut) }))
-	r.tests[paces].add(s, s.EventIntervals.from(paceCut), s.EventIntervals.sum(), r.rate(func(b *baseline) float64 { return b.pace.rateFrom(paceCut) }))
+// addEvidence adds answers of one server of the new version to the tests.
+func (r *route) addEvidence(s Sample) {
+	firstEventCut := r.long.firstEventTimes.median() + slowBuckets
+	intervalCut := r.long.eventIntervals.median() + slowBuckets
+	r.tests[failures].add(s, s.Failed, s.Answers, r.baselineRate(func(b *baseline) float64 { return b.failureRate() }))
+	r.tests[firstEvents].add(s, s.FirstEventTimes.countFrom(firstEventCut), s.FirstEventTimes.sum(), r.baselineRate(func(b *baseline) float64 { return b.firstEventTimes.rateFrom(firstEventCut) }))
+	r.tests[eventIntervals].add(s, s.EventIntervals.countFrom(intervalCut), s.EventIntervals.sum(), r.baselineRate(func(b *baseline) float64 { return b.eventIntervals.rateFrom(intervalCut) }))
 }
 
-// rate is the largest of the old version's rates over the windows. A fault that has just
-// begun shows in its last answers first, as it does in the new version's.
-func (r *route) rate(of func(*baseline) float64) float64 {
+// baselineRate returns the highest of the old version's rates over the windows. A fault
+// that has just begun shows in its last answers first, as in those of the new version.
+func (r *route) baselineRate(of func(*baseline) float64) float64 {
 	rate := max(of(&r.long), of(&r.short))
-	if r.last.answers >= leastLast {
+	if r.last.answers >= minLastAnswers {
 		rate = max(rate, of(&r.last))
 	}
 	return rate
 }
 
-// add takes in answers of which some are bad, where the old version's rate is given.
+// add adds answers, some of them bad, with the old version's rate of bad answers.
 func (t *test) add(s Sample, bad, answers int, rate float64) {
 	if answers <= 0 {
 		return
 	}
-	rate = max(rate, leastRate)
-	worse := rate + (effect+effectGrowth*rate)*(1-rate)
-	step := float64(bad)*math.Log(worse/rate) + float64(answers-bad)*math.Log((1-worse)/(1-rate))
-	t.rate = rate
+	rate = max(rate, minRate)
+	badRate := rate + (minEffect+effectGrowth*rate)*(1-rate)
+	step := float64(bad)*math.Log(badRate/rate) + float64(answers-bad)*math.Log((1-badRate)/(1-rate))
+	t.baselineRate = rate
 	t.answers += answers
 	t.bad += bad
-	if t.all == nil {
-		t.all = map[identifier.VMID]float64{}
+	if t.totalByServer == nil {
+		t.totalByServer = map[identifier.VMID]float64{}
 	}
-	t.all[s.Server] += step
+	t.totalByServer[s.Server] += step
 	if s.UnderLoad {
-		t.loaded = max(t.loaded+step, 0)
+		t.loadedSum = max(t.loadedSum+step, 0)
 	}
 	t.sum += step
 	if t.sum <= 0 {
 		t.sum = 0
-		t.servers = nil
+		t.sumByServer = nil
 		return
 	}
-	if t.servers == nil {
-		t.servers = map[identifier.VMID]float64{}
+	if t.sumByServer == nil {
+		t.sumByServer = map[identifier.VMID]float64{}
 	}
-	t.servers[s.Server] += step
+	t.sumByServer[s.Server] += step
 }
 
-// condemns reports whether the test shows a bad version, also if all requests that wait
-// got a good answer.
+// condemns reports whether the test shows a bad version, even if all waiting requests
+// are counted as good answers.
 func (t *test) condemns(waiting, servers int) bool {
-	sum := t.sum + float64(waiting)*math.Log(1-effect)
+	sum := t.sum + float64(waiting)*math.Log(1-minEffect)
 	if servers <= 1 {
-		return sum >= condemned
+		return sum >= condemnThreshold
 	}
-	return sum >= condemned && t.sum-worst(t.servers) >= besideWorst
+	return sum >= condemnThreshold && t.sum-maxSum(t.sumByServer) >= minSumWithoutWorst
 }
 
-// doubts reports whether the test speaks against trusting the version. What a server
-// shows under load is not taken for its own fault: few have had any.
+// doubts reports whether the test prevents trust in the version. The sum under load is
+// not reduced by an outlier, because few servers have been under load.
 func (t *test) doubts(m measure) bool {
-	return t.sum-t.fault() >= doubted || t.spokenFor() >= against[m] || t.loaded >= doubted
+	return t.sum-t.outlierSum() >= doubtThreshold || t.totalWithoutOutlier() >= againstThreshold[m] || t.loadedSum >= doubtThreshold
 }
 
-// fault is what one server alone shows, and the others do not.
-func (t *test) fault() float64 {
-	against := 0.0
-	for _, x := range t.all {
-		against += max(x, 0)
+// outlierSum returns the plain sum of the one server that contributes most of the
+// evidence against the version, or zero if there is none.
+func (t *test) outlierSum() float64 {
+	positiveSum := 0.0
+	for _, x := range t.totalByServer {
+		positiveSum += max(x, 0)
 	}
-	most := worst(t.all)
-	if len(t.all) < severalServers || most < almostAll*against {
+	worstSum := maxSum(t.totalByServer)
+	if len(t.totalByServer) < minServersForOutlier || worstSum < outlierShare*positiveSum {
 		return 0
 	}
-	return max(most, 0)
+	return max(worstSum, 0)
 }
 
-// total is the sum over all answers.
+// total returns the plain sum over all answers.
 func (t *test) total() float64 {
 	sum := 0.0
-	for _, x := range t.all {
+	for _, x := range t.totalByServer {
 		sum += x
 	}
 	return sum
 }
 
-// spokenFor is the total without what is the fault of one server.
-func (t *test) spokenFor() float64 { return t.total() - t.fault() }
+// totalWithoutOutlier returns the plain sum without that of an outlier.
+func (t *test) totalWithoutOutlier() float64 { return t.total() - t.outlierSum() }
 
-// worst is the sum of the server that speaks most against the version.
-func worst(servers map[identifier.VMID]float64) float64 {
+// maxSum returns the sum of the server with the most evidence against the version.
+func maxSum(servers map[identifier.VMID]float64) float64 {
 	if len(servers) == 0 {
 		return 0
 	}
 	return slices.MaxFunc(slices.Collect(maps.Values(servers)), cmp.Compare[float64])
 }
 
-// Verdict is what the answers say of the new version.
+// Verdict is the result of the tests of the new version.
 type Verdict struct {
-	// Bad tells that it is condemned.
+	// Bad is set if the version is condemned.
 	Bad bool
-	// Trusted tells that each route that counts speaks for it, and Acceptable that all
-	// together do and none speaks against it.
+	// Trusted is set if each major route is evidence for the version, and Acceptable if
+	// all routes together are and no test is evidence against it.
 	Trusted    bool
 	Acceptable bool
-	// Why names the test that speaks most against it.
+	// Why describes the test with the most evidence against the version.
 	Why string
 }
 
-// Verdict returns what the answers so far say of a version that has so many servers.
+// Verdict returns the verdict on a version with a given number of servers.
 func (a *Assessor) Verdict(servers int) Verdict {
 	v := Verdict{
 		Trusted:    len(a.routes) > 0,
 		Acceptable: len(a.routes) > 0,
 	}
-	all, answers, most := 0.0, 0, math.Inf(-1)
+	total, answers, maxSum := 0.0, 0, math.Inf(-1)
 	for _, r := range a.routes {
 		answers += r.answers
 	}
 	for _, name := range slices.Sorted(maps.Keys(a.routes)) {
 		r := a.routes[name]
-		failed := r.tests[failures].spokenFor()
-		all += failed
-		if float64(r.answers) >= majorRoute*float64(answers) {
-			v.Trusted = v.Trusted && failed <= trustedRoute
-			v.Acceptable = v.Acceptable && failed <= fairRoute
+		failed := r.tests[failures].totalWithoutOutlier()
+		total += failed
+		if float64(r.answers) >= majorRouteShare*float64(answers) {
+			v.Trusted = v.Trusted && failed <= trustThreshold
+			v.Acceptable = v.Acceptable && failed <= acceptThreshold
 		}
 		for m := range r.tests {
 			t := &r.tests[m]
@@ -328,18 +330,18 @@
 				v.Trusted = false
 				v.Acceptable = false
 			}
-			if t.sum > most {
-				most = t.sum
+			if t.sum > maxSum {
+				maxSum = t.sum
 				v.Why = t.describe(name, measure(m))
 			}
 		}
 	}
-	v.Acceptable = v.Acceptable && all <= fairAll
+	v.Acceptable = v.Acceptable && total <= acceptTotalThreshold
 	v.Trusted = v.Trusted && v.Acceptable
 	return v
 }
 
 func (t *test) describe(route identifier.RouteName, m measure) string {
 	return fmt.Sprintf("route=%s measure=%q bad=%d of=%d old_rate=%.3f sum=%.1f all=%.1f",
-		route, m, t.bad, t.answers, t.rate, t.sum, t.total())
+		route, m, t.bad, t.answers, t.baselineRate, t.sum, t.total())
 }
--- a/internal/assessor/assessor_test.go
+++ b/internal/assessor/assessor_test.go
@@ -10,20 +10,21 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// took are so many answers that took as long as was predicted, times a ratio.
-func took(answers int, ratio float64) Histogram {
+// histogramOf returns a histogram of answers that all took ratio times the predicted
+// time.
+func histogramOf(answers int, ratio float64) Histogram {
 	var h Histogram
 	h[BucketOf(ratio)] = answers
 	return h
 }
 
-// feed lets an Assessor see the same answers again and again: of the old version, and of
-// each of some servers of the new one.
-func feed(a *Assessor, times int, old Sample, news ...Sample) {
-	for range times {
+// observeRepeatedly passes the same samples n times: one of the old version, and one of
+// each of some servers of the new version.
+func observeRepeatedly(a *Assessor, n int, old Sample, newSamples ...Sample) {
+	for range n {
 		old.Route = "lookup"
 		samples := []Sample{old}
-		for i, s := range news {
+		for i, s := range newSamples {
 			s.Route = "lookup"
 			s.Server = identifier.VMID(fmt.Sprint("i-", i))
 			samples = append(samples, s)
@@ -32,21 +33,21 @@
 	}
 }
 
-var fine = Sample{
+var good = Sample{
 	Answers:         10,
-	FirstEventTimes: took(10, 1),
-	EventIntervals:  took(10, 1),
+	FirstEventTimes: histogramOf(10, 1),
+	EventIntervals:  histogramOf(10, 1),
 }
 
 func TestVerdicts(t *testing.T) {
-	failing := fine
+	failing := good
 	failing.Failed = 4
-	slow := fine
-	slow.FirstEventTimes = took(10, 4)
-	dragging := fine
-	dragging.EventIntervals = took(10, 3)
-	loaded := failing
-	loaded.UnderLoad = true
+	slow := good
+	slow.FirstEventTimes = histogramOf(10, 4)
+	slowStream := good
+	slowStream.EventIntervals = histogramOf(10, 3)
+	failingUnderLoad := failing
+	failingUnderLoad.UnderLoad = true
 	waiting := failing
 	waiting.Waiting = 1000
 	tests := []struct {
@@ -58,28 +59,28 @@
 	}{
 		{
 			name:    "as good as the old one",
-			old:     fine,
-			news:    []Sample{fine, fine, fine},
+			old:     good,
+			news:    []Sample{good, good, good},
 			trusted: true,
 		},
 		{
 			name:          "fails",
-			old:           fine,
+			old:           good,
 			news:          []Sample{failing, failing, failing},
 			bad:           true,
 			speaksAgainst: "failures",
 		},
 		{
 			name:          "begins late",
-			old:           fine,
+			old:           good,
 			news:          []Sample{slow, slow},
 			bad:           true,
 			speaksAgainst: "late first events",
 		},
 		{
 			name:          "drags",
-			old:           fine,
-			news:          []Sample{dragging, dragging},
+			old:           good,
+			news:          []Sample{slowStream, slowStream},
 			bad:           true,
 			speaksAgainst: "slow streams",
 		},
@@ -91,25 +92,25 @@
 		},
 		{
 			name:    "one server of several fails by itself",
-			old:     fine,
-			news:    []Sample{failing, fine, fine, fine},
+			old:     good,
+			news:    []Sample{failing, good, good, good},
 			trusted: true,
 		},
 		{
 			name: "the one that fails is the one under load",
-			old:  fine,
-			news: []Sample{loaded, fine, fine, fine},
+			old:  good,
+			news: []Sample{failingUnderLoad, good, good, good},
 		},
 		{
 			name: "most requests have no answer yet",
-			old:  fine,
+			old:  good,
 			news: []Sample{waiting, waiting, waiting},
 		},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			a := New()
-			feed(a, 8, test.old, test.news...)
+			observeRepeatedly(a, 8, test.old, test.news...)
 			v := a.Verdict(len(test.news))
 			require.Equal(t, test.bad, v.Bad, v.Why)
 			require.Equal(t, test.trusted, v.Trusted, v.Why)
@@ -118,11 +119,10 @@
 	}
 }
 
-// Nothing is said of a version of which nothing is known.
 func TestNoAnswers(t *testing.T) {
 	require.Equal(t, Verdict{}, New().Verdict(4))
 	a := New()
-	feed(a, 1, Sample{}, fine)
+	observeRepeatedly(a, 1, Sample{}, good)
 	v := a.Verdict(1)
 	require.False(t, v.Trusted || v.Acceptable || v.Bad)
 }
--- a/internal/assessor/histogram.go
+++ b/internal/assessor/histogram.go
@@ -2,17 +2,17 @@
 
 import "math"
 
-// NumBuckets is the number of steps of a Histogram. Two are a factor of two; the first
-// holds what is below an eighth, the last what is above eleven times.
+// NumBuckets is the number of buckets of a Histogram. Two buckets span a factor of two.
+// The first holds ratios below 0.18, the last those above 11.3.
 const NumBuckets = 14
 
-// evenStep is the step of what took as long as was predicted.
+// evenBucket is the bucket of answers that took the predicted time.
 const evenBucket = 6
 
-// Histogram counts answers by how long they took against what was predicted.
+// Histogram counts answers by the ratio of their time to the predicted time.
 type Histogram [NumBuckets]int
 
-// BucketOf returns the step of a ratio of times.
+// BucketOf returns the bucket of a ratio of times.
 func BucketOf(ratio float64) int {
 	if ratio <= 0 || math.IsNaN(ratio) {
 		return 0
@@ -20,15 +20,15 @@
 	return int(min(max(math.Floor(2*math.Log2(ratio))+evenBucket, 0), NumBuckets-1))
 }
 
-// FromCounts returns the histogram of counts that came from elsewhere; what is too
-// many of them is left out.
+// FromCounts returns a histogram of counts received from a peer. Counts beyond
+// NumBuckets are dropped.
 func FromCounts(counts []int) Histogram {
 	var h Histogram
 	copy(h[:], counts)
 	return h
 }
 
-// Minus returns what h has beyond earlier. Counts only grow.
+// Minus returns the counts of h that are not in earlier. Counts never decrease.
 func (h Histogram) Minus(earlier Histogram) Histogram {
 	for i := range h {
 		h[i] = max(h[i]-earlier[i], 0)
@@ -36,21 +36,20 @@
 	return h
 }
 
-// sum counts all, from counts those of a step and beyond.
-func (h Histogram) sum() int { return h.from(0) }
+func (h Histogram) sum() int { return h.countFrom(0) }
 
-func (h Histogram) from(step int) int {
+func (h Histogram) countFrom(bucket int) int {
 	n := 0
-	for i := max(step, 0); i < NumBuckets; i++ {
+	for i := max(bucket, 0); i < NumBuckets; i++ {
 		n += h[i]
 	}
 	return n
 }
 
-// weights is a histogram of answers of which older ones count less.
-type weights [NumBuckets]float64
+// decayedHistogram is a histogram in which older answers have less weight.
+type decayedHistogram [NumBuckets]float64
 
-func (w *weights) sum() float64 {
+func (w *decayedHistogram) sum() float64 {
 	sum := 0.0
 	for _, x := range w {
 		sum += x
@@ -58,8 +57,8 @@
 	return sum
 }
 
-// median returns the step in which the median lies, the even one where there is none.
-func (w *weights) median() int {
+// median returns the bucket of the median, or evenBucket if the histogram is empty.
+func (w *decayedHistogram) median() int {
 	half := w.sum() / 2
 	if half == 0 {
 		return evenBucket
@@ -72,47 +71,48 @@
 	return NumBuckets - 1
 }
 
-// rateFrom returns the part that lies at a step or beyond.
-func (w *weights) rateFrom(step int) float64 {
+// rateFrom returns the smoothed fraction of the answers in a bucket or beyond.
+func (w *decayedHistogram) rateFrom(bucket int) float64 {
 	bad := 0.0
-	for i := max(step, 0); i < NumBuckets; i++ {
+	for i := max(bucket, 0); i < NumBuckets; i++ {
 		bad += w[i]
 	}
-	return rateOf(bad, w.sum())
+	return smoothedRate(bad, w.sum())
 }
 
-func (w *weights) add(h Histogram, most float64) {
+func (w *decayedHistogram) add(h Histogram, maxWeight float64) {
 	for i, n := range h {
 		w[i] += float64(n)
 	}
-	if sum := w.sum(); sum > most {
+	if sum := w.sum(); sum > maxWeight {
 		for i := range w {
-			w[i] *= most / sum
+			w[i] *= maxWeight / sum
 		}
 	}
 }
 
-// baseline is the last answers of the old version on a route.
+// baseline holds the recent answers of the old version on a route.
 type baseline struct {
-	answers, failed float64
-	first, pace     weights
+	answers, failed                 float64
+	firstEventTimes, eventIntervals decayedHistogram
 }
 
-// add takes in answers, and keeps the weight of about so many.
-func (b *baseline) add(s Sample, most float64) {
+// add adds answers and scales the weights to a total of at most maxWeight.
+func (b *baseline) add(s Sample, maxWeight float64) {
 	b.answers += float64(s.Answers)
 	b.failed += float64(s.Failed)
-	if b.answers > most {
-		b.failed *= most / b.answers
-		b.answers = most
+	if b.answers > maxWeight {
+		b.failed *= maxWeight / b.answers
+		b.answers = maxWeight
 	}
-	b.first.add(s.FirstEventTimes, most)
-	b.pace.add(s.EventIntervals, most)
+	b.firstEventTimes.add(s.FirstEventTimes, maxWeight)
+	b.eventIntervals.add(s.EventIntervals, maxWeight)
 }
 
-func (b *baseline) failureRate() float64 { return rateOf(b.failed, b.answers) }
+func (b *baseline) failureRate() float64 { return smoothedRate(b.failed, b.answers) }
 
-// rateOf returns a cautious rate: few answers may hide a larger one.
-func rateOf(bad, answers float64) float64 {
+// smoothedRate returns a rate that errs on the high side, because few answers may hide
+// a higher one.
+func smoothedRate(bad, answers float64) float64 {
 	return (bad + math.Sqrt(bad)/2 + priorBad) / (answers + priorAnswers)
 }
