--- a/internal/assessor/assessor.go
+++ b/internal/assessor/assessor.go
@@ -29,7 +29,7 @@
 const (
 	// minEffect is the minimum fraction of the answers that a bad version degrades,
 	// among those that the old version would not. effectGrowth raises it in proportion
-	// to the old version's rate, because answers tell little about a small difference
+	// to the old version's rate, because answers reveal little about a small difference
 	// while both versions are faulty.
 	minEffect    = 0.2
 	effectGrowth = 0.5
--- a/internal/assessor/assessor_test.go
+++ b/internal/assessor/assessor_test.go
@@ -53,65 +53,65 @@
 	tests := []struct {
 		name          string
 		old           Sample
-		news          []Sample
+		newVersion    []Sample
 		bad, trusted  bool
 		speaksAgainst string
 	}{
 		{
-			name:    "as good as the old one",
-			old:     good,
-			news:    []Sample{good, good, good},
-			trusted: true,
+			name:       "as good as the old one",
+			old:        good,
+			newVersion: []Sample{good, good, good},
+			trusted:    true,
 		},
 		{
 			name:          "fails",
 			old:           good,
-			news:          []Sample{failing, failing, failing},
+			newVersion:    []Sample{failing, failing, failing},
 			bad:           true,
 			speaksAgainst: "failures",
 		},
 		{
 			name:          "begins late",
 			old:           good,
-			news:          []Sample{slow, slow},
+			newVersion:    []Sample{slow, slow},
 			bad:           true,
 			speaksAgainst: "late first events",
 		},
 		{
 			name:          "drags",
 			old:           good,
-			news:          []Sample{slowStream, slowStream},
+			newVersion:    []Sample{slowStream, slowStream},
 			bad:           true,
 			speaksAgainst: "slow streams",
 		},
 		{
-			name:    "both fail alike",
-			old:     failing,
-			news:    []Sample{failing, failing, failing},
-			trusted: true,
+			name:       "both fail",
+			old:        failing,
+			newVersion: []Sample{failing, failing, failing},
+			trusted:    true,
 		},
 		{
-			name:    "one server of several fails by itself",
-			old:     good,
-			news:    []Sample{failing, good, good, good},
-			trusted: true,
+			name:       "one server of several fails by itself",
+			old:        good,
+			newVersion: []Sample{failing, good, good, good},
+			trusted:    true,
 		},
 		{
-			name: "the one that fails is the one under load",
-			old:  good,
-			news: []Sample{failingUnderLoad, good, good, good},
+			name:       "the one that fails is the one under load",
+			old:        good,
+			newVersion: []Sample{failingUnderLoad, good, good, good},
 		},
 		{
-			name: "most requests have no answer yet",
-			old:  good,
-			news: []Sample{waiting, waiting, waiting},
+			name:       "most requests have no answer yet",
+			old:        good,
+			newVersion: []Sample{waiting, waiting, waiting},
 		},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			a := New()
-			observeRepeatedly(a, 8, test.old, test.news...)
-			v := a.Verdict(len(test.news))
+			observeRepeatedly(a, 8, test.old, test.newVersion...)
+			v := a.Verdict(len(test.newVersion))
 			require.Equal(t, test.bad, v.Bad, v.Why)
 			require.Equal(t, test.trusted, v.Trusted, v.Why)
 			require.Contains(t, v.Why, test.speaksAgainst)
--- a/internal/commander/commander.go
+++ b/internal/commander/commander.go
@@ -1,16 +1,14 @@
-// Package commander decides which orders the holder of a pool's lease gives to
-// the pool's engines now, so that each comes to run the model wanted of it.
+// Package commander decides which orders the holder of a pool's lease sends to the
+// pool's engines, so that each loads the model wanted of it.
 //
-// Orders are absolute, so that repeating one does no harm. They are repeated,
-// more and more slowly, until a load report that was made after the order
-// shows the wanted state, and again if a later report shows another: an order
-// of an earlier holder may have landed late.
+// Orders are idempotent. They are repeated with backoff until a load report made after
+// the order shows the wanted state, and again if a later report shows another, because
+// a late order of an earlier holder may have taken effect.
 //
-// Engines that check fencing numbers are ordered also where the model is
-// right and the fence is old: from then on they refuse an earlier holder's
-// late order. Engines that ignore them get no order until the earlier
-// holder's term and the longest time of an order are over; after that nothing
-// can land behind the orders of this holder.
+// Engines that check fencing numbers also receive an order if the model is right but
+// the fence is old: from then on they reject late orders of earlier holders. Engines
+// that ignore fences receive no order until the earlier holder's term and the maximum
+// duration of an order are over; after that, no earlier order can take effect.
 //
 // A Commander serves one pool and is not safe for concurrent use.
 package commander
@@ -25,25 +23,26 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Config sets up a Commander.
+// Config configures a Commander.
 type Config struct {
-	// InitialBackoff is the wait after the first order to a server; each further
-	// one doubles, up to MaxBackoff, until it reports the wanted state.
+	// InitialBackoff is the time between the first order to a server and the second. It
+	// doubles with each further order, up to MaxBackoff, until the server reports the
+	// wanted state.
 	InitialBackoff timekeeper.Duration
 	MaxBackoff     timekeeper.Duration
-	// MaxInFlight bounds the orders under way in the pool: loads share the
-	// weight store's rate.
+	// MaxInFlight limits the orders in flight in the pool, because model loads share
+	// the bandwidth of the weight store.
 	MaxInFlight int
 }
 
-// Default times and sizes.
+// Defaults of Config.
 const (
 	DefaultInitialBackoff = timekeeper.Second
 	DefaultMaxBackoff     = timekeeper.Minute
 	DefaultMaxInFlight    = 4
 )
 
-// Lease is the pool's lease as this process holds it.
+// Lease is the pool's lease, as this process holds it.
 type Lease struct {
 	Held     bool
 	Fence    identifier.Fence
@@ -52,13 +51,13 @@
 	SafeAfter timekeeper.Time
 }
 
-// Server is one engine of the pool: what is wanted of it, what it reports.
+// Server is one engine of the pool, with the model wanted of it and its last report.
 type Server struct {
 	VM      identifier.VMID
 	Address string
 	Leaving bool
 	Wanted  identifier.ModelName
-	// Load is the last report; HasLoad is false before the first.
+	// Load is the last report, valid if HasLoad is set.
 	Load    messenger.ServerLoad
 	HasLoad bool
 }
@@ -70,23 +69,23 @@
 	Servers []Server
 }
 
-// safeguards are switched off one by one by negative controls.
+// safeguards disables single safeguards, for tests that verify the checks.
 type safeguards struct {
-	noWaitOut bool
-	noRepeat  bool
+	noWait   bool
+	noRepeat bool
 }
 
-// Commander remembers the orders given under the present lease.
+// Commander holds the state of the orders sent under the current lease.
 type Commander struct {
 	config  Config
 	fence   identifier.Fence
 	deposed bool
-	servers map[identifier.VMID]*progress
+	servers map[identifier.VMID]*orderProgress
 	off     safeguards
 }
 
-// progress is the last order to one server.
-type progress struct {
+// orderProgress is the state of the last order to a server.
+type orderProgress struct {
 	model    identifier.ModelName
 	sent     timekeeper.Time
 	inFlight bool
@@ -94,7 +93,7 @@
 	next     timekeeper.Time
 }
 
-// New returns a Commander that has given no order.
+// New returns a Commander without orders.
 func New(c Config) *Commander {
 	if c.InitialBackoff == 0 {
 		c.InitialBackoff = DefaultInitialBackoff
@@ -107,40 +106,40 @@
 	}
 	return &Commander{
 		config:  c,
-		servers: make(map[identifier.VMID]*progress),
+		servers: make(map[identifier.VMID]*orderProgress),
 	}
 }
 
-// Plan returns the orders to give now, in the order of the servers' ids, and
-// takes them for given. The caller fills in the tickets and reports each end
-// with OrderEnded; NotAfter is checked again right before an order leaves.
+// Plan returns the orders to send now, sorted by the servers' ids, and records them as
+// sent. The caller fills in the tickets, reports the end of each order with OrderEnded,
+// and checks NotAfter again right before it sends an order.
 func (c *Commander) Plan(now timekeeper.Time, in Input) []messenger.GiveOrder {
-	c.keep(in.Servers)
+	c.removeAbsent(in.Servers)
 	if !in.Lease.Held || !now.Before(in.Lease.NotAfter) {
 		return nil
 	}
-	c.tenure(in.Lease.Fence)
-	if c.deposed || c.waitsOut(now, in) {
+	c.startTenure(in.Lease.Fence)
+	if c.deposed || c.mustWait(now, in) {
 		return nil
 	}
 	servers := slices.Clone(in.Servers)
 	slices.SortFunc(servers, func(a, b Server) int { return cmp.Compare(a.VM, b.VM) })
 	var out []messenger.GiveOrder
-	room := c.config.MaxInFlight - c.inFlight(now, in.Pool)
+	headroom := c.config.MaxInFlight - c.inFlight(now, in.Pool)
 	for _, s := range servers {
-		p := c.progress(s.VM)
+		p := c.progressOf(s.VM)
 		c.observe(now, in, s, p)
-		if room <= 0 || !c.due(now, in, s, p) {
+		if headroom <= 0 || !c.due(now, in, s, p) {
 			continue
 		}
-		room--
+		headroom--
 		out = append(out, c.order(now, in, s, p))
 	}
 	return out
 }
 
-// OrderEnded reports the end of an order. A stale fence means that another holder
-// has given orders since: this one gives none until it gets a new fence.
+// OrderEnded processes the end of an order. A stale fence means that another holder has
+// sent orders since, so this one sends none until it has a new fence.
 func (c *Commander) OrderEnded(now timekeeper.Time, server identifier.VMID, fence identifier.Fence, ok, stale bool) {
 	p, known := c.servers[server]
 	if !known || fence != c.fence {
@@ -153,8 +152,8 @@
 	}
 }
 
-// keep forgets the servers that are no longer in the pool.
-func (c *Commander) keep(servers []Server) {
+// removeAbsent drops the state of servers that are no longer in the pool.
+func (c *Commander) removeAbsent(servers []Server) {
 	present := make(map[identifier.VMID]bool, len(servers))
 	for _, s := range servers {
 		present[s.VM] = true
@@ -166,8 +165,8 @@
 	}
 }
 
-// tenure starts anew under a new fence.
-func (c *Commander) tenure(f identifier.Fence) {
+// startTenure resets the state if the fence is new.
+func (c *Commander) startTenure(f identifier.Fence) {
 	if f == c.fence {
 		return
 	}
@@ -176,20 +175,20 @@
 	clear(c.servers)
 }
 
-// waitsOut reports whether an earlier holder's order may still land on
-// servers that do not check who gives it. Whatever they were told before that
-// could be undone by it after they had reported the wanted state.
-func (c *Commander) waitsOut(now timekeeper.Time, in Input) bool {
-	if in.Pool.ChecksFence || c.off.noWaitOut {
+// mustWait reports whether an order of an earlier holder may still take effect on
+// servers that do not check fences. It could undo an order of this holder after the
+// server reported the wanted state.
+func (c *Commander) mustWait(now timekeeper.Time, in Input) bool {
+	if in.Pool.ChecksFence || c.off.noWait {
 		return false
 	}
 	return in.Lease.SafeAfter != 0 && now.Before(in.Lease.SafeAfter.Add(in.Pool.OrderTime))
 }
 
-func (c *Commander) progress(vm identifier.VMID) *progress {
+func (c *Commander) progressOf(vm identifier.VMID) *orderProgress {
 	p, ok := c.servers[vm]
 	if !ok {
-		p = &progress{}
+		p = &orderProgress{}
 		c.servers[vm] = p
 	}
 	return p
@@ -205,8 +204,8 @@
 	return n
 }
 
-// observe clears the failures of a server that reports the wanted state.
-func (c *Commander) observe(now timekeeper.Time, in Input, s Server, p *progress) {
+// observe resets the backoff of a server that reports the wanted state.
+func (c *Commander) observe(now timekeeper.Time, in Input, s Server, p *orderProgress) {
 	if s.HasLoad && s.Load.AsOf.After(p.sent) && settled(in, s) {
 		p.inFlight = false
 		p.failures = 0
@@ -215,7 +214,7 @@
 }
 
 // due reports whether a server needs an order now.
-func (c *Commander) due(now timekeeper.Time, in Input, s Server, p *progress) bool {
+func (c *Commander) due(now timekeeper.Time, in Input, s Server, p *orderProgress) bool {
 	if s.Leaving || s.Wanted == "" || now.Before(p.next) {
 		return false
 	}
@@ -237,7 +236,7 @@
 	return s.Load.Model == s.Wanted
 }
 
-func (c *Commander) order(now timekeeper.Time, in Input, s Server, p *progress) messenger.GiveOrder {
+func (c *Commander) order(now timekeeper.Time, in Input, s Server, p *orderProgress) messenger.GiveOrder {
 	if p.model != s.Wanted {
 		p.failures = 0
 	}
--- a/internal/commander/commander_test.go
+++ b/internal/commander/commander_test.go
@@ -113,7 +113,7 @@
 		},
 		"more servers than may load": {
 			now:    20_000,
-			in:     input(true, many(9)...),
+			in:     input(true, unreported(9)...),
 			orders: DefaultMaxInFlight,
 		},
 	} {
@@ -128,7 +128,7 @@
 	}
 }
 
-func many(n int) []Server {
+func unreported(n int) []Server {
 	var out []Server
 	for i := range n {
 		out = append(out, Server{
@@ -139,9 +139,9 @@
 	return out
 }
 
-// An order whose answer is lost is repeated after the time that it may take,
-// one that failed sooner, each time more slowly, until a report made after it
-// shows the model. A stale fence ends all orders until the next tenure.
+// An order is repeated with backoff until a later report shows the model: after its
+// maximum duration if its answer is lost, sooner if it failed. A stale fence ends all
+// orders until the next tenure.
 func TestRepeatsUntilReported(t *testing.T) {
 	c := New(Config{})
 	in := input(true, engine("b", "a", 1, 7))
@@ -160,10 +160,10 @@
 	require.Len(t, c.Plan(99_000, in), 1)
 }
 
-// simulate runs a take-over at an engine that ignores fences. The old holder's
-// order leaves at the end of its term and lands within orderTime; reports and
-// orders of the new holder lag or are lost. It returns the engine's last model
-// and for how long it was wrong after it had been reported right.
+// simulate runs a takeover at an engine that ignores fences. The old holder's order is
+// sent at the end of its term and takes effect within orderTime; reports and orders of
+// the new holder are late or lost. It returns the engine's last model, and whether the
+// old order took effect after the new model was reported.
 func simulate(draw func(n int) int, off safeguards) (model identifier.ModelName, undone bool) {
 	c := New(Config{MaxBackoff: 4 * timekeeper.Second})
 	c.off = off
@@ -177,7 +177,7 @@
 	}}
 	model = "other"
 	report := engine("new", model, 1, 0)
-	right := false
+	settled := false
 	for now := timekeeper.Time(2000); now < 60_000; now += 250 {
 		var later []landing
 		for _, l := range landings {
@@ -185,13 +185,13 @@
 				later = append(later, l)
 				continue
 			}
-			undone = undone || right && l.model == "old"
+			undone = undone || settled && l.model == "old"
 			model = l.model
 		}
 		landings = later
 		if draw(4) == 0 {
 			report = engine("new", model, now, 0)
-			right = right || model == "new"
+			settled = settled || model == "new"
 		}
 		for _, o := range c.Plan(now, input(false, report)) {
 			if draw(3) > 0 || now > 50_000 {
@@ -205,8 +205,8 @@
 	return model, undone
 }
 
-// TestDeposedHolderHasNoLastingEffect: the engine ends with the new holder's
-// model, which no order of the old one undoes once it was reported.
+// The engine ends with the new holder's model, and no order of the old holder undoes it
+// after it was reported.
 func TestDeposedHolderHasNoLastingEffect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model, undone := simulate(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "draw") }, safeguards{})
@@ -224,6 +224,6 @@
 		return false
 	}
 	require.False(t, objects(safeguards{}))
-	require.True(t, objects(safeguards{noWaitOut: true}))
+	require.True(t, objects(safeguards{noWait: true}))
 	require.True(t, objects(safeguards{noRepeat: true}))
 }
--- a/internal/leaser/calls_test.go
+++ b/internal/leaser/calls_test.go
@@ -8,8 +8,8 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// Each call has a larger number than all before, of the same tenure and of earlier ones.
-func TestCallsRise(t *testing.T) {
+// Each call number exceeds all earlier ones, within a tenure and across tenures.
+func TestCallNumbersIncrease(t *testing.T) {
 	var (
 		c    CallSequence
 		last identifier.Fence
--- a/internal/leaser/lease.go
+++ b/internal/leaser/lease.go
@@ -9,17 +9,17 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// lease is what a node knows of one lease.
+// lease is a node's view of one lease.
 type lease struct {
-	wanted  bool
-	leaving bool
+	wanted    bool
+	releasing bool
 
-	// known tells that last is surely the lease's last effective record.
-	// Else it is the last one that may have been.
-	known       bool
+	// lastKnown is set if last is certainly the lease's last effective record.
+	// Otherwise it is the last one that may be.
+	lastKnown   bool
 	last        identifier.Offset
-	appended    timekeeper.Time
-	read        timekeeper.Time
+	appendedAt  timekeeper.Time
+	readAt      timekeeper.Time
 	ttl         timekeeper.Duration
 	holder      identifier.VMID
 	incarnation identifier.Incarnation
@@ -28,27 +28,27 @@
 	// safeAfter is the end of all terms of other processes.
 	safeAfter timekeeper.Time
 
-	// ownFence and notAfter are this process's tenure, or zero.
+	// ownFence and notAfter describe this process's tenure; they are zero without one.
 	ownFence identifier.Fence
 	notAfter timekeeper.Time
-	// pending are the records that this process appended and has not read
-	// back, latest last.
-	pending []attempt
-	renewed timekeeper.Time
-	tryAt   timekeeper.Time
+	// pending are the records that this process appended and has not read back, latest
+	// last.
+	pending   []pendingAppend
+	renewedAt timekeeper.Time
+	tryAt     timekeeper.Time
 }
 
-// attempt is an append whose effect is not known yet.
-type attempt struct {
-	nonce identifier.Nonce
-	sent  timekeeper.Time
+// pendingAppend is an append that was not read back.
+type pendingAppend struct {
+	nonce  identifier.Nonce
+	sentAt timekeeper.Time
 }
 
-// maxPending bounds the attempts of which the send time is remembered. The
-// effect of an older one gives no tenure, though it may keep others out.
+// maxPending limits the appends whose time is remembered. An older one gives no tenure,
+// but may keep other nodes out.
 const maxPending = 8
 
-// lease returns the state of a lease, which it makes where there is room.
+// lease returns the state of a lease, creating it if the table is not full.
 func (t *Table) lease(now timekeeper.Time, name Name) (*lease, bool) {
 	if l, ok := t.leases[name]; ok {
 		return l, true
@@ -56,19 +56,19 @@
 	if len(t.leases) >= t.config.MaxLeases && !t.evict(now) {
 		return nil, false
 	}
-	l := &lease{known: t.Ready()}
+	l := &lease{lastKnown: t.Ready()}
 	t.leases[name] = l
 	return l, true
 }
 
-// evict makes room by dropping the lease that was left alone for longest, if
-// it may be granted following none. A late grant that follows one of its
-// records then counts as one that follows an expired record: doubtful.
+// evict makes space by dropping the lease with the oldest last record, among those that
+// may be granted without a predecessor. A late grant that follows one of its records
+// then counts as one that follows an expired record: doubtful.
 func (t *Table) evict(now timekeeper.Time) bool {
 	var oldest Name
 	for name, l := range t.leases {
-		stale := t.logTime.Sub(l.appended) >= forgetAfter*l.ttl && !now.Before(l.safeAfter)
-		if l.wanted || l.leaving || l.last == 0 || !l.known || !stale {
+		stale := t.logTime.Sub(l.appendedAt) >= expiryTerms*l.ttl && !now.Before(l.safeAfter)
+		if l.wanted || l.releasing || l.last == 0 || !l.lastKnown || !stale {
 			continue
 		}
 		if oldest == "" || l.last < t.leases[oldest].last {
@@ -78,78 +78,78 @@
 	if oldest == "" {
 		return false
 	}
-	t.visible = max(t.visible, t.leases[oldest].last+1)
+	t.oldestVisible = max(t.oldestVisible, t.leases[oldest].last+1)
 	delete(t.leases, oldest)
 	t.counts.Evicted++
 	return true
 }
 
-// mine reports whether this process wrote the lease's last record.
-func (t *Table) mine(l *lease) bool {
+// isHolder reports whether this process wrote the lease's last record.
+func (t *Table) isHolder(l *lease) bool {
 	return l.last != 0 && l.holder == t.config.Self && l.incarnation == t.config.Incarnation
 }
 
-// next returns the record that a lease needs appended now, if any.
+// next returns the record that has to be appended for a lease now, if any.
 func (t *Table) next(now timekeeper.Time, rng *rand.Rand, l *lease) (record, bool) {
-	if n := len(l.pending); n > 0 && now.Sub(l.pending[n-1].sent) < t.config.RenewEvery {
+	if n := len(l.pending); n > 0 && now.Sub(l.pending[n-1].sentAt) < t.config.RenewEvery {
 		return record{}, false
 	}
 	switch {
-	case l.known && t.mine(l) && !l.released:
-		if l.leaving {
-			return t.send(now, l, releaseKind), true
+	case l.lastKnown && t.isHolder(l) && !l.released:
+		if l.releasing {
+			return t.newRecord(now, l, releaseKind), true
 		}
-		if l.wanted && now.Sub(l.renewed) >= t.config.RenewEvery {
-			return t.send(now, l, renewKind), true
+		if l.wanted && now.Sub(l.renewedAt) >= t.config.RenewEvery {
+			return t.newRecord(now, l, renewKind), true
 		}
-	case l.wanted && t.free(now, l) && t.waited(now, rng, l):
-		return t.send(now, l, grantKind), true
+	case l.wanted && t.mayAcquire(now, l) && t.jitterElapsed(now, rng, l):
+		return t.newRecord(now, l, grantKind), true
 	}
 	return record{}, false
 }
 
-// free reports whether this node may take the lease now.
-func (t *Table) free(now timekeeper.Time, l *lease) bool {
-	if now.Before(t.quietUntil) {
+// mayAcquire reports whether this node may try to acquire the lease now.
+func (t *Table) mayAcquire(now timekeeper.Time, l *lease) bool {
+	if now.Before(t.noGrantsUntil) {
 		return false
 	}
 	if l.last == 0 {
-		return l.known
+		return l.lastKnown
 	}
-	if !l.known {
-		return !now.Before(l.read.Add(forgetAfter*l.ttl + t.config.Margin))
+	if !l.lastKnown {
+		return !now.Before(l.readAt.Add(expiryTerms*l.ttl + t.config.Margin))
 	}
 	ended := l.incarnation < t.processes[l.holder]
-	return l.released || ended || !now.Before(t.lapses(l))
+	return l.released || ended || !now.Before(t.expiry(l))
 }
 
-// lapses returns the instant by this node's clock at which the holder's term
-// is over. The holder counted it from before its append, which was before
-// this node read it; the margin covers a clock of this node that runs fast.
-func (t *Table) lapses(l *lease) timekeeper.Time {
+// expiry returns the time by this node's clock at which the holder's term is over. The
+// holder counts its term from before its append, which precedes this node's read; the
+// margin covers a fast clock at this node.
+func (t *Table) expiry(l *lease) timekeeper.Time {
 	if t.off.noMargin {
-		return l.appended.Add(l.ttl)
+		return l.appendedAt.Add(l.ttl)
 	}
-	return l.read.Add(l.ttl + t.config.Margin)
+	return l.readAt.Add(l.ttl + t.config.Margin)
 }
 
-// waited spreads the tries of several nodes: with one free lease each of them
-// would append at once, and all appends but one would be wasted.
-func (t *Table) waited(now timekeeper.Time, rng *rand.Rand, l *lease) bool {
+// jitterElapsed delays attempts by a random time. Otherwise all nodes would append a
+// grant as soon as a lease is free, and all but one in vain.
+func (t *Table) jitterElapsed(now timekeeper.Time, rng *rand.Rand, l *lease) bool {
 	if l.tryAt == 0 {
 		l.tryAt = now.Add(timekeeper.Duration(rng.Int64N(int64(t.config.RenewEvery) + 1)))
 	}
 	return !now.Before(l.tryAt)
 }
 
-func (t *Table) send(now timekeeper.Time, l *lease, kind recordKind) record {
+func (t *Table) newRecord(now timekeeper.Time, l *lease, kind recordKind) record {
 	nonce := t.nonce()
 	if len(l.pending) == maxPending {
 		l.pending = slices.Delete(l.pending, 0, 1)
 	}
-	l.pending = append(l.pending, attempt{
-		nonce: nonce,
-		sent:  now,
+	l.pending = append(l.pending, pendingAppend{
+		nonce:  nonce,
+		sentAt: now,
 	})
 	l.tryAt = 0
 	r := record{
@@ -159,7 +159,7 @@
 		Nonce:       nonce,
 		TTL:         t.config.TTL,
 	}
-	if l.known {
+	if l.lastKnown {
 		r.Follows = l.last
 	}
 	if kind != grantKind {
@@ -168,19 +168,19 @@
 	return r
 }
 
-// effect is what a record does to its lease.
-type effect int
+// verdict is the effect of a record on its lease.
+type verdict int
 
 const (
-	none effect = iota
-	// doubtful: it may be effective, depending on records that expired.
+	ineffective verdict = iota
+	// doubtful records may be effective, depending on records that expired.
 	doubtful
 	effective
 )
 
-// judge tells the effect of a record. Of a known lease it depends on nothing
-// but the records of the log.
-func (t *Table) judge(ready bool, l *lease, at messenger.Record, r record) effect {
+// judge returns the effect of a record. If the lease's last record is known, it depends
+// only on the records of the log.
+func (t *Table) judge(ready bool, l *lease, at messenger.Record, r record) verdict {
 	if t.off.ignoreFollows {
 		return effective
 	}
@@ -188,13 +188,13 @@
 		return t.judgeFirst(ready, l, at, r)
 	}
 	switch {
-	case l.known && r.Follows == l.last:
+	case l.lastKnown && r.Follows == l.last:
 		return t.judgeHolder(l, r)
-	case l.known && l.last != 0:
-		return none
-	case r.Follows >= t.visible:
-		// The first of the records that follow a visible one. Its writer knew
-		// that one to be effective.
+	case l.lastKnown && l.last != 0:
+		return ineffective
+	case r.Follows >= t.oldestVisible:
+		// The record is the first after a visible one, and its writer knew that one to
+		// be effective.
 		return effective
 	case t.off.trustHidden:
 		return effective
@@ -202,31 +202,31 @@
 	return doubtful
 }
 
-// judgeFirst tells the effect of a grant that follows none.
-func (t *Table) judgeFirst(ready bool, l *lease, at messenger.Record, r record) effect {
-	since := l.appended
+// judgeFirst returns the effect of a grant without a predecessor.
+func (t *Table) judgeFirst(ready bool, l *lease, at messenger.Record, r record) verdict {
+	since := l.appendedAt
 	if l.last == 0 {
 		since = t.hiddenUntil
 	}
 	switch {
 	case r.Kind != grantKind:
-		return none
-	case l.last == 0 && (l.known || ready):
+		return ineffective
+	case l.last == 0 && (l.lastKnown || ready):
 		return effective
-	case at.Appended.Sub(since) >= forgetAfter*max(r.TTL, l.ttl):
+	case at.Appended.Sub(since) >= expiryTerms*max(r.TTL, l.ttl):
 		return effective
-	case l.known:
-		return none
+	case l.lastKnown:
+		return ineffective
 	}
 	return doubtful
 }
 
-func (t *Table) judgeHolder(l *lease, r record) effect {
+func (t *Table) judgeHolder(l *lease, r record) verdict {
 	sameHolder := r.Holder == l.holder && r.Incarnation == l.incarnation && r.Fence == l.fence
 	if r.Kind == grantKind || sameHolder && !l.released {
 		return effective
 	}
-	return none
+	return ineffective
 }
 
 // applyRecord applies one record of the log.
@@ -246,12 +246,12 @@
 		t.counts.Overflowed++
 		return
 	}
-	sent, mine := l.settle(r.Nonce)
+	sent, mine := l.takePending(r.Nonce)
 	e := t.judge(ready, l, at, r)
-	if e == none {
+	if e == ineffective {
 		return
 	}
-	l.known = e == effective
+	l.lastKnown = e == effective
 	l.accept(now, at, r)
 	own := r.Holder == t.config.Self && r.Incarnation == t.config.Incarnation
 	if !own {
@@ -260,27 +260,27 @@
 		return
 	}
 	if mine && e == effective {
-		t.extend(now, l, sent, r)
+		t.extendTenure(now, l, sent, r)
 	}
 }
 
-// settle tells whether a record is one that this process waits for, and when
-// it was sent.
-func (l *lease) settle(nonce identifier.Nonce) (sent timekeeper.Time, mine bool) {
+// takePending removes the pending append with a nonce. It returns the time of the
+// append, and whether there was one.
+func (l *lease) takePending(nonce identifier.Nonce) (sent timekeeper.Time, ours bool) {
 	for i, a := range l.pending {
 		if a.nonce == nonce {
 			l.pending = slices.Delete(l.pending, i, i+1)
-			return a.sent, true
+			return a.sentAt, true
 		}
 	}
 	return 0, false
 }
 
-// accept makes a record the lease's last.
+// accept makes a record the lease's last one.
 func (l *lease) accept(now timekeeper.Time, at messenger.Record, r record) {
 	l.last = at.Offset
-	l.appended = at.Appended
-	l.read = now
+	l.appendedAt = at.Appended
+	l.readAt = now
 	l.ttl = r.TTL
 	l.holder = r.Holder
 	l.incarnation = r.Incarnation
@@ -292,15 +292,15 @@
 	}
 }
 
-// extend prolongs this process's own tenure by a record that it appended.
-func (t *Table) extend(now timekeeper.Time, l *lease, sent timekeeper.Time, r record) {
+// extendTenure extends this process's tenure by a record that it appended.
+func (t *Table) extendTenure(now timekeeper.Time, l *lease, sent timekeeper.Time, r record) {
 	if t.off.countFromRead {
 		sent = now
 	}
-	l.renewed = sent
+	l.renewedAt = sent
 	l.notAfter = sent.Add(t.config.TTL)
 	l.ownFence = l.fence
-	if l.leaving || r.Kind == releaseKind {
+	if l.releasing || r.Kind == releaseKind {
 		l.ownFence = 0
 	}
 }
--- a/internal/leaser/leaser.go
+++ b/internal/leaser/leaser.go
@@ -1,28 +1,27 @@
-// Package leaser grants leases through the platform's log. At most one
-// process holds a lease at any instant, by its own belief, as long as all
-// clocks run at rates that differ by less than the margin allows.
+// Package leaser grants leases through the platform's log. At any time at most one
+// process considers itself the holder of a lease, as long as the rates of all clocks
+// differ by less than the margin allows.
 //
-// A grant or renewal names the offset of the lease's record that it follows,
-// and is effective only if that is still the lease's last effective record:
-// of several that follow the same one, the first in log order wins, on every
-// node alike. A lease whose last record is older than forgetAfter terms, by
-// the log's append times, may also be granted anew, following none.
+// A grant or renewal names the offset of the lease's record that it follows, and is
+// effective only if that is still the lease's last effective record. Of several that
+// follow the same record, the first in log order wins on every node. A lease whose last
+// record is older than expiryTerms terms, by the log's append times, may also be
+// granted without a predecessor.
 //
-// The holder counts its term from before its append; all others count it from
-// after they read the record, plus a margin. A node takes over only after it
-// judged the last record's term to be over. Nothing but a record's effect
-// gives a lease, so with the log out none is granted or renewed, and the
-// holder's own lapses by its own clock.
+// The holder counts its term from before its append; all others count it from after
+// they read the record, and add a margin. A node takes over only after it finds the
+// last record's term to be over. Only records give a tenure, so during a log outage no
+// lease is granted or renewed, and the holder's tenure ends by its own clock.
 //
-// The fence of a tenure is the offset of its grant. A process that was paused
-// past its term finds so by its clock, which it reads before each order;
-// an order that left just before the end is caught by the fence, or waited
-// out: see SafeAfter.
+// The fence of a tenure is the offset of its grant. A process that was paused past its
+// term detects this by its clock, which it reads before each order. An order sent just
+// before the end of the term is rejected by its fence, or other holders wait for it;
+// see SafeAfter.
 //
-// A node that starts, or fell behind the log's retention, sees records whose
-// predecessors have expired. It takes the chain of a lease for known only
-// from the first record that follows one it has read, since no process
-// follows a record that had no effect; until then it waits.
+// A node that starts, or fell behind the log's retention, reads records whose
+// predecessors have expired. It knows a lease's last effective record only from the
+// first record that follows one it has read, because processes follow effective records
+// only. Until then it waits.
 //
 // A Table is not safe for concurrent use.
 package leaser
@@ -38,40 +37,40 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Name names a lease.
+// Name is the name of a lease.
 type Name string
 
-// Config sets up a Table.
+// Config configures a Table.
 type Config struct {
 	Self        identifier.VMID
 	Incarnation identifier.Incarnation
 	// TTL is the term of a grant or renewal, the same on all nodes.
 	TTL timekeeper.Duration
-	// Margin is what other nodes wait beyond the term. It covers clocks that
-	// run at different rates.
+	// Margin is the time that other nodes wait after the end of a term. It covers
+	// clocks that run at different rates.
 	Margin timekeeper.Duration
-	// RenewEvery is the spacing of renewals, and of repeated appends.
+	// RenewEvery is the interval between renewals and between repeated appends.
 	RenewEvery timekeeper.Duration
-	// Retention is the least time for which the log keeps a record; it is
-	// many times the TTL.
+	// Retention is the minimum time for which the log keeps a record, many times the
+	// TTL.
 	Retention timekeeper.Duration
-	// MaxLeases bounds the leases that the table follows.
+	// MaxLeases limits the leases in the table.
 	MaxLeases int
 }
 
-// Default times and sizes.
+// Defaults of Config.
 const (
 	DefaultTTL       = 10 * timekeeper.Second
 	DefaultMaxLeases = 256
 )
 
 const (
-	// forgetAfter is the number of terms after which a lease that was not
-	// renewed may be granted following none. It is shorter than the log's
-	// retention, so that it needs no record that may have expired.
-	forgetAfter = 4
-	marginShare = 4
-	renewShare  = 3
+	// expiryTerms is the number of terms without a renewal after which a lease may be
+	// granted without a predecessor. That time is shorter than the log's retention, so
+	// the decision needs no record that may have expired.
+	expiryTerms   = 4
+	marginDivisor = 4
+	renewDivisor  = 3
 )
 
 func (c Config) withDefaults() Config {
@@ -79,10 +78,10 @@
 		c.TTL = DefaultTTL
 	}
 	if c.Margin == 0 {
-		c.Margin = c.TTL / marginShare
+		c.Margin = c.TTL / marginDivisor
 	}
 	if c.RenewEvery == 0 {
-		c.RenewEvery = c.TTL / renewShare
+		c.RenewEvery = c.TTL / renewDivisor
 	}
 	if c.MaxLeases == 0 {
 		c.MaxLeases = DefaultMaxLeases
@@ -96,12 +95,11 @@
 	Data   []byte
 }
 
-// Counts tells what the table ignored or lost since it was made.
+// Counts are the numbers of events in which the table ignored or lost data.
 type Counts struct {
-	// Ignored counts records that could not be read or are of an unknown
-	// version.
+	// Ignored counts records that could not be decoded or have an unknown version.
 	Ignored int
-	// Overflowed counts records of leases that found no room, and Evicted
+	// Overflowed counts records of leases that did not fit into the table, and Evicted
 	// leases that were dropped for others.
 	Overflowed int
 	Evicted    int
@@ -109,12 +107,12 @@
 	Gaps int
 }
 
-// safeguards are switched off one by one by negative controls.
+// safeguards disables single safeguards, for tests that verify the checks.
 type safeguards struct {
-	countFromRead bool // the holder counts its term from its own read-back
+	countFromRead bool // the holder counts its term from when it reads its record back
 	ignoreFollows bool // any grant is effective
-	ignoreClock   bool // Held does not look at the clock
-	noMargin      bool // others count the bare term from the append time
+	ignoreClock   bool // Held ignores the clock
+	noMargin      bool // other nodes count the term from the append time, without a margin
 	trustHidden   bool // records that follow an expired one are effective
 }
 
@@ -123,20 +121,20 @@
 	config   Config
 	position *follower.Stream
 	leases   map[Name]*lease
-	// visible is the oldest offset from which on all records were read, and
-	// hiddenUntil an append time that no earlier record passes.
-	visible     identifier.Offset
-	hiddenUntil timekeeper.Time
-	logTime     timekeeper.Time
-	// started tells that a read was absorbed; restarted that no record was
-	// read since the view began.
+	// oldestVisible is the offset from which on all records were read. No record before
+	// it was appended later than hiddenUntil.
+	oldestVisible identifier.Offset
+	hiddenUntil   timekeeper.Time
+	logTime       timekeeper.Time
+	// started is set after the first read, and restarted if no record was read since
+	// the view began.
 	started   bool
 	restarted bool
-	// quietUntil is until when nobody is granted a lease whose last records may be
-	// gone: their holder may still act.
-	quietUntil timekeeper.Time
-	appends    uint64
-	// processes holds the latest start that was heard of on each VM.
+	// noGrantsUntil is the time before which no lease is granted, because its last
+	// records may be lost and their holder may still act.
+	noGrantsUntil timekeeper.Time
+	appends       uint64
+	// processes holds the latest known incarnation on each VM.
 	processes map[identifier.VMID]identifier.Incarnation
 	counts    Counts
 	off       safeguards
@@ -155,70 +153,70 @@
 	}
 }
 
-// maxProcesses bounds the VMs of which a start is remembered.
+// maxProcesses limits the VMs whose incarnation is remembered.
 const maxProcesses = 4096
 
-// ProcessStarted records that a process has started on a VM. What ran there before is no
-// more, so that its lease need not be waited out: after a kill of all nodes
-// nobody would hold a lease for a whole term.
+// ProcessStarted records that a process has started on a VM. The process that ran there
+// before has ended, so nodes need not wait for the end of its term; after a restart of
+// all nodes there would be no holder for a whole term.
 func (t *Table) ProcessStarted(vm identifier.VMID, i identifier.Incarnation) {
 	if _, known := t.processes[vm]; known || len(t.processes) < maxProcesses {
 		t.processes[vm] = max(t.processes[vm], i)
 	}
 }
 
-// SetRetention takes up the retention that the configuration says. A table
-// that takes it for longer than it is would trust a view of which records had
-// expired unread.
+// SetRetention sets the log's retention. With one that is too long, the table would
+// trust a view in which records expired unread.
 func (t *Table) SetRetention(d timekeeper.Duration) {
 	t.config.Retention = d
 	t.position.SetRetention(d)
 }
 
-// Want makes the node try for a lease, and renew it once it has it. It is
-// false if the table has no room for the lease.
+// Want makes the node try to acquire a lease and then renew it. It returns false if the
+// table is full.
 //
-// A tenure that was released in between does not come back with it: the
-// release may be on its way to the log, where another node takes over at once.
+// A tenure that was released before is not resumed: its release may be on its way to
+// the log, after which another node takes over at once.
 func (t *Table) Want(now timekeeper.Time, name Name) bool {
 	l, ok := t.lease(now, name)
 	if !ok {
 		return false
 	}
-	if l.leaving {
+	if l.releasing {
 		l.ownFence = 0
 	}
 	l.wanted = true
-	l.leaving = false
+	l.releasing = false
 	return true
 }
 
-// Release gives a lease up, held or not. Held is false from now on; the next
-// Tick tells the log, so that another node need not wait out the term.
+// Release gives up a lease, whether held or not. Held returns false from now on. The
+// next Tick appends a release, so that other nodes need not wait for the end of the
+// term.
 func (t *Table) Release(name Name) {
 	if l, ok := t.leases[name]; ok {
 		l.wanted = false
-		l.leaving = true
+		l.releasing = true
 		l.ownFence = 0
 	}
 }
 
-// ReleaseAll gives all leases up, for a planned stop.
+// ReleaseAll gives up all leases before a planned stop.
 func (t *Table) ReleaseAll() {
 	for name := range t.leases {
 		t.Release(name)
 	}
 }
 
-// Ready reports whether the leases were replayed from the oldest kept record
-// to the end, with no gap since.
+// Ready reports whether the leases were replayed from the oldest retained record to the
+// end of the log, without a gap since.
 func (t *Table) Ready() bool { return t.position.Replayed() }
 
-// Counts tells what the table ignored or lost.
+// Counts returns the numbers of events in which the table ignored or lost data.
 func (t *Table) Counts() Counts { return t.counts }
 
-// Held reports whether this process holds a lease at an instant of its clock,
-// with the fence of its tenure and the instant past which no order may leave.
+// Held reports whether this process holds a lease at a time of its clock. It returns
+// the fence of the tenure and the time after which no order may be sent.
 func (t *Table) Held(name Name, now timekeeper.Time) (fence identifier.Fence, notAfter timekeeper.Time, ok bool) {
 	l, found := t.leases[name]
 	if !found || l.ownFence == 0 {
@@ -230,7 +228,8 @@
 	return l.ownFence, l.notAfter, true
 }
 
-// Holder returns who holds a lease, or held it last, as far as is known.
+// Holder returns the last known holder of a lease and its fence, and false if there is
+// none.
 func (t *Table) Holder(name Name) (identifier.VMID, identifier.Fence, bool) {
 	l, ok := t.leases[name]
 	if !ok || l.last == 0 || l.released {
@@ -239,10 +238,10 @@
 	return l.holder, l.fence, true
 }
 
-// SafeAfter returns the instant by this node's clock after which no other
-// process gives orders under an earlier tenure of the lease, also where that
-// one was released early. Servers that ignore fences get no order before it,
-// plus the time that an order may take.
+// SafeAfter returns the time by this node's clock after which no other process sends
+// orders under an earlier tenure of the lease, even one that was released early.
+// Servers that ignore fences receive no order before that time plus the maximum
+// duration of an order.
 func (t *Table) SafeAfter(name Name) timekeeper.Time {
 	if l, ok := t.leases[name]; ok {
 		return l.safeAfter
@@ -250,8 +249,8 @@
 	return 0
 }
 
-// Tick returns the records to append now. Their answers need not be told:
-// only reading them back counts.
+// Tick returns the records to append now. The results of the appends need not be
+// reported: only reading the records back counts.
 func (t *Table) Tick(now timekeeper.Time, rng *rand.Rand) []Append {
 	if !t.Ready() {
 		return nil
@@ -276,7 +275,7 @@
 	return out
 }
 
-// ApplyRecords folds a read of the log into the table.
+// ApplyRecords applies the records of a read of the log.
 func (t *Table) ApplyRecords(now timekeeper.Time, read messenger.LogRead) {
 	if read.Stream != Stream {
 		return
@@ -291,43 +290,43 @@
 		t.applyRecord(now, ready, r)
 	}
 	if !ready && t.Ready() {
-		t.replayed()
+		t.endReplay()
 	}
 }
 
-// Restored takes in that the log came back from an older copy of itself. All of it is read
-// again, and a lease that this process holds ends until the log shows it: the grant may be
-// gone. Offsets of different eras differ, so that a later fence is larger also where its
-// place in the log is not.
+// Restored handles the restoration of the log from an older copy. All of it is read
+// again, and a lease held by this process ends until it is read in the log, because its
+// grant may be lost. Offsets contain the store's generation, so a later fence is larger
+// even if its position in the log is not.
 func (t *Table) Restored(now timekeeper.Time) {
 	t.position = follower.New(follower.Config{Retention: t.config.Retention})
-	t.quietUntil = now.Add(t.config.TTL + t.config.Margin)
+	t.noGrantsUntil = now.Add(t.config.TTL + t.config.Margin)
 	t.started = false
 	for _, l := range t.leases {
 		l.ownFence = 0
 	}
 }
 
-// restart begins a view of the log at its oldest kept record.
+// restart begins a view of the log at its oldest retained record.
 func (t *Table) restart(first identifier.Offset) {
 	if t.started {
 		t.counts.Gaps++
 	}
 	t.started = true
 	t.restarted = true
-	t.visible = max(t.visible, first)
+	t.oldestVisible = max(t.oldestVisible, first)
 	for _, l := range t.leases {
-		l.known = false
+		l.lastKnown = false
 		l.last = 0
 	}
 }
 
-// replayed ends the replay: a lease without any kept record has had none for
-// longer than it is remembered.
-func (t *Table) replayed() {
+// endReplay ends the replay: a lease without a retained record has had none for longer
+// than a record counts.
+func (t *Table) endReplay() {
 	for _, l := range t.leases {
 		if l.last == 0 {
-			l.known = true
+			l.lastKnown = true
 		}
 	}
 }
--- a/internal/leaser/leaser_test.go
+++ b/internal/leaser/leaser_test.go
@@ -21,11 +21,11 @@
 	pool          = Name("pool-a")
 )
 
-type source func(n int) int
+type drawFunc func(n int) int
 
-func seeded(seed uint64) source { return rand.New(rand.NewPCG(seed, 1)).IntN }
+func seeded(seed uint64) drawFunc { return rand.New(rand.NewPCG(seed, 1)).IntN }
 
-// fakeLog is a log of one stream that keeps records for testRetention.
+// fakeLog is a log with one stream that keeps records for testRetention.
 type fakeLog struct {
 	now     timekeeper.Time
 	records []messenger.Record
@@ -62,39 +62,40 @@
 	return out
 }
 
-// process is one start of the program on a VM, with a clock of its own.
+// process is one start of the program on a VM, with its own clock.
 type process struct {
 	id     identifier.VMID
 	start  identifier.Incarnation
 	offset timekeeper.Time
-	// rate is the pace of the clock, in hundredths.
-	rate  timekeeper.Time
-	table *Table
-	from  identifier.Offset
-	// promised is the latest true time at which an order may leave, by fence.
-	promised map[identifier.Fence]timekeeper.Time
+	// ratePercent is the rate of the clock, in percent of true time.
+	ratePercent timekeeper.Time
+	table       *Table
+	nextOffset  identifier.Offset
+	// orderDeadlines holds the latest true time at which an order may be sent, by
+	// fence.
+	orderDeadlines map[identifier.Fence]timekeeper.Time
 }
 
-func (p *process) clock(now timekeeper.Time) timekeeper.Time { return p.offset + now*p.rate/100 }
+func (p *process) clock(now timekeeper.Time) timekeeper.Time { return p.offset + now*p.ratePercent/100 }
 
 func (p *process) trueTime(local timekeeper.Time) timekeeper.Time {
-	return (local - p.offset) * 100 / p.rate
+	return (local - p.offset) * 100 / p.ratePercent
 }
 
 type simulation struct {
-	draw      source
+	draw      drawFunc
 	off       safeguards
 	log       fakeLog
 	processes []*process
-	flying    [][]byte
+	inFlight  [][]byte
 	starts    identifier.Incarnation
 	holding   map[*process]bool
 	history   []porcupine.Operation
 	tenures   int
-	fault     string
+	violation string
 }
 
-func newSimulation(draw source, off safeguards) *simulation {
+func newSimulation(draw drawFunc, off safeguards) *simulation {
 	s := &simulation{
 		draw:    draw,
 		off:     off,
@@ -110,11 +111,11 @@
 func (s *simulation) start(id identifier.VMID) *process {
 	s.starts++
 	p := &process{
-		id:       id,
-		start:    s.starts,
-		offset:   timekeeper.Time(s.draw(20_000)),
-		rate:     timekeeper.Time(97 + s.draw(7)),
-		promised: make(map[identifier.Fence]timekeeper.Time),
+		id:             id,
+		start:          s.starts,
+		offset:         timekeeper.Time(s.draw(20_000)),
+		ratePercent:    timekeeper.Time(97 + s.draw(7)),
+		orderDeadlines: make(map[identifier.Fence]timekeeper.Time),
 	}
 	p.table = New(Config{
 		Self:        id,
@@ -130,9 +131,9 @@
 func (s *simulation) run(steps int) string {
 	for range steps {
 		s.step(s.draw(len(s.processes)))
-		s.observe()
-		if s.fault != "" {
-			return s.fault
+		s.recordBeliefs()
+		if s.violation != "" {
+			return s.violation
 		}
 	}
 	if !porcupine.CheckOperations(lock, s.history) {
@@ -151,10 +152,10 @@
 		s.read(p, math.MaxInt)
 	case 6, 7, 8:
 		for _, a := range p.table.Tick(now, rand.New(rand.NewPCG(uint64(s.draw(100)), 1))) {
-			s.flying = append(s.flying, a.Data)
+			s.inFlight = append(s.inFlight, a.Data)
 		}
 	case 9, 10, 11, 12:
-		s.land()
+		s.deliver()
 	case 13:
 		s.log.now = s.log.now.Add([]timekeeper.Duration{10, 300, 1000, 2500, 4000, 13_000, 45_000}[s.draw(7)])
 	case 14:
@@ -166,67 +167,68 @@
 	case 15:
 		if s.draw(8) == 0 {
 			s.processes[i] = s.start(p.id)
-			s.believe(p, false)
+			s.recordBelief(p, false)
 		}
 	}
 }
 
 func (s *simulation) read(p *process, limit int) {
-	read := s.log.read(p.from, limit)
+	read := s.log.read(p.nextOffset, limit)
 	p.table.ApplyRecords(p.clock(s.log.now), read)
 	if len(read.Records) > 0 {
-		p.from = read.Records[len(read.Records)-1].Offset + 1
+		p.nextOffset = read.Records[len(read.Records)-1].Offset + 1
 	}
 }
 
-// land lets an append take effect, in any order, twice, or never.
-func (s *simulation) land() {
-	if len(s.flying) == 0 {
+// deliver applies an append in flight, in any order, twice or never.
+func (s *simulation) deliver() {
+	if len(s.inFlight) == 0 {
 		return
 	}
-	i := s.draw(len(s.flying))
-	data := s.flying[i]
-	fate := s.draw(8)
-	if fate != 0 {
-		s.flying = append(s.flying[:i:i], s.flying[i+1:]...)
+	i := s.draw(len(s.inFlight))
+	data := s.inFlight[i]
+	outcome := s.draw(8)
+	if outcome != 0 {
+		s.inFlight = append(s.inFlight[:i:i], s.inFlight[i+1:]...)
 	}
-	if fate != 1 {
+	if outcome != 1 {
 		s.log.append(data)
 	}
 }
 
-// observe notes who believes to hold the lease, those who no longer do first.
-func (s *simulation) observe() {
+// recordBeliefs records which processes believe to hold the lease, first those that no
+// longer do.
+func (s *simulation) recordBeliefs() {
 	for _, belief := range []bool{false, true} {
 		for _, p := range s.processes {
 			fence, notAfter, ok := p.table.Held(pool, p.clock(s.log.now))
 			if ok == belief {
-				s.believe(p, ok)
+				s.recordBelief(p, ok)
 			}
 			if ok && belief {
-				p.promised[fence] = max(p.promised[fence], p.trueTime(notAfter))
-				s.checkWaitOut(p, fence)
+				p.orderDeadlines[fence] = max(p.orderDeadlines[fence], p.trueTime(notAfter))
+				s.checkSafeAfter(p, fence)
 			}
 		}
 	}
 }
 
-// checkWaitOut objects if an order of an earlier tenure may still leave when
-// the holder takes it for over.
-func (s *simulation) checkWaitOut(holder *process, fence identifier.Fence) {
+// checkSafeAfter reports a violation if an order of an earlier tenure may be sent after
+// the holder's SafeAfter.
+func (s *simulation) checkSafeAfter(holder *process, fence identifier.Fence) {
 	if holder.clock(s.log.now).Before(holder.table.SafeAfter(pool)) {
 		return
 	}
 	for _, p := range s.processes {
-		for f, until := range p.promised {
+		for f, until := range p.orderDeadlines {
 			if p != holder && f < fence && s.log.now.Before(until) {
-				s.fault = fmt.Sprintf("%s ends its wait before an order under fence %d leaves", holder.id, f)
+				s.violation = fmt.Sprintf("%s ends its wait before an order under fence %d leaves", holder.id, f)
 			}
 		}
 	}
 }
 
-func (s *simulation) believe(p *process, holds bool) {
+func (s *simulation) recordBelief(p *process, holds bool) {
 	if s.holding[p] == holds {
 		return
 	}
@@ -255,9 +257,9 @@
 	},
 }
 
-// TestOneHolder: at no instant do two processes believe that they hold the
-// lease. Clocks differ and run at different rates, appends land late, twice or
-// never, processes freeze past their terms and past the log's retention.
+// At no time do two processes believe that they hold the lease, although clocks run at
+// different rates, appends are late, repeated or lost, and processes pause past their
+// terms and past the log's retention.
 func TestOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "draw") }
@@ -275,7 +277,7 @@
 	require.Greater(t, tenures, 1500, "the simulation hardly ever grants the lease")
 }
 
-// TestSafeguardsOfLeases: without one of the safeguards the same check objects.
+// Without any one of the safeguards, the same check finds a violation.
 func TestSafeguardsOfLeases(t *testing.T) {
 	for name, off := range map[string]safeguards{
 		"count the own term from the read-back": {countFromRead: true},
@@ -296,9 +298,9 @@
 	}
 }
 
-// TestLeaseComesBack: after any history, once the network is calm again, some
-// process holds the lease within a few terms.
-func TestLeaseComesBack(t *testing.T) {
+// After any history, once the network works again, some process holds the lease within
+// a few terms.
+func TestLeaseIsReacquired(t *testing.T) {
 	for seed := range uint64(300) {
 		s := newSimulation(seeded(seed), safeguards{})
 		require.Empty(t, s.run(300), "seed %d", seed)
@@ -311,7 +313,7 @@
 					s.log.append(a.Data)
 				}
 			}
-			s.observe()
+			s.recordBeliefs()
 		}
 		holders := 0
 		for _, p := range s.processes {
@@ -323,9 +325,8 @@
 	}
 }
 
-// The holder's process dies and another starts on its VM, as after a kill of all
-// nodes. The old process gives no more orders, so nobody waits for its term; of
-// a VM that is merely silent everybody does.
+// If another process starts on the holder's VM, as after a restart of all nodes, no
+// node waits for the end of the old term. If the VM is only unresponsive, all nodes do.
 func TestHolderRestarted(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -336,7 +337,7 @@
 			name: "silent",
 		},
 		{
-			name: "the same process is heard of again",
+			name: "the same process reports again",
 			started: map[identifier.VMID]identifier.Incarnation{
 				"entry-1": 5,
 			},
--- a/internal/leaser/record.go
+++ b/internal/leaser/record.go
@@ -7,7 +7,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Stream is the stream of the log that holds the leases.
+// Stream is the log stream with the records of the leases.
 const Stream identifier.LogStream = "leases"
 
 const recordVersion = 1
@@ -20,7 +20,7 @@
 	releaseKind recordKind = "release"
 )
 
-// record is one record of the leases stream.
+// record is a record of Stream.
 type record struct {
 	Version     int                    `json:"version"`
 	Kind        recordKind             `json:"kind"`
@@ -29,8 +29,8 @@
 	Incarnation identifier.Incarnation `json:"incarnation"`
 	Nonce       identifier.Nonce       `json:"nonce"`
 	TTL         timekeeper.Duration    `json:"ttl_ms"`
-	// Follows is the offset of the lease's last effective record as the
-	// writer knew it, or zero where it took the lease for one without any.
+	// Follows is the offset of the lease's last effective record known to the writer,
+	// or zero if it knew of none.
 	Follows identifier.Offset `json:"follows"`
 	// Fence is the offset of the grant that a renewal or release belongs to.
 	Fence identifier.Fence `json:"fence,omitempty"`
@@ -38,7 +38,7 @@
 
 func (r record) encode() []byte {
 	r.Version = recordVersion
-	data, _ := json.Marshal(r) // strings and numbers always encode
+	data, _ := json.Marshal(r) // a struct of strings and numbers always encodes
 	return data
 }
 
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -1,16 +1,16 @@
-// Package registrar keeps the backend servers that the platform's store
-// publishes, as one node knows them from the store and from its peers.
+// Package registrar keeps the table of backend servers published in the platform's
+// store, as one node knows them from the store and from its peers.
 //
-// Each entry bears the offset at which the store has it, so that the same
-// entries in any order, over any path, any number of times, give the same
-// table: of two entries of a server the one with the larger offset counts.
-// Leaving is final: no later entry makes a leaving server ready again.
+// Each entry carries its offset in the store, and of two entries of a server the one
+// with the larger offset holds. The same entries in any order, over any path and any
+// number of times give the same table. Leaving is final: no later entry makes a leaving
+// server ready again.
 //
-// A server may start again under the id that it had. Each start is a server of
-// its own here, and a later start ends the earlier ones: their entries, which
-// may come late and with larger offsets, count no more.
+// A server may start again under the same id. Each start is treated as a server of its
+// own, and a later start ends the earlier ones: late entries of these are ignored, even
+// with larger offsets.
 //
-// Everything is pure: time is an argument. Nothing is safe for concurrent use.
+// The package is pure: time is an argument. Nothing in it is safe for concurrent use.
 package registrar
 
 import (
@@ -24,99 +24,99 @@
 )
 
 const (
-	// lapseGrace is how long a server is kept whose entry was found missing
-	// right after the store was away. The platform promises that an entry that
-	// lapsed meanwhile is back within two seconds if the server lives.
-	lapseGrace = 2200 * timekeeper.Millisecond
-	// outage is the time for which no node has read the store, as far as this
-	// one has heard, after which the store counts as away. Where only the nodes
-	// that read for others are turned away, the rest read after 1.1 s; an
-	// outage that lets entries lapse lasts for several of their renewals.
-	outage = 2 * timekeeper.Second
-	// removedKeep is how long a removed server is remembered, so that peers'
-	// older entries do not bring it back; they travel for a second at most.
-	removedKeep = timekeeper.Minute
-	// maxServers bounds the table.
+	// removalGrace is the time for which a server is kept if its entry was found
+	// missing right after a store outage. The platform promises that the entry of a
+	// live server is back within two seconds.
+	removalGrace = 2200 * timekeeper.Millisecond
+	// minOutage is the time without any read of the store, by this node or a peer it
+	// received updates from, after which the store counts as unavailable. If the store
+	// rejects only the nodes that read for others, the rest read after 1.1 s; an outage
+	// in which entries lapse lasts for several renewal intervals.
+	minOutage = 2 * timekeeper.Second
+	// removedRetention is the time for which a removed server is remembered, so that
+	// late entries from peers do not restore it. They arrive within a second.
+	removedRetention = timekeeper.Minute
+	// maxServers limits the entries of the table.
 	maxServers = 8192
 )
 
-// Server is a published backend server.
 type Server struct {
 	messenger.PublishedServer
-	// ChangedAt is when this node learned of the entry, and WarmAt when the server is
-	// no longer slow after its start.
+	// ChangedAt is the time at which this node received the entry's last change, and
+	// WarmAt the time at which the server has warmed up after its start.
 	ChangedAt timekeeper.Time
 	WarmAt    timekeeper.Time
-	// Displaced tells that another server has answered at the address since the
-	// entry was read.
+	// Displaced is set if another server has answered at the address since the entry
+	// was read.
 	Displaced bool
-	// learned is when the entry became news for peers, and direct tells that this
-	// node has it from the store.
-	learned timekeeper.Time
-	direct  bool
-	// left tells that it was ever leaving.
-	left bool
+	// updatedAt is the time of the last change that peers are to receive, or zero.
+	// fromStore is set if this node read it from the store.
+	updatedAt timekeeper.Time
+	fromStore bool
+	// hasLeft is set if the server ever was leaving.
+	hasLeft bool
 }
 
-// Table is the published servers as one node knows them.
+// Table is the set of published servers, as one node knows them.
 type Table struct {
 	servers map[identifier.VMID]*Server
-	// ofService are the servers of each service that are not removed, sorted by
-	// id, as far as they were asked for since the last change.
+	// ofService caches the servers of a service that are not removed, sorted by id. Any
+	// change clears it.
 	ofService map[identifier.ServiceName][]*Server
-	// newest is the last start of each server in the table.
+	// newest holds the last start of each server in the table.
 	newest map[identifier.InstanceID]identifier.VMID
-	// doubtful are removals that hold only if no newer entry comes in time.
-	doubtful map[identifier.VMID]removal
-	// asOf is the instant up to which the entries are known, over any path.
+	// deferredRemovals are removals that apply unless a newer entry arrives in time.
+	deferredRemovals map[identifier.VMID]deferredRemoval
+	// asOf is the time up to which the entries are known, from the store or from peers.
 	asOf       timekeeper.Time
-	trustAfter timekeeper.Time
-	// source is where the entries that are merged now come from.
+	deferUntil timekeeper.Time
+	// source is the origin of the entries being merged.
 	source source
 }
 
-// source tells where entries come from.
+// source is the origin of entries.
 type source struct {
-	// direct tells that this node read them from the store.
-	direct bool
-	// first tells that they are the first whole, which is no news: peers have it too.
-	first bool
+	// fromStore is set if this node read them from the store.
+	fromStore bool
+	// initial is set for a complete first read or a peer's complete table, which peers
+	// need no updates of.
+	initial bool
 }
 
-type removal struct {
+type deferredRemoval struct {
 	entry messenger.PublishedServer
-	at    timekeeper.Time
+	due   timekeeper.Time
 }
 
 // New returns an empty table.
 func New() *Table {
 	return &Table{
-		servers:   map[identifier.VMID]*Server{},
-		ofService: map[identifier.ServiceName][]*Server{},
-		newest:    map[identifier.InstanceID]identifier.VMID{},
-		doubtful:  map[identifier.VMID]removal{},
+		servers:          map[identifier.VMID]*Server{},
+		ofService:        map[identifier.ServiceName][]*Server{},
+		newest:           map[identifier.InstanceID]identifier.VMID{},
+		deferredRemovals: map[identifier.VMID]deferredRemoval{},
 	}
 }
 
-// ApplyRead applies entries that this node read from the store. With all set they
-// are everything that the store has. It returns what changed.
-func (t *Table) ApplyRead(now timekeeper.Time, entries []messenger.PublishedServer, all bool) []messenger.PublishedServer {
-	if t.asOf != 0 && now.Sub(t.asOf) > outage {
-		t.trustAfter = now.Add(lapseGrace)
+// ApplyRead applies entries that this node read from the store and returns the changes.
+// With snapshot set, entries holds everything in the store.
+func (t *Table) ApplyRead(now timekeeper.Time, entries []messenger.PublishedServer, snapshot bool) []messenger.PublishedServer {
+	if t.asOf != 0 && now.Sub(t.asOf) > minOutage {
+		t.deferUntil = now.Add(removalGrace)
 	}
 	t.source = source{
-		direct: true,
-		first:  all && t.asOf == 0,
+		fromStore: true,
+		initial:   snapshot && t.asOf == 0,
 	}
 	t.asOf = now
-	if all {
-		entries = append(slices.DeleteFunc(slices.Clone(entries), t.outlived), t.missing(entries)...)
+	if snapshot {
+		entries = append(slices.DeleteFunc(slices.Clone(entries), t.isStale), t.missing(entries)...)
 	}
 	var changed []messenger.PublishedServer
 	for _, e := range entries {
-		e = t.resolve(e)
-		if e.State == messenger.ServerRemoved && now.Before(t.trustAfter) {
-			t.doubt(e)
+		e = t.resolveStart(e)
+		if e.State == messenger.ServerRemoved && now.Before(t.deferUntil) {
+			t.deferRemoval(e)
 			continue
 		}
 		changed = append(changed, t.mergeEntry(now, e)...)
@@ -124,21 +124,22 @@
 	return changed
 }
 
-// Restored takes in that the store came back from a copy. Servers that registered since
-// that was made are missing until they write again, and ones that ended may be back.
-func (t *Table) Restored(now timekeeper.Time) { t.trustAfter = now.Add(lapseGrace) }
+// Restored handles the restoration of the store from a copy. Servers registered after
+// the copy was made are missing until they write again, and servers that ended may
+// reappear.
+func (t *Table) Restored(now timekeeper.Time) { t.deferUntil = now.Add(removalGrace) }
 
-// outlived reports whether an entry is one that a store which came back from a copy has
-// again, of a server that has ended since: nobody writes it any more.
-func (t *Table) outlived(e messenger.PublishedServer) bool {
+// isStale reports whether a restored store has an entry again whose server has ended.
+// Nothing renews that entry.
+func (t *Table) isStale(e messenger.PublishedServer) bool {
 	known, ok := t.servers[e.Server]
 	return ok && known.State == messenger.ServerRemoved && e.State != messenger.ServerRemoved &&
 		known.Offset.Generation() < e.Offset.Generation()
 }
 
-// resolve names the start of a server that a removal ends: the store drops the
-// entry of an id and says no more.
-func (t *Table) resolve(e messenger.PublishedServer) messenger.PublishedServer {
+// resolveStart fills in the start that a removal refers to: the store removes the entry
+// of an id and names no start.
+func (t *Table) resolveStart(e messenger.PublishedServer) messenger.PublishedServer {
 	instance, start := e.Server.Start()
 	if newest, ok := t.newest[instance]; ok && e.State == messenger.ServerRemoved && start == 0 {
 		e.Server = newest
@@ -146,18 +147,18 @@
 	return e
 }
 
-// missing returns removals of the servers that a whole read does not show.
+// missing returns removals of the servers that a snapshot does not contain.
 func (t *Table) missing(entries []messenger.PublishedServer) []messenger.PublishedServer {
-	shown := make(map[identifier.InstanceID]bool, len(entries))
+	present := make(map[identifier.InstanceID]bool, len(entries))
 	var newest identifier.Offset
 	for _, e := range entries {
-		shown[e.Server.Instance()] = true
+		present[e.Server.Instance()] = true
 		newest = max(newest, e.Offset)
 	}
 	var out []messenger.PublishedServer
 	for _, id := range slices.Sorted(maps.Keys(t.servers)) {
 		s := t.servers[id]
-		if shown[id.Instance()] || s.Offset >= newest || s.State == messenger.ServerRemoved {
+		if present[id.Instance()] || s.Offset >= newest || s.State == messenger.ServerRemoved {
 			continue
 		}
 		removed := s.PublishedServer
@@ -168,50 +169,51 @@
 	return out
 }
 
-// doubt keeps a removal back for lapseGrace.
+// deferRemoval delays a removal by removalGrace.
 //
-// While the store is away it drops the entries of servers that can't renew
-// them. Taken for gone, all servers would be left alone at the moment of the
-// store's return, and every request refused until the entries are back.
-func (t *Table) doubt(e messenger.PublishedServer) {
+// During an outage the store drops the entries of servers that can't renew them. If
+// they were removed at once when the store returns, every request would be rejected
+// until their entries are back.
+func (t *Table) deferRemoval(e messenger.PublishedServer) {
 	known, ok := t.servers[e.Server]
-	if !ok || e.Offset <= known.Offset || t.doubtful[e.Server].at != 0 {
+	if !ok || e.Offset <= known.Offset || t.deferredRemovals[e.Server].due != 0 {
 		return
 	}
-	t.doubtful[e.Server] = removal{
+	t.deferredRemovals[e.Server] = deferredRemoval{
 		entry: e,
-		at:    t.trustAfter,
+		due:   t.deferUntil,
 	}
 }
 
 // Tick applies the removals whose grace is over and returns them.
 func (t *Table) Tick(now timekeeper.Time) []messenger.PublishedServer {
-	t.source = source{direct: true}
+	t.source = source{fromStore: true}
 	var changed []messenger.PublishedServer
-	for _, id := range slices.Sorted(maps.Keys(t.doubtful)) {
-		d := t.doubtful[id]
-		if now.Before(d.at) {
+	for _, id := range slices.Sorted(maps.Keys(t.deferredRemovals)) {
+		removal := t.deferredRemovals[id]
+		if now.Before(removal.due) {
 			continue
 		}
-		delete(t.doubtful, id)
-		changed = append(changed, t.mergeEntry(now, d.entry)...)
+		delete(t.deferredRemovals, id)
+		changed = append(changed, t.mergeEntry(now, removal.entry)...)
 	}
 	for id, s := range t.servers {
-		if s.State == messenger.ServerRemoved && now.Sub(s.ChangedAt) > removedKeep {
+		if s.State == messenger.ServerRemoved && now.Sub(s.ChangedAt) > removedRetention {
 			t.drop(id)
 		}
 	}
 	return changed
 }
 
-// Merge merges entries that a peer knew as of an instant.
+// Merge merges changes that a peer reported, known to it up to asOf, and returns those
+// that are new to this table.
 func (t *Table) Merge(now, asOf timekeeper.Time, entries []messenger.PublishedServer) []messenger.PublishedServer {
 	return t.mergeReported(now, asOf, entries, source{})
 }
 
-// MergeAll is the same for all entries that a peer knew: they are no news for others.
+// MergeAll merges a peer's complete table. Its entries are not passed on as updates.
 func (t *Table) MergeAll(now, asOf timekeeper.Time, entries []messenger.PublishedServer) []messenger.PublishedServer {
-	return t.mergeReported(now, asOf, entries, source{first: true})
+	return t.mergeReported(now, asOf, entries, source{initial: true})
 }
 
 func (t *Table) mergeReported(now, asOf timekeeper.Time, entries []messenger.PublishedServer, from source) []messenger.PublishedServer {
@@ -232,8 +234,8 @@
 	}
 }
 
-// mergeEntry merges one entry and returns what it says that is new: the entry, and
-// the end of the server's earlier start where it shows a later one.
+// mergeEntry merges one entry and returns the changes: the entry and, if it is of a
+// later start, the end of the earlier one.
 func (t *Table) mergeEntry(now timekeeper.Time, e messenger.PublishedServer) []messenger.PublishedServer {
 	instance, start := e.Server.Start()
 	var changed []messenger.PublishedServer
@@ -254,8 +256,8 @@
 	return changed
 }
 
-// mergeStartEntry merges one entry of a start of a server and reports whether it
-// says anything new.
+// mergeStartEntry merges one entry of one start of a server and reports whether it
+// changed anything.
 func (t *Table) mergeStartEntry(now timekeeper.Time, e messenger.PublishedServer) bool {
 	known, ok := t.servers[e.Server]
 	if !ok {
@@ -264,21 +266,21 @@
 	if e.Offset <= known.Offset {
 		return false
 	}
-	delete(t.doubtful, e.Server)
+	delete(t.deferredRemovals, e.Server)
 	known.Displaced = false
 	before := known.PublishedServer
-	known.left = known.left || before.State == messenger.ServerLeaving
-	if known.left && e.State == messenger.ServerReady {
-		// A late copy of a record from before the notice.
+	known.hasLeft = known.hasLeft || before.State == messenger.ServerLeaving
+	if known.hasLeft && e.State == messenger.ServerReady {
+		// The entry is a late copy of one from before the notice.
 		e.State = messenger.ServerLeaving
 		e.LeavesIn = before.LeavesIn
 	}
 	if e.State == messenger.ServerRemoved {
-		// A removal says nothing but that.
-		gone := before
-		gone.State = e.State
-		gone.Offset = e.Offset
-		e = gone
+		// A removal has no fields but the state and the offset.
+		removed := before
+		removed.State = e.State
+		removed.Offset = e.Offset
+		e = removed
 	}
 	known.PublishedServer = e
 	clear(t.ofService)
@@ -289,16 +291,16 @@
 		return false
 	}
 	known.ChangedAt = now
-	t.news(now, known)
+	t.markUpdated(now, known)
 	return true
 }
 
-// news notes that an entry is news for peers.
-func (t *Table) news(now timekeeper.Time, s *Server) {
-	s.direct = t.source.direct
-	s.learned = now
-	if t.source.first {
-		s.learned = 0
+// markUpdated marks an entry as an update for peers.
+func (t *Table) markUpdated(now timekeeper.Time, s *Server) {
+	s.fromStore = t.source.fromStore
+	s.updatedAt = now
+	if t.source.initial {
+		s.updatedAt = 0
 	}
 }
 
@@ -314,17 +316,17 @@
 		ChangedAt:       now,
 		WarmAt:          now.Add(e.ColdFor),
 	}
-	t.news(now, s)
+	t.markUpdated(now, s)
 	t.servers[e.Server] = s
 	t.newest[e.Server.Instance()] = e.Server
 	clear(t.ofService)
 	return true
 }
 
-// AsOf returns the instant up to which the entries are known.
+// AsOf returns the time up to which the entries are known.
 func (t *Table) AsOf() timekeeper.Time { return t.asOf }
 
-// Server returns a server, removed ones included.
+// Server returns a server, including removed ones.
 func (t *Table) Server(id identifier.VMID) (*Server, bool) {
 	s, ok := t.servers[id]
 	return s, ok
@@ -333,34 +335,34 @@
 // ServersOf returns the servers of a service that are not removed, sorted by id. The
 // caller must not change the slice.
 //
-// It is asked for twice for each request, and entries change seldom: gathered and
-// sorted each time, 84 servers took 9.4 us and 2.2 KB; see BenchmarkServersOf.
+// It is called twice per request and entries change seldom, so the result is cached;
+// see BenchmarkServersOf.
 func (t *Table) ServersOf(service identifier.ServiceName) []*Server {
-	found, known := t.ofService[service]
+	servers, known := t.ofService[service]
 	if known {
-		return found
+		return servers
 	}
 	for _, s := range t.servers {
 		if s.Service == service && s.State != messenger.ServerRemoved {
-			found = append(found, s)
+			servers = append(servers, s)
 		}
 	}
-	slices.SortFunc(found, func(a, b *Server) int { return cmp.Compare(a.Server, b.Server) })
-	t.ofService[service] = found
-	return found
+	slices.SortFunc(servers, func(a, b *Server) int { return cmp.Compare(a.Server, b.Server) })
+	t.ofService[service] = servers
+	return servers
 }
 
-// MarkDisplaced records that another server answered at a server's address. The address of
-// one that ended goes to others before its entry lapses; until a newer entry names it,
-// it gets nothing.
+// MarkDisplaced records that another server answered at a server's address. The address
+// of a server that ended may be reused before its entry lapses, so the server receives
+// no requests until a newer entry names the address.
 func (t *Table) MarkDisplaced(id identifier.VMID) {
 	if s, known := t.servers[id]; known {
 		s.Displaced = true
 	}
 }
 
-// ServiceSize returns how many servers a server's service has, itself included;
-// zero for one that is not known.
+// ServiceSize returns the number of servers of a server's service, including itself, or
+// zero if the server is unknown.
 func (t *Table) ServiceSize(id identifier.VMID) int {
 	s, known := t.servers[id]
 	if !known {
@@ -369,7 +371,7 @@
 	return len(t.ServersOf(s.Service))
 }
 
-// All returns every entry that is remembered, sorted by id.
+// All returns all entries, including removed ones, sorted by id.
 func (t *Table) All() []messenger.PublishedServer {
 	out := make([]messenger.PublishedServer, 0, len(t.servers))
 	for _, id := range slices.Sorted(maps.Keys(t.servers)) {
@@ -378,13 +380,13 @@
 	return out
 }
 
-// UpdatesSince returns the entries that this node learned after an instant, those only that
-// it has from the store where it does not pass on what others tell. What it found when
-// it first read all of them is no news: its peers read that as well.
+// UpdatesSince returns the entries that changed after a time, for peers. Without passOn
+// it returns only those that this node read from the store. The entries of its first
+// complete read are left out, because peers read them too.
 func (t *Table) UpdatesSince(since timekeeper.Time, passOn bool) []messenger.PublishedServer {
 	var out []messenger.PublishedServer
 	for _, s := range t.servers {
-		if s.learned.After(since) && (passOn || s.direct) {
+		if s.updatedAt.After(since) && (passOn || s.fromStore) {
 			out = append(out, s.PublishedServer)
 		}
 	}
@@ -392,7 +394,7 @@
 	return out
 }
 
-// CountReady counts the servers that serve.
+// CountReady returns the number of servers that are ready.
 func CountReady(servers []*Server) int {
 	n := 0
 	for _, s := range servers {
--- a/internal/registrar/registrar_test.go
+++ b/internal/registrar/registrar_test.go
@@ -36,9 +36,8 @@
 	return out
 }
 
-// The same entries reach two nodes over different paths, in another order and
-// more than once. Both must come to the same table, or they send requests to
-// different servers for good.
+// The same entries in another order, over another path and repeated must give the same
+// table, or nodes send requests to different servers for good.
 func TestOrderAndRepetitionDoNotMatter(t *testing.T) {
 	entries := []messenger.PublishedServer{
 		entry("i-1", 1, messenger.ServerReady),
@@ -61,8 +60,8 @@
 	require.Equal(t, want, states(backward))
 }
 
-// A server told of its end, and a record from before that comes late, with a
-// larger offset. New work to it would be cut off.
+// A late entry from before the notice, with a larger offset, must not make a leaving
+// server ready: its new requests would be cut off.
 func TestLeavingIsFinal(t *testing.T) {
 	table := registrar.New()
 	table.ApplyRead(start, []messenger.PublishedServer{entry("i-1", 1, messenger.ServerLeaving)}, false)
@@ -71,58 +70,55 @@
 	require.Equal(t, messenger.ServerLeaving, states(table)["i-1"])
 }
 
-// The store was away, dropped the entries of servers that could not renew them,
-// and has them back a second after its return. Had the node taken the servers
-// for gone, it would have refused every request meanwhile.
-func TestEntriesThatLapsedWithTheStoreAway(t *testing.T) {
+// Entries that lapse during a store outage and return within a second must not be
+// removed, or every request is rejected meanwhile.
+func TestEntriesLapseDuringStoreOutage(t *testing.T) {
 	tests := []struct {
-		name string
-		away timekeeper.Duration
-		back bool
-		// gone tells whether the server is out of the table at once, and
-		// goneAtLast whether it is after the grace.
-		gone       bool
-		goneAtLast bool
+		name    string
+		outage  timekeeper.Duration
+		returns bool
+		// removedAtOnce is set if the server is removed at once, and removedAtLast if
+		// it is after the grace.
+		removedAtOnce bool
+		removedAtLast bool
 	}{
 		{
-			name:       "no outage",
-			away:       400,
-			gone:       true,
-			goneAtLast: true,
+			name:          "no outage",
+			outage:        400,
+			removedAtOnce: true,
+			removedAtLast: true,
 		},
 		{
-			name: "outage, and the entry is back",
-			away: 5000,
-			back: true,
+			name:    "outage, and the entry is back",
+			outage:  5000,
+			returns: true,
 		},
 		{
-			name:       "outage, and the server is gone",
-			away:       5000,
-			goneAtLast: true,
+			name:          "outage, and the server ended",
+			outage:        5000,
+			removedAtLast: true,
 		},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			table := registrar.New()
 			table.ApplyRead(start, []messenger.PublishedServer{entry("i-1", 1, messenger.ServerReady)}, true)
-			now := start.Add(test.away)
+			now := start.Add(test.outage)
 			table.ApplyRead(now, []messenger.PublishedServer{entry("i-1", 2, messenger.ServerRemoved)}, false)
-			require.Equal(t, test.gone, len(table.ServersOf("reader")) == 0)
-			if test.back {
+			require.Equal(t, test.removedAtOnce, len(table.ServersOf("reader")) == 0)
+			if test.returns {
 				table.ApplyRead(now.Add(1000), []messenger.PublishedServer{entry("i-1", 3, messenger.ServerReady)}, false)
 			}
 			table.Tick(now.Add(2500))
-			require.Equal(t, test.goneAtLast, len(table.ServersOf("reader")) == 0)
+			require.Equal(t, test.removedAtLast, len(table.ServersOf("reader")) == 0)
 		})
 	}
 }
 
-// The two nodes that read for the others are turned away by the store. This one
-// reads by itself for the first time since its start, a second after it last
-// heard of a fresh read, and finds a server gone. It took the long time since its
-// own last read for an outage and kept the server for two seconds more, in which
-// requests went to it.
-func TestRemovalFoundByOneThatReadsSeldom(t *testing.T) {
+// A node whose own last read was long ago, but that received recent reads from peers,
+// must not take that time for an outage: it would keep a removed server in use for two
+// more seconds.
+func TestRemovalReadByInfrequentReader(t *testing.T) {
 	table := registrar.New()
 	table.ApplyRead(start, []messenger.PublishedServer{entry("i-1", 1, messenger.ServerReady)}, true)
 	table.Merge(start.Add(60_000), start.Add(59_900), nil)
@@ -131,10 +127,9 @@
 	require.Empty(t, table.ServersOf("reader"))
 }
 
-// A node fell behind what the store keeps and reads the whole anew: a server
-// whose removal it missed must go, one that only a peer told of, with a newer
-// record than the whole shows, must stay.
-func TestWholeReadShowsWhatIsMissing(t *testing.T) {
+// A snapshot removes servers whose removal the node missed, but not those that a peer
+// reported with a newer offset than the snapshot has.
+func TestSnapshotRemovesMissingServers(t *testing.T) {
 	table := registrar.New()
 	table.ApplyRead(start, []messenger.PublishedServer{
 		entry("i-1", 1, messenger.ServerReady),
@@ -148,7 +143,6 @@
 	}, states(table))
 }
 
-// What a node knows is as old as the freshest path it came by.
 func TestAsOf(t *testing.T) {
 	table := registrar.New()
 	table.ApplyRead(start, nil, true)
@@ -158,8 +152,8 @@
 	require.Equal(t, start.Add(300), table.AsOf())
 }
 
-// What a node found when it started its peers found as well; what it reads later is news,
-// and what others told it is for those that pass on.
+// The entries of the first complete read are not sent to peers; later reads are, and
+// peers' updates are if they are to be passed on.
 func TestUpdatesSince(t *testing.T) {
 	table := registrar.New()
 	table.ApplyRead(start, []messenger.PublishedServer{entry("i-1", 1, messenger.ServerReady)}, true)
@@ -183,14 +177,13 @@
 	require.Len(t, table.All(), 4)
 }
 
-// A server is reclaimed, and starts again under the id that it had. Callers
-// would get no answer from it for good if its notice were held against its next
-// start, or if an entry of its earlier start that comes late marked it as leaving.
+// A server that starts again under its id must be used, whatever late entries of its
+// earlier start say.
 func TestServerStartsAgainUnderItsID(t *testing.T) {
 	first := identifier.ServerStart("i-1", 1000)
 	second := identifier.ServerStart("i-1", 9000)
 	leaving := entry(first, 2, messenger.ServerLeaving)
-	reborn := entry(second, 3, messenger.ServerReady)
+	restarted := entry(second, 3, messenger.ServerReady)
 	late := entry(first, 4, messenger.ServerLeaving)
 	old := entry(first, 5, messenger.ServerReady)
 	tests := []struct {
@@ -199,32 +192,31 @@
 	}{
 		{
 			name:    "in order",
-			entries: []messenger.PublishedServer{leaving, reborn, late, old},
+			entries: []messenger.PublishedServer{leaving, restarted, late, old},
 		},
 		{
 			name:    "the earlier start's last entries come first",
-			entries: []messenger.PublishedServer{leaving, old, late, reborn},
+			entries: []messenger.PublishedServer{leaving, old, late, restarted},
 		},
 		{
 			name:    "the earlier start was never seen",
-			entries: []messenger.PublishedServer{reborn, leaving, old, late},
+			entries: []messenger.PublishedServer{restarted, leaving, old, late},
 		},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			direct, told := registrar.New(), registrar.New()
-			direct.ApplyRead(start, test.entries, false)
-			told.Merge(start, start, test.entries)
+			fromStore, fromPeer := registrar.New(), registrar.New()
+			fromStore.ApplyRead(start, test.entries, false)
+			fromPeer.Merge(start, start, test.entries)
 			want := map[identifier.VMID]messenger.ServerState{second: messenger.ServerReady}
-			require.Equal(t, want, states(direct))
-			require.Equal(t, want, states(told))
+			require.Equal(t, want, states(fromStore))
+			require.Equal(t, want, states(fromPeer))
 		})
 	}
 }
 
-// A server crashes and starts again before its entry lapsed. What was sent to
-// the earlier start is lost, which peers have to hear as its end; the platform's
-// removal of the id names no start and means the last one.
+// A later start must report the end of the earlier one, whose requests are lost. A
+// removal without a start refers to the last one.
 func TestLaterStartEndsTheEarlier(t *testing.T) {
 	first := identifier.ServerStart("i-1", 1000)
 	second := identifier.ServerStart("i-1", 9000)
@@ -247,9 +239,9 @@
 	require.Equal(t, messenger.ServerReady, states(peer)[second])
 }
 
-// A server gave notice, its entry lapsed, and a record from before the notice
-// comes late. Work sent to it would be cut off.
-func TestLeavingOutlivesTheEntry(t *testing.T) {
+// A late entry from before the notice must not make a leaving server ready after its
+// entry lapsed: its new requests would be cut off.
+func TestLeavingSurvivesRemoval(t *testing.T) {
 	table := registrar.New()
 	table.ApplyRead(start, []messenger.PublishedServer{
 		entry("i-1", 1, messenger.ServerLeaving),
@@ -259,9 +251,8 @@
 	require.NotEqual(t, messenger.ServerReady, states(table)["i-1"])
 }
 
-// BenchmarkServersOf gives the time to look up the servers of a service, as each request
-// does twice, where 84 stand and none changed: 9.4 us and 2.2 KB before they were kept
-// sorted, 14 ns and nothing with it.
+// BenchmarkServersOf measures the lookup of a service's servers, which each request
+// does twice, in an unchanged table of 84.
 func BenchmarkServersOf(b *testing.B) {
 	table := registrar.New()
 	for i := range 84 {
@@ -283,10 +274,9 @@
 	}
 }
 
-// A request is placed, then the server leaves and another appears under the same
-// service. What was looked up before the change must not be used after it: the
-// next request would go to a server that is gone.
-func TestServersOfServiceFollowEachChange(t *testing.T) {
+// A change must clear the cached servers of a service, or the next request goes to a
+// removed server.
+func TestServersOfFollowsEachChange(t *testing.T) {
 	table := registrar.New()
 	entry := func(id identifier.VMID, offset identifier.Offset, state messenger.ServerState) messenger.PublishedServer {
 		return messenger.PublishedServer{
