--- a/internal/gossiper/change.go
+++ b/internal/gossiper/change.go
@@ -5,7 +5,8 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// ChangeKind tells what changed in the membership.
+// ChangeKind is a kind of change in the membership. Its value is also the
+// kind of the timeline entry.
 type ChangeKind string
 
 // The kinds of change.
@@ -13,18 +14,20 @@
 	NodeJoined  ChangeKind = "node_joined"
 	NodeSuspect ChangeKind = "node_suspect"
 	NodeAlive   ChangeKind = "node_alive"
-	// NodeLeaving comes again when the deadline turns out to be earlier.
+	// NodeLeaving is reported again if the deadline moves to an earlier
+	// instant.
 	NodeLeaving ChangeKind = "node_leaving"
-	// NodeDead comes also when a peer's process was started anew: what the
-	// older one had in memory is lost.
+	// NodeDead is also reported if a peer's process was restarted: the memory
+	// of the old process is lost.
 	NodeDead ChangeKind = "node_dead"
-	// NodeThawed: this process itself was frozen for a while.
+	// NodeResumed: this process was suspended for a while and runs again.
 	NodeResumed ChangeKind = "node_thawed"
-	// NodeOutdated: peers know a later incarnation of this very node, so they
-	// ignore this process for good.
+	// NodeOutdated: peers know a later incarnation of this node, so they
+	// ignore this process permanently.
 	NodeOutdated ChangeKind = "node_outdated"
 	ServerJoined ChangeKind = "server_joined"
-	// ServerLeaving comes again when the deadline turns out to be earlier.
+	// ServerLeaving is reported again if the deadline moves to an earlier
+	// instant.
 	ServerLeaving ChangeKind = "server_leaving"
 	ServerRemoved ChangeKind = "server_gone"
 )
@@ -33,13 +36,14 @@
 type Change struct {
 	Kind ChangeKind
 	VM   identifier.VMID
-	// Incarnation is that of a node; it is zero for a backend server.
+	// Incarnation is the incarnation of a node, and zero for a backend
+	// server.
 	Incarnation identifier.Incarnation
-	// Deadline is set for a VM that is leaving, else zero.
+	// Deadline is set for a leaving VM, and zero otherwise.
 	Deadline timekeeper.Time
 }
 
-// DecodeError reports a message that could not be read.
+// DecodeError reports a message that could not be decoded.
 type DecodeError struct {
 	From  identifier.VMID
 	Cause error
@@ -51,16 +55,16 @@
 
 func (e *DecodeError) Unwrap() error { return e.Cause }
 
-// SenderError is the cause of a DecodeError for a message whose sender is not
-// the peer that it came from.
+// SenderMismatchError is the cause of a DecodeError if the sender named in a
+// message is not the peer that sent it.
 type SenderMismatchError struct {
 	Sender identifier.VMID
 }
 
 func (e *SenderMismatchError) Error() string { return "message names sender " + string(e.Sender) }
 
-// ColumnError is the cause of a DecodeError for a message whose parallel
-// columns differ in length.
+// ColumnLengthError is the cause of a DecodeError if parallel columns of a
+// message differ in length.
 type ColumnLengthError struct {
 	Keys   int
 	Values int
--- a/internal/gossiper/cluster_test.go
+++ b/internal/gossiper/cluster_test.go
@@ -13,34 +13,34 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// seedOfTests makes every run of the fake network the same.
+// seedOfTests makes all runs deterministic.
 const seedOfTests = 7
 
-// start is when the fake networks begin.
+// start is the initial time of the simulated networks.
 const start timekeeper.Time = 1_000_000
 
-// cluster drives several memberships through a fake network in virtual time.
-// A message takes one step of messenger.TickEvery.
+// cluster runs several memberships over a simulated network in virtual time.
+// A message takes one step of messenger.TickInterval.
 type cluster struct {
-	t       testing.TB
-	now     timekeeper.Time
-	rng     *rand.Rand
-	members []*Members
-	byVM    map[identifier.VMID]*Members
-	byAddr  map[string]identifier.VMID
-	off     map[identifier.VMID]bool
-	cut     map[link]bool
-	loss    float64
-	flying  []flight
-	sent    int
-	bytes   int
+	t        testing.TB
+	now      timekeeper.Time
+	rng      *rand.Rand
+	members  []*Members
+	byVM     map[identifier.VMID]*Members
+	byAddr   map[string]identifier.VMID
+	stopped  map[identifier.VMID]bool
+	blocked  map[link]bool
+	loss     float64
+	inFlight []packet
+	sent     int
+	bytes    int
 	// changes holds all changes by the node that reported them.
 	changes map[identifier.VMID][]Change
 }
 
 type link struct{ from, to identifier.VMID }
 
-type flight struct {
+type packet struct {
 	link
 	data []byte
 }
@@ -68,7 +68,8 @@
 	}
 }
 
-// listOf returns the platform's list of so many entry VMs and engines.
+// listOf returns a platform list with the given numbers of entry VMs and
+// engines.
 func listOf(nodes, engines int) []messenger.VMState {
 	var vms []messenger.VMState
 	for i := range nodes {
@@ -91,7 +92,7 @@
 	return vms
 }
 
-// newCluster returns n nodes that have read one list and know one another.
+// newCluster returns n nodes that have merged one list and know each other.
 func newCluster(t testing.TB, n, engines int) *cluster {
 	c := &cluster{
 		t:       t,
@@ -99,17 +100,17 @@
 		rng:     rand.New(rand.NewPCG(seedOfTests, 0)),
 		byVM:    map[identifier.VMID]*Members{},
 		byAddr:  map[string]identifier.VMID{},
-		off:     map[identifier.VMID]bool{},
-		cut:     map[link]bool{},
+		stopped: map[identifier.VMID]bool{},
+		blocked: map[link]bool{},
 		changes: map[identifier.VMID][]Change{},
 	}
 	for i := range n {
 		c.add(New(configOf(i)))
 	}
 	for _, m := range c.members {
-		c.note(m, m.MergeList(c.now, c.now, listOf(n, engines)))
+		c.record(m, m.MergeList(c.now, c.now, listOf(n, engines)))
 	}
-	c.until("all know all", 30*timekeeper.Second, func() bool {
+	c.runUntil("complete membership everywhere", 30*timekeeper.Second, func() bool {
 		return c.all(func(m *Members) bool { return len(m.Nodes()) == n && !m.wantSync })
 	})
 	c.run(3 * timekeeper.Second)
@@ -122,11 +123,11 @@
 	c.byAddr[m.self.PeerAddress] = m.self.VM
 }
 
-func (c *cluster) note(m *Members, changes []Change) {
+func (c *cluster) record(m *Members, changes []Change) {
 	c.changes[m.self.VM] = append(c.changes[m.self.VM], changes...)
 }
 
-func (c *cluster) saw(vm identifier.VMID, kind ChangeKind, about identifier.VMID) bool {
+func (c *cluster) reported(vm identifier.VMID, kind ChangeKind, about identifier.VMID) bool {
 	for _, ch := range c.changes[vm] {
 		if ch.Kind == kind && ch.VM == about {
 			return true
@@ -137,28 +138,29 @@
 
 func (c *cluster) all(f func(*Members) bool) bool {
 	for _, m := range c.members {
-		if !c.off[m.self.VM] && !f(m) {
+		if !c.stopped[m.self.VM] && !f(m) {
 			return false
 		}
 	}
 	return true
 }
 
-// step lets one tick pass: messages of the last step arrive, then nodes tick.
+// step simulates one tick: messages of the last step arrive, then all nodes
+// tick.
 func (c *cluster) step() {
 	c.now = c.now.Add(messenger.TickInterval)
-	arriving := c.flying
-	c.flying = nil
+	arriving := c.inFlight
+	c.inFlight = nil
 	for _, f := range arriving {
 		c.deliver(f)
 	}
 	for i, m := range c.members {
 		// Nodes start at different instants of their periods.
-		if c.off[m.self.VM] || c.now < start.Add(messenger.TickInterval*timekeeper.Duration(i%10)) {
+		if c.stopped[m.self.VM] || c.now < start.Add(messenger.TickInterval*timekeeper.Duration(i%10)) {
 			continue
 		}
 		messages, changes := m.Tick(c.now, c.rng)
-		c.note(m, changes)
+		c.record(m, changes)
 		for _, message := range messages {
 			c.send(m, message)
 		}
@@ -168,7 +170,7 @@
 func (c *cluster) send(m *Members, message Message) {
 	c.sent++
 	c.bytes += len(message.Data)
-	c.flying = append(c.flying, flight{
+	c.inFlight = append(c.inFlight, packet{
 		link: link{
 			from: m.self.VM,
 			to:   c.byAddr[message.Address],
@@ -177,8 +179,8 @@
 	})
 }
 
-func (c *cluster) deliver(f flight) {
-	if c.off[f.to] || c.cut[f.link] || c.rng.Float64() < c.loss {
+func (c *cluster) deliver(f packet) {
+	if c.stopped[f.to] || c.blocked[f.link] || c.rng.Float64() < c.loss {
 		return
 	}
 	m := c.byVM[f.to]
@@ -187,7 +189,7 @@
 	}
 	changes, err := m.Receive(c.now, f.from, f.data)
 	require.NoError(c.t, err)
-	c.note(m, changes)
+	c.record(m, changes)
 }
 
 func (c *cluster) run(d timekeeper.Duration) {
@@ -196,20 +198,20 @@
 	}
 }
 
-// until runs until f holds and returns how long that took.
-func (c *cluster) until(what string, limit timekeeper.Duration, f func() bool) timekeeper.Duration {
+// runUntil runs until f holds and returns the elapsed time.
+func (c *cluster) runUntil(what string, limit timekeeper.Duration, f func() bool) timekeeper.Duration {
 	began := c.now
 	for !f() {
 		if c.now.Sub(began) > limit {
-			require.FailNow(c.t, "not in time", "%s within %v", what, limit)
+			require.FailNow(c.t, "timed out", "%s within %v", what, limit)
 		}
 		c.step()
 	}
 	return c.now.Sub(began)
 }
 
-// leavingEverywhere reports whether all nodes that are up take the server for
-// leaving.
+// leavingEverywhere reports whether all running nodes consider the server
+// leaving or do not know it.
 func (c *cluster) leavingEverywhere(vm identifier.VMID) bool {
 	return c.all(func(m *Members) bool { return isLeaving(m, vm) })
 }
--- a/internal/gossiper/failure_test.go
+++ b/internal/gossiper/failure_test.go
@@ -13,15 +13,15 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// spread returns the longest time until all nodes know of one notice, over
-// some notices that reach one node each.
-func spread(c *cluster, notices int) timekeeper.Duration {
+// longestSpread returns the maximum time until all nodes know of a notice,
+// over several notices that each reach one node first.
+func longestSpread(c *cluster, notices int) timekeeper.Duration {
 	var longest timekeeper.Duration
 	for i := range notices {
 		vm := engineVM(i)
 		first := c.members[i%len(c.members)]
-		c.note(first, first.MarkReclaimed(c.now, vm, c.now.Add(30*timekeeper.Second)))
-		took := c.until("notice known everywhere", 20*timekeeper.Second, func() bool {
+		c.record(first, first.MarkReclaimed(c.now, vm, c.now.Add(30*timekeeper.Second)))
+		took := c.runUntil("notice known everywhere", 20*timekeeper.Second, func() bool {
 			return c.leavingEverywhere(vm)
 		})
 		longest = max(longest, took)
@@ -30,11 +30,9 @@
 	return longest
 }
 
-// A notice of an engine reaches one node. Until the others know, they send it
-// callers' requests that the reclaim then cuts. The mark must reach all nodes
-// within a few ticks, also when a third of all messages is lost. Without the
-// immediate round it waits for the period at every hop. TestAtSize checks the same
-// at 400 nodes.
+// Until all nodes know of a notice, some send the engine requests that the
+// reclaim interrupts. The mark must reach all nodes within a few ticks, even
+// if a third of the messages is lost.
 func TestNoticeSpreads(t *testing.T) {
 	tests := []struct {
 		loss  float64
@@ -53,7 +51,7 @@
 		t.Run(fmt.Sprintf("loss %v", test.loss), func(t *testing.T) {
 			c := newCluster(t, 9, 14)
 			c.loss = test.loss
-			longest := spread(c, 14)
+			longest := longestSpread(c, 14)
 			t.Logf("longest time until a leaving server was known everywhere: %v", longest)
 			require.LessOrEqual(t, longest, test.limit)
 		})
@@ -63,30 +61,26 @@
 		for _, m := range c.members {
 			m.guard.urgentMarks = false
 		}
-		require.Greater(t, spread(c, 14), tests[0].limit)
+		require.Greater(t, longestSpread(c, 14), tests[0].limit)
 	})
 }
 
-// An engine has its notice, and the lagging list goes on showing it as live,
-// with newer and newer instants. A node that believed the list would send it
-// new work again.
+// Guards against a lagging list that makes a leaving server available again.
 func TestListNeverRevivesLeavingServer(t *testing.T) {
 	revived := func(guarded bool) bool {
 		m := New(configOf(0))
-		m.guard.marksForGood = guarded
+		m.guard.permanentMarks = guarded
 		m.MergeList(start, start, listOf(2, 2))
 		m.MarkLeaving(start, engineVM(0), start.Add(timekeeper.Minute))
 		m.MergeList(start+1000, start+1000, listOf(2, 2))
 		return !isLeaving(m, engineVM(0))
 	}
 	require.False(t, revived(true))
-	require.True(t, revived(false), "control: the list is believed")
+	require.True(t, revived(false), "control: without marks the list applies")
 }
 
-// An engine was released and two lists no longer show it. Then the late answer
-// to an earlier read arrives, which does. A node that believed it would send
-// callers' requests to a server that is gone. But a leaving mark in the late
-// answer is true for good.
+// Guards against a late answer to an earlier list request that adds removed
+// servers again. A leaving mark in such an answer is still valid.
 func TestOlderListChangesNothingButMarks(t *testing.T) {
 	older := listOf(2, 2)
 	older[2].Leaving = true
@@ -101,11 +95,11 @@
 		return len(m.Servers("readers"))
 	}
 	require.Equal(t, 1, remaining(true))
-	require.Equal(t, 2, remaining(false), "control: old lists count")
+	require.Equal(t, 2, remaining(false), "control: old lists apply")
 }
 
-// The list leaves out a live engine for one read, and a live node for good.
-// Neither may lose its work for that.
+// Guards against removing a live engine or node that is missing from some
+// lists.
 func TestMissingFromList(t *testing.T) {
 	c := newCluster(t, 3, 2)
 	m := c.members[0]
@@ -116,99 +110,97 @@
 		m.MergeList(c.now, c.now, listOf(2, 1))
 	}
 	_, known := m.Server(engineVM(1))
-	require.False(t, known, "missed in several reads over some time")
+	require.False(t, known, "missing from several lists over some time")
 	node, known := m.Node(entryVM(2))
 	require.True(t, known)
-	require.Equal(t, Alive, node.State, "gossip hears it")
+	require.Equal(t, Alive, node.State, "its heartbeats still arrive")
 }
 
-// freeze stops one node for a while and lets it run again. It returns whether
-// the frozen node took any peer for dead then.
-func freeze(t *testing.T, guarded bool) bool {
+// pause suspends one node and lets it resume. It reports whether the node
+// then declared any peer dead.
+func pause(t *testing.T, guarded bool) bool {
 	c := newCluster(t, 9, 14)
-	frozen := c.members[4]
-	frozen.guard.graceOnThaw = guarded
-	c.off[frozen.self.VM] = true
+	paused := c.members[4]
+	paused.guard.graceOnResume = guarded
+	c.stopped[paused.self.VM] = true
 	c.run(12 * timekeeper.Second)
 	for _, m := range c.members {
-		if m != frozen {
-			require.True(t, c.saw(m.self.VM, NodeDead, frozen.self.VM))
+		if m != paused {
+			require.True(t, c.reported(m.self.VM, NodeDead, paused.self.VM))
 		}
 	}
 	c.members[0].MarkReclaimed(c.now, engineVM(3), c.now.Add(timekeeper.Minute))
 	c.run(5 * timekeeper.Second)
 
-	c.off[frozen.self.VM] = false
-	back := c.until("all are live again", 3*timekeeper.Second, func() bool {
+	c.stopped[paused.self.VM] = false
+	back := c.runUntil("alive everywhere", 3*timekeeper.Second, func() bool {
 		return c.all(func(m *Members) bool {
-			n, _ := m.Node(frozen.self.VM)
+			n, _ := m.Node(paused.self.VM)
 			return n.State == Alive
 		})
 	})
-	learned := c.until("the missed notice is known", timekeeper.Second, func() bool {
-		return isLeaving(frozen, engineVM(3))
+	marked := c.runUntil("missed notice received", timekeeper.Second, func() bool {
+		return isLeaving(paused, engineVM(3))
 	})
-	t.Logf("alive everywhere after %v, the missed notice after %v more", back, learned)
-	require.True(t, c.saw(frozen.self.VM, NodeResumed, frozen.self.VM))
+	t.Logf("alive everywhere after %v, the missed notice after %v more", back, marked)
+	require.True(t, c.reported(paused.self.VM, NodeResumed, paused.self.VM))
 	for _, m := range c.members {
-		if c.saw(frozen.self.VM, NodeDead, m.self.VM) {
+		if c.reported(paused.self.VM, NodeDead, m.self.VM) {
 			return true
 		}
 	}
 	return false
 }
 
-// A process is frozen for longer than it takes to be declared dead, and then
-// goes on. It finds all its peers' heartbeats old. If it took them for dead it
-// would adopt their requests, and callers would be sent to it in vain.
-func TestThawedNodeDoesNotCallPeersDead(t *testing.T) {
-	require.False(t, freeze(t, true))
-	require.True(t, freeze(t, false), "control: its own gap is held against its peers")
+// Guards against a resumed process that declares its peers dead, because
+// their heartbeats are overdue, and adopts their requests.
+func TestResumedNodeDoesNotDeclarePeersDead(t *testing.T) {
+	require.False(t, pause(t, true))
+	require.True(t, pause(t, false), "control: the suspension counts against its peers")
 }
 
-// Messages from one node to another are lost one way only. The other hears of
-// it through the rest, and must not take it for late.
+// Guards against suspecting a node whose messages to one peer are lost: its
+// heartbeats arrive through other nodes.
 func TestOneWayCut(t *testing.T) {
 	c := newCluster(t, 9, 14)
 	from, to := c.members[1].self.VM, c.members[2].self.VM
-	c.cut[link{
+	c.blocked[link{
 		from: from,
 		to:   to,
 	}] = true
 	c.run(30 * timekeeper.Second)
-	require.False(t, c.saw(to, NodeSuspect, from))
+	require.False(t, c.reported(to, NodeSuspect, from))
 
 	for _, m := range c.members {
-		c.cut[link{
+		c.blocked[link{
 			from: from,
 			to:   m.self.VM,
 		}] = true
 	}
 	c.run(30 * timekeeper.Second)
-	require.True(t, c.saw(to, NodeDead, from), "control: nobody hears it")
+	require.True(t, c.reported(to, NodeDead, from), "control: no node receives its messages")
 }
 
-// A process dies without a word. Its peers adopt its long requests once they
-// take it for dead, and callers wait for that.
-func TestDeathIsNoticedEverywhere(t *testing.T) {
+// Peers adopt the long requests of a dead node only after they have detected
+// its death.
+func TestDeathIsDetectedEverywhere(t *testing.T) {
 	c := newCluster(t, 9, 14)
 	dead := c.members[8].self.VM
-	c.off[dead] = true
-	took := c.until("dead everywhere", 20*timekeeper.Second, func() bool {
-		return c.all(func(m *Members) bool { return c.saw(m.self.VM, NodeDead, dead) })
+	c.stopped[dead] = true
+	took := c.runUntil("dead everywhere", 20*timekeeper.Second, func() bool {
+		return c.all(func(m *Members) bool { return c.reported(m.self.VM, NodeDead, dead) })
 	})
 	t.Logf("dead everywhere after %v", took)
 	require.LessOrEqual(t, took, 8*timekeeper.Second)
 }
 
-// Two halves of the cluster are cut off from each other until each takes the
-// other for dead. They must find each other again, and a notice of one half
-// must reach the other.
-func TestHalvesMeetAgain(t *testing.T) {
+// Two halves of a cluster that consider each other dead must reconnect, and
+// exchange the notices they missed.
+func TestPartitionHeals(t *testing.T) {
 	c := newCluster(t, 8, 14)
 	for i, a := range c.members {
 		for j, b := range c.members {
-			c.cut[link{
+			c.blocked[link{
 				from: a.self.VM,
 				to:   b.self.VM,
 			}] = i%2 != j%2
@@ -218,18 +210,16 @@
 	require.Len(t, c.members[0].Nodes(), 4)
 	c.members[0].MarkReclaimed(c.now, engineVM(0), c.now.Add(timekeeper.Minute))
 	c.run(2 * timekeeper.Second)
-	clear(c.cut)
-	c.until("whole again", 5*timekeeper.Second, func() bool {
+	clear(c.blocked)
+	c.runUntil("partition healed", 5*timekeeper.Second, func() bool {
 		return c.leavingEverywhere(engineVM(0)) &&
 			c.all(func(m *Members) bool { return len(m.Nodes()) == 8 })
 	})
 }
 
-// A node starts while the platform's list is out. It knows one configured
-// address, and must learn nodes, servers and leaving marks from its peers: else
-// it has no server to send callers' requests to, or sends them to one that is
-// leaving.
-func TestStartWithListOut(t *testing.T) {
+// Guards against a node that starts while the list is unavailable and has no
+// servers to send requests to, or uses leaving ones.
+func TestStartWithoutList(t *testing.T) {
 	c := newCluster(t, 9, 14)
 	c.members[3].MarkReclaimed(c.now, engineVM(5), c.now.Add(timekeeper.Minute))
 	c.run(timekeeper.Second)
@@ -237,21 +227,22 @@
 	config.Seeds = []string{c.members[0].self.PeerAddress}
 	m := New(config)
 	c.add(m)
-	took := c.until("all known", 3*timekeeper.Second, func() bool {
+	took := c.runUntil("complete state received", 3*timekeeper.Second, func() bool {
 		return len(m.Nodes()) == 10 && len(m.Servers("readers")) == 14 && !m.wantSync
 	})
-	t.Logf("knows all after %v", took)
+	t.Logf("complete after %v", took)
 	require.True(t, isLeaving(m, engineVM(5)))
 }
 
-// A process stops as planned and is started anew on the same VM: it is a
-// member like any other. After a reclaim notice it is not: the VM itself goes.
+// A process that restarts on the same VM after a planned stop is a regular
+// member again. After a reclaim notice it is not, because the VM itself is
+// leaving.
 func TestNewIncarnation(t *testing.T) {
 	restart := func(mark func(m *Members, now timekeeper.Time, vm identifier.VMID, deadline timekeeper.Time) []Change) (*cluster, NodeState) {
 		c := newCluster(t, 4, 2)
-		c.note(c.members[3], mark(c.members[3], c.now, entryVM(3), c.now.Add(5*timekeeper.Second)))
+		c.record(c.members[3], mark(c.members[3], c.now, entryVM(3), c.now.Add(5*timekeeper.Second)))
 		c.run(timekeeper.Second)
-		require.True(t, c.saw(entryVM(0), NodeLeaving, entryVM(3)))
+		require.True(t, c.reported(entryVM(0), NodeLeaving, entryVM(3)))
 		c.members = c.members[:3]
 		config := configOf(3)
 		config.Incarnation++
@@ -264,13 +255,13 @@
 	}
 	c, state := restart((*Members).MarkLeaving)
 	require.Equal(t, Alive, state)
-	require.True(t, c.saw(entryVM(0), NodeDead, entryVM(3)), "what the older process held is lost")
+	require.True(t, c.reported(entryVM(0), NodeDead, entryVM(3)), "the memory of the older process is lost")
 	_, state = restart((*Members).MarkReclaimed)
 	require.Equal(t, Leaving, state)
 }
 
-// A second notice in the middle of the first moves the deadline. The earlier
-// one counts everywhere, and an estimate of the list yields to a notice.
+// Guards against a later deadline replacing an earlier one, and against the
+// estimate of a list replacing the deadline of a notice.
 func TestEarlierDeadlineCounts(t *testing.T) {
 	c := newCluster(t, 4, 2)
 	m := c.members[0]
@@ -288,9 +279,9 @@
 	}
 }
 
-// Notices, lists old and new, messages late, repeated and crossed arrive in
-// any order. Once leaving, always leaving; and no table outgrows its bound.
-func TestLeavingIsForGood(t *testing.T) {
+// Guards against a leaving server that becomes available again after any
+// sequence of notices, lists and late or repeated messages.
+func TestLeavingIsPermanent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(configOf(0)), New(configOf(1))
 		rng := rand.New(rand.NewPCG(seedOfTests, 2))
@@ -322,7 +313,7 @@
 				a.Tick(now, rng)
 			}
 			for _, s := range a.Servers("readers") {
-				require.False(t, leaving[s.VM] && !s.Leaving, "%s was revived", s.VM)
+				require.False(t, leaving[s.VM] && !s.Leaving, "%s became available again", s.VM)
 				leaving[s.VM] = s.Leaving
 			}
 		}
@@ -337,14 +328,15 @@
 		m.MarkLeaving(start, engineVM(9-i), start.Add(timekeeper.Duration(i)*timekeeper.Minute))
 	}
 	require.Len(t, m.Servers("readers"), 2)
-	require.Equal(t, []identifier.VMID{engineVM(5), engineVM(6)}, m.marks.order, "the earliest deadlines went")
+	require.Equal(t, []identifier.VMID{engineVM(5), engineVM(6)}, m.marks.order, "marks with the earliest deadlines are evicted")
 	require.Equal(t, Dropped{
 		Servers: 3,
 		Marks:   3,
 	}, m.Dropped())
 }
 
-// Marks are kept while the list is out or shows the VM, and dropped long after.
+// Guards against removing a mark while the list is unavailable or shows the
+// VM, and against retaining it forever.
 func TestMarksExpire(t *testing.T) {
 	m := New(configOf(0))
 	m.MergeList(start, start, listOf(1, 1))
@@ -352,13 +344,13 @@
 	rng := rand.New(rand.NewPCG(seedOfTests, 3))
 	later := start.Add(3 * timekeeper.Hour)
 	m.Tick(later, rng)
-	require.Equal(t, 1, m.marks.len(), "the list was not read since")
+	require.Equal(t, 1, m.marks.len(), "the list has not been read since the deadline")
 	m.MergeList(later, later, listOf(1, 0))
 	m.Tick(later+1000, rng)
 	require.Zero(t, m.marks.len())
 }
 
-func TestReceiveRefuses(t *testing.T) {
+func TestReceiveRejectsBadMessages(t *testing.T) {
 	m := New(configOf(0))
 	var decodeError *DecodeError
 	_, err := m.Receive(start, entryVM(1), []byte{0xff})
@@ -372,7 +364,7 @@
 	require.ErrorAs(t, err, &senderError)
 }
 
-func TestNews(t *testing.T) {
+func TestStatusReachesPeers(t *testing.T) {
 	c := newCluster(t, 4, 0)
 	demand := map[identifier.AccountID]Demand{"quillmark": {
 		Requests: 2.5,
@@ -387,7 +379,7 @@
 		require.Equal(t, demand, m.Statuses()[entryVM(0)].Demand)
 		require.Equal(t, identifier.Revision(7), m.Statuses()[entryVM(0)].Revision)
 	}
-	c.off[entryVM(0)] = true
+	c.stopped[entryVM(0)] = true
 	c.run(10 * timekeeper.Second)
-	require.Empty(t, c.members[1].Statuses(), "it has aged")
+	require.Empty(t, c.members[1].Statuses(), "stale status")
 }
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -1,24 +1,25 @@
-// Package gossiper keeps the membership of nodes and backend servers, and
+// Package gossiper maintains the membership of nodes and backend servers, and
 // spreads it between nodes by gossip.
 //
-// A node knows its peers by heartbeats: counters that each node raises for
-// itself and that travel directly and through others. A node whose counter
-// stands still is first suspect, then dead; it is alive again as soon as the
-// counter moves. Each node judges for itself, so a node that is cut off can't
-// talk others into believing that their peers are dead.
+// A node monitors its peers by heartbeats: counters that each node increments
+// for itself, and that spread directly and through other nodes. A node whose
+// counter does not advance becomes suspect, and later dead; it is alive again
+// as soon as the counter advances. Each node decides this for itself, so an
+// isolated node cannot convince others that their peers are dead.
 //
-// Leaving is different: a mark that a VM is leaving is never taken back. Marks
-// go out at the next Tick, before all else, and each receiver passes them on
-// at its own next Tick.
+// Leaving is permanent: a mark that a VM is leaving is never removed while
+// the VM may exist. Marks are sent at the next Tick, before all other data,
+// and each receiver forwards them at its own next Tick.
 //
-// A message has a byte budget. In order: leaving marks, nodes taken for late,
-// heartbeats that changed, news that changed, then a slice of the whole state
-// in turn, which repairs what got lost. Nodes are named by short keys; who does
-// not know a key asks for the node's record. A node that has just started, or
-// was frozen, asks one peer for the whole state.
+// A message has a byte budget. It is filled, in order of priority, with
+// leaving marks, heartbeats that are nearly overdue, changed heartbeats,
+// changed statuses, and then a slice of the complete state, which repairs
+// losses in rotation. Nodes are identified by short keys; a receiver that
+// does not know a key requests the node's record. A node that has just
+// started, or was suspended, requests the complete state from a peer.
 //
 // The state is pure: time and randomness are arguments, and messages are
-// returned and not sent. It is not safe for concurrent use.
+// returned instead of sent. It is not safe for concurrent use.
 package gossiper
 
 //go:generate protoc --go_out=gossiperpb --go_opt=paths=source_relative --proto_path=gossiperpb gossip.proto
@@ -39,9 +40,9 @@
 	DefaultByteBudget   = 2200
 )
 
-// stretchIntervals is how many of the mean intervals between two heartbeats of
-// one peer are allowed for. Measured at 400 nodes, see TestAtSize.
-const stretchIntervals = 6
+// relayIntervals is the number of mean intervals between two heartbeats of
+// one peer that relayAllowance grants.
+const relayIntervals = 6
 
 // Bounds of the tables.
 const (
@@ -51,8 +52,8 @@
 	maxSyncs   = 16
 )
 
-// Config says who this node is and how it gossips. Zero values of the last
-// five fields stand for the defaults.
+// Config configures Members. Zero values of the last five fields stand for
+// the defaults.
 type Config struct {
 	Self          identifier.VMID
 	Incarnation   identifier.Incarnation
@@ -60,20 +61,20 @@
 	Region        identifier.Region
 	PeerAddress   string
 	CallerAddress string
-	// Capacity is what the VM can carry beside others; zero where it is not
-	// known.
+	// Capacity is the capacity of the VM in a unit that all nodes share; zero
+	// if it is not known.
 	Capacity uint32
-	// Seeds are peer addresses to try while the node knows no peer.
+	// Seeds are peer addresses to contact while the node knows no peer.
 	Seeds []string
-	// Every is the gossip period.
+	// Period is the gossip period.
 	Period timekeeper.Duration
-	// SuspectAfter and DeadAfter bound the age of a peer's last heartbeat,
-	// beside the time that it may need on its way through others.
+	// SuspectAfter and DeadAfter limit the age of a peer's last heartbeat, in
+	// addition to the time for relaying it through other nodes.
 	SuspectAfter timekeeper.Duration
 	DeadAfter    timekeeper.Duration
-	// Fanout is the number of peers that get a message in each period.
+	// Fanout is the number of peers that receive a message in each period.
 	Fanout int
-	// ByteBudget bounds the size of a message.
+	// ByteBudget is the maximum size of a message.
 	ByteBudget int
 }
 
@@ -96,75 +97,77 @@
 	return c
 }
 
-// safeguards can be switched off one by one in tests, to show that the tests
-// would notice.
+// safeguards can be disabled individually, so that tests can prove that they
+// are needed.
 type safeguards struct {
-	marksForGood  bool
-	graceOnThaw   bool
-	newerListOnly bool
-	urgentMarks   bool
+	permanentMarks bool
+	graceOnResume  bool
+	newerListOnly  bool
+	urgentMarks    bool
 }
 
-// Members is the membership as one node knows it.
+// Members is the membership as known to one node.
 type Members struct {
 	config Config
 	guard  safeguards
 
 	self  *nodeRecord
 	nodes table[nodeRecord]
-	// version is raised with each change of who is a member, and as what.
+	// version is incremented whenever a member is added or removed or changes
+	// its state.
 	version uint64
 	keys    map[uint64]*nodeRecord
 	seeds   table[seed]
 	servers table[serverRecord]
 	marks   table[mark]
-	// listAsOf is the instant of the newest list that was read.
+	// listAsOf is the instant of the newest list that was merged.
 	listAsOf timekeeper.Time
 
-	// lastNow is when anything was last asked of this state.
+	// lastNow is the latest instant passed to a method that takes the time.
 	lastNow timekeeper.Time
-	// startedAt is when that was first.
+	// startedAt is the first such instant.
 	startedAt timekeeper.Time
-	nextDue   timekeeper.Time
-	// urgent tells that the next Tick sends though no period has passed.
+	nextRound timekeeper.Time
+	// urgent makes the next Tick send messages before the period ends.
 	urgent bool
-	// replies are the peers that get a message with the next Tick, and askedKeys
-	// when a record was last asked for.
-	replies   table[reply]
-	askedKeys map[uint64]timekeeper.Time
-	// wantSync tells that the whole state is still to be asked for.
-	wantSync bool
-	askedAt  timekeeper.Time
-	// partners are the peers that rounds are sent to, oldest first, where there
-	// are many, and partnerRounds the rounds so far.
+	// replies holds the peers that receive a message with the next Tick, and
+	// requestedKeys the time of the last request for a record.
+	replies       table[reply]
+	requestedKeys map[uint64]timekeeper.Time
+	// wantSync is set until a peer has sent the complete state.
+	wantSync        bool
+	syncRequestedAt timekeeper.Time
+	// partners are the peers that receive messages in regular rounds if there
+	// are many peers, oldest first. partnerRounds is the number of rounds so
+	// far.
 	partners      []identifier.VMID
 	partnerRounds int
-	// syncs holds the peers that are being given the whole state, and the
+	// syncs holds the peers that are being sent the complete state, with the
 	// position of the next piece.
-	syncs   table[syncState]
-	unknown uint64
+	syncs       table[syncState]
+	unknownKeys uint64
 }
 
-// New returns a membership that knows only the node itself.
+// New returns a membership that contains only the node itself.
 func New(c Config) *Members {
 	c = c.withDefaults()
 	m := &Members{
 		config: c,
 		guard: safeguards{
-			marksForGood:  true,
-			graceOnThaw:   true,
-			newerListOnly: true,
-			urgentMarks:   true,
+			permanentMarks: true,
+			graceOnResume:  true,
+			newerListOnly:  true,
+			urgentMarks:    true,
 		},
-		nodes:     newTable[nodeRecord](maxNodes),
-		keys:      map[uint64]*nodeRecord{},
-		seeds:     newTable[seed](maxNodes),
-		servers:   newTable[serverRecord](maxServers),
-		marks:     newTable[mark](maxMarks),
-		replies:   newTable[reply](maxNodes),
-		askedKeys: map[uint64]timekeeper.Time{},
-		wantSync:  true,
-		syncs:     newTable[syncState](maxSyncs),
+		nodes:         newTable[nodeRecord](maxNodes),
+		keys:          map[uint64]*nodeRecord{},
+		seeds:         newTable[seed](maxNodes),
+		servers:       newTable[serverRecord](maxServers),
+		marks:         newTable[mark](maxMarks),
+		replies:       newTable[reply](maxNodes),
+		requestedKeys: map[uint64]timekeeper.Time{},
+		wantSync:      true,
+		syncs:         newTable[syncState](maxSyncs),
 	}
 	m.self = &nodeRecord{
 		Node: Node{
@@ -185,56 +188,56 @@
 	return m
 }
 
-// Dropped counts what the bounded tables left out.
+// Dropped counts the entries that were dropped because a table was full.
 type Dropped struct {
 	Nodes   uint64
 	Seeds   uint64
 	Servers uint64
 	Marks   uint64
-	// Unknown heartbeats and news were of nodes that this node has no record
-	// of yet.
+	// Unknown counts heartbeats and statuses of nodes whose record this node
+	// does not have.
 	Unknown uint64
 }
 
-// Dropped returns what was left out so far.
+// Dropped returns the counts since the start.
 func (m *Members) Dropped() Dropped {
 	return Dropped{
 		Nodes:   m.nodes.dropped,
 		Seeds:   m.seeds.dropped,
 		Servers: m.servers.dropped,
 		Marks:   m.marks.dropped,
-		Unknown: m.unknown,
+		Unknown: m.unknownKeys,
 	}
 }
 
-// doublings returns how often a cluster of one would have to double to reach
-// the present size.
+// doublings returns the logarithm to base 2 of the cluster size, rounded up.
 func (m *Members) doublings() int {
 	return bits.Len(uint(max(m.nodes.len()-1, 1)))
 }
 
-// repeats is the number of rounds for which a change is passed on. With it
-// each change reaches all nodes with overwhelming probability, also when a
-// third of the messages is lost.
+// repeats is the number of rounds for which a change is forwarded. This many
+// rounds reach all nodes with very high probability, even if a third of the
+// messages is lost.
 func (m *Members) repeats() int { return m.doublings() + 2 }
 
-// urgentRepeats is the number of rounds in which a leaving mark goes out at
-// once. With it hardly a node has to wait for the next period.
+// urgentRepeats is the number of rounds in which a leaving mark is sent
+// immediately. After them nearly all nodes have received the mark without
+// waiting for a period.
 func (m *Members) urgentRepeats() int { return m.doublings()/2 + 1 }
 
-// stretch is the time that a heartbeat may need on its way through others:
-// some times the mean interval at which news of one peer arrives. That grows
-// with the cluster once a message no longer holds all heartbeats.
-func (m *Members) stretch() timekeeper.Duration {
-	room := max(1, (m.config.ByteBudget-headSize)*heartbeatPercent/100/(keySize+heartbeatSize))
+// relayAllowance is the time that a heartbeat may take through other nodes: a
+// multiple of the mean interval between two heartbeats of one peer. The
+// interval grows with the cluster once a message cannot hold all heartbeats.
+func (m *Members) relayAllowance() timekeeper.Duration {
+	room := max(1, (m.config.ByteBudget-senderSize)*heartbeatPercent/100/(keySize+heartbeatSize))
 	peers := max(room, m.nodes.len()-1)
-	return stretchIntervals * m.config.Period * timekeeper.Duration(peers) / timekeeper.Duration(room*m.config.Fanout)
+	return relayIntervals * m.config.Period * timekeeper.Duration(peers) / timekeeper.Duration(room*m.config.Fanout)
 }
 
 func (m *Members) suspectAfter() timekeeper.Duration {
-	return m.config.SuspectAfter + m.stretch()
+	return m.config.SuspectAfter + m.relayAllowance()
 }
 
 func (m *Members) deadAfter() timekeeper.Duration {
-	return m.config.DeadAfter + m.stretch()
+	return m.config.DeadAfter + m.relayAllowance()
 }
--- a/internal/gossiper/mark.go
+++ b/internal/gossiper/mark.go
@@ -8,46 +8,51 @@
 )
 
 const (
-	// everyIncarnation is the reach of a mark on the VM itself.
+	// everyIncarnation makes a mark cover all incarnations: the VM itself is
+	// leaving.
 	everyIncarnation identifier.Incarnation = math.MaxUint64
-	// listNotice is the time that a VM is taken to have left when the list
-	// shows it leaving and no notice told its deadline.
-	listNotice = 10 * timekeeper.Second
-	// deadlineSlack is how much earlier a deadline must be to be news. A mark
-	// gets a little later with each message, by the time of its travel.
-	deadlineSlack = 250 * timekeeper.Millisecond
-	// markKeep is how long a mark is kept past its deadline, at the least.
-	markKeep = timekeeper.Hour
+	// estimatedNotice is the assumed time until a VM leaves if the list shows
+	// it as leaving and no notice has given its deadline.
+	estimatedNotice = 10 * timekeeper.Second
+	// deadlineTolerance is the difference by which a deadline must be earlier
+	// to be forwarded as a change. Deadlines drift by the transit time of
+	// each message.
+	deadlineTolerance = 250 * timekeeper.Millisecond
+	// markRetention is the minimum time for which a mark is retained after
+	// its deadline.
+	markRetention = timekeeper.Hour
 )
 
-// mark says that a VM is leaving. Marks are never taken back.
+// mark records that a VM is leaving.
 //
-// Failure: the list lags, and would show a server as live again after its
-// notice; new work would go to it and be cut off. It is enough to keep the
-// mark until the list has stopped showing the VM, as no VM id is used twice.
+// It guards against the lag of the list, which would show a server as live
+// again after its notice: new work would be sent to it and be interrupted. It
+// is sufficient to retain a mark until the list no longer shows the VM, as VM
+// ids are never reused.
 type mark struct {
 	vm identifier.VMID
 	// through is the last incarnation that the mark covers.
 	through  identifier.Incarnation
 	deadline timekeeper.Time
-	// estimated tells that no notice gave the deadline.
+	// estimated reports whether the deadline is not from a notice.
 	estimated bool
 	sends     int
 }
 
 func (k *mark) covers(i identifier.Incarnation) bool { return i <= k.through }
 
-// passed reports whether the VM must be gone by now.
-func (k *mark) passed(now timekeeper.Time) bool {
-	return !k.estimated && now.After(k.deadline.Add(goneGrace))
+// expired reports whether the VM must have been removed by now.
+func (k *mark) expired(now timekeeper.Time) bool {
+	return !k.estimated && now.After(k.deadline.Add(removalGrace))
 }
 
-// merge takes in what other says and reports whether that was news.
+// merge merges another mark of the VM and reports whether the result has to
+// be forwarded.
 func (k *mark) merge(other mark) bool {
-	news := false
+	changed := false
 	if other.through > k.through {
 		k.through = other.through
-		news = true
+		changed = true
 	}
 	switch {
 	case k.estimated && !other.estimated:
@@ -55,41 +60,41 @@
 		k.estimated = false
 		return true
 	case k.estimated == other.estimated && other.deadline.Before(k.deadline):
-		news = news || k.deadline.Sub(other.deadline) > deadlineSlack
+		changed = changed || k.deadline.Sub(other.deadline) > deadlineTolerance
 		k.deadline = other.deadline
 	}
-	return news
+	return changed
 }
 
-// MarkLeaving marks the present incarnation of a node, or a backend server for
-// good, as leaving by the deadline. Of two deadlines the earlier one counts.
-// The mark spreads with the next Tick.
+// MarkLeaving marks the present incarnation of a node, or a backend server
+// permanently, as leaving by the deadline. Of several deadlines the earliest
+// applies. The mark is sent with the next Tick.
 func (m *Members) MarkLeaving(now timekeeper.Time, vm identifier.VMID, deadline timekeeper.Time) []Change {
-	changes := m.wake(now)
+	changes := m.advance(now)
 	through := everyIncarnation
 	if r := m.nodes.get(vm); r != nil {
 		through = r.Incarnation
 	}
-	return append(changes, m.mark(now, mark{
+	return append(changes, m.addMark(now, mark{
 		vm:       vm,
 		through:  through,
 		deadline: deadline,
 	})...)
 }
 
-// MarkReclaimed marks a VM as leaving for good, whatever process it runs and
-// will run. It is for reclaim notices: a process that starts on an entry VM
-// after its notice is leaving too.
+// MarkReclaimed permanently marks a VM as leaving, whatever process it runs.
+// It is meant for reclaim notices: a process that starts on an entry VM after
+// the notice is leaving too.
 func (m *Members) MarkReclaimed(now timekeeper.Time, vm identifier.VMID, deadline timekeeper.Time) []Change {
-	changes := m.wake(now)
-	return append(changes, m.mark(now, mark{
+	changes := m.advance(now)
+	return append(changes, m.addMark(now, mark{
 		vm:       vm,
 		through:  everyIncarnation,
 		deadline: deadline,
 	})...)
 }
 
-func (m *Members) mark(now timekeeper.Time, k mark) []Change {
+func (m *Members) addMark(now timekeeper.Time, k mark) []Change {
 	known := m.marks.get(k.vm)
 	switch {
 	case known == nil:
@@ -101,13 +106,13 @@
 	}
 	known.sends = 0
 	m.urgent = true
-	return m.announceMark(now, known)
+	return m.applyMark(now, known)
 }
 
-// announceMark applies a mark that is new, or has changed, to its VM.
-func (m *Members) announceMark(now timekeeper.Time, k *mark) []Change {
+// applyMark applies a new or changed mark to its VM.
+func (m *Members) applyMark(now timekeeper.Time, k *mark) []Change {
 	if s := m.servers.get(k.vm); s != nil {
-		s.leave(k)
+		s.markLeaving(k)
 		return []Change{s.change(ServerLeaving)}
 	}
 	r := m.nodes.get(k.vm)
@@ -120,28 +125,28 @@
 	return []Change{r.change(NodeLeaving)}
 }
 
-// evictMark makes room for a mark by dropping the one that ended first.
+// evictMark removes the mark with the earliest deadline if the table is full.
 func (m *Members) evictMark() {
 	if !m.marks.full() {
 		return
 	}
-	values := m.marks.values()
-	oldest := values[0]
-	for _, k := range values[1:] {
-		if k.deadline.Before(oldest.deadline) {
-			oldest = k
+	marks := m.marks.values()
+	earliest := marks[0]
+	for _, k := range marks[1:] {
+		if k.deadline.Before(earliest.deadline) {
+			earliest = k
 		}
 	}
-	m.marks.remove(oldest.vm)
+	m.marks.remove(earliest.vm)
 	m.marks.dropped++
 }
 
-// forgetMarks drops marks long past their deadline whose VM nothing shows any
-// more. The list must have been read since the deadline: while it is out, or
-// still shows the VM, the mark stays.
-func (m *Members) forgetMarks(now timekeeper.Time) {
+// removeExpiredMarks removes marks after their retention if the VM is no
+// longer known. The list must have been read since the deadline: a mark stays
+// while the list is unavailable or still shows the VM.
+func (m *Members) removeExpiredMarks(now timekeeper.Time) {
 	for _, k := range m.marks.values() {
-		if now.Sub(k.deadline) < markKeep || m.listAsOf.Before(k.deadline) {
+		if now.Sub(k.deadline) < markRetention || m.listAsOf.Before(k.deadline) {
 			continue
 		}
 		r := m.nodes.get(k.vm)
--- a/internal/gossiper/node.go
+++ b/internal/gossiper/node.go
@@ -9,26 +9,26 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// NodeState is what a node is taken for.
+// NodeState is the state of a node as assumed by this node.
 type NodeState string
 
 // The states of a node.
 const (
-	// Alive: its heartbeat was heard lately.
+	// Alive: a heartbeat was received recently.
 	Alive NodeState = "alive"
-	// Suspect: its heartbeat is late.
+	// Suspect: the next heartbeat is overdue.
 	Suspect NodeState = "suspect"
-	// Leaving: its VM is being reclaimed, or it stops as planned.
+	// Leaving: the VM is being reclaimed, or the node is stopping as planned.
 	Leaving NodeState = "leaving"
-	// Dead: its heartbeat has been missing for long.
+	// Dead: no heartbeat has been received for a long time.
 	Dead NodeState = "dead"
 )
 
-// forgetAfter is how long a dead node is remembered once the list does not
-// show it any more.
-const forgetAfter = 10 * timekeeper.Minute
+// deadRetention is the time for which the record of a dead node is retained
+// after the list no longer shows it.
+const deadRetention = 10 * timekeeper.Minute
 
-// Node is a member as this node knows it.
+// Node is a member as known to this node.
 type Node struct {
 	VM            identifier.VMID
 	Incarnation   identifier.Incarnation
@@ -36,63 +36,65 @@
 	Region        identifier.Region
 	PeerAddress   string
 	CallerAddress string
-	// Capacity is what the VM can carry beside others, in a unit that all nodes
-	// share; zero where it is not known.
+	// Capacity is the capacity of the VM in a unit that all nodes share; zero
+	// if it is not known.
 	Capacity uint32
 	State    NodeState
-	// LeaveBy is the end of a leaving node, else Never.
+	// LeaveBy is the deadline of a leaving node, and Never otherwise.
 	LeaveBy timekeeper.Time
-	// LastHeard is when news of it last arrived, directly or through others.
+	// LastSeen is the time at which the node's last new heartbeat arrived,
+	// directly or through other nodes.
 	LastSeen timekeeper.Time
 }
 
-// nodeRecord is a node with what gossip needs to know of it. The counts of
-// sends tell for how many rounds a change was passed on.
+// nodeRecord is a node with its gossip state. The counts of sends are the
+// rounds in which a change was forwarded.
 type nodeRecord struct {
 	Node
 	key       uint64
 	heartbeat uint64
-	// heartbeatSent tells that the present heartbeat was passed on, sentRound
-	// in which round any was.
+	// heartbeatSent reports whether the present heartbeat was forwarded, and
+	// sentRound is the round in which a heartbeat was last forwarded.
 	heartbeatSent bool
 	sentRound     uint64
 	lateSends     int
-	news          Status
-	newsVersion   uint64
-	newsSends     int
+	status        Status
+	statusVersion uint64
+	statusSends   int
 }
 
-// seed is an entry VM that the platform's list shows.
+// seed is an entry VM in the platform's list.
 type seed struct {
 	vm      identifier.VMID
 	address string
 	asOf    timekeeper.Time
 }
 
-// keyOf is the short name of an incarnation of a node in messages.
+// keyOf returns the short key that identifies an incarnation of a node in
+// messages.
 func keyOf(vm identifier.VMID, i identifier.Incarnation) uint64 {
 	return xxhash.Sum64(binary.BigEndian.AppendUint64([]byte(vm), uint64(i)))
 }
 
-// Nodes returns the members, this node included and dead ones left out,
-// sorted by VM.
+// Nodes returns the members that are not dead, including this node, sorted by
+// VM.
 func (m *Members) Nodes() []Node {
-	var found []Node
+	var nodes []Node
 	for _, r := range m.nodes.values() {
 		if r.State != Dead {
-			found = append(found, r.Node)
+			nodes = append(nodes, r.Node)
 		}
 	}
-	return found
+	return nodes
 }
 
-// Version changes with each change of what Nodes returns, but for when a member
-// was last heard. What follows from the membership alone need not be worked out
-// anew while it stands.
+// Version returns a number that changes whenever the result of Nodes changes,
+// except for LastSeen. Values derived from the membership can be cached until
+// it changes.
 func (m *Members) Version() uint64 { return m.version }
 
-// Count returns the number of members that were heard of within a span, this
-// node included. Some that are dead by now may only be cut off.
+// Count returns the number of members seen within a time span, including this
+// node. Some that are dead by now may only be unreachable.
 func (m *Members) Count(now timekeeper.Time, within timekeeper.Duration) int {
 	n := 0
 	for _, r := range m.nodes.values() {
@@ -103,7 +105,7 @@
 	return n
 }
 
-// Node returns a member, also a dead one.
+// Node returns a member, which may be dead.
 func (m *Members) Node(vm identifier.VMID) (Node, bool) {
 	r := m.nodes.get(vm)
 	if r == nil {
@@ -112,19 +114,19 @@
 	return r.Node, true
 }
 
-// heard takes in a record of an incarnation of a node.
-func (m *Members) heard(now timekeeper.Time, n Node, heartbeat uint64) []Change {
+// mergeNode merges the record of an incarnation of a node.
+func (m *Members) mergeNode(now timekeeper.Time, n Node, heartbeat uint64) []Change {
 	if n.VM == m.self.VM {
-		return m.heardSelf(n.Incarnation)
+		return m.mergeSelf(n.Incarnation)
 	}
 	known := m.nodes.get(n.VM)
 	switch {
 	case known == nil:
-		return m.join(now, n, heartbeat)
+		return m.addNode(now, n, heartbeat)
 	case n.Incarnation < known.Incarnation:
 		return nil
 	case n.Incarnation == known.Incarnation:
-		return m.beat(now, known, heartbeat)
+		return m.mergeHeartbeat(now, known, heartbeat)
 	}
 	var changes []Change
 	if known.State != Dead {
@@ -133,17 +135,17 @@
 	delete(m.keys, known.key)
 	m.nodes.remove(n.VM)
 	m.version++
-	return append(changes, m.join(now, n, heartbeat)...)
+	return append(changes, m.addNode(now, n, heartbeat)...)
 }
 
-func (m *Members) heardSelf(i identifier.Incarnation) []Change {
+func (m *Members) mergeSelf(i identifier.Incarnation) []Change {
 	if i <= m.self.Incarnation {
 		return nil
 	}
 	return []Change{m.self.change(NodeOutdated)}
 }
 
-func (m *Members) join(now timekeeper.Time, n Node, heartbeat uint64) []Change {
+func (m *Members) addNode(now timekeeper.Time, n Node, heartbeat uint64) []Change {
 	n.State = Alive
 	n.LeaveBy = timekeeper.Never
 	n.LastSeen = now
@@ -157,12 +159,13 @@
 	}
 	m.keys[r.key] = r
 	m.version++
-	return append([]Change{r.change(NodeJoined)}, m.judge(now, r)...)
+	return append([]Change{r.change(NodeJoined)}, m.updateState(now, r)...)
 }
 
-// beat takes in a heartbeat. Only one that is larger than the last is news:
-// the same one arrives many times, also long after the node has died.
-func (m *Members) beat(now timekeeper.Time, r *nodeRecord, heartbeat uint64) []Change {
+// mergeHeartbeat merges a heartbeat. Only a larger one than the last counts
+// as a sign of life: the same heartbeat arrives many times, even long after
+// the node has died.
+func (m *Members) mergeHeartbeat(now timekeeper.Time, r *nodeRecord, heartbeat uint64) []Change {
 	if r == m.self || heartbeat <= r.heartbeat {
 		return nil
 	}
@@ -170,11 +173,11 @@
 	r.heartbeatSent = false
 	r.lateSends = 0
 	r.LastSeen = now
-	return m.judge(now, r)
+	return m.updateState(now, r)
 }
 
-// judge brings the state of a node up to date.
-func (m *Members) judge(now timekeeper.Time, r *nodeRecord) []Change {
+// updateState recomputes the state of a node.
+func (m *Members) updateState(now timekeeper.Time, r *nodeRecord) []Change {
 	before := r.State
 	r.State = m.stateOf(now, r)
 	if r.State == before {
@@ -193,17 +196,17 @@
 	return []Change{r.change(NodeAlive)}
 }
 
-// judgeAll brings the states of all nodes up to date. It runs in every tick, so
-// those whose state can't have changed since it was last judged cost a look at
-// the clock: marks are applied as they come.
-func (m *Members) judgeAll(now timekeeper.Time) []Change {
+// updateStates recomputes the states of all nodes. It runs in every tick, so
+// it skips nodes whose state cannot have changed: marks are applied when they
+// arrive.
+func (m *Members) updateStates(now timekeeper.Time) []Change {
 	suspect, dead := m.suspectAfter(), m.deadAfter()
 	var changes []Change
 	for _, r := range m.nodes.values() {
 		age := now.Sub(r.LastSeen)
-		same := r.State == Alive && age < suspect || r.State == Dead && age >= dead
-		if !same || r == m.self {
-			changes = append(changes, m.judge(now, r)...)
+		unchanged := r.State == Alive && age < suspect || r.State == Dead && age >= dead
+		if !unchanged || r == m.self {
+			changes = append(changes, m.updateState(now, r)...)
 		}
 	}
 	return changes
@@ -240,11 +243,12 @@
 	return c
 }
 
-// forgetNodes drops nodes that are long dead and not in the list.
-func (m *Members) forgetNodes(now timekeeper.Time) {
+// removeDeadNodes removes nodes that have been dead for deadRetention and are
+// not in the list.
+func (m *Members) removeDeadNodes(now timekeeper.Time) {
 	for _, r := range m.nodes.values() {
-		gone := r.State == Dead && now.Sub(r.LastSeen) >= forgetAfter
-		if gone && m.seeds.get(r.VM) == nil {
+		expired := r.State == Dead && now.Sub(r.LastSeen) >= deadRetention
+		if expired && m.seeds.get(r.VM) == nil {
 			delete(m.keys, r.key)
 			m.nodes.remove(r.VM)
 		}
--- a/internal/gossiper/pack.go
+++ b/internal/gossiper/pack.go
@@ -16,55 +16,56 @@
 )
 
 const (
-	// keySize is the size of a key in a column.
+	// keySize is the encoded size of a key in a column.
 	keySize = 8
-	// heartbeatSize is the size of a heartbeat of the first hours, and headSize
-	// about that of the sender's own record and news.
+	// heartbeatSize is the encoded size of a heartbeat in the first hours of
+	// a process, and senderSize approximately that of the sender's record and
+	// status.
 	heartbeatSize = 2
-	headSize      = 300
-	// fieldOverhead is the most that tag and length add to an entry.
+	senderSize    = 300
+	// fieldOverhead is the maximum size of the tag and length of an entry.
 	fieldOverhead = 4
-	// forPeerSize is kept free for what only one peer is told.
-	forPeerSize = 32
-	// heartbeatPercent and slicePercent are the shares of the budget for
-	// heartbeats, at the most, and for the slice of the whole state.
+	// peerFieldsSize is reserved for the fields that withPeerFields adds.
+	peerFieldsSize = 32
+	// heartbeatPercent is the maximum share of the budget for heartbeats, and
+	// slicePercent the share for the slice of the complete state.
 	heartbeatPercent = 70
 	slicePercent     = 10
-	// maxQuestions bounds the late nodes in one message.
-	maxQuestions = 64
-	// newsRepeats is the number of rounds for which changed news is passed on.
-	// It changes all the time, so what got lost is soon made up for.
-	newsRepeats = 2
+	// maxLate is the maximum number of late nodes in one message.
+	maxLate = 64
+	// statusRepeats is the number of rounds for which a changed status is
+	// forwarded. Statuses change often, so a lost one is soon superseded.
+	statusRepeats = 2
 )
 
 // packer fills one message up to its budget.
 type packer struct {
-	message *pb.Message
-	left    int
-	// records and servers tell what the message has already.
+	message   *pb.Message
+	remaining int
+	// records holds the nodes whose records are in the message.
 	records map[identifier.VMID]bool
 }
 
-// newPacker starts a message with the sender's own record and news.
+// newPacker starts a message with the sender's record and status.
 func (m *Members) newPacker(budget int) *packer {
 	p := &packer{
-		message: &pb.Message{Sender: m.encodeNode(m.self)},
-		left:    budget - forPeerSize,
-		records: map[identifier.VMID]bool{m.self.VM: true},
+		message:   &pb.Message{Sender: m.encodeNode(m.self)},
+		remaining: budget - peerFieldsSize,
+		records:   map[identifier.VMID]bool{m.self.VM: true},
 	}
-	p.left -= proto.Size(p.message)
-	if m.self.newsVersion > 0 {
-		p.addNews(m.self)
+	p.remaining -= proto.Size(p.message)
+	if m.self.statusVersion > 0 {
+		p.addStatus(m.self)
 	}
 	return p
 }
 
-// take claims room for an entry and reports whether there is enough.
-func (p *packer) take(size int) bool {
-	if size > p.left {
+// reserve reserves space for an entry and reports whether it fits.
+func (p *packer) reserve(size int) bool {
+	if size > p.remaining {
 		return false
 	}
-	p.left -= size
+	p.remaining -= size
 	return true
 }
 
@@ -72,15 +73,15 @@
 
 func (p *packer) addMark(now timekeeper.Time, k *mark) bool {
 	e := encodeMark(now, k)
-	if !p.take(proto.Size(e) + fieldOverhead) {
+	if !p.reserve(proto.Size(e) + fieldOverhead) {
 		return false
 	}
 	p.message.Marks = append(p.message.Marks, e)
 	return true
 }
 
-func (p *packer) addBeat(r *nodeRecord) bool {
-	if !p.take(keySize + protowire.SizeVarint(r.heartbeat)) {
+func (p *packer) addHeartbeat(r *nodeRecord) bool {
+	if !p.reserve(keySize + protowire.SizeVarint(r.heartbeat)) {
 		return false
 	}
 	p.message.AliveKeys = append(p.message.AliveKeys, r.key)
@@ -88,9 +89,9 @@
 	return true
 }
 
-func (p *packer) addNews(r *nodeRecord) bool {
-	e := encodeNews(r)
-	if !p.take(proto.Size(e) + fieldOverhead) {
+func (p *packer) addStatus(r *nodeRecord) bool {
+	e := encodeStatus(r)
+	if !p.reserve(proto.Size(e) + fieldOverhead) {
 		return false
 	}
 	p.message.News = append(p.message.News, e)
@@ -102,7 +103,7 @@
 		return true
 	}
 	e := m.encodeNode(r)
-	if !p.take(proto.Size(e) + fieldOverhead) {
+	if !p.reserve(proto.Size(e) + fieldOverhead) {
 		return false
 	}
 	p.message.Nodes = append(p.message.Nodes, e)
@@ -112,45 +113,45 @@
 
 func (p *packer) addServer(s *serverRecord) bool {
 	e := encodeServer(s)
-	if !p.take(proto.Size(e) + fieldOverhead) {
+	if !p.reserve(proto.Size(e) + fieldOverhead) {
 		return false
 	}
 	p.message.Servers = append(p.message.Servers, e)
 	return true
 }
 
-// packMarks adds the leaving marks that were not passed on often enough.
+// packMarks adds the leaving marks that have not been forwarded often enough.
 func (m *Members) packMarks(p *packer, now timekeeper.Time) {
-	var fresh []*mark
+	var pending []*mark
 	for _, k := range m.marks.values() {
 		if k.sends < m.repeats() {
-			fresh = append(fresh, k)
+			pending = append(pending, k)
 		}
 	}
-	slices.SortStableFunc(fresh, func(a, b *mark) int { return cmp.Compare(a.sends, b.sends) })
-	for _, k := range fresh {
+	slices.SortStableFunc(pending, func(a, b *mark) int { return cmp.Compare(a.sends, b.sends) })
+	for _, k := range pending {
 		if !p.addMark(now, k) {
 			break
 		}
 		k.sends++
 	}
-	// The first few rounds of each mark do not wait for the period.
-	m.urgent = slices.ContainsFunc(fresh, func(k *mark) bool { return k.sends < m.urgentRepeats() })
+	// The first rounds of a mark are sent without waiting for the period.
+	m.urgent = slices.ContainsFunc(pending, func(k *mark) bool { return k.sends < m.urgentRepeats() })
 }
 
-// packLate adds the nodes whose heartbeat grows old. It is a question: whoever
-// has a later one answers with it, so that a node is not suspected just because
-// the budget left it out for long.
+// packLate adds the nodes whose heartbeat is nearly overdue. A receiver that
+// has a later heartbeat replies with it, so that a node does not become
+// suspect because the byte budget has omitted its heartbeats.
 func (m *Members) packLate(p *packer, now timekeeper.Time) {
 	var late []*nodeRecord
 	for _, r := range m.nodes.values() {
-		if m.old(now, r) && r.lateSends < m.repeats() {
+		if m.aging(now, r) && r.lateSends < m.repeats() {
 			late = append(late, r)
 		}
 	}
 	slices.SortStableFunc(late, func(a, b *nodeRecord) int { return cmp.Compare(a.lateSends, b.lateSends) })
-	for _, r := range late[:min(maxQuestions, len(late))] {
-		if !p.take(keySize + protowire.SizeVarint(r.heartbeat)) {
+	for _, r := range late[:min(maxLate, len(late))] {
+		if !p.reserve(keySize + protowire.SizeVarint(r.heartbeat)) {
 			return
 		}
 		r.lateSends++
@@ -159,21 +160,21 @@
 	}
 }
 
-// packHeartbeats adds heartbeats that are news since they were last passed on,
-// those first that have waited longest.
+// packHeartbeats adds heartbeats that have changed since they were last
+// forwarded, starting with those that have waited longest.
 func (m *Members) packHeartbeats(p *packer) {
-	var fresh []*nodeRecord
+	var pending []*nodeRecord
 	for _, r := range m.nodes.values() {
 		if r != m.self && !r.heartbeatSent && (r.State == Alive || r.State == Leaving) {
-			fresh = append(fresh, r)
+			pending = append(pending, r)
 		}
 	}
-	slices.SortStableFunc(fresh, func(a, b *nodeRecord) int {
+	slices.SortStableFunc(pending, func(a, b *nodeRecord) int {
 		return cmp.Compare(a.sentRound, b.sentRound)
 	})
-	reserve := p.left * (100 - heartbeatPercent) / 100
-	for _, r := range fresh {
-		if p.left < reserve || !p.addBeat(r) {
+	reserve := p.remaining * (100 - heartbeatPercent) / 100
+	for _, r := range pending {
+		if p.remaining < reserve || !p.addHeartbeat(r) {
 			return
 		}
 		r.heartbeatSent = true
@@ -181,28 +182,29 @@
 	}
 }
 
-// packNews adds news that changed, least passed on first.
-func (m *Members) packNews(p *packer) {
-	var fresh []*nodeRecord
+// packStatuses adds changed statuses, starting with the least forwarded.
+func (m *Members) packStatuses(p *packer) {
+	var pending []*nodeRecord
 	for _, r := range m.nodes.values() {
-		if r != m.self && r.newsVersion > 0 && r.newsSends < newsRepeats && r.State == Alive {
-			fresh = append(fresh, r)
+		if r != m.self && r.statusVersion > 0 && r.statusSends < statusRepeats && r.State == Alive {
+			pending = append(pending, r)
 		}
 	}
-	slices.SortStableFunc(fresh, func(a, b *nodeRecord) int { return cmp.Compare(a.newsSends, b.newsSends) })
+	slices.SortStableFunc(pending, func(a, b *nodeRecord) int { return cmp.Compare(a.statusSends, b.statusSends) })
 	reserve := m.config.ByteBudget * slicePercent / 100
-	for _, r := range fresh {
-		if p.left < reserve || !p.addNews(r) {
+	for _, r := range pending {
+		if p.remaining < reserve || !p.addStatus(r) {
 			return
 		}
-		r.newsSends++
+		r.statusSends++
 	}
 }
 
-// packSlice adds a slice of the whole state from a random position.
+// packSlice adds a slice of the complete state, starting at a random
+// position.
 func (m *Members) packSlice(p *packer, now timekeeper.Time, rng *rand.Rand) {
 	total := m.stateLen()
-	p.left = min(p.left, m.config.ByteBudget*slicePercent/100)
+	p.remaining = min(p.remaining, m.config.ByteBudget*slicePercent/100)
 	start := rng.IntN(total)
 	for i := range total {
 		if !m.addState(p, now, (start+i)%total) {
@@ -211,12 +213,12 @@
 	}
 }
 
-// stateLen is the number of entries of the whole state.
+// stateLen returns the number of entries in the complete state.
 func (m *Members) stateLen() int {
 	return m.nodes.len() + m.marks.len() + m.servers.len()
 }
 
-// addState adds entry i of the whole state and reports whether it fitted.
+// addState adds entry i of the complete state and reports whether it fitted.
 func (m *Members) addState(p *packer, now timekeeper.Time, i int) bool {
 	if i < m.nodes.len() {
 		r := m.nodes.get(m.nodes.order[i])
@@ -230,8 +232,8 @@
 	return p.addServer(m.servers.get(m.servers.order[i]))
 }
 
-// old reports whether the heartbeat of a node is on its way to being late.
-func (m *Members) old(now timekeeper.Time, r *nodeRecord) bool {
+// aging reports whether the heartbeat of a node is nearly overdue.
+func (m *Members) aging(now timekeeper.Time, r *nodeRecord) bool {
 	return r != m.self && now.Sub(r.LastSeen) >= m.suspectAfter()/2
 }
 
@@ -248,8 +250,8 @@
 	}
 }
 
-// encodeMark encodes the deadline as the time left: the clocks of two VMs
-// differ.
+// encodeMark encodes the deadline as the remaining time, because the clocks
+// of two VMs differ.
 func encodeMark(now timekeeper.Time, k *mark) *pb.Mark {
 	through := uint64(k.through)
 	if k.through == everyIncarnation {
@@ -263,19 +265,19 @@
 	}
 }
 
-func encodeNews(r *nodeRecord) *pb.News {
+func encodeStatus(r *nodeRecord) *pb.News {
 	e := &pb.News{
 		Key:      r.key,
-		Version:  r.newsVersion,
-		Revision: uint64(r.news.Revision),
+		Version:  r.statusVersion,
+		Revision: uint64(r.status.Revision),
 	}
-	accounts := make([]identifier.AccountID, 0, len(r.news.Demand))
-	for account := range r.news.Demand {
+	accounts := make([]identifier.AccountID, 0, len(r.status.Demand))
+	for account := range r.status.Demand {
 		accounts = append(accounts, account)
 	}
 	slices.Sort(accounts)
 	for _, account := range accounts[:min(maxDemands, len(accounts))] {
-		d := r.news.Demand[account]
+		d := r.status.Demand[account]
 		e.Demands = append(e.Demands, &pb.Demand{
 			Account:           string(account),
 			RequestsPerSecond: float32(d.Requests),
@@ -308,8 +310,8 @@
 	}
 }
 
-// marshal encodes a message. Messages of these types can't fail to encode but
-// for text that is not UTF-8, and that is then not sent.
+// marshal encodes a message. Encoding fails only on text that is not valid
+// UTF-8; such a message is not sent.
 func marshal(message *pb.Message) []byte {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
--- a/internal/gossiper/receive.go
+++ b/internal/gossiper/receive.go
@@ -8,11 +8,11 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// farFuture is the time left from which a deadline counts as none.
+// farFuture is the remaining time from which a deadline counts as Never.
 const farFuture = 1000 * 24 * timekeeper.Hour
 
-// Receive takes in a message from a peer. Its error is a *DecodeError; nothing
-// of such a message is taken in.
+// Receive merges a message from a peer. Its error is a *DecodeError; a
+// message that causes one is ignored completely.
 func (m *Members) Receive(now timekeeper.Time, from identifier.VMID, data []byte) ([]Change, error) {
 	message, err := decode(from, data)
 	if err != nil {
@@ -21,21 +21,21 @@
 			Cause: err,
 		}
 	}
-	changes := m.wake(now)
+	changes := m.advance(now)
 	for _, e := range append([]*pb.Node{message.GetSender()}, message.GetNodes()...) {
-		changes = append(changes, m.heard(now, decodeNode(e), e.GetHeartbeat())...)
+		changes = append(changes, m.mergeNode(now, decodeNode(e), e.GetHeartbeat())...)
 	}
-	changes = append(changes, m.beats(now, from, message)...)
-	m.wanted(from, message.GetWantKeys())
-	m.questions(from, message)
+	changes = append(changes, m.mergeHeartbeats(now, from, message)...)
+	m.queueRecords(from, message.GetWantKeys())
+	m.answerLate(from, message)
 	for _, e := range message.GetMarks() {
-		changes = append(changes, m.mark(now, decodeMark(now, e))...)
+		changes = append(changes, m.addMark(now, decodeMark(now, e))...)
 	}
 	for _, e := range message.GetNews() {
-		m.learn(e)
+		m.mergeStatus(e)
 	}
 	for _, e := range message.GetServers() {
-		changes = append(changes, m.told(now, timekeeper.Time(e.GetAsOfMs()), decodeServer(e))...)
+		changes = append(changes, m.mergeServer(now, timekeeper.Time(e.GetAsOfMs()), decodeServer(e))...)
 	}
 	if message.GetWantSync() {
 		m.startSync(from)
@@ -70,22 +70,23 @@
 	}
 }
 
-func (m *Members) beats(now timekeeper.Time, from identifier.VMID, message *pb.Message) []Change {
+func (m *Members) mergeHeartbeats(now timekeeper.Time, from identifier.VMID, message *pb.Message) []Change {
 	var changes []Change
 	for i, key := range message.GetAliveKeys() {
 		r := m.keys[key]
 		if r == nil {
-			m.ask(now, from, key)
+			m.requestRecord(now, from, key)
 			continue
 		}
-		changes = append(changes, m.beat(now, r, message.GetAliveHeartbeats()[i])...)
+		changes = append(changes, m.mergeHeartbeat(now, r, message.GetAliveHeartbeats()[i])...)
 	}
 	return changes
 }
 
-// questions answers a peer that takes nodes for late: with this node's own
-// heartbeat, raised, or with a later one that this node knows of another.
-func (m *Members) questions(from identifier.VMID, message *pb.Message) {
+// answerLate replies to a peer whose message lists late nodes: with this
+// node's own heartbeat, incremented, or with a later heartbeat of another
+// node.
+func (m *Members) answerLate(from identifier.VMID, message *pb.Message) {
 	for i, key := range message.GetLateKeys() {
 		r := m.keys[key]
 		switch {
@@ -94,23 +95,23 @@
 			m.self.heartbeat = max(m.self.heartbeat, message.GetLateHeartbeats()[i]) + 1
 			m.replyTo(from)
 		case r.heartbeat > message.GetLateHeartbeats()[i]:
-			m.replyTo(from).addBeat(r.VM)
+			m.replyTo(from).addHeartbeat(r.VM)
 		}
 	}
 }
 
-func (m *Members) learn(e *pb.News) {
+func (m *Members) mergeStatus(e *pb.News) {
 	r := m.keys[e.GetKey()]
 	if r == nil {
-		m.unknown++
+		m.unknownKeys++
 		return
 	}
-	if r == m.self || e.GetVersion() <= r.newsVersion {
+	if r == m.self || e.GetVersion() <= r.statusVersion {
 		return
 	}
-	r.news = decodeNews(e)
-	r.newsVersion = e.GetVersion()
-	r.newsSends = 0
+	r.status = decodeStatus(e)
+	r.statusVersion = e.GetVersion()
+	r.statusSends = 0
 }
 
 func decodeNode(e *pb.Node) Node {
@@ -141,15 +142,15 @@
 	return k
 }
 
-func decodeNews(e *pb.News) Status {
+func decodeStatus(e *pb.News) Status {
 	n := Status{
 		Revision: identifier.Revision(e.GetRevision()),
 		Demand:   map[identifier.AccountID]Demand{},
 	}
 	for _, d := range e.GetDemands()[:min(maxDemands, len(e.GetDemands()))] {
 		n.Demand[identifier.AccountID(d.GetAccount())] = Demand{
-			Requests: rate(d.GetRequestsPerSecond()),
-			Tokens:   rate(d.GetTokensPerSecond()),
+			Requests: validRate(d.GetRequestsPerSecond()),
+			Tokens:   validRate(d.GetTokensPerSecond()),
 		}
 	}
 	return n
--- a/internal/gossiper/reply.go
+++ b/internal/gossiper/reply.go
@@ -8,39 +8,40 @@
 )
 
 const (
-	// maxAsks bounds the records that one message asks for, so that they fit
-	// into one answer.
-	maxAsks = 200
-	// wholeBudget is the bytes of a message that gives a peer the records that it
-	// asked for, or a piece of the whole state. It is sent to one that has just
-	// started, or lost touch, and not in each round. In pieces as small as those of
-	// rounds a node knew half of 195 others two seconds after all had started, and
-	// many took themselves for the first of all.
-	wholeBudget = 16 << 10
-	// maxAskedKeys bounds the memory of records asked for.
-	maxAskedKeys = 8192
-	// askKeyAgainAfter is how long an answer is waited for.
-	askKeyAgainAfter = timekeeper.Second
+	// maxRecordRequests is the maximum number of records that one message
+	// requests, so that they fit into one reply.
+	maxRecordRequests = 200
+	// syncByteBudget is the byte budget of a message that contains requested
+	// records or a piece of the complete state. Such messages are sent only
+	// to nodes that have just started or were unreachable. With the smaller
+	// budget of regular rounds, nodes that start together learn of each other
+	// too slowly, and several consider themselves the first node.
+	syncByteBudget = 16 << 10
+	// maxRequestedKeys bounds the memory of requested keys.
+	maxRequestedKeys = 8192
+	// recordRetryInterval is the time to wait for a reply before a record is
+	// requested again.
+	recordRetryInterval = timekeeper.Second
 )
 
-// reply is what a peer is to be sent with the next Tick, beside this node's own
-// record: heartbeats that it takes for late, records that it asked for, and keys
-// to ask it for.
+// reply is the content of the next message to a peer, in addition to this
+// node's own record: heartbeats that the peer considers late, records that it
+// requested, and keys whose records this node requests.
 type reply struct {
-	beats   []identifier.VMID
-	records []identifier.VMID
-	asks    []uint64
+	heartbeats []identifier.VMID
+	records    []identifier.VMID
+	requests   []uint64
 }
 
-// addBeat adds the heartbeat of a node that the peer takes for late.
-func (rep *reply) addBeat(vm identifier.VMID) {
-	if len(rep.beats) < maxQuestions {
-		rep.beats = append(rep.beats, vm)
+// addHeartbeat adds the heartbeat of a node that the peer considers late.
+func (rep *reply) addHeartbeat(vm identifier.VMID) {
+	if len(rep.heartbeats) < maxLate {
+		rep.heartbeats = append(rep.heartbeats, vm)
 	}
 }
 
-// replyTo returns what a peer is to be sent with the next Tick, from now on at
-// least a message.
+// replyTo returns the reply that the peer receives with the next Tick, and
+// creates it if there is none.
 func (m *Members) replyTo(peer identifier.VMID) *reply {
 	rep := m.replies.get(peer)
 	if rep == nil {
@@ -50,39 +51,40 @@
 	return rep
 }
 
-// ask notes that this node has no record of a key that a peer knows.
-func (m *Members) ask(now timekeeper.Time, peer identifier.VMID, key uint64) {
-	m.unknown++
-	if at, ok := m.askedKeys[key]; ok && now.Sub(at) < askKeyAgainAfter {
+// requestRecord requests the record of an unknown key from the peer that sent
+// the key.
+func (m *Members) requestRecord(now timekeeper.Time, peer identifier.VMID, key uint64) {
+	m.unknownKeys++
+	if at, ok := m.requestedKeys[key]; ok && now.Sub(at) < recordRetryInterval {
 		return
 	}
 	rep := m.replyTo(peer)
-	if len(rep.asks) >= maxAsks {
+	if len(rep.requests) >= maxRecordRequests {
 		return
 	}
-	if len(m.askedKeys) >= maxAskedKeys {
-		clear(m.askedKeys)
+	if len(m.requestedKeys) >= maxRequestedKeys {
+		clear(m.requestedKeys)
 	}
-	m.askedKeys[key] = now
-	rep.asks = append(rep.asks, key)
+	m.requestedKeys[key] = now
+	rep.requests = append(rep.requests, key)
 }
 
-// wanted notes the records that a peer asked for.
-func (m *Members) wanted(peer identifier.VMID, keys []uint64) {
-	for _, key := range keys[:min(maxAsks, len(keys))] {
+// queueRecords adds the records that a peer requested to its reply.
+func (m *Members) queueRecords(peer identifier.VMID, keys []uint64) {
+	for _, key := range keys[:min(maxRecordRequests, len(keys))] {
 		r := m.keys[key]
 		if r == nil {
 			continue
 		}
 		rep := m.replyTo(peer)
-		if len(rep.records) < maxAsks && !slices.Contains(rep.records, r.VM) {
+		if len(rep.records) < maxRecordRequests && !slices.Contains(rep.records, r.VM) {
 			rep.records = append(rep.records, r.VM)
 		}
 	}
 }
 
-// answers returns the messages to the peers that wait for one.
-func (m *Members) answers(now timekeeper.Time) []Message {
+// replyMessages returns the pending replies as messages.
+func (m *Members) replyMessages(now timekeeper.Time) []Message {
 	var messages []Message
 	for _, peer := range slices.Clone(m.replies.order) {
 		rep := m.replies.get(peer)
@@ -94,23 +96,23 @@
 		messages = append(messages, Message{
 			Peer:    peer,
 			Address: r.PeerAddress,
-			Data:    m.forPeer(now, peer, m.packReply(rep)),
+			Data:    m.withPeerFields(now, peer, m.packReply(rep)),
 		})
 	}
 	return messages
 }
 
-// packReply encodes what a peer is to be sent.
+// packReply encodes a reply.
 func (m *Members) packReply(rep *reply) []byte {
-	p := m.newPacker(wholeBudget)
-	for _, key := range rep.asks {
-		if p.take(keySize) {
+	p := m.newPacker(syncByteBudget)
+	for _, key := range rep.requests {
+		if p.reserve(keySize) {
 			p.message.WantKeys = append(p.message.WantKeys, key)
 		}
 	}
-	for _, vm := range rep.beats {
+	for _, vm := range rep.heartbeats {
 		if r := m.nodes.get(vm); r != nil {
-			p.addBeat(r)
+			p.addHeartbeat(r)
 		}
 	}
 	for _, vm := range rep.records {
--- a/internal/gossiper/server.go
+++ b/internal/gossiper/server.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// goneReads and goneAge bound how long the list must miss a server before
-	// it counts as gone: one read that misses a live server is a fault of the
-	// list.
-	goneReads = 2
-	goneAge   = 5 * timekeeper.Second
-	// goneGrace is how long a server is kept past its deadline.
-	goneGrace = 5 * timekeeper.Second
+	// removalReads and removalAge are the number of lists and the time for
+	// which a server has to be missing from the list before it is removed. A
+	// single list that omits a live server is an error of the list.
+	removalReads = 2
+	removalAge   = 5 * timekeeper.Second
+	// removalGrace is the time for which a server is retained after its
+	// deadline.
+	removalGrace = 5 * timekeeper.Second
 )
 
-// Server is a backend server as this node knows it.
+// Server is a backend server as known to this node.
 type Server struct {
 	messenger.VMState
-	// LeaveBy is the end of a leaving server, else Never.
+	// LeaveBy is the deadline of a leaving server, and Never otherwise.
 	LeaveBy timekeeper.Time
 }
 
@@ -30,20 +31,20 @@
 	Server
 	// asOf is the instant of the newest list that showed the server.
 	asOf timekeeper.Time
-	// missed counts the lists since that did not.
-	missed int
+	// missedLists counts the later lists, none of which showed it.
+	missedLists int
 }
 
-// Servers returns the backend servers of a pool, sorted by VM. Leaving ones are
-// included until they are gone.
+// Servers returns the backend servers of a pool, sorted by VM. Leaving
+// servers are included until they are removed.
 func (m *Members) Servers(pool identifier.PoolName) []Server {
-	var found []Server
+	var servers []Server
 	for _, s := range m.servers.values() {
 		if s.Pool == pool {
-			found = append(found, s.Server)
+			servers = append(servers, s.Server)
 		}
 	}
-	return found
+	return servers
 }
 
 // Server returns a backend server.
@@ -55,17 +56,18 @@
 	return s.Server, true
 }
 
-// ListRead takes in the platform's list of VMs as of an instant. Entries
-// without a pool are entry VMs, which serve as seeds of the gossip. Of an old
-// list only the leaving VMs count: lists come late and cross one another.
+// MergeList merges the platform's list of VMs as of an instant. Entries
+// without a pool are entry VMs, which serve as seeds of the gossip. Lists may
+// arrive late and out of order, so only the leaving VMs of an old list are
+// used.
 func (m *Members) MergeList(now, asOf timekeeper.Time, vms []messenger.VMState) []Change {
-	changes := m.wake(now)
+	changes := m.advance(now)
 	vms = slices.SortedFunc(slices.Values(vms), func(a, b messenger.VMState) int {
 		return cmp.Compare(a.VM, b.VM)
 	})
 	for _, vm := range vms {
 		if vm.Leaving {
-			changes = append(changes, m.mark(now, listMark(now, vm.VM))...)
+			changes = append(changes, m.addMark(now, listMark(now, vm.VM))...)
 		}
 	}
 	if m.guard.newerListOnly && asOf <= m.listAsOf {
@@ -77,22 +79,22 @@
 			m.addSeed(asOf, vm)
 			continue
 		}
-		changes = append(changes, m.listed(now, asOf, vm)...)
+		changes = append(changes, m.mergeListed(now, asOf, vm)...)
 	}
-	m.dropSeeds(asOf)
-	return append(changes, m.dropMissing(asOf)...)
+	m.removeSeeds(asOf)
+	return append(changes, m.removeMissing(asOf)...)
 }
 
 func listMark(now timekeeper.Time, vm identifier.VMID) mark {
 	return mark{
 		vm:        vm,
 		through:   everyIncarnation,
-		deadline:  now.Add(listNotice),
+		deadline:  now.Add(estimatedNotice),
 		estimated: true,
 	}
 }
 
-// addSeed notes or renews the peer address of an entry VM on the list.
+// addSeed stores or updates the peer address of an entry VM in the list.
 func (m *Members) addSeed(asOf timekeeper.Time, vm messenger.VMState) {
 	if s := m.seeds.get(vm.VM); s != nil {
 		s.address = vm.Address
@@ -106,7 +108,7 @@
 	})
 }
 
-func (m *Members) dropSeeds(asOf timekeeper.Time) {
+func (m *Members) removeSeeds(asOf timekeeper.Time) {
 	for _, s := range m.seeds.values() {
 		if s.asOf.Before(asOf) {
 			m.seeds.remove(s.vm)
@@ -114,10 +116,10 @@
 	}
 }
 
-// listed takes in a backend server that a list as of an instant showed.
-func (m *Members) listed(now, asOf timekeeper.Time, vm messenger.VMState) []Change {
+// mergeListed merges a backend server from a list as of an instant.
+func (m *Members) mergeListed(now, asOf timekeeper.Time, vm messenger.VMState) []Change {
 	k := m.marks.get(vm.VM)
-	if k != nil && k.passed(now) {
+	if k != nil && k.expired(now) {
 		return nil
 	}
 	s := m.servers.get(vm.VM)
@@ -131,9 +133,9 @@
 	s.VMState = vm
 	s.LeaveBy = timekeeper.Never
 	s.asOf = asOf
-	s.missed = 0
-	if k != nil && m.guard.marksForGood {
-		s.leave(k)
+	s.missedLists = 0
+	if k != nil && m.guard.permanentMarks {
+		s.markLeaving(k)
 	}
 	var changes []Change
 	if joined {
@@ -145,52 +147,52 @@
 	return changes
 }
 
-func (m *Members) dropMissing(asOf timekeeper.Time) []Change {
+func (m *Members) removeMissing(asOf timekeeper.Time) []Change {
 	var changes []Change
 	for _, s := range m.servers.values() {
 		if !s.asOf.Before(asOf) {
 			continue
 		}
-		s.missed++
-		if s.missed >= goneReads && asOf.Sub(s.asOf) >= goneAge {
-			changes = append(changes, m.gone(s))
+		s.missedLists++
+		if s.missedLists >= removalReads && asOf.Sub(s.asOf) >= removalAge {
+			changes = append(changes, m.removeServer(s))
 		}
 	}
 	return changes
 }
 
-// dropEnded drops servers whose notice has run out, so that they go also
-// while the list is out.
-func (m *Members) dropEnded(now timekeeper.Time) []Change {
+// removeExpired removes servers whose deadline has passed, even if the list
+// is unavailable.
+func (m *Members) removeExpired(now timekeeper.Time) []Change {
 	var changes []Change
 	for _, k := range m.marks.values() {
-		if s := m.servers.get(k.vm); s != nil && k.passed(now) {
-			changes = append(changes, m.gone(s))
+		if s := m.servers.get(k.vm); s != nil && k.expired(now) {
+			changes = append(changes, m.removeServer(s))
 		}
 	}
 	return changes
 }
 
-func (m *Members) gone(s *serverRecord) Change {
+func (m *Members) removeServer(s *serverRecord) Change {
 	m.servers.remove(s.VM)
 	return s.change(ServerRemoved)
 }
 
-// told takes in a server that a peer knows of. A server that this node's own
-// newer list does not show is not taken back.
-func (m *Members) told(now, asOf timekeeper.Time, vm messenger.VMState) []Change {
+// mergeServer merges a server from a peer's message. A server that is missing
+// from this node's own newer list is not added again.
+func (m *Members) mergeServer(now, asOf timekeeper.Time, vm messenger.VMState) []Change {
 	s := m.servers.get(vm.VM)
 	if s == nil && asOf.After(m.listAsOf) {
-		return m.listed(now, asOf, vm)
+		return m.mergeListed(now, asOf, vm)
 	}
 	if s != nil && asOf.After(s.asOf) {
 		s.asOf = asOf
-		s.missed = 0
+		s.missedLists = 0
 	}
 	return nil
 }
 
-func (s *serverRecord) leave(k *mark) {
+func (s *serverRecord) markLeaving(k *mark) {
 	s.Leaving = true
 	s.LeaveBy = k.deadline
 }
--- a/internal/gossiper/size_test.go
+++ b/internal/gossiper/size_test.go
@@ -13,7 +13,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// maxBytesPerSecond is what one node may send for gossip.
+// maxBytesPerSecond is the maximum gossip traffic that one node may send.
 const maxBytesPerSecond = 23_000
 
 var sizes = []struct{ nodes, servers int }{
@@ -27,9 +27,8 @@
 	},
 }
 
-// busyNews gives a node the demand of its shard of client accounts, which
-// changes every time.
-func busyNews(m *Members, rng *rand.Rand) {
+// setRandomDemand sets a new random demand for five client accounts.
+func setRandomDemand(m *Members, rng *rand.Rand) {
 	demand := map[identifier.AccountID]Demand{}
 	for i := range 5 {
 		demand[identifier.AccountID(fmt.Sprintf("account-%03d", i))] = Demand{
@@ -43,11 +42,10 @@
 	})
 }
 
-// All nodes run with the default settings, demand changes every second and a
-// tenth of the messages is lost. No node may take another for late, and the
-// gossip of a node must stay within its share of the network. Then a third of
-// the messages is lost, and a notice must still reach all nodes at once.
-func TestAtSize(t *testing.T) {
+// Guards against false suspicion and excessive gossip traffic at 400 nodes
+// with a tenth of the messages lost, and against slow spreading of notices
+// with a third lost.
+func TestLargeCluster(t *testing.T) {
 	for _, size := range sizes {
 		t.Run(fmt.Sprintf("%d nodes", size.nodes), func(t *testing.T) {
 			c := newCluster(t, size.nodes, size.servers)
@@ -58,7 +56,7 @@
 			var oldest timekeeper.Duration
 			for range seconds {
 				for _, m := range c.members {
-					busyNews(m, c.rng)
+					setRandomDemand(m, c.rng)
 				}
 				c.run(timekeeper.Second)
 				oldest = max(oldest, c.oldestHeartbeat())
@@ -71,10 +69,10 @@
 			for _, changes := range c.changes {
 				late += len(changes)
 			}
-			require.Zero(t, late, "nobody is late")
+			require.Zero(t, late, "no node may become suspect")
 
 			c.loss = 0.3
-			longest := spread(c, 5)
+			longest := longestSpread(c, 5)
 			t.Logf("longest time until a leaving server was known everywhere, a third of messages lost: %v", longest)
 			require.LessOrEqual(t, longest, 1500*timekeeper.Millisecond)
 		})
@@ -104,7 +102,7 @@
 					r.LastSeen = now
 					r.heartbeatSent = false
 				}
-				m.nextDue = now
+				m.nextRound = now
 				messages, _ := m.Tick(now, rng)
 				for _, message := range messages {
 					sent++
@@ -121,7 +119,7 @@
 		b.Run(fmt.Sprintf("%d_nodes", size.nodes), func(b *testing.B) {
 			c := newCluster(b, size.nodes, size.servers)
 			c.step()
-			f := slices.MaxFunc(c.flying, func(a, b flight) int { return cmp.Compare(len(a.data), len(b.data)) })
+			f := slices.MaxFunc(c.inFlight, func(a, b packet) int { return cmp.Compare(len(a.data), len(b.data)) })
 			to := c.byVM[f.to]
 			for b.Loop() {
 				if _, err := to.Receive(c.now, f.from, f.data); err != nil {
@@ -133,29 +131,28 @@
 	}
 }
 
-// One node among 195 runs for ten seconds. Each round of its gossip went to two
-// peers drawn from all, mostly ones without a connection, and opening one cost
-// both ends more processor time than the message. Now it keeps to a few peers, of
-// which it replaces one every two seconds, and still hears of all.
-func TestRoundsKeepToFewPeers(t *testing.T) {
+// Guards against rounds whose peers are chosen from all nodes: most peers
+// have no connection, and opening one costs both ends more processor time
+// than the message.
+func TestRoundsUseFewPeers(t *testing.T) {
 	const nodes = 195
 	c := newCluster(t, nodes, 0)
 	c.run(2 * timekeeper.Second)
 	m := c.members[7]
 	const rounds = 10 * 5
-	heard := map[identifier.VMID]bool{}
+	targets := map[identifier.VMID]bool{}
 	for range rounds {
 		for _, to := range m.targets(c.rng, false) {
-			heard[to.vm] = true
+			targets[to.vm] = true
 		}
 	}
-	require.LessOrEqual(t, len(heard), partners+rounds/roundsPerPartner+1)
-	require.GreaterOrEqual(t, len(heard), partners)
+	require.LessOrEqual(t, len(targets), maxPartners+rounds/roundsPerPartner+1)
+	require.GreaterOrEqual(t, len(targets), maxPartners)
 	urgent := map[identifier.VMID]bool{}
 	for range rounds {
 		for _, to := range m.targets(c.rng, true) {
 			urgent[to.vm] = true
 		}
 	}
-	require.Greater(t, len(urgent), 2*partners, "a notice goes to all, not to the same few")
+	require.Greater(t, len(urgent), 2*maxPartners, "notices must not be limited to the partners")
 }
--- a/internal/gossiper/sync.go
+++ b/internal/gossiper/sync.go
@@ -5,21 +5,21 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// syncState is how far a peer was given the whole state.
+// syncState is the progress of sending the complete state to a peer.
 type syncState struct {
 	next int
 }
 
-// startSync begins to give a peer the whole state. With too many under way it
-// asks another peer a little later.
+// startSync begins to send a peer the complete state. If too many transfers
+// are in progress it does nothing, and the peer asks another node later.
 func (m *Members) startSync(peer identifier.VMID) {
 	if m.syncs.get(peer) == nil {
 		m.syncs.put(peer, &syncState{})
 	}
 }
 
-// syncPieces returns the next piece of the whole state for each peer that
-// asked for it: one message of the usual size with each Tick.
+// syncPieces returns the next piece of the complete state for each peer that
+// requested it, one message per peer and Tick.
 func (m *Members) syncPieces(now timekeeper.Time) []Message {
 	var messages []Message
 	for _, peer := range append([]identifier.VMID(nil), m.syncs.order...) {
@@ -39,7 +39,7 @@
 
 func (m *Members) syncPiece(now timekeeper.Time, peer identifier.VMID) []byte {
 	s := m.syncs.get(peer)
-	p := m.newPacker(wholeBudget)
+	p := m.newPacker(syncByteBudget)
 	for s.next < m.stateLen() && m.addState(p, now, s.next) {
 		s.next++
 	}
--- a/internal/gossiper/table.go
+++ b/internal/gossiper/table.go
@@ -6,9 +6,9 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// table is a bounded map that is walked in the order of its keys. Its slices
-// are copied when a key comes or goes, which is rare, so that a walk is safe
-// from changes and costs no copy.
+// table is a bounded map that is iterated in key order. Its slices are copied
+// when a key is added or removed, which is rare, so that iteration needs no
+// copy and is safe during changes.
 type table[T any] struct {
 	byVM    map[identifier.VMID]*T
 	order   []identifier.VMID
@@ -30,8 +30,8 @@
 
 func (t *table[T]) get(vm identifier.VMID) *T { return t.byVM[vm] }
 
-// put sets the value of vm. A full table takes no new key, counts it and
-// returns false.
+// put sets the value of vm. If the table is full, put does not add a new key
+// but counts it as dropped and returns false.
 func (t *table[T]) put(vm identifier.VMID, v *T) bool {
 	i, ok := slices.BinarySearch(t.order, vm)
 	if !ok && t.full() {
@@ -59,6 +59,6 @@
 	delete(t.byVM, vm)
 }
 
-// values returns the values in the order of their keys. The caller must not
-// change the slice.
+// values returns the values in key order. The caller must not modify the
+// slice.
 func (t *table[T]) values() []*T { return t.ordered }
