--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -2,7 +2,7 @@
 // these states:
 //
 //	received -> refused
-//	received -> asking the limit -> sent <-> attempt ended -> ended
+//	received -> requesting the limit -> sent <-> attempt ended -> ended
 //
 // The content of an opaque request is not interpreted. The request is matched to a
 // route, counted against its account's limit and sent to a backend server of the
--- a/internal/dispatcher/load.go
+++ b/internal/dispatcher/load.go
@@ -95,10 +95,10 @@
 	if o := l.own[server]; o != nil {
 		running, prefill = o.running, o.prefill
 	}
-	for p := range l.freshReports(now) {
-		load := p.servers[server]
+	for report := range l.freshReports(now) {
+		load := report.servers[server]
 		running += load.Running
-		prefill += max(load.Prefill-now.Sub(p.at), 0)
+		prefill += max(load.Prefill-now.Sub(report.at), 0)
 	}
 	return running, prefill
 }
@@ -110,8 +110,8 @@
 			yield(l.relayed)
 			return
 		}
-		for _, p := range l.peers {
-			if now.Sub(p.at) <= maxPeerReportAge && !yield(p) {
+		for _, report := range l.peers {
+			if now.Sub(report.at) <= maxPeerReportAge && !yield(report) {
 				return
 			}
 		}
@@ -145,12 +145,12 @@
 
 // decay applies the exponential decay up to now.
 func (s *demand) decay(now timekeeper.Time) {
-	passed := now.Sub(s.at)
-	if passed <= 0 {
+	elapsed := now.Sub(s.at)
+	if elapsed <= 0 {
 		return
 	}
 	s.at = now
-	factor := math.Exp(-float64(passed) / float64(demandWindow))
+	factor := math.Exp(-float64(elapsed) / float64(demandWindow))
 	s.offeredLoad *= factor
 }
 
@@ -182,11 +182,12 @@
 	}
 }
 
-// ReportingPeers returns the number of peers whose last report is at most within old.
-func (d *Dispatcher) ReportingPeers(now timekeeper.Time, within timekeeper.Duration) int {
+// CountAllReportingPeers returns the number of peers whose last report is no older than
+// within.
+func (d *Dispatcher) CountAllReportingPeers(now timekeeper.Time, within timekeeper.Duration) int {
 	n := 0
-	for _, p := range d.loads.peers {
-		if now.Sub(p.at) <= within {
+	for _, report := range d.loads.peers {
+		if now.Sub(report.at) <= within {
 			n++
 		}
 	}
@@ -200,14 +201,14 @@
 	return relayed
 }
 
-// CountReportingPeers returns how many of peers have reported their load in the last
-// within.
+// CountReportingPeers returns the number of the given peers whose last report is no
+// older than within.
 func (d *Dispatcher) CountReportingPeers(now timekeeper.Time, peers []identifier.VMID, within timekeeper.Duration) int {
 	return countFresh(d.loads.peers, peers, now.Add(-within))
 }
 
-// CountReportingZones returns for how many of zones a relay has reported the sum in the
-// last within.
+// CountReportingZones returns the number of the given zones for which the last sum from
+// a relay is no older than within.
 func (d *Dispatcher) CountReportingZones(now timekeeper.Time, zones []identifier.Zone, within timekeeper.Duration) int {
 	return countFresh(d.loads.zones, zones, now.Add(-within))
 }
@@ -250,10 +251,10 @@
 // Demand returns the demand of all nodes' callers for a service.
 func (d *Dispatcher) Demand(now timekeeper.Time, service identifier.ServiceName) messenger.ServiceDemand {
 	sum := d.serviceDemand(service).report(now)
-	for p := range d.loads.freshReports(now) {
-		reported := p.demand[service]
-		sum.Running += reported.Running
-		sum.OfferedLoad += reported.OfferedLoad
+	for report := range d.loads.freshReports(now) {
+		demand := report.demand[service]
+		sum.Running += demand.Running
+		sum.OfferedLoad += demand.OfferedLoad
 	}
 	return sum
 }
--- a/internal/dispatcher/receive.go
+++ b/internal/dispatcher/receive.go
@@ -20,7 +20,8 @@
 	// noServerRetry is the base retry delay if no server is available; a new one takes
 	// seconds.
 	noServerRetry = 1 * timekeeper.Second
-	// leavingRetry sends the caller of a leaving node to another node at once.
+	// leavingRetry is the retry delay that a leaving node returns. It is short because
+	// the retry reaches another node.
 	leavingRetry = 20 * timekeeper.Millisecond
 	// maxUrgency is the last rank that servers accept.
 	maxUrgency = 9
--- a/internal/dispatcher/sum.go
+++ b/internal/dispatcher/sum.go
@@ -15,7 +15,7 @@
 	Demand   map[identifier.ServiceName]messenger.ServiceDemand
 }
 
-func newSum() LoadSum {
+func newLoadSum() LoadSum {
 	return LoadSum{
 		InFlight: map[identifier.VMID]messenger.InFlight{},
 		Demand:   map[identifier.ServiceName]messenger.ServiceDemand{},
@@ -24,14 +24,14 @@
 
 // add adds a report, or subtracts it if sign is -1. Prefill is reduced by the report's
 // age.
-func (s LoadSum) add(p loadReport, age timekeeper.Duration, sign int) {
-	for server, load := range p.servers {
+func (s LoadSum) add(report loadReport, age timekeeper.Duration, sign int) {
+	for server, load := range report.servers {
 		sum := s.InFlight[server]
 		sum.Running += sign * load.Running
 		sum.Prefill += timekeeper.Duration(sign) * max(load.Prefill-age, 0)
 		s.InFlight[server] = sum
 	}
-	for service, demand := range p.demand {
+	for service, demand := range report.demand {
 		sum := s.Demand[service]
 		sum.Running += sign * demand.Running
 		sum.OfferedLoad += float64(sign) * demand.OfferedLoad
@@ -41,7 +41,7 @@
 
 // ZoneSum returns the sum of this node and of the given peers in its availability zone.
 func (d *Dispatcher) ZoneSum(now timekeeper.Time, neighbours []identifier.VMID) LoadSum {
-	sum := newSum()
+	sum := newLoadSum()
 	sum.addFresh(now, d.lastReport(now, d.config.Self), 1)
 	for _, peer := range neighbours {
 		sum.addFresh(now, d.loads.peers[peer], 1)
@@ -49,9 +49,9 @@
 	return sum
 }
 
-func (s LoadSum) addFresh(now timekeeper.Time, p loadReport, sign int) {
-	if age := now.Sub(p.at); age <= maxPeerReportAge {
-		s.add(p, age, sign)
+func (s LoadSum) addFresh(now timekeeper.Time, report loadReport, sign int) {
+	if age := now.Sub(report.at); age <= maxPeerReportAge {
+		s.add(report, age, sign)
 	}
 }
 
--- a/internal/estimator/estimator.go
+++ b/internal/estimator/estimator.go
@@ -170,14 +170,14 @@
 
 // Observe updates the fit with the time to a request's first event. The caller
 // subtracts the time to read the prompts queued ahead of it.
-func (e *Estimator) Observe(server identifier.VMID, w Work, took timekeeper.Duration) {
-	if took < 0 || took > maxWait {
+func (e *Estimator) Observe(server identifier.VMID, w Work, elapsed timekeeper.Duration) {
+	if elapsed < 0 || elapsed > maxWait {
 		return
 	}
 	x := w.vector()
 	predicted := e.sum(x)
 	factor := e.factor(server)
-	observed := float64(took)
+	observed := float64(elapsed)
 	e.updateFactor(server, math.Log((observed+slack)/(predicted+slack)))
 	e.fit(x, (observed/factor-predicted)/(predicted+slack), predicted+slack)
 }
--- a/internal/indexer/indexer.go
+++ b/internal/indexer/indexer.go
@@ -165,7 +165,7 @@
 
 // Updates returns the parts to report to peers, oldest first.
 func (x *Index) Updates(now timekeeper.Time) []messenger.CachedPrefix {
-	x.updates = slices.DeleteFunc(x.updates, func(i update) bool { return now.Sub(i.at) > updateWindow })
+	x.updates = slices.DeleteFunc(x.updates, func(u update) bool { return now.Sub(u.at) > updateWindow })
 	x.updates = x.updates[max(len(x.updates)-maxUpdates, 0):]
 	return x.updatesWithin(now, updateWindow)
 }
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -54,7 +54,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := cluster(rapid.IntRange(2, 40).Draw(t, "nodes"), rapid.IntRange(2, 4).Draw(t, "zones"))
 		request := identifier.RequestID(rapid.StringN(1, 20, 20).Draw(t, "request"))
-		entry := rapid.IntRange(0, len(nodes)-1).Draw(t, "home")
+		entry := rapid.IntRange(0, len(nodes)-1).Draw(t, "entry")
 		holder := placer.Holders(request, nodes, nodes[entry].VM)[0]
 		first := placer.Candidates(request, nodes)[:2]
 		require.Contains(t, first, holder)
--- a/internal/reducer/granting.go
+++ b/internal/reducer/granting.go
@@ -59,7 +59,7 @@
 	g.retries.SetExtra(retryExtra/float64(nodes) + retryNodeExtra)
 	g.local.SetNodes(nodes, !held && !g.granterThere(w.Now))
 	if g.central != nil {
-		g.central.SetReachable(1+g.exchanges.ReportingPeers(w.Now, granteeAge), nodes)
+		g.central.SetReachable(1+g.exchanges.CountAllReportingPeers(w.Now, granteeAge), nodes)
 	}
 }
 
--- a/internal/reducer/relay_test.go
+++ b/internal/reducer/relay_test.go
@@ -316,7 +316,7 @@
 			}
 		}
 		f.run(fleetStep)
-		require.Equal(t, len(f.ids)-1, f.nodes[holder].gateway.exchanges.ReportingPeers(f.now, granteeAge))
+		require.Equal(t, len(f.ids)-1, f.nodes[holder].gateway.exchanges.CountAllReportingPeers(f.now, granteeAge))
 	}
 }
 
--- a/internal/retrier/budget.go
+++ b/internal/retrier/budget.go
@@ -77,14 +77,14 @@
 }
 
 func (s *budget) advance(now timekeeper.Time, c Config) {
-	passed := now.Sub(s.lastUsed)
-	if passed <= 0 {
+	elapsed := now.Sub(s.lastUsed)
+	if elapsed <= 0 {
 		return
 	}
 	s.lastUsed = now
-	s.earned *= math.Exp(-float64(passed) / float64(window))
-	s.retried *= math.Exp(-passed.Seconds())
-	refill := float64(passed) / float64(c.FloorEvery)
+	s.earned *= math.Exp(-float64(elapsed) / float64(window))
+	s.retried *= math.Exp(-elapsed.Seconds())
+	refill := float64(elapsed) / float64(c.FloorEvery)
 	if s.balance < c.Floor {
 		s.balance = min(s.balance+refill, c.Floor)
 	}
--- a/internal/router/predict.go
+++ b/internal/router/predict.go
@@ -94,9 +94,8 @@
 	}
 }
 
-// prefillTime returns the time to read the prompts before the job's first token: the
-// larger of this node's own and the queued prompts, and the part of the job's prompt
-// that is not cached.
+// prefillTime returns the time to read the uncached part of the job's prompt and the
+// prompts ahead of it: the larger of this node's unread prompts and the estimated queue.
 func prefillTime(j *Job, queued, ownPrefill float64, c *Candidate, r Rules) float64 {
 	if c.PrefillPerSecond <= 0 {
 		return 0
