--- a/internal/rehearser/cluster_test.go
+++ b/internal/rehearser/cluster_test.go
@@ -31,64 +31,62 @@
 	operatorKeyHash = "9437e87fae95c03d3778f2575bb18ce30e647e51d86a8c37963364e1fc4f374e"
 	quillmark       = "../../examples/quillmark"
 
-	// settleTime bounds the wait for what takes seconds at most, tick is the
-	// spacing of looks.
-	settleTime = 20 * time.Second
-	tick       = 50 * time.Millisecond
-	// testTime bounds each exchange that a test starts.
-	testTime = 90 * time.Second
-
-	// The ports on each cluster's own addresses.
-	callerPort = 7080
-	peerPort   = 7081
-	relayPort  = 7082
-	standPort  = 7090
-
-	// addressesEach is how many loopback addresses each cluster has.
-	addressesEach = 16
-	// The addresses of the stand-ins and of the first node within them.
+	// settleTimeout limits the wait for conditions that take a few seconds at most.
+	settleTimeout = 20 * time.Second
+	pollInterval  = 50 * time.Millisecond
+	// testTimeout limits each exchange that a test starts.
+	testTimeout = 90 * time.Second
+
+	// The ports on each cluster's addresses.
+	callerPort  = 7080
+	peerPort    = 7081
+	relayPort   = 7082
+	standInPort = 7090
+
+	// addressesPerCluster is the number of loopback addresses of each cluster.
+	addressesPerCluster = 16
+	// The offsets of the stand-ins and of the first node within a cluster's addresses.
 	platformHost = 1
 	poolHost     = 2
 	firstNode    = 2
 )
 
-// zones are those of the six nodes of Quillmark.
+// zones are the zones of the six nodes of the Quillmark example.
 var zones = []identifier.Zone{"boston-a", "boston-a", "boston-b", "boston-b", "providence", "portland-me"}
 
-// clusters bounds the clusters that run at once; there are more tests than the
-// machine runs processes for in good time.
+// clusterSlots limits the clusters that run at once, because each runs many processes.
 var (
-	clusters    = make(chan struct{}, 3)
-	clusterSeen atomic.Int64
+	clusterSlots = make(chan struct{}, 3)
+	clusterCount atomic.Int64
 )
 
-// options are what differs between the tests' clusters.
+// options are the differences between the tests' clusters.
 type options struct {
-	// retention is that of the platform's log; empty is its default.
+	// retention is the retention of the platform's log; if empty, its default.
 	retention string
-	// overrides are files that are applied after Quillmark's.
+	// overrides are configuration files applied after those of Quillmark.
 	overrides map[string]string
-	// drainTime bounds a planned stop; empty is 20 s.
+	// drainTime limits a planned stop; if empty, it is 20 s.
 	drainTime string
-	// relays puts a relay before each node's caller port and each engine.
+	// relays puts a TCP relay in front of each node's caller port and each engine.
 	relays bool
 }
 
-// cluster is the stand-ins and the nodes of one test, on addresses of its own.
+// cluster holds the stand-ins and the nodes of one test, on addresses of their own.
 type cluster struct {
 	options options
 	dir     string
 	index   int64
-	// platform and pool are the control sides of the stand-ins.
+	// platform and pool control the stand-ins.
 	platform standin.Control
 	pool     standin.Control
 	nodes    []*node
 	started  int
-	// relays by the address that others are told.
+	// relays holds the relays of nodes and engines by the VM they stand in front of.
 	relays map[string]*relay
 }
 
-// node is one process of the system.
+// node is one process of the system under test.
 type node struct {
 	*process
 	vm      identifier.VMID
@@ -97,16 +95,16 @@
 	address string
 }
 
-// newCluster starts the stand-ins and six nodes, applies Quillmark's folder and
-// returns once all nodes agree.
+// newCluster starts the stand-ins and six nodes, applies Quillmark's configuration and
+// returns once all nodes have converged.
 func newCluster(t *testing.T, o options) *cluster {
 	t.Helper()
-	clusters <- struct{}{}
-	t.Cleanup(func() { <-clusters })
+	clusterSlots <- struct{}{}
+	t.Cleanup(func() { <-clusterSlots })
 	c := &cluster{
 		options: o,
 		dir:     t.TempDir(),
-		index:   (clusterSeen.Add(1) - 1) % (256 / addressesEach),
+		index:   (clusterCount.Add(1) - 1) % (256 / addressesPerCluster),
 		relays:  make(map[string]*relay),
 	}
 	c.startStandIns(t)
@@ -114,24 +112,24 @@
 		c.startNode(t, identifier.VMID(fmt.Sprintf("entry-%d", i+1)), zone)
 	}
 	for _, n := range c.nodes {
-		c.eventually(t, "the node answers", func() bool { return n.answers() })
+		c.eventually(t, "the node answers", func() bool { return n.responds() })
 	}
 	c.apply(t)
-	c.waitAgreed(t)
+	c.waitConverged(t)
 	return c
 }
 
-// host returns a loopback address of this process and cluster. The process id
-// in it keeps test runs on one machine apart.
+// host returns a loopback address of this cluster. It contains the process id, so that
+// test runs on one machine don't collide.
 func (c *cluster) host(i int64) string {
 	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d", 64+pid>>8&63, pid&255, addressesEach*c.index+i)
+	return fmt.Sprintf("127.%d.%d.%d", 64+pid>>8&63, pid&255, addressesPerCluster*c.index+i)
 }
 
 func (c *cluster) startStandIns(t *testing.T) {
 	t.Helper()
-	c.platform.Address = fmt.Sprintf("%s:%d", c.host(platformHost), standPort)
-	c.pool.Address = fmt.Sprintf("%s:%d", c.host(poolHost), standPort)
+	c.platform.Address = fmt.Sprintf("%s:%d", c.host(platformHost), standInPort)
+	c.pool.Address = fmt.Sprintf("%s:%d", c.host(poolHost), standInPort)
 	args := []string{"platform", "--listen", c.platform.Address, "--list-lag", "1s"}
 	if c.options.retention != "" {
 		args = append(args, "--retention", c.options.retention)
@@ -161,31 +159,31 @@
 	require.NoError(t, c.platform.Post(t.Context(), "/admin/vms", vm, nil))
 }
 
-// servers returns the VMs of a pool that run now, at their own addresses.
+// servers returns the running VMs of a pool with their own addresses.
 func (c *cluster) servers(t *testing.T, pool identifier.PoolName) []encoder.VM {
 	t.Helper()
-	var all, found []encoder.VM
+	var all, servers []encoder.VM
 	if c.pool.Get(t.Context(), "/admin/vms", &all) != nil {
 		return nil
 	}
 	for _, vm := range all {
 		if vm.Pool == pool {
-			found = append(found, vm)
+			servers = append(servers, vm)
 		}
 	}
-	return found
+	return servers
 }
 
-// startNode starts a node on an address of its own.
+// startNode starts a node on a new address.
 func (c *cluster) startNode(t *testing.T, vm identifier.VMID, zone identifier.Zone) *node {
 	t.Helper()
 	c.started++
-	require.Less(t, c.started+firstNode, addressesEach, "no address left")
+	require.Less(t, c.started+firstNode, addressesPerCluster, "no address left")
 	return c.startNodeAt(t, vm, zone, c.host(int64(firstNode+c.started)))
 }
 
-// startNodeAt starts a node at a given address, which may be that of an
-// earlier incarnation.
+// startNodeAt starts a node on a given address, which an earlier incarnation may have
+// had.
 func (c *cluster) startNodeAt(t *testing.T, vm identifier.VMID, zone identifier.Zone, host string) *node {
 	t.Helper()
 	listen := fmt.Sprintf("%s:%d", host, callerPort)
@@ -219,27 +217,27 @@
 	return n
 }
 
-// lose takes n off the nodes that are expected to be there.
-func (c *cluster) lose(n *node) {
-	kept := c.nodes[:0:0]
+// removeNode removes n from the nodes that are expected to run.
+func (c *cluster) removeNode(n *node) {
+	remaining := c.nodes[:0:0]
 	for _, other := range c.nodes {
 		if other != n {
-			kept = append(kept, other)
+			remaining = append(remaining, other)
 		}
 	}
-	c.nodes = kept
+	c.nodes = remaining
 }
 
-// killNode ends n as the loss of its VM does.
+// killNode kills n and its VM without notice.
 func (c *cluster) killNode(t *testing.T, n *node) {
 	t.Helper()
 	n.kill()
-	c.lose(n)
+	c.removeNode(n)
 	require.NoError(t, c.platform.Delete(t.Context(), "/admin/vms/"+string(n.vm)))
 }
 
-// at returns the node with a caller address.
-func (c *cluster) at(t *testing.T, address string) *node {
+// nodeAt returns the node with a caller address.
+func (c *cluster) nodeAt(t *testing.T, address string) *node {
 	t.Helper()
 	for _, n := range c.nodes {
 		if n.address == address {
@@ -250,7 +248,7 @@
 	return nil
 }
 
-// others returns the nodes but n.
+// others returns all nodes but n.
 func (c *cluster) others(n *node) []*node {
 	var all []*node
 	for _, other := range c.nodes {
@@ -285,8 +283,8 @@
 	}, nil))
 }
 
-// apply applies Quillmark's folder, with the test's own files, by the
-// operators' command.
+// apply applies Quillmark's configuration and the test's overrides with the operators'
+// command.
 func (c *cluster) apply(t *testing.T) {
 	t.Helper()
 	folder := filepath.Join(c.dir, "quillmark")
@@ -298,35 +296,35 @@
 	for _, n := range c.nodes {
 		args = append(args, "--node", n.address)
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), testTime)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	out, err := exec.CommandContext(ctx, filepath.Join(programs, "dotterelhollow"), append(args, folder)...).CombinedOutput()
 	require.NoError(t, err, "%s", out)
 }
 
-// status returns a node's view, or false where it has none to give.
+// status returns a node's status, or false if the node does not return one.
 func (n *node) status() (server.Status, bool) {
 	var s server.Status
 	code, _, body, err := n.operator(http.MethodGet, "/operator/v1/status", nil, nil)
 	return s, err == nil && code == http.StatusOK && json.Unmarshal(body, &s) == nil
 }
 
-func (n *node) answers() bool {
+func (n *node) responds() bool {
 	_, ok := n.status()
 	return ok
 }
 
-// operatorTime bounds a request of an operator.
-const operatorTime = 16 * time.Second
+// operatorTimeout limits a request of an operator.
+const operatorTimeout = 16 * time.Second
 
 // operator sends a request as an operator.
 func (n *node) operator(method, path string, header http.Header, body []byte) (int, http.Header, []byte, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), operatorTime)
+	ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 	defer cancel()
 	return exchange(ctx, method, n.address, path, operatorKey, header, body)
 }
 
-// exchange sends one request, follows no redirect and reads the whole answer.
+// exchange sends one request, follows no redirect and reads the complete response.
 func exchange(ctx context.Context, method, address, path, key string, header http.Header, body []byte) (int, http.Header, []byte, error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
@@ -349,14 +347,14 @@
 	return response.StatusCode, response.Header, data, err
 }
 
-// waitAgreed waits until all nodes have the same configuration and see each
-// other and all servers as live.
-func (c *cluster) waitAgreed(t *testing.T) {
+// waitConverged waits until all nodes have the same configuration and see each other
+// and all servers as alive.
+func (c *cluster) waitConverged(t *testing.T) {
 	t.Helper()
-	c.eventually(t, "all nodes agree", c.agreed)
+	c.eventually(t, "all nodes agree", c.converged)
 }
 
-func (c *cluster) agreed() bool {
+func (c *cluster) converged() bool {
 	var revision identifier.Revision
 	for _, n := range c.nodes {
 		s, ok := n.status()
@@ -387,19 +385,18 @@
 	return loaded > 0
 }
 
-// eventually waits for a condition.
 func (c *cluster) eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	require.Eventually(t, condition, settleTime, tick, what)
+	require.Eventually(t, condition, settleTimeout, pollInterval, what)
 }
 
-// waitElapsed waits until a moment has come.
+// waitElapsed waits until d has passed since a time.
 func (c *cluster) waitElapsed(t *testing.T, since time.Time, d time.Duration) {
 	t.Helper()
 	c.eventually(t, "the time has passed", func() bool { return time.Since(since) >= d })
 }
 
-// freeze stops a node as a paused VM does, thaw lets it go on.
+// freeze pauses a node as if its VM were paused; thaw resumes it.
 func (n *node) freeze() { n.signal(syscall.SIGSTOP) }
 
 func (n *node) thaw() { n.signal(syscall.SIGCONT) }
--- a/internal/rehearser/doc.go
+++ b/internal/rehearser/doc.go
@@ -1,9 +1,8 @@
-// Package rehearser runs the system as real processes over loopback and breaks
-// it: nodes are killed, frozen and stopped, connections go silent, the log
-// fails. It has tests only.
+// Package rehearser tests the system as real processes over loopback, under faults:
+// nodes are killed, frozen and stopped, connections are blackholed, and the log is
+// unavailable. It contains tests only.
 //
-// What the decisions must hold is proved through the reducer, by package
-// prover. The tests here are few and stand where the runner carries the risk:
-// where an effect has left the reducer and a process, a socket or a signal may
-// still spoil it.
+// Package prover checks the decisions through the reducer. The tests here are few and
+// cover the risks of the runner: effects that have left the reducer and may fail in a
+// process, a socket or a signal.
 package rehearser
--- a/internal/rehearser/email_test.go
+++ b/internal/rehearser/email_test.go
@@ -20,12 +20,12 @@
 
 const (
 	emailPath = "/v1/services/rejection_email/send"
-	// emailTime bounds the wait for the answer to an email, which the service's
-	// deadline of 30 s does, too.
-	emailTime = 40 * time.Second
+	// emailTimeout limits the wait for the answer to an email. It exceeds the service's
+	// deadline of 30 s.
+	emailTimeout = 40 * time.Second
 )
 
-// emailAnswer is what one node said to a rejection email.
+// emailAnswer is a node's answer to a rejection email.
 type emailAnswer struct {
 	node    *node
 	status  int
@@ -33,21 +33,20 @@
 	problem server.Problem
 	reply   responder.Reply
 	err     error
-	took    time.Duration
+	elapsed time.Duration
 }
 
-// sendEmail sends a rejection email to one node, and follows the node's
-// redirects to another.
+// sendEmail sends a rejection email to one node and follows redirects.
 func sendEmail(n *node, key, text string) emailAnswer {
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), emailTime)
+	ctx, cancel := context.WithTimeout(context.Background(), emailTimeout)
 	defer cancel()
 	method, address, path, body := http.MethodPost, n.address, emailPath, []byte(text)
 	header := http.Header{"Idempotency-Key": {key}}
 	a := emailAnswer{node: n}
 	for range 5 {
 		a.status, a.header, body, a.err = exchange(ctx, method, address, path, "demo-portal", header, body)
-		a.took = time.Since(began)
+		a.elapsed = time.Since(began)
 		if a.status != http.StatusSeeOther && a.status != http.StatusTemporaryRedirect {
 			break
 		}
@@ -66,8 +65,8 @@
 	return a
 }
 
-// sendEmails sends one email to several nodes at once and returns their answers
-// as they come.
+// sendEmails sends one email to several nodes at once and returns the answers as they
+// arrive.
 func sendEmails(nodes []*node, key, text string) <-chan emailAnswer {
 	answers := make(chan emailAnswer, len(nodes))
 	for _, n := range nodes {
@@ -76,7 +75,7 @@
 	return answers
 }
 
-// plainRuns counts how often the plain servers ran anything with this text.
+// plainRuns returns the number of runs of a text on the plain servers.
 func (c *cluster) plainRuns(t *testing.T, text string) int {
 	t.Helper()
 	runs := 0
@@ -92,20 +91,21 @@
 	return runs
 }
 
-// judgeEmail checks what the callers of one email were told against what ran.
-func (c *cluster) judgeEmail(t *testing.T, text string, answers []emailAnswer) (done int) {
+// checkEmail compares the answers to one email with the runs of it, and returns the
+// number of successful answers.
+func (c *cluster) checkEmail(t *testing.T, text string, answers []emailAnswer) (done int) {
 	t.Helper()
 	runs := c.plainRuns(t, text)
 	require.LessOrEqual(t, runs, 1, "%s ran %d times", text, runs)
 	for _, a := range answers {
 		switch {
-		case a.err != nil: // The node is gone, and the caller was told nothing.
+		case a.err != nil: // The node was killed before it answered.
 		case a.status == http.StatusOK:
 			done++
-			require.Equal(t, 1, runs, "%s: %s said done", text, a.node.vm)
+			require.Equal(t, 1, runs, "%s: %s answered done", text, a.node.vm)
 			require.Equal(t, text, a.reply.Body, "another request's answer")
 		case a.problem.Outcome == messenger.NotRun:
-			require.Zero(t, runs, "%s: %s said not_run: %+v", text, a.node.vm, a.problem)
+			require.Zero(t, runs, "%s: %s answered not_run: %+v", text, a.node.vm, a.problem)
 		default:
 			require.Equal(t, messenger.Unknown, a.problem.Outcome, "%s at %s: %+v", text, a.node.vm, a.problem)
 		}
@@ -113,19 +113,19 @@
 	return done
 }
 
-// emailRound is one email and what goes wrong while it is sent.
+// emailRound is one email and the faults while it is sent.
 type emailRound struct {
 	name string
-	// loseAppends counts the appends that take effect and answer "failed".
+	// loseAppends is the number of appends that take effect but return a failure.
 	loseAppends int
 	loss        platform.LossKind
-	// slowLog delays each call of the log, so that the kill falls between the
-	// claim and its reading back; slowRun keeps the plain servers at work, so
-	// that it falls between the sending and the answer.
+	// slowLog delays each call of the log, so that the kill falls between the append of
+	// the claim and reading it back. slowRun delays the plain servers, so that the kill
+	// falls between sending the email and its answer.
 	slowLog time.Duration
 	slowRun time.Duration
-	// kill chooses the node that is killed once its time line has this event.
-	kill string
+	// killAfter is the timeline event after which its node is killed; empty for none.
+	killAfter string
 }
 
 var emailRounds = []emailRound{
@@ -147,29 +147,25 @@
 		loseAppends: 3,
 		loss:        platform.LossUnavailable,
 		slowRun:     2 * time.Second,
-		kill:        "claim_won",
+		killAfter:   "claim_won",
 	},
 	{
 		name:        "a claimant is killed before it reads its claim",
 		loseAppends: 3,
 		loss:        platform.LossClosed,
 		slowLog:     300 * time.Millisecond,
-		kill:        "claim_appended",
+		killAfter:   "claim_appended",
 	},
 }
 
-// TestRejectionEmailAtThreeNodes: a caller sends one rejection email under one
-// key to three nodes at once, because it got no answer fast enough. The log
-// takes the nodes' claims and answers that it failed, so that none can tell from
-// the answer whether its claim stands; in the last rounds a node is killed right
-// after. Each node reads the log back, and only the first claim in log order may
-// send, once: authors screenshot a doubled rejection. Whoever is told not_run
-// must be able to rely on it.
+// A caller sends one email under one key to three nodes whose log appends take effect
+// but return failures; in some rounds a node is killed. The email must run at most
+// once, and no node may answer not_run if it ran.
 func TestRejectionEmailAtThreeNodes(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, options{})
 	for _, round := range emailRounds {
-		c.playEmail(t, round)
+		c.runEmailRound(t, round)
 	}
 	c.setPortalFaults(t, map[string]any{"run_slow_ms": 0})
 	c.setFaults(t, map[string]any{
@@ -177,7 +173,7 @@
 		"log_slow_ms":  0,
 	})
 	last := "Dear author, this comes last."
-	require.Equal(t, 1, c.judgeEmail(t, last, []emailAnswer{sendEmail(c.nodes[0], t.Name(), last)}))
+	require.Equal(t, 1, c.checkEmail(t, last, []emailAnswer{sendEmail(c.nodes[0], t.Name(), last)}))
 	for _, round := range emailRounds {
 		require.LessOrEqual(t, c.plainRuns(t, round.text()), 1, "%s: it ran again later", round.name)
 	}
@@ -185,8 +181,8 @@
 
 func (r emailRound) text() string { return "Dear author, not this time: " + r.name }
 
-// playEmail sends one email to three nodes and judges what they say.
-func (c *cluster) playEmail(t *testing.T, round emailRound) {
+// runEmailRound sends one email to three nodes and checks their answers.
+func (c *cluster) runEmailRound(t *testing.T, round emailRound) {
 	t.Helper()
 	c.setPortalFaults(t, map[string]any{"run_slow_ms": round.slowRun.Milliseconds()})
 	c.setFaults(t, map[string]any{
@@ -198,8 +194,8 @@
 	key := t.Name() + round.name
 	began := time.Now()
 	incoming := sendEmails(nodes, key, round.text())
-	if round.kill != "" {
-		victim := c.awaitEvent(t, nodes, round.kill, began)
+	if round.killAfter != "" {
+		victim := c.awaitEvent(t, nodes, round.killAfter, began)
 		c.killNode(t, victim)
 		t.Logf("%s: killed %s after %s", round.name, victim.vm, time.Since(began).Round(time.Millisecond))
 	}
@@ -208,11 +204,11 @@
 		a := <-incoming
 		answers = append(answers, a)
 		t.Logf("%s: %s: status %d outcome %q reason %q error %v after %s", round.name,
-			a.node.vm, a.status, a.problem.Outcome, a.problem.Reason, a.err, a.took.Round(time.Millisecond))
+			a.node.vm, a.status, a.problem.Outcome, a.problem.Reason, a.err, a.elapsed.Round(time.Millisecond))
 	}
-	done := c.judgeEmail(t, round.text(), answers)
-	if round.kill == "" {
-		require.Equal(t, len(nodes), done, "%s: with no node lost, all are answered", round.name)
+	done := c.checkEmail(t, round.text(), answers)
+	if round.killAfter == "" {
+		require.Equal(t, len(nodes), done, "%s: all nodes answer if none is killed", round.name)
 	}
 }
 
@@ -224,21 +220,20 @@
 	}
 }
 
-// awaitEvent returns the first of the nodes that has a new event of a kind on
-// its time line.
+// awaitEvent returns the first of the nodes whose timeline has a new event of a kind.
 func (c *cluster) awaitEvent(t *testing.T, nodes []*node, kind string, since time.Time) *node {
 	t.Helper()
-	var found *node
+	var match *node
 	c.eventually(t, kind, func() bool {
 		for _, n := range nodes {
 			if n.hasEvent(kind, since) {
-				found = n
+				match = n
 				return true
 			}
 		}
 		return false
 	})
-	return found
+	return match
 }
 
 func (n *node) hasEvent(kind string, since time.Time) bool {
--- a/internal/rehearser/events_test.go
+++ b/internal/rehearser/events_test.go
@@ -12,11 +12,11 @@
 	"github.com/dotterelhollow/dotterelhollow/internal/server"
 )
 
-// eventDone stands for the last event of a whole answer.
+// eventDone is the name that readEvents returns for the end of a complete answer.
 const eventDone = "done"
 
-// readEvents returns the text of a stream that began with the first token, and
-// the name of its last event; empty, if there was none yet.
+// readEvents returns the text of a stream from its first token on, and the name of its
+// last event, or "" if the stream has not ended.
 func readEvents(t *testing.T, body []byte) (text, end string) {
 	t.Helper()
 	blocks := strings.Split(string(body), "\n\n")
--- a/internal/rehearser/freeze_test.go
+++ b/internal/rehearser/freeze_test.go
@@ -14,50 +14,47 @@
 	"github.com/dotterelhollow/dotterelhollow/internal/standin"
 )
 
-// frozenFor is longer than it takes until a silent node is taken for dead and
-// its requests are adopted.
-const frozenFor = 9 * time.Second
+// freezeTime exceeds the time after which an unresponsive node is declared dead and its
+// requests are adopted.
+const freezeTime = 9 * time.Second
 
-// TestHomeNodeFrozen: a caller reads a long report when the node that serves it
-// is stopped with SIGSTOP. Its connections stay open and silent, so the caller
-// leaves it and goes on at the node that adopted the request. After 9 s the
-// node goes on where it was, and still takes itself for the owner. Whoever asks
-// it then must get the same tokens or be sent to the new owner: two answers
-// under one name would let a caller put together one that nobody gave.
-func TestHomeNodeFrozen(t *testing.T) {
+// The serving node is paused until its request is adopted, and then resumes as if it
+// still owned it. It must send the same tokens or redirect to the new owner: two
+// answers under one request id would let a caller mix them.
+func TestServingNodeFrozen(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, options{})
-	r := ask(t, c.client("monday_reports", nil), "Report on the manuscript 'Lighthouse'.", 600)
+	r := startReport(t, c.client("monday_reports", nil), "Report on the manuscript 'Lighthouse'.", 600)
 	r.waitTokens(t, 100)
-	request, address := r.home()
-	frozen := c.at(t, address)
-	r.takeGap()
+	request, address := r.attachment()
+	frozen := c.nodeAt(t, address)
+	r.takeMaxGap()
 	began := time.Now()
 	frozen.freeze()
-	c.waitElapsed(t, began, frozenFor)
-	_, after := r.home()
-	require.NotEqual(t, address, after, "the caller is elsewhere while its node is frozen")
-	paused := r.takeGap()
+	c.waitElapsed(t, began, freezeTime)
+	_, after := r.attachment()
+	require.NotEqual(t, address, after, "the caller has moved from its frozen node")
+	paused := r.takeMaxGap()
 	frozen.thaw()
 	redirects, served := 0, 0
-	again := time.NewTicker(tick)
+	again := time.NewTicker(pollInterval)
 	defer again.Stop()
 	for running := true; running; <-again.C {
-		running = !r.over()
-		if redirected := r.askAgain(t, frozen); redirected {
+		running = !r.ended()
+		if redirected := r.requestAgain(t, frozen); redirected {
 			redirects++
 		} else {
 			served++
 		}
 	}
-	r.waitWhole(t)
+	r.waitComplete(t)
 	t.Logf("moved from %s to %s, longest pause %s; the thawed node redirected %d callers and served %d",
 		address, after, paused, redirects, served)
 	c.requireNoRestart(t, request)
 }
 
-// over reports whether the report has ended.
-func (r *report) over() bool {
+// ended reports whether the report has ended.
+func (r *report) ended() bool {
 	select {
 	case <-r.done:
 		return true
@@ -66,11 +63,11 @@
 	}
 }
 
-// askAgain asks one node for the report from its first token on, as a caller
-// does that has kept the node's address, and reads what comes for a while. It
-// reports whether the node sent the caller elsewhere without a token, and
-// objects to any token that is not the answer's.
-func (r *report) askAgain(t *testing.T, n *node) bool {
+// requestAgain requests the report from its first token from one node, as a caller with
+// an old address does, and reads for a while. It reports whether the node redirected
+// the caller without sending a token, and fails the test if it sent tokens of another
+// answer.
+func (r *report) requestAgain(t *testing.T, n *node) bool {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
@@ -78,7 +75,7 @@
 		"Accept":        {"text/event-stream"},
 		"Last-Event-Id": {"0"},
 	}
-	request, _ := r.home()
+	request, _ := r.attachment()
 	code, answer, body, err := exchange(ctx, http.MethodGet, n.address, "/v1/requests/"+string(request), "demo-monday_reports", header, nil)
 	if code == 0 {
 		require.ErrorIs(t, err, context.DeadlineExceeded, "the node breaks the connection")
@@ -92,7 +89,7 @@
 	}
 	require.Equal(t, http.StatusOK, code, "%s", body)
 	text, end := readEvents(t, body)
-	require.True(t, strings.HasPrefix(standin.Answer(r.prompt, r.tokens), text), "the node serves another answer: %q", text)
+	require.True(t, strings.HasPrefix(standin.Answer(r.prompt, r.tokens), text), "the node served another answer: %q", text)
 	require.NotEqual(t, server.EventError, end)
 	if end == eventDone {
 		require.Equal(t, standin.Answer(r.prompt, r.tokens), text)
--- a/internal/rehearser/main_test.go
+++ b/internal/rehearser/main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// programs is the folder of the programs under test.
+// programs is the directory of the programs under test.
 var programs string
 
 func TestMain(m *testing.M) {
--- a/internal/rehearser/operators_test.go
+++ b/internal/rehearser/operators_test.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// shortRetention is how long the log of this test keeps a record.
+	// shortRetention is the retention of this test's log.
 	shortRetention = 12 * time.Second
-	// inForceTime is what "within seconds" means for an accepted change.
-	inForceTime = 10 * time.Second
+	// maxInForceTime limits the time until an accepted change is in force on all nodes.
+	maxInForceTime = 10 * time.Second
 
 	changedFile identifier.FileName = "60-targets.ini"
 )
 
-// shortLog is a file that tells the nodes of the short retention. Keys must be
+// shortLog returns a configuration file with the short retention. Keys must be
 // remembered for at most half of it.
 func shortLog() string {
 	var text strings.Builder
@@ -34,22 +34,18 @@
 	} {
 		fmt.Fprintf(&text, "[service %s]\nkey_window = 5s\n", service)
 	}
-	// A key that may run once is remembered for two deadlines at least, and a
-	// target is no later than the deadline.
-	text.WriteString("deadline = 2500ms\n") // of rejection_email, the last one above
+	// A key that may run once is remembered for at least two deadlines, and a target
+	// must not exceed the deadline.
+	text.WriteString("deadline = 2500ms\n") // of rejection_email, the last service above
 	for _, account := range []string{"portal", "dashboard"} {
 		fmt.Fprintf(&text, "[target %s rejection_email]\ncompletion = 2s\n", account)
 	}
 	return text.String()
 }
 
-// TestTwoOperatorsChangeOneFile: two operators change one file at the same
-// moment through two nodes, each on the revision that both have seen. Log order
-// lets exactly one through, and each is told the truth. All nodes have the
-// winner's file within seconds. Then the log drops the records of the change,
-// and only the nodes' snapshots are left: a node that starts then has the same
-// configuration, and so has one that starts while the log is out, which gets it
-// from its peers.
+// Of two concurrent changes to one file, exactly one must be accepted and in force on
+// all nodes. Nodes that start after the log dropped its records, or during a log
+// outage, must get the same configuration from a snapshot or from peers.
 func TestTwoOperatorsChangeOneFile(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, options{
@@ -63,7 +59,7 @@
 	c.requireInForce(t, c.nodes, won)
 	t.Logf("revision %d in force on all nodes after %s", won.Revision, time.Since(decided).Round(time.Millisecond))
 
-	require.Eventually(t, func() bool { return c.configSince(t, decided) }, 4*shortRetention, tick, "the change expires")
+	require.Eventually(t, func() bool { return c.configAppendedSince(t, decided) }, 4*shortRetention, pollInterval, "the change expires")
 	late := c.startNode(t, "entry-7", "providence")
 	c.requireInForce(t, []*node{late}, won)
 	c.requireInForce(t, c.nodes, won)
@@ -75,7 +71,7 @@
 	c.setFaults(t, map[string]any{"log_outage": false})
 }
 
-// changeAnswer is what one of the operators was told.
+// changeAnswer is the answer to one operator's change.
 type changeAnswer struct {
 	content string
 	status  int
@@ -83,8 +79,8 @@
 	err     error
 }
 
-// raceChanges lets two operators change a file at once, and returns the file as
-// the one who was told "accepted" left it.
+// raceChanges sends two changes of a file at once and returns the file as the accepted
+// one left it.
 func (c *cluster) raceChanges(t *testing.T, before server.ConfigFile) server.ConfigFile {
 	t.Helper()
 	answers := make(chan changeAnswer, 2)
@@ -102,12 +98,12 @@
 		a := <-answers
 		require.NoError(t, a.err)
 		if a.status == http.StatusOK {
-			var told server.ChangeAnswer
-			require.NoError(t, json.Unmarshal(a.body, &told))
-			require.True(t, told.Accepted)
+			var answer server.ChangeAnswer
+			require.NoError(t, json.Unmarshal(a.body, &answer))
+			require.True(t, answer.Accepted)
 			won = append(won, server.ConfigFile{
 				File:     changedFile,
-				Revision: told.Revision,
+				Revision: answer.Revision,
 				Content:  a.content,
 			})
 			continue
@@ -117,7 +113,7 @@
 		require.NoError(t, json.Unmarshal(a.body, &problem))
 		require.Equal(t, server.ReasonChangeRejected, problem.Reason)
 	}
-	require.Len(t, won, 1, "exactly one operator is told accepted")
+	require.Len(t, won, 1, "exactly one change is accepted")
 	require.Greater(t, won[0].Revision, before.Revision)
 	return won[0]
 }
@@ -129,8 +125,7 @@
 	return f, err == nil && code == http.StatusOK && json.Unmarshal(body, &f) == nil
 }
 
-// requireInForce waits until nodes have a file, and the configuration of which
-// it is the last change, in force.
+// requireInForce waits until a file, at its revision, is in force on the nodes.
 func (c *cluster) requireInForce(t *testing.T, nodes []*node, want server.ConfigFile) {
 	t.Helper()
 	for _, n := range nodes {
@@ -138,15 +133,15 @@
 			got, ok := n.file(want.File)
 			s, answered := n.status()
 			return ok && answered && got == want && s.Revision == want.Revision
-		}, inForceTime, tick, "%s has revision %d in force", n.vm, want.Revision)
+		}, maxInForceTime, pollInterval, "%s has revision %d in force", n.vm, want.Revision)
 	}
 }
 
-// configSince reports whether all that the log still has of the configuration
-// was appended after a moment.
-func (c *cluster) configSince(t *testing.T, moment time.Time) bool {
+// configAppendedSince reports whether all configuration records in the log were
+// appended after a time.
+func (c *cluster) configAppendedSince(t *testing.T, since time.Time) bool {
 	t.Helper()
 	var read encoder.ReadResponse
 	require.NoError(t, c.platform.Get(t.Context(), "/log/read?stream=config&from=0&limit=5000", &read))
-	return len(read.Records) > 0 && read.Records[0].AppendedMS > moment.UnixMilli()
+	return len(read.Records) > 0 && read.Records[0].AppendedMS > since.UnixMilli()
 }
--- a/internal/rehearser/outage_test.go
+++ b/internal/rehearser/outage_test.go
@@ -11,18 +11,16 @@
 )
 
 const (
-	// firstRefusalTime bounds the wait of those that come when no node knows yet
-	// that the log is out: a node tries its claim for half a second.
-	firstRefusalTime = 2 * time.Second
-	// atOnce is what "at once" means later on.
-	atOnce = time.Second
+	// maxFirstRefusalTime limits the first refusals, when no node has noticed the log
+	// outage: a node retries its claim for half a second.
+	maxFirstRefusalTime = 2 * time.Second
+	// maxRefusalTime limits the refusals after that.
+	maxRefusalTime = time.Second
 )
 
-// TestLogOutage: the log is out. A rejection email could only be sent without
-// its claim, and so twice: each node refuses it, says why and when to come back,
-// and nothing runs, not later either. A report needs no log: it is accepted, its
-// copy stands on a node of another zone, and it survives the kill of its home
-// node. With the log back the same key works.
+// During a log outage, a request that may run only once must be refused with a reason
+// and a retry time, and must never run. Requests that need no log are accepted and
+// survive the loss of their node.
 func TestLogOutage(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, options{})
@@ -33,21 +31,21 @@
 	for range c.nodes {
 		a := <-incoming
 		requireLogRefusal(t, a)
-		require.Less(t, a.took, firstRefusalTime)
+		require.Less(t, a.elapsed, maxFirstRefusalTime)
 	}
 
-	// A node that has noticed does not make its callers wait.
+	// A node that has noticed the outage refuses at once.
 	c.eventually(t, "a refusal at once", func() bool {
 		a := sendEmail(c.nodes[0], t.Name()+"-later", text)
 		requireLogRefusal(t, a)
-		return a.took < atOnce
+		return a.elapsed < maxRefusalTime
 	})
 
-	r := ask(t, c.client("monday_reports", nil), "Report on the manuscript 'Ferry'.", 400)
+	r := startReport(t, c.client("monday_reports", nil), "Report on the manuscript 'Ferry'.", 400)
 	r.waitTokens(t, 100)
-	request, address := r.home()
-	c.killNode(t, c.at(t, address))
-	r.waitWhole(t)
+	request, address := r.attachment()
+	c.killNode(t, c.nodeAt(t, address))
+	r.waitComplete(t)
 	c.requireNoRestart(t, request)
 
 	require.Zero(t, c.plainRuns(t, text), "a refused email ran")
@@ -59,8 +57,8 @@
 	require.Equal(t, 1, c.plainRuns(t, text))
 }
 
-// requireLogRefusal checks that an email was refused because of the log. The
-// node can't say not_run of a key that others may have been sent, too.
+// requireLogRefusal checks that an email was refused because of the log outage. Its
+// outcome may be unknown, because other nodes may have received the same key.
 func requireLogRefusal(t *testing.T, a emailAnswer) {
 	t.Helper()
 	require.NoError(t, a.err)
@@ -69,5 +67,5 @@
 	require.Contains(t, []messenger.Outcome{messenger.Unknown, messenger.NotRun}, a.problem.Outcome)
 	require.Positive(t, a.problem.RetryAfter)
 	require.NotEmpty(t, a.header.Get("Retry-After"))
-	t.Logf("%s refused with outcome %s after %s", a.node.vm, a.problem.Outcome, a.took.Round(time.Millisecond))
+	t.Logf("%s refused with outcome %s after %s", a.node.vm, a.problem.Outcome, a.elapsed.Round(time.Millisecond))
 }
--- a/internal/rehearser/process_test.go
+++ b/internal/rehearser/process_test.go
@@ -15,16 +15,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// exitTime bounds the wait for the end of a process that was told to end.
-const exitTime = 40 * time.Second
+// exitTimeout limits the wait for a process to exit.
+const exitTimeout = 40 * time.Second
 
-// process is a program that a test started. It is signalled by its own pid
-// only, and is gone when the test ends.
+// process is a program started by a test and killed at the test's end. Signals go to
+// its own pid only.
 type process struct {
 	name    string
 	command *exec.Cmd
 	log     string
-	// ended is closed once the process is gone; its exit code stands in code.
+	// ended is closed after the process has exited; code then holds its exit code.
 	ended chan struct{}
 	code  atomic.Int64
 }
@@ -58,35 +58,33 @@
 	return p
 }
 
-// signal sends s. A process that is gone already is no fault.
+// signal sends s and ignores the error if the process has exited.
 func (p *process) signal(s syscall.Signal) { _ = p.command.Process.Signal(s) }
 
-// kill ends the process with no chance to do anything about it. It ends a
-// stopped one, too.
+// kill sends SIGKILL, which also ends a stopped process, and waits for the exit.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.ended
 }
 
-// terminate asks the process to stop and returns how long it took.
+// terminate sends SIGTERM, requires exit code 0 and returns the time until the exit.
 func (p *process) terminate(t *testing.T) time.Duration {
 	t.Helper()
 	began := time.Now()
 	p.signal(syscall.SIGTERM)
 	select {
 	case <-p.ended:
-	case <-time.After(exitTime):
+	case <-time.After(exitTimeout):
 		require.FailNow(t, "the process does not stop", p.name)
 	}
 	require.Zero(t, p.code.Load(), "exit code of %s", p.name)
 	return time.Since(began)
 }
 
-// shownLines is how many lines of a log a failed test shows.
+// shownLines is the number of log lines shown for a failed test.
 const shownLines = 40
 
-// lastLines returns the end of a log, without what each node tells of the start
-// of every other VM.
+// lastLines returns the end of a log, without the lines that report a VM as joined.
 func lastLines(file string) string {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/rehearser/relay_test.go
+++ b/internal/rehearser/relay_test.go
@@ -9,31 +9,31 @@
 	"github.com/stretchr/testify/require"
 )
 
-// relay hands TCP connections on to one address. Told to, it loses track of
-// those that are open, as a box on the way does: they stay open and silent,
-// while new ones work.
+// relay forwards TCP connections to one address. It can blackhole the open connections,
+// as a middlebox that loses its state does: they stay open without data, while new ones
+// work.
 type relay struct {
 	listener net.Listener
 	target   string
 
 	mu    sync.Mutex
 	conns map[net.Conn]bool
-	// lost closes when the connections that are open now go silent.
-	lost chan struct{}
-	work sync.WaitGroup
+	// blackholed is closed to blackhole the connections that are open.
+	blackholed chan struct{}
+	work       sync.WaitGroup
 }
 
-// startRelay opens a relay to target until the test ends.
+// startRelay starts a relay to target until the test ends.
 func startRelay(t *testing.T, listen, target string) *relay {
 	t.Helper()
 	l, err := net.Listen("tcp", listen)
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &relay{
-		listener: l,
-		target:   target,
-		conns:    make(map[net.Conn]bool),
-		lost:     make(chan struct{}),
+		listener:   l,
+		target:     target,
+		conns:      make(map[net.Conn]bool),
+		blackholed: make(chan struct{}),
 	}
 	r.work.Go(func() { r.accept(ctx) })
 	t.Cleanup(func() {
@@ -47,12 +47,12 @@
 
 func (r *relay) address() string { return r.listener.Addr().String() }
 
-// loseTrack makes the open connections silent and returns how many there are.
-func (r *relay) loseTrack() int {
+// blackholeConnections blackholes the open connections and returns their number.
+func (r *relay) blackholeConnections() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	close(r.lost)
-	r.lost = make(chan struct{})
+	close(r.blackholed)
+	r.blackholed = make(chan struct{})
 	return len(r.conns) / 2
 }
 
@@ -67,29 +67,28 @@
 			_ = near.Close()
 			continue
 		}
-		r.join(ctx, near, far)
+		r.connect(ctx, near, far)
 	}
 }
 
-func (r *relay) join(ctx context.Context, near, far net.Conn) {
+func (r *relay) connect(ctx context.Context, near, far net.Conn) {
 	r.mu.Lock()
-	lost := r.lost
+	blackholed := r.blackholed
 	r.conns[near] = true
 	r.conns[far] = true
 	r.mu.Unlock()
-	r.work.Go(func() { r.copy(ctx, far, near, lost) })
-	r.work.Go(func() { r.copy(ctx, near, far, lost) })
+	r.work.Go(func() { r.copy(ctx, far, near, blackholed) })
+	r.work.Go(func() { r.copy(ctx, near, far, blackholed) })
 }
 
-// copy hands bytes on until either end closes. Once the connection is lost it
-// drops what comes, the news of its end included, so that neither end learns
-// of the other any more.
-func (r *relay) copy(ctx context.Context, to, from net.Conn, lost <-chan struct{}) {
+// copy forwards bytes until either end closes. After the connection is blackholed it
+// drops everything, including the close, so that neither end notices.
+func (r *relay) copy(ctx context.Context, to, from net.Conn, blackholed <-chan struct{}) {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
 		select {
-		case <-lost:
+		case <-blackholed:
 			<-ctx.Done()
 			return
 		default:
--- a/internal/rehearser/report_test.go
+++ b/internal/rehearser/report_test.go
@@ -19,7 +19,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// client returns a caller's library for one of Quillmark's accounts.
+// client returns a caller's client for one of Quillmark's accounts.
 func (c *cluster) client(account string, transport http.RoundTripper) *caller.Client {
 	return caller.New(caller.Config{
 		Nodes:     c.addresses(),
@@ -28,7 +28,7 @@
 	})
 }
 
-// report is a manuscript report on its way. It is its own sink.
+// report is a manuscript report in progress. It implements its own sink.
 type report struct {
 	prompt string
 	tokens identifier.Tokens
@@ -36,15 +36,15 @@
 	trace  caller.Trace
 	err    error
 
-	mu       sync.Mutex
-	got      []string
-	misplace int
-	restarts int
-	request  identifier.RequestID
-	node     string
-	last     time.Time
-	// gap is the longest wait for a token since it was last asked for.
-	gap time.Duration
+	mu        sync.Mutex
+	got       []string
+	misplaced int
+	restarts  int
+	request   identifier.RequestID
+	node      string
+	lastToken time.Time
+	// maxGap is the longest time between two tokens since the last call of takeMaxGap.
+	maxGap time.Duration
 }
 
 var (
@@ -57,13 +57,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t.Index != identifier.Tokens(len(r.got)+1) {
-		r.misplace++
+		r.misplaced++
 	}
 	now := time.Now()
 	if len(r.got) > 0 {
-		r.gap = max(r.gap, now.Sub(r.last))
+		r.maxGap = max(r.maxGap, now.Sub(r.lastToken))
 	}
-	r.last = now
+	r.lastToken = now
 	r.got = append(r.got, t.Text)
 	return nil
 }
@@ -84,15 +84,15 @@
 	r.node = node
 }
 
-// ask starts a manuscript report.
-func ask(t *testing.T, client *caller.Client, prompt string, tokens identifier.Tokens) *report {
+// startReport starts a manuscript report.
+func startReport(t *testing.T, client *caller.Client, prompt string, tokens identifier.Tokens) *report {
 	t.Helper()
 	r := &report{
 		prompt: prompt,
 		tokens: tokens,
 		done:   make(chan struct{}),
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), testTime)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	go func() {
 		r.trace, r.err = client.Stream(ctx, caller.Prompt{
 			Terms: caller.Terms{
@@ -122,52 +122,51 @@
 	return len(r.got)
 }
 
-// home returns the request and the address of the node that last answered.
-func (r *report) home() (identifier.RequestID, string) {
+// attachment returns the request and the address of the node that last answered.
+func (r *report) attachment() (identifier.RequestID, string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.request, r.node
 }
 
-// takeGap returns the longest wait for a token since the last call.
-func (r *report) takeGap() time.Duration {
+// takeMaxGap returns the longest time between two tokens since the last call.
+func (r *report) takeMaxGap() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	gap := r.gap
-	r.gap = 0
+	gap := r.maxGap
+	r.maxGap = 0
 	return gap
 }
 
-// waitTokens waits until n tokens have arrived.
 func (r *report) waitTokens(t *testing.T, n int) {
 	t.Helper()
-	require.Eventually(t, func() bool { return r.count() >= n }, settleTime, tick, "%d tokens of %q", n, r.prompt)
+	require.Eventually(t, func() bool { return r.count() >= n }, settleTimeout, pollInterval, "%d tokens of %q", n, r.prompt)
 }
 
-// waitWhole waits for the end and checks that the answer is the whole answer to
-// this prompt: each token once and in order, and none of it asked for anew.
-func (r *report) waitWhole(t *testing.T) {
+// waitComplete waits for the end and checks that the answer is complete: each token
+// once and in order, without a restart.
+func (r *report) waitComplete(t *testing.T) {
 	t.Helper()
 	select {
 	case <-r.done:
-	case <-time.After(testTime):
+	case <-time.After(testTimeout):
 		require.FailNow(t, "the report does not end", r.prompt)
 	}
 	require.NoError(t, r.err, r.prompt)
-	require.Zero(t, r.misplace, "tokens out of order")
+	require.Zero(t, r.misplaced, "tokens out of order")
 	require.Zero(t, r.restarts, "restarts")
 	require.Zero(t, r.trace.Restarted, "the caller sent it again")
 	require.Equal(t, standin.Tokens(r.prompt, r.tokens), r.got)
 }
 
-// runs returns what the engines that are still there ran for a request.
+// runs returns the runs of a request on the engines that still run.
 func (c *cluster) runs(t *testing.T, request identifier.RequestID) []engine.Run {
 	t.Helper()
-	var found []engine.Run
+	var runs []engine.Run
 	for _, vm := range c.servers(t, "reading") {
-		found = append(found, c.runsAt(t, vm, request)...)
+		runs = append(runs, c.runsAt(t, vm, request)...)
 	}
-	return found
+	return runs
 }
 
 func (c *cluster) runsAt(t *testing.T, vm encoder.VM, request identifier.RequestID) []engine.Run {
@@ -179,18 +178,18 @@
 	})
 }
 
-// requireNoRestart checks that the answer was begun from nothing only once.
+// requireNoRestart checks that only one run of the request started at its first token.
 func (c *cluster) requireNoRestart(t *testing.T, request identifier.RequestID) {
 	t.Helper()
-	fromNothing := 0
+	fromStart := 0
 	var generated identifier.Tokens
 	runs := c.runs(t, request)
 	for _, run := range runs {
 		generated += run.Generated
 		if run.From == 0 {
-			fromNothing++
+			fromStart++
 		}
 	}
-	require.Equal(t, 1, fromNothing, "runs from nothing: %+v", runs)
+	require.Equal(t, 1, fromStart, "runs from the first token: %+v", runs)
 	t.Logf("engines ran %d streams with %d tokens for %s", len(runs), generated, request)
 }
--- a/internal/rehearser/silence_test.go
+++ b/internal/rehearser/silence_test.go
@@ -9,59 +9,56 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// The bounds of the pause that a caller sees. A node hears nothing of an engine
-// for 1 s at this pace, or for 2 s before the first token; a caller waits 4 s
-// for a sign of life. Both then need one new connection.
+// Limits of the pause that a caller sees. A node times out an engine after 1 s at this
+// pace, or 2 s before the first token; a caller times out after 4 s without any data.
+// Both then need one new connection.
 const (
-	engineSilencePause = 5 * time.Second
-	callerSilencePause = 8 * time.Second
+	maxEnginePause = 5 * time.Second
+	maxCallerPause = 8 * time.Second
 )
 
-// TestOpenConnectionsGoSilent: something between a node and an engine, and then
-// something between the caller and its node, loses track of the open
-// connections. Neither end is told: they stay open, and nothing arrives on them
-// any more, while new connections work. The caller sees a short pause each time
-// and the whole answer, because each reader bounds the silence that it bears
-// and goes on by a new connection from the token that it has.
-func TestOpenConnectionsGoSilent(t *testing.T) {
+// The open connections to an engine, and then those to a node, are blackholed without
+// an error. Each reader must time out and resume on a new connection from its last
+// token, so that the caller sees a short pause and the complete answer.
+func TestOpenConnectionsBlackholed(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, options{relays: true})
-	r := ask(t, c.client("monday_reports", nil), "Report on the manuscript 'Orchard'.", 600)
+	r := startReport(t, c.client("monday_reports", nil), "Report on the manuscript 'Orchard'.", 600)
 
 	r.waitTokens(t, 100)
-	request, address := r.home()
-	r.takeGap()
-	lost := c.relays[string(c.engineOf(t, request))].loseTrack()
-	require.Positive(t, lost, "connections to the engine")
+	request, address := r.attachment()
+	r.takeMaxGap()
+	connections := c.relays[string(c.engineOf(t, request))].blackholeConnections()
+	require.Positive(t, connections, "connections to the engine")
 	r.waitTokens(t, r.count()+100)
-	enginePause := r.takeGap()
+	enginePause := r.takeMaxGap()
 
-	lost = c.relays[string(c.at(t, address).vm)].loseTrack()
-	require.Positive(t, lost, "connections to the node")
-	r.waitWhole(t)
-	callerPause := r.takeGap()
+	connections = c.relays[string(c.nodeAt(t, address).vm)].blackholeConnections()
+	require.Positive(t, connections, "connections to the node")
+	r.waitComplete(t)
+	callerPause := r.takeMaxGap()
 
-	t.Logf("longest pause %s with the engine's, %s with the caller's connections silent", enginePause, callerPause)
-	require.Greater(t, enginePause, 500*time.Millisecond, "the engine's connection was silent")
-	require.Greater(t, callerPause, time.Second, "the caller's connection was silent")
-	require.Less(t, enginePause, engineSilencePause)
-	require.Less(t, callerPause, callerSilencePause)
+	t.Logf("longest pause %s with the engine's connections blackholed, %s with the caller's", enginePause, callerPause)
+	require.Greater(t, enginePause, 500*time.Millisecond, "the engine's connection was blackholed")
+	require.Greater(t, callerPause, time.Second, "the caller's connection was blackholed")
+	require.Less(t, enginePause, maxEnginePause)
+	require.Less(t, callerPause, maxCallerPause)
 	c.requireNoRestart(t, request)
 }
 
-// engineOf returns the engine that runs a request now.
+// engineOf returns the engine that runs a request.
 func (c *cluster) engineOf(t *testing.T, request identifier.RequestID) identifier.VMID {
 	t.Helper()
-	var found identifier.VMID
+	var engineID identifier.VMID
 	require.Eventually(t, func() bool {
 		for _, vm := range c.servers(t, "reading") {
 			for _, run := range c.runsAt(t, vm, request) {
 				if run.State == "running" {
-					found = vm.VM
+					engineID = vm.VM
 				}
 			}
 		}
-		return found != ""
-	}, settleTime, tick, "an engine runs %s", request)
-	return found
+		return engineID != ""
+	}, settleTimeout, pollInterval, "an engine runs %s", request)
+	return engineID
 }
