--- a/internal/dispatcher/choose.go
+++ b/internal/dispatcher/choose.go
@@ -45,7 +45,7 @@
 type choice struct {
 	server    *registrar.Server
 	predicted timekeeper.Duration
-	// cost ranks the servers: the prediction with its penalties and discounts.
+	// cost is the prediction with penalties and discounts. Lower is better.
 	cost timekeeper.Duration
 	// prefill is the predicted time to read the prompt.
 	prefill timekeeper.Duration
@@ -75,7 +75,7 @@
 	return d.chooseFrom(env, x, byVersion.Fallback)
 }
 
-// chooseFrom chooses one of servers.
+// chooseFrom chooses one of servers, if possible from this node's subset of them.
 func (d *Dispatcher) chooseFrom(env Env, x *exchange, servers []*registrar.Server) (choice, bool) {
 	holders := d.cacheHoldersOf(env, x.spec.Prefix, servers)
 	inSubset := func(s *registrar.Server) bool { return d.subset.contains(s.Server, candidateServers, len(servers)) }
@@ -161,7 +161,7 @@
 	return drawn
 }
 
-// predict predicts when a server's answer to an exchange would begin.
+// predict returns the predicted times of an exchange at a server, and its cost.
 func (d *Dispatcher) predict(env Env, x *exchange, s *registrar.Server, cache cacheState) choice {
 	running, prefill := d.loads.serverLoad(env.Now, s.Server)
 	backend := env.Catalog.Routing.Backends[x.service]
@@ -226,8 +226,8 @@
 	affinity bool
 }
 
-// cacheHolders is what each of some servers has cached of a prompt's shared parts;
-// cached is indexed like servers.
+// cacheHolders holds how much of a prompt's shared parts each server has cached; cached
+// is indexed like servers.
 type cacheHolders struct {
 	servers []*registrar.Server
 	cached  []identifier.Tokens
--- a/internal/dispatcher/limit.go
+++ b/internal/dispatcher/limit.go
@@ -10,8 +10,8 @@
 // this node's own part of its limit while the allocator is unreachable.
 const unreachableRetry = 300 * timekeeper.Millisecond
 
-// retrySpread is the time over which the retries of callers are spread that wait for
-// the same event.
+// retrySpread is the time over which the retries of callers that wait for the same
+// event are spread.
 const retrySpread = 500 * timekeeper.Millisecond
 
 // refuseByOwnPart refuses a request that exceeds this node's own part of the limit
