--- a/internal/relayer/client.go
+++ b/internal/relayer/client.go
@@ -19,24 +19,24 @@
 )
 
 const (
-	// defaultTimeout bounds a call whose context has no bound.
+	// defaultTimeout limits a call whose context has no deadline.
 	defaultTimeout = 2 * timekeeper.Second
 	dialTimeout    = 1 * time.Second
-	// idleTime keeps the connections of random gossip from piling up.
-	idleTime       = 10 * time.Second
+	// idleTimeout prevents connections of random gossip from accumulating.
+	idleTimeout    = 10 * time.Second
 	connsPerPeer   = 8
 	idlePerPeer    = 2
 	connBufferSize = 4 << 10
-	// defaultMaxPeers bounds the peers that connections are kept to.
+	// defaultMaxPeers is the maximum number of peers with open connections.
 	defaultMaxPeers = 64
 )
 
-// ClientConfig says how a Client calls. Zero limits stand for defaults.
+// ClientConfig configures a Client. Zero limits stand for the defaults.
 type ClientConfig struct {
 	Self  identifier.VMID
 	Now   timekeeper.Clock
 	Clock Clock
-	// Timeout bounds a call whose context has no earlier deadline.
+	// Timeout limits a call whose context has no earlier deadline.
 	Timeout    timekeeper.Duration
 	MaxMessage identifier.Bytes
 	MaxPeers   int
@@ -46,19 +46,20 @@
 // *PeerError.
 type Client struct {
 	config ClientConfig
-	// renewLinks can be switched off to show that tests would notice.
-	renewLinks bool
+	// discardStalled can be disabled, so that a test can prove that it is
+	// needed.
+	discardStalled bool
 
-	mu    sync.Mutex
-	links map[string]*link
-	uses  uint64
+	mu       sync.Mutex
+	conns    map[string]*peerConns
+	useCount uint64
 }
 
-// link is the connections to one peer.
-type link struct {
+// peerConns holds the connections to one peer.
+type peerConns struct {
 	address   string
 	transport *http.Transport
-	peers     pb.Peers
+	service   pb.Peers
 	lastUse   uint64
 }
 
@@ -74,23 +75,23 @@
 		c.MaxPeers = defaultMaxPeers
 	}
 	return &Client{
-		config:     c,
-		renewLinks: true,
-		links:      map[string]*link{},
+		config:         c,
+		discardStalled: true,
+		conns:          map[string]*peerConns{},
 	}
 }
 
-// Close closes the connections that are not in use.
+// Close closes the idle connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for address, l := range c.links {
-		l.transport.CloseIdleConnections()
-		delete(c.links, address)
+	for address, conns := range c.conns {
+		conns.transport.CloseIdleConnections()
+		delete(c.conns, address)
 	}
 }
 
-// Gossip sends this node's news.
+// Gossip sends a gossip message of this node.
 func (c *Client) Gossip(ctx context.Context, address string, data []byte) error {
 	request := &pb.GossipRequest{
 		Envelope: c.envelope(),
@@ -100,15 +101,16 @@
 	return err
 }
 
-// Share tells a peer what this node knows of opaque exchanges.
+// SendStateUpdate sends a state update of this node.
 func (c *Client) SendStateUpdate(ctx context.Context, address string, s messenger.StateUpdate) error {
-	request := encodeShare(s)
+	request := encodeStateUpdate(s)
 	request.Envelope = c.envelope()
 	_, err := call(ctx, c, address, "share", request, pb.Peers.Share)
 	return err
 }
 
-// Limit asks the node that grants limits centrally for a request of an account.
+// Limit requests the central part of an account's limit from the node that
+// grants it.
 func (c *Client) Limit(ctx context.Context, address string, account identifier.AccountID, tokens identifier.Tokens) (messenger.LimitAnswered, error) {
 	request := &pb.LimitRequest{
 		Envelope: c.envelope(),
@@ -124,13 +126,13 @@
 	}, err
 }
 
-// Hold pushes a request, or what was added to its answer, to a holder.
+// Hold pushes a request, or additions to its answer, to a holder.
 func (c *Client) Hold(ctx context.Context, address string, p Push) (HoldAnswer, error) {
-	reply, err := call(ctx, c, address, "hold", c.push(p), pb.Peers.Hold)
+	reply, err := call(ctx, c, address, "hold", c.pushRequest(p), pb.Peers.Hold)
 	return HoldAnswer(reply.GetAnswer()), err
 }
 
-// Unhold tells a holder to drop its copy.
+// Unhold makes a holder drop its copy.
 func (c *Client) Unhold(ctx context.Context, address string, r identifier.RequestID) error {
 	request := &pb.UnholdRequest{
 		Envelope: c.envelope(),
@@ -140,33 +142,33 @@
 	return err
 }
 
-// HandOver gives a request to a successor. It returns nil once the peer owns
-// the request. After an error for which NoEffect is false the peer may own it
-// too.
+// HandOver hands a request over to a successor. It returns nil if the peer
+// now owns the request. After an error for which NoEffect is false, the peer
+// may own it as well.
 func (c *Client) HandOver(ctx context.Context, address string, p Push) error {
-	_, err := call(ctx, c, address, "hand_over", c.push(p), pb.Peers.HandOver)
+	_, err := call(ctx, c, address, "hand_over", c.pushRequest(p), pb.Peers.HandOver)
 	return err
 }
 
-// Locate asks what a peer knows of where a request is.
+// Locate asks a peer for the location of a request.
 func (c *Client) Locate(ctx context.Context, address string, q Query) (Location, bool, error) {
-	reply, err := call(ctx, c, address, "locate", c.question(q), pb.Peers.Locate)
+	reply, err := call(ctx, c, address, "locate", c.queryRequest(q), pb.Peers.Locate)
 	return Location{
 		Address: reply.GetAddress(),
 		Copy:    reply.GetCopy(),
 	}, reply.GetKnown(), err
 }
 
-// Outcome asks how a request that the peer owns ended. The peer waits up to
-// q.Wait for that; the call's own bound is added to it.
+// Outcome asks for the end of a request that the peer owns. The peer waits up
+// to q.Wait for it; the call's own timeout is added.
 func (c *Client) Outcome(ctx context.Context, address string, q Query) (Ending, error) {
-	ctx, done := context.WithTimeout(ctx, (c.config.Timeout + q.Wait).Std())
-	defer done()
-	reply, err := call(ctx, c, address, "outcome", c.question(q), pb.Peers.Outcome)
+	ctx, cancel := context.WithTimeout(ctx, (c.config.Timeout + q.Wait).Std())
+	defer cancel()
+	reply, err := call(ctx, c, address, "outcome", c.queryRequest(q), pb.Peers.Outcome)
 	return decodeEnding(reply), err
 }
 
-// Configuration asks for a peer's state of the configuration.
+// Configuration fetches a peer's configuration state.
 func (c *Client) Configuration(ctx context.Context, address string) ([]byte, error) {
 	const method = "configuration"
 	request := &pb.ConfigurationRequest{Envelope: c.envelope()}
@@ -182,8 +184,8 @@
 	return reply.GetData(), err
 }
 
-// call makes one call. It is not repeated here: the caller knows best whether
-// it still matters.
+// call makes one call without retries: the caller decides whether a retry is
+// still useful.
 func call[Q proto.Message, A enveloped](
 	ctx context.Context, c *Client, address, method string, request Q,
 	do func(pb.Peers, context.Context, Q) (A, error),
@@ -200,20 +202,20 @@
 			},
 		}
 	}
-	if _, bounded := ctx.Deadline(); !bounded {
-		var done context.CancelFunc
-		ctx, done = context.WithTimeout(ctx, c.config.Timeout.Std())
-		defer done()
+	if _, hasDeadline := ctx.Deadline(); !hasDeadline {
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithTimeout(ctx, c.config.Timeout.Std())
+		defer cancel()
 	}
-	l := c.link(address)
+	conns := c.connsTo(address)
 	p := &progress{}
-	reply, err := do(l.peers, p.watch(ctx), request)
+	reply, err := do(conns.service, p.watch(ctx), request)
 	if err == nil {
 		c.config.Clock.Observe(decodeStamp(reply.GetEnvelope()))
 		return reply, nil
 	}
-	if timedOut(err) && c.renewLinks {
-		c.drop(l)
+	if timedOut(err) && c.discardStalled {
+		c.discard(conns)
 	}
 	return none, &PeerError{
 		Address: address,
@@ -223,79 +225,79 @@
 	}
 }
 
-// enveloped is any reply.
+// enveloped is implemented by all replies.
 type enveloped interface{ GetEnvelope() *pb.Envelope }
 
-// link returns the connections to a peer and closes those to the peer that was
-// not called for longest where there are too many.
-func (c *Client) link(address string) *link {
+// connsTo returns the connections to a peer. If there are too many peers, it
+// closes the connections to the least recently used one.
+func (c *Client) connsTo(address string) *peerConns {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.uses++
-	l := c.links[address]
-	if l == nil {
-		if len(c.links) >= c.config.MaxPeers {
-			c.dropOldest()
+	c.useCount++
+	conns := c.conns[address]
+	if conns == nil {
+		if len(c.conns) >= c.config.MaxPeers {
+			c.evictOldest()
 		}
-		l = c.newLink(address)
-		c.links[address] = l
+		conns = c.newConns(address)
+		c.conns[address] = conns
 	}
-	l.lastUse = c.uses
-	return l
+	conns.lastUse = c.useCount
+	return conns
 }
 
-func (c *Client) newLink(address string) *link {
+func (c *Client) newConns(address string) *peerConns {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	transport := &http.Transport{
 		DialContext:         dialer.DialContext,
 		MaxConnsPerHost:     connsPerPeer,
 		MaxIdleConnsPerHost: idlePerPeer,
-		IdleConnTimeout:     idleTime,
+		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 		ReadBufferSize:      connBufferSize,
 		WriteBufferSize:     connBufferSize,
 	}
 	client := &http.Client{
 		Transport: &boundedTripper{
-			next: transport,
-			most: c.config.MaxMessage,
+			next:  transport,
+			limit: c.config.MaxMessage,
 		},
 	}
-	return &link{
+	return &peerConns{
 		address:   address,
 		transport: transport,
-		peers:     pb.NewPeersProtobufClient("http://"+address, client),
+		service:   pb.NewPeersProtobufClient("http://"+address, client),
 	}
 }
 
-// drop gives up all connections to a peer, so that the next call opens a new
-// one.
+// discard discards all connections to a peer, so that the next call opens a
+// new one.
 //
-// Failure: connections can go silent for good while new ones work. The
-// transport closes only the one that the call timed out on; the next call would
-// time out on the next idle one, and a holder would look dead that is not.
-// Calls under way on the old connections end by their own bounds.
-func (c *Client) drop(l *link) {
+// It guards against connections that stall while new ones work. The transport
+// closes only the connection on which the call timed out; the next call would
+// time out on another idle connection, and a live holder would be considered
+// dead. Calls in flight on the old connections end by their own timeouts.
+func (c *Client) discard(conns *peerConns) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.links[l.address] == l {
-		delete(c.links, l.address)
+	if c.conns[conns.address] == conns {
+		delete(c.conns, conns.address)
 	}
-	l.transport.CloseIdleConnections()
+	conns.transport.CloseIdleConnections()
 }
 
-func (c *Client) dropOldest() {
-	var oldest *link
-	for _, l := range c.links {
-		if oldest == nil || l.lastUse < oldest.lastUse {
-			oldest = l
+func (c *Client) evictOldest() {
+	var oldest *peerConns
+	for _, conns := range c.conns {
+		if oldest == nil || conns.lastUse < oldest.lastUse {
+			oldest = conns
 		}
 	}
-	delete(c.links, oldest.address)
+	delete(c.conns, oldest.address)
 	oldest.transport.CloseIdleConnections()
 }
 
-// progress is how far a call came.
+// progress records how far a call has proceeded.
 type progress struct {
 	connected atomic.Bool
 	status    atomic.Int64
@@ -303,7 +305,7 @@
 
 type progressKey struct{}
 
-// watch returns a context that reports the progress of the call made with it.
+// watch returns a context that records the progress of the call made with it.
 func (p *progress) watch(ctx context.Context) context.Context {
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { p.connected.Store(true) },
@@ -311,10 +313,10 @@
 	return context.WithValue(ctx, progressKey{}, p)
 }
 
-// boundedTripper notes the status of a response and bounds its size.
+// boundedTripper records the status of a response and limits its size.
 type boundedTripper struct {
-	next http.RoundTripper
-	most identifier.Bytes
+	next  http.RoundTripper
+	limit identifier.Bytes
 }
 
 var _ http.RoundTripper = (*boundedTripper)(nil)
@@ -330,28 +332,28 @@
 	}
 	response.Body = &boundedBody{
 		ReadCloser: response.Body,
-		left:       t.most,
-		most:       t.most,
+		remaining:  t.limit,
+		limit:      t.limit,
 	}
 	return response, nil
 }
 
-// boundedBody fails once more than its bound was read.
+// boundedBody fails once more than the limit has been read.
 type boundedBody struct {
 	io.ReadCloser
-	left identifier.Bytes
-	most identifier.Bytes
+	remaining identifier.Bytes
+	limit     identifier.Bytes
 }
 
 var _ io.ReadCloser = (*boundedBody)(nil)
 
 func (b *boundedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
-	b.left -= identifier.Bytes(n)
-	if b.left < 0 {
+	b.remaining -= identifier.Bytes(n)
+	if b.remaining < 0 {
 		return n, &TooLargeError{
-			Size:  b.most - b.left,
-			Limit: b.most,
+			Size:  b.limit - b.remaining,
+			Limit: b.limit,
 		}
 	}
 	return n, err
@@ -359,13 +361,13 @@
 
 func (c *Client) envelope() *pb.Envelope { return encodeEnvelope(c.config.Self, c.config.Clock) }
 
-func (c *Client) push(p Push) *pb.PushRequest {
+func (c *Client) pushRequest(p Push) *pb.PushRequest {
 	request := encodePush(c.config.Now.Now(), p)
 	request.Envelope = c.envelope()
 	return request
 }
 
-func (c *Client) question(q Query) *pb.QuestionRequest {
+func (c *Client) queryRequest(q Query) *pb.QuestionRequest {
 	return &pb.QuestionRequest{
 		Envelope: c.envelope(),
 		Request:  string(q.Request),
--- a/internal/relayer/codec.go
+++ b/internal/relayer/codec.go
@@ -9,7 +9,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// farFuture is the remaining time from which a deadline counts as none.
+// farFuture is the remaining time from which a deadline counts as Never.
 const farFuture = 1000 * 24 * timekeeper.Hour
 
 func encodeEnvelope(self identifier.VMID, c Clock) *pb.Envelope {
@@ -31,8 +31,8 @@
 	}
 }
 
-// encodePush leaves out of the spec what the peer has already: the hashes of a
-// long prompt would weigh more than the tokens of a push.
+// encodePush omits the parts of the spec that the peer already has: the
+// hashes of a long prompt would be larger than the tokens of a push.
 func encodePush(now timekeeper.Time, p Push) *pb.PushRequest {
 	request := &pb.PushRequest{
 		Spec:  &pb.Spec{Request: string(p.Spec.Request)},
@@ -190,7 +190,7 @@
 	return r
 }
 
-func decodeQuestion(q *pb.QuestionRequest) Query {
+func decodeQuery(q *pb.QuestionRequest) Query {
 	return Query{
 		Request: identifier.RequestID(q.GetRequest()),
 		Account: identifier.AccountID(q.GetAccount()),
--- a/internal/relayer/cost_test.go
+++ b/internal/relayer/cost_test.go
@@ -12,30 +12,31 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// sharing returns a client and the address of a peer that takes what it is told.
-func sharing(b *testing.B) (*Client, string) {
+// newBenchmarkPair returns a client and the address of a peer that accepts
+// all calls.
+func newBenchmarkPair(b *testing.B) (*Client, string) {
 	server := httptest.NewServer(NewHandler(HandlerConfig{
 		Self:  "server",
 		Peer:  &fakePeer{},
 		Now:   timekeeper.NewManual(serverNow),
-		Clock: line("server", serverNow),
+		Clock: newTimeline("server", serverNow),
 	}))
 	b.Cleanup(server.Close)
 	client := NewClient(ClientConfig{
 		Self:  "client",
 		Now:   timekeeper.NewManual(clientNow),
-		Clock: line("client", clientNow),
+		Clock: newTimeline("client", clientNow),
 	})
 	b.Cleanup(client.Close)
 	return client, server.Listener.Addr().String()
 }
 
-// BenchmarkShare gives what a share costs both ends together, client, server and
-// encoding, where so many servers have requests.
-func BenchmarkShare(b *testing.B) {
+// BenchmarkStateUpdate measures the cost of a state update at both ends
+// together, by the number of servers with requests.
+func BenchmarkStateUpdate(b *testing.B) {
 	for _, servers := range []int{2, 84, 600} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			client, address := sharing(b)
+			client, address := newBenchmarkPair(b)
 			s := messenger.StateUpdate{
 				InFlight: map[identifier.VMID]messenger.InFlight{},
 				Demand: map[identifier.ServiceName]messenger.ServiceDemand{
@@ -58,9 +59,10 @@
 	}
 }
 
-// BenchmarkGossip gives what a message of gossip costs both ends together.
+// BenchmarkGossip measures the cost of a gossip message at both ends
+// together.
 func BenchmarkGossip(b *testing.B) {
-	client, address := sharing(b)
+	client, address := newBenchmarkPair(b)
 	data := make([]byte, 1200)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/relayer/error.go
+++ b/internal/relayer/error.go
@@ -19,23 +19,23 @@
 	_ error = (*NoConfigurationError)(nil)
 )
 
-// Reach tells how far a call that failed can have come.
+// Reach states how far a failed call may have proceeded.
 type Reach string
 
-// How far a call can have come.
+// The possible values of Reach.
 const (
-	// NotReached: no byte of the call has left.
+	// NotReached: no byte of the call was sent.
 	NotReached Reach = "not_reached"
-	// Refused: nothing listens at the address, so that the process that
-	// listened there is no more, with all that it had in memory.
+	// Refused: the address refuses connections, so the process that listened
+	// there no longer exists, and its memory is lost.
 	Refused Reach = "refused"
-	// Rejected: the peer says that the call took no effect.
+	// Rejected: the peer reported that the call had no effect.
 	Rejected Reach = "rejected"
-	// Ambiguous: the call may have taken effect, or may still.
+	// Ambiguous: the call may have had an effect, or may still have one.
 	Ambiguous Reach = "ambiguous"
 )
 
-// PeerError reports a call to a peer that failed.
+// PeerError reports a failed call to a peer.
 type PeerError struct {
 	Address string
 	Method  string
@@ -49,25 +49,26 @@
 
 func (e *PeerError) Unwrap() error { return e.Cause }
 
-// NoEffect reports whether the call surely took no effect and won't.
+// NoEffect reports whether the call certainly had no effect and will have
+// none.
 func (e *PeerError) NoEffect() bool { return e.Reach != Ambiguous }
 
-// TooLargeError reports a message beyond the bound.
+// TooLargeError reports a message that exceeds the size limit.
 type TooLargeError struct {
 	Size  identifier.Bytes
 	Limit identifier.Bytes
 }
 
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("message of %d bytes, more than %d", e.Size, e.Limit)
+	return fmt.Sprintf("message of %d bytes exceeds the limit of %d", e.Size, e.Limit)
 }
 
-// NoConfigurationError reports that a peer has no configuration either.
+// NoConfigurationError reports that the peer has no configuration.
 type NoConfigurationError struct{}
 
 func (e *NoConfigurationError) Error() string { return "the peer has no configuration" }
 
-// reachOf tells how far a call came whose progress p was watched.
+// reachOf returns how far the failed call with progress p may have proceeded.
 func reachOf(err error, p *progress) Reach {
 	var twirpError twirp.Error
 	switch {
@@ -81,7 +82,7 @@
 	return Ambiguous
 }
 
-// rejects reports whether the code says that the handler did not act.
+// rejects reports whether the code implies that the handler did not act.
 func rejects(c twirp.ErrorCode) bool {
 	switch c {
 	case twirp.FailedPrecondition, twirp.Malformed, twirp.InvalidArgument, twirp.BadRoute:
@@ -90,7 +91,7 @@
 	return false
 }
 
-// timedOut reports whether silence ended the call.
+// timedOut reports whether the call ended by a timeout.
 func timedOut(err error) bool {
 	var netError net.Error
 	return errors.Is(err, context.DeadlineExceeded) || errors.As(err, &netError) && netError.Timeout()
--- a/internal/relayer/handler.go
+++ b/internal/relayer/handler.go
@@ -12,7 +12,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// HandlerConfig says how the calls of peers are served. A zero MaxMessage
+// HandlerConfig configures the handler of peer calls. A zero MaxMessage
 // stands for the default.
 type HandlerConfig struct {
 	Self       identifier.VMID
@@ -22,7 +22,7 @@
 	MaxMessage identifier.Bytes
 }
 
-// NewHandler returns the handler of the peer port.
+// NewHandler returns the HTTP handler of the peer port.
 func NewHandler(c HandlerConfig) http.Handler {
 	if c.MaxMessage <= 0 {
 		c.MaxMessage = DefaultMaxMessage
@@ -35,8 +35,8 @@
 
 var _ pb.Peers = (*handler)(nil)
 
-// open takes in the head of a message and returns its sender.
-func (h *handler) open(e *pb.Envelope) identifier.VMID {
+// openEnvelope merges the clock stamp of a message and returns its sender.
+func (h *handler) openEnvelope(e *pb.Envelope) identifier.VMID {
 	h.config.Clock.Observe(decodeStamp(e))
 	return identifier.VMID(e.GetFrom())
 }
@@ -45,13 +45,13 @@
 
 // Gossip implements pb.Peers.
 func (h *handler) Gossip(_ context.Context, q *pb.GossipRequest) (*pb.GossipReply, error) {
-	h.config.Peer.ReceiveGossip(h.open(q.GetEnvelope()), q.GetData())
+	h.config.Peer.ReceiveGossip(h.openEnvelope(q.GetEnvelope()), q.GetData())
 	return &pb.GossipReply{Envelope: h.envelope()}, nil
 }
 
 // Hold implements pb.Peers.
 func (h *handler) Hold(ctx context.Context, q *pb.PushRequest) (*pb.HoldReply, error) {
-	from := h.open(q.GetEnvelope())
+	from := h.openEnvelope(q.GetEnvelope())
 	answer := h.config.Peer.StoreCopy(ctx, from, decodePush(h.config.Now.Now(), q))
 	return &pb.HoldReply{
 		Envelope: h.envelope(),
@@ -61,26 +61,26 @@
 
 // Unhold implements pb.Peers.
 func (h *handler) Unhold(ctx context.Context, q *pb.UnholdRequest) (*pb.UnholdReply, error) {
-	h.config.Peer.DropCopy(ctx, h.open(q.GetEnvelope()), identifier.RequestID(q.GetRequest()))
+	h.config.Peer.DropCopy(ctx, h.openEnvelope(q.GetEnvelope()), identifier.RequestID(q.GetRequest()))
 	return &pb.UnholdReply{Envelope: h.envelope()}, nil
 }
 
 // HandOver implements pb.Peers.
 func (h *handler) HandOver(ctx context.Context, q *pb.PushRequest) (*pb.HandOverReply, error) {
-	from := h.open(q.GetEnvelope())
+	from := h.openEnvelope(q.GetEnvelope())
 	if q.GetBody() == nil {
 		return nil, twirp.RequiredArgumentError("body")
 	}
 	if err := h.config.Peer.TakeOver(ctx, from, decodePush(h.config.Now.Now(), q)); err != nil {
-		return nil, refusal(ctx, err)
+		return nil, handoverError(ctx, err)
 	}
 	return &pb.HandOverReply{Envelope: h.envelope()}, nil
 }
 
-// refusal tells the sender that the call took no effect. Where the call ended
-// before the peer decided, it may yet take effect, and the error does not say
-// otherwise.
-func refusal(ctx context.Context, err error) error {
+// handoverError reports to the sender that the call had no effect. If the
+// call ended before the peer decided, it may still take effect, and the error
+// code does not claim otherwise.
+func handoverError(ctx context.Context, err error) error {
 	if ctx.Err() != nil || errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) {
 		return twirp.WrapError(twirp.NewError(twirp.Unknown, err.Error()), err)
 	}
@@ -89,33 +89,33 @@
 
 // Locate implements pb.Peers.
 func (h *handler) Locate(_ context.Context, q *pb.QuestionRequest) (*pb.LocateReply, error) {
-	h.open(q.GetEnvelope())
-	at, known := h.config.Peer.Locate(decodeQuestion(q))
+	h.openEnvelope(q.GetEnvelope())
+	location, known := h.config.Peer.Locate(decodeQuery(q))
 	return &pb.LocateReply{
 		Envelope: h.envelope(),
 		Known:    known,
-		Address:  at.Address,
-		Copy:     at.Copy,
+		Address:  location.Address,
+		Copy:     location.Copy,
 	}, nil
 }
 
 // Outcome implements pb.Peers.
 func (h *handler) Outcome(ctx context.Context, q *pb.QuestionRequest) (*pb.OutcomeReply, error) {
-	h.open(q.GetEnvelope())
-	reply := encodeEnding(h.config.Peer.Ending(ctx, decodeQuestion(q)))
+	h.openEnvelope(q.GetEnvelope())
+	reply := encodeEnding(h.config.Peer.Ending(ctx, decodeQuery(q)))
 	reply.Envelope = h.envelope()
 	return reply, nil
 }
 
 // Share implements pb.Peers.
 func (h *handler) Share(_ context.Context, q *pb.ShareRequest) (*pb.ShareReply, error) {
-	h.config.Peer.ReceiveStateUpdate(h.open(q.GetEnvelope()), decodeShare(q))
+	h.config.Peer.ReceiveStateUpdate(h.openEnvelope(q.GetEnvelope()), decodeStateUpdate(q))
 	return &pb.ShareReply{Envelope: h.envelope()}, nil
 }
 
 // Limit implements pb.Peers.
 func (h *handler) Limit(ctx context.Context, q *pb.LimitRequest) (*pb.LimitReply, error) {
-	h.open(q.GetEnvelope())
+	h.openEnvelope(q.GetEnvelope())
 	answer := h.config.Peer.GrantLimit(ctx, identifier.AccountID(q.GetAccount()), identifier.Tokens(max(q.GetTokens(), 0)))
 	return &pb.LimitReply{
 		Envelope:     h.envelope(),
@@ -128,7 +128,7 @@
 
 // Configuration implements pb.Peers.
 func (h *handler) Configuration(ctx context.Context, q *pb.ConfigurationRequest) (*pb.ConfigurationReply, error) {
-	h.open(q.GetEnvelope())
+	h.openEnvelope(q.GetEnvelope())
 	data, known := h.config.Peer.ExportConfiguration(ctx)
 	return &pb.ConfigurationReply{
 		Envelope: h.envelope(),
--- a/internal/relayer/permit.go
+++ b/internal/relayer/permit.go
@@ -10,7 +10,8 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Permit asks the node that grants permits for one to a server that states a limit.
+// Permit requests a permit to send to a server that states a limit from the
+// node that grants permits.
 func (c *Client) Permit(ctx context.Context, address string, limits []messenger.ServerLimit) (messenger.PermitAnswered, error) {
 	request := &pb.PermitRequest{
 		Envelope: c.envelope(),
@@ -27,7 +28,7 @@
 
 // Permit implements pb.Peers.
 func (h *handler) Permit(ctx context.Context, q *pb.PermitRequest) (*pb.PermitReply, error) {
-	h.open(q.GetEnvelope())
+	h.openEnvelope(q.GetEnvelope())
 	answer := h.config.Peer.GrantPermit(ctx, decodeLimits(q.GetLimits()))
 	return &pb.PermitReply{
 		Envelope:     h.envelope(),
@@ -51,7 +52,7 @@
 	return out
 }
 
-// decodeLimits leaves out what names no server or no rate.
+// decodeLimits omits entries without a server or with an invalid rate.
 func decodeLimits(limits []*pb.ServerLimit) []messenger.ServerLimit {
 	var out []messenger.ServerLimit
 	for _, l := range limits {
--- a/internal/relayer/relayer_test.go
+++ b/internal/relayer/relayer_test.go
@@ -24,15 +24,15 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakePeer records what it is asked. Hooks decide what it says.
+// fakePeer records calls and returns the configured answers.
 type fakePeer struct {
-	share    messenger.StateUpdate
+	update   messenger.StateUpdate
 	from     identifier.VMID
 	push     Push
-	question Query
+	query    Query
 	answer   HoldAnswer
 	arrived  chan struct{}
-	gate     chan struct{}
+	release  chan struct{}
 	takeOver func(ctx context.Context) error
 	ending   Ending
 	data     []byte
@@ -43,9 +43,9 @@
 var _ Peer = (*fakePeer)(nil)
 
 func (p *fakePeer) ReceiveGossip(identifier.VMID, []byte) {
-	if p.gate != nil {
+	if p.release != nil {
 		p.arrived <- struct{}{}
-		<-p.gate
+		<-p.release
 	}
 }
 
@@ -62,7 +62,7 @@
 }
 
 func (p *fakePeer) Locate(q Query) (Location, bool) {
-	p.question = q
+	p.query = q
 	return Location{
 		Address: "10.0.0.1:7000",
 		Copy:    true,
@@ -82,7 +82,7 @@
 	return p.permit
 }
 
-func (p *fakePeer) ReceiveStateUpdate(_ identifier.VMID, s messenger.StateUpdate) { p.share = s }
+func (p *fakePeer) ReceiveStateUpdate(_ identifier.VMID, s messenger.StateUpdate) { p.update = s }
 
 func (p *fakePeer) Ending(context.Context, Query) Ending { return p.ending }
 
@@ -90,33 +90,34 @@
 	return p.data, p.data != nil
 }
 
-// The wall clocks of the two nodes of the tests differ by an hour.
+// The wall clocks of the two test nodes differ by an hour.
 const (
 	clientNow timekeeper.Time = 10_000_000
 	serverNow                 = clientNow + timekeeper.Time(timekeeper.Hour)
 )
 
-func line(vm identifier.VMID, now timekeeper.Time) *historian.Historian {
+func newTimeline(vm identifier.VMID, now timekeeper.Time) *historian.Historian {
 	return historian.New(historian.Config{
 		Self:  vm,
 		Clock: timekeeper.NewManual(now),
 	})
 }
 
-// pair returns a client and the address of a server that passes calls to p.
-func pair(t *testing.T, p Peer) (*Client, string) {
+// newPair returns a client and the address of a server that passes calls to
+// p.
+func newPair(t *testing.T, p Peer) (*Client, string) {
 	server := httptest.NewServer(NewHandler(HandlerConfig{
 		Self:       "server",
 		Peer:       p,
 		Now:        timekeeper.NewManual(serverNow),
-		Clock:      line("server", serverNow),
+		Clock:      newTimeline("server", serverNow),
 		MaxMessage: 4096,
 	}))
 	t.Cleanup(server.Close)
 	client := NewClient(ClientConfig{
 		Self:       "client",
 		Now:        timekeeper.NewManual(clientNow),
-		Clock:      line("client", clientNow),
+		Clock:      newTimeline("client", clientNow),
 		MaxMessage: 4096,
 	})
 	t.Cleanup(client.Close)
@@ -142,11 +143,11 @@
 	}
 }
 
-// A request travels to a holder whose wall clock is an hour ahead. Its deadline
-// must be as far away there as here, or the holder would end it at once.
-func TestHoldCarriesTheRequest(t *testing.T) {
+// Guards against a deadline that is transferred as an instant: a holder whose
+// wall clock is ahead would end the request at once.
+func TestHoldTransfersRequest(t *testing.T) {
 	p := &fakePeer{answer: HoldStored}
-	client, address := pair(t, p)
+	client, address := newPair(t, p)
 	first := Push{
 		Spec:  spec(),
 		Epoch: 3,
@@ -179,25 +180,26 @@
 	later.Body = nil
 	_, err = client.Hold(t.Context(), address, later)
 	require.NoError(t, err)
-	require.Equal(t, messenger.RequestSpec{Request: "r1"}, p.push.Spec, "the peer has the rest")
+	require.Equal(t, messenger.RequestSpec{Request: "r1"}, p.push.Spec, "the peer already has the spec")
 }
 
-func TestDeadlineWithoutBound(t *testing.T) {
+func TestNeverAsDeadline(t *testing.T) {
 	s := spec()
 	s.Deadline = timekeeper.Never
 	require.Equal(t, timekeeper.Never, decodeSpec(serverNow, encodeSpec(clientNow, s)).Deadline)
 }
 
-// The home was frozen, taken for dead, and thaws. Its holder owns the request
-// now and says so; a home that did not hear it would answer the caller twice.
-func TestTakenIsTold(t *testing.T) {
-	client, address := pair(t, &fakePeer{answer: HoldOwned})
+// The owner of a request was suspended and considered dead, and its holder
+// has taken over. The owner must receive HoldOwned, or it would answer the
+// caller a second time.
+func TestHolderReportsOwnership(t *testing.T) {
+	client, address := newPair(t, &fakePeer{answer: HoldOwned})
 	answer, err := client.Hold(t.Context(), address, Push{Spec: spec()})
 	require.NoError(t, err)
 	require.Equal(t, HoldOwned, answer)
 }
 
-func TestQuestions(t *testing.T) {
+func TestCallsRoundTrip(t *testing.T) {
 	p := &fakePeer{
 		ending: Ending{
 			State:   EndingKnown,
@@ -209,18 +211,18 @@
 		},
 		data: []byte("state"),
 	}
-	client, address := pair(t, p)
+	client, address := newPair(t, p)
 	q := Query{
 		Request: "r1",
 		Account: "quillmark",
 		Wait:    timekeeper.Second,
 	}
-	at, known, err := client.Locate(t.Context(), address, q)
+	location, known, err := client.Locate(t.Context(), address, q)
 	require.NoError(t, err)
 	require.True(t, known)
-	require.True(t, at.Copy)
-	require.Equal(t, "10.0.0.1:7000", at.Address)
-	require.Equal(t, q, p.question)
+	require.True(t, location.Copy)
+	require.Equal(t, "10.0.0.1:7000", location.Address)
+	require.Equal(t, q, p.query)
 
 	ending, err := client.Outcome(t.Context(), address, q)
 	require.NoError(t, err)
@@ -235,7 +237,7 @@
 	require.ErrorAs(t, err, &missing)
 	require.NoError(t, client.Unhold(t.Context(), address, "r1"))
 
-	share := messenger.StateUpdate{
+	update := messenger.StateUpdate{
 		Incarnation: 7,
 		Servers: []messenger.PublishedServer{
 			{
@@ -359,8 +361,8 @@
 		Scope:     messenger.ScopeZone,
 		Zone:      "boston-a",
 	}
-	require.NoError(t, client.SendStateUpdate(t.Context(), address, share))
-	require.Equal(t, share, p.share)
+	require.NoError(t, client.SendStateUpdate(t.Context(), address, update))
+	require.Equal(t, update, p.update)
 
 	granted, err := client.Limit(t.Context(), address, "agency", 99)
 	require.NoError(t, err)
@@ -370,18 +372,18 @@
 	require.False(t, refused.Granted)
 	require.Equal(t, timekeeper.Second, refused.RetryAfter)
 	require.False(t, refused.NotGranting)
-	silent, err := client.Limit(t.Context(), address, "nobody", 1)
+	notGranting, err := client.Limit(t.Context(), address, "nobody", 1)
 	require.NoError(t, err)
-	require.True(t, silent.NotGranting)
+	require.True(t, notGranting.NotGranting)
 }
 
-// A leaving node hands a request over and gets no answer, or a refusal. It may
-// go on with the request itself only where the successor surely has not taken
-// it; else two nodes would answer the caller.
+// Guards against two nodes that answer the caller: a leaving node whose
+// handover failed may continue the request only if the successor certainly
+// does not own it.
 func TestReachOfFailures(t *testing.T) {
-	free, err := net.Listen("tcp", "127.0.0.1:0")
+	unused, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	require.NoError(t, free.Close())
+	require.NoError(t, unused.Close())
 	tests := []struct {
 		name     string
 		takeOver func(ctx context.Context) error
@@ -403,7 +405,7 @@
 			want: Ambiguous,
 		},
 		{
-			name:     "died partway",
+			name:     "connection aborted",
 			takeOver: func(context.Context) error { panic(http.ErrAbortHandler) },
 			want:     Ambiguous,
 		},
@@ -413,71 +415,71 @@
 			want:   NotReached,
 		},
 		{
-			name:    "nobody there",
-			address: free.Addr().String(),
+			name:    "connection refused",
+			address: unused.Addr().String(),
 			want:    Refused,
 		},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			client, address := pair(t, &fakePeer{takeOver: test.takeOver})
+			client, address := newPair(t, &fakePeer{takeOver: test.takeOver})
 			if test.address != "" {
 				address = test.address
 			}
-			ctx, done := context.WithTimeout(t.Context(), 200*time.Millisecond)
-			defer done()
-			var failed *PeerError
+			ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
+			defer cancel()
+			var peerError *PeerError
 			require.ErrorAs(t, client.HandOver(ctx, address, Push{
 				Spec: spec(),
 				Body: &answerer.Body{Prompt: string(make([]byte, test.prompt))},
-			}), &failed)
-			require.Equal(t, test.want, failed.Reach)
-			require.Equal(t, test.want != Ambiguous, failed.NoEffect())
+			}), &peerError)
+			require.Equal(t, test.want, peerError.Reach)
+			require.Equal(t, test.want != Ambiguous, peerError.NoEffect())
 		})
 	}
 }
 
-// A peer sends more than the bound. Neither side may read it into memory.
+// Guards against reading an oversized message into memory on either side.
 func TestMessagesAreBounded(t *testing.T) {
-	client, address := pair(t, &fakePeer{data: make([]byte, 5000)})
+	client, address := newPair(t, &fakePeer{data: make([]byte, 5000)})
 	_, err := client.Configuration(t.Context(), address)
 	var tooLarge *TooLargeError
 	require.ErrorAs(t, err, &tooLarge)
 
 	client.config.MaxMessage = 1 << 20
 	err = client.Gossip(t.Context(), address, make([]byte, 5000))
-	var failed *PeerError
-	require.ErrorAs(t, err, &failed)
-	require.Equal(t, Rejected, failed.Reach)
+	var peerError *PeerError
+	require.ErrorAs(t, err, &peerError)
+	require.Equal(t, Rejected, peerError.Reach)
 }
 
-// muffler forwards connections to a server. Those that are open when it is
-// told to hush go silent for good, while new ones work.
-type muffler struct {
+// stallingProxy forwards connections to a server. After a call of stall, the
+// open connections transfer no more data, while new ones work.
+type stallingProxy struct {
 	listener net.Listener
 	mu       sync.Mutex
-	conns    []*muffled
+	conns    []*stallingConn
 	accepted atomic.Int64
-	running  int           // goroutines whose end was not read yet
-	ended    chan struct{} // one value for each goroutine that has ended
+	running  int           // goroutines whose end has not been received
+	ended    chan struct{} // receives one value per ended goroutine
 }
 
-type muffled struct {
+type stallingConn struct {
 	net.Conn
-	hushed atomic.Bool
+	stalled atomic.Bool
 }
 
-func (c *muffled) Write(p []byte) (int, error) {
-	if c.hushed.Load() {
+func (c *stallingConn) Write(p []byte) (int, error) {
+	if c.stalled.Load() {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
 }
 
-func newMuffler(t *testing.T, target string) *muffler {
+func newStallingProxy(t *testing.T, target string) *stallingProxy {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	m := &muffler{
+	m := &stallingProxy{
 		listener: listener,
 		ended:    make(chan struct{}),
 	}
@@ -494,9 +496,9 @@
 	return m
 }
 
-// start runs work in a goroutine, which ends with the listener or with its
-// connection.
-func (m *muffler) start(work func()) {
+// start runs work in a goroutine, which ends when the listener or its
+// connection is closed.
+func (m *stallingProxy) start(work func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.running++
@@ -506,14 +508,14 @@
 	}()
 }
 
-// wait reads the ends of all goroutines.
-func (m *muffler) wait() {
-	for m.oneRuns() {
+// wait waits for all goroutines to end.
+func (m *stallingProxy) wait() {
+	for m.takeRunning() {
 		<-m.ended
 	}
 }
 
-func (m *muffler) oneRuns() bool {
+func (m *stallingProxy) takeRunning() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.running == 0 {
@@ -523,32 +525,32 @@
 	return true
 }
 
-func (m *muffler) serve(target string) {
+func (m *stallingProxy) serve(target string) {
 	for {
-		near, err := m.listener.Accept()
+		client, err := m.listener.Accept()
 		if err != nil {
 			return
 		}
 		m.accepted.Add(1)
-		far, err := net.Dial("tcp", target)
+		server, err := net.Dial("tcp", target)
 		if err != nil {
-			_ = near.Close()
+			_ = client.Close()
 			continue
 		}
-		m.join(near, far)
+		m.splice(client, server)
 	}
 }
 
-func (m *muffler) join(near, far net.Conn) {
-	to, from := &muffled{Conn: far}, &muffled{Conn: near}
+func (m *stallingProxy) splice(client, server net.Conn) {
+	to, from := &stallingConn{Conn: server}, &stallingConn{Conn: client}
 	m.mu.Lock()
 	m.conns = append(m.conns, to, from)
 	m.mu.Unlock()
-	m.start(func() { forward(to, near) })
-	m.start(func() { forward(from, far) })
+	m.start(func() { forward(to, client) })
+	m.start(func() { forward(from, server) })
 }
 
-func forward(to *muffled, from net.Conn) {
+func forward(to *stallingConn, from net.Conn) {
 	buffer := make([]byte, 4096)
 	for {
 		n, err := from.Read(buffer)
@@ -562,55 +564,55 @@
 	}
 }
 
-func (m *muffler) hush() {
+func (m *stallingProxy) stall() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, c := range m.conns {
-		c.hushed.Store(true)
+		c.stalled.Store(true)
 	}
 }
 
-// callsThatFail opens two connections to a peer, lets both go silent, and
-// returns how many calls in a row fail then.
-func callsThatFail(t *testing.T, renew bool) int {
+// failedCalls opens two connections to a peer, stalls both, and returns the
+// number of consecutive calls that then fail.
+func failedCalls(t *testing.T, discardStalled bool) int {
 	p := &fakePeer{
 		arrived: make(chan struct{}, 16),
-		gate:    make(chan struct{}),
+		release: make(chan struct{}),
 	}
-	client, address := pair(t, p)
-	client.renewLinks = renew
-	m := newMuffler(t, address)
+	client, address := newPair(t, p)
+	client.discardStalled = discardStalled
+	m := newStallingProxy(t, address)
 	address = m.listener.Addr().String()
 
 	ended := make(chan struct{})
 	idle := make(chan struct{}, 2)
-	traced := httptrace.WithClientTrace(t.Context(), &httptrace.ClientTrace{
+	tracedContext := httptrace.WithClientTrace(t.Context(), &httptrace.ClientTrace{
 		PutIdleConn: func(error) { idle <- struct{}{} },
 	})
 	for range 2 {
 		go func() {
-			_ = client.Gossip(traced, address, nil)
+			_ = client.Gossip(tracedContext, address, nil)
 			ended <- struct{}{}
 		}()
 	}
-	// Both calls are under way before either ends: the second would otherwise
-	// take the first one's connection.
+	// Both calls must be in flight before either ends: otherwise the second
+	// would reuse the first one's connection.
 	<-p.arrived
 	<-p.arrived
-	close(p.gate)
+	close(p.release)
 	<-ended
 	<-ended
 	// A call returns before its connection is idle. A call made in between
-	// would open a third one, which is never silent.
+	// would open a third connection, which does not stall.
 	<-idle
 	<-idle
 	require.Equal(t, int64(2), m.accepted.Load())
 
-	m.hush()
+	m.stall()
 	for failed := 0; ; failed++ {
-		ctx, done := context.WithTimeout(t.Context(), 150*time.Millisecond)
+		ctx, cancel := context.WithTimeout(t.Context(), 150*time.Millisecond)
 		err := client.Gossip(ctx, address, nil)
-		done()
+		cancel()
 		if err == nil {
 			return failed
 		}
@@ -620,27 +622,26 @@
 	}
 }
 
-// All open connections to a peer have gone silent, while new ones work. A
-// call times out. The next must not go out on another silent connection:
-// callers of a long request would wait, and a live holder would look dead.
-func TestSilentConnectionsAreGivenUp(t *testing.T) {
-	require.Equal(t, 1, callsThatFail(t, true))
-	require.Equal(t, 2, callsThatFail(t, false), "control: idle connections are kept")
+// Guards against a second call on a stalled connection after the first timed
+// out: a live holder would be considered dead.
+func TestStalledConnectionsAreDiscarded(t *testing.T) {
+	require.Equal(t, 1, failedCalls(t, true))
+	require.Equal(t, 2, failedCalls(t, false), "control: stalled connections are not discarded")
 }
 
-func TestLinksAreBounded(t *testing.T) {
+func TestConnectionsAreBounded(t *testing.T) {
 	client := NewClient(ClientConfig{MaxPeers: 2})
 	for _, address := range []string{"a", "b", "a", "c"} {
-		client.link(address)
+		client.connsTo(address)
 	}
-	require.Contains(t, client.links, "a")
-	require.Contains(t, client.links, "c")
-	require.Len(t, client.links, 2)
+	require.Contains(t, client.conns, "a")
+	require.Contains(t, client.conns, "c")
+	require.Len(t, client.conns, 2)
 }
 
 func TestPermit(t *testing.T) {
 	p := &fakePeer{}
-	client, address := pair(t, p)
+	client, address := newPair(t, p)
 	limits := []messenger.ServerLimit{
 		{
 			Server:  "i-1",
@@ -669,12 +670,12 @@
 		require.Equal(t, answer, got)
 		require.Equal(t, limits, p.limits)
 	}
-	broken := append(limits, messenger.ServerLimit{
+	invalid := append(limits, messenger.ServerLimit{
 		Server:  "i-2",
 		Limited: true,
 		Rate:    -1,
 	})
-	_, err := client.Permit(t.Context(), address, broken)
+	_, err := client.Permit(t.Context(), address, invalid)
 	require.NoError(t, err)
-	require.Equal(t, limits, p.limits, "a rate below zero is none")
+	require.Equal(t, limits, p.limits, "a negative rate is invalid")
 }
--- a/internal/relayer/rollout.go
+++ b/internal/relayer/rollout.go
@@ -27,7 +27,7 @@
 	return out
 }
 
-// decodeRollout leaves out a pace that can't be true.
+// decodeRollout omits an invalid traffic share.
 func decodeRollout(r *pb.Rollout) messenger.Rollout {
 	out := messenger.Rollout{
 		Order: messenger.RolloutOrder{
@@ -41,8 +41,8 @@
 		LeaderAge:     timekeeper.Duration(r.GetLedAgeMs()),
 		ActiveServers: int(max(r.GetFocus(), 0)),
 	}
-	if pace := r.GetPace(); pace > 0 && pace <= 1 && !math.IsNaN(pace) {
-		out.TrafficShare = pace
+	if share := r.GetPace(); share > 0 && share <= 1 && !math.IsNaN(share) {
+		out.TrafficShare = share
 	}
 	for _, v := range r.GetBarred() {
 		out.RolledBackVersions = append(out.RolledBackVersions, identifier.Version(v))
@@ -59,14 +59,14 @@
 		Sent:    int64(c.Sent),
 		Answers: int64(c.Answers),
 		Failed:  int64(c.Failed),
-		First:   wide(c.FirstEventTimes),
-		Pace:    wide(c.EventIntervals),
+		First:   toInt64s(c.FirstEventTimes),
+		Pace:    toInt64s(c.EventIntervals),
 		Running: int64(c.Running),
 		Waiting: int64(c.Waiting),
 	}
 }
 
-// decodeVersionCount leaves out counts that can't be true.
+// decodeVersionCount replaces invalid counts by valid ones.
 func decodeVersionCount(c *pb.VersionCount) messenger.VersionCount {
 	answers := max(c.GetAnswers(), 0)
 	return messenger.VersionCount{
@@ -77,14 +77,14 @@
 		Sent:            int(max(c.GetSent(), 0)),
 		Answers:         int(answers),
 		Failed:          int(min(max(c.GetFailed(), 0), answers)),
-		FirstEventTimes: narrow(c.GetFirst()),
-		EventIntervals:  narrow(c.GetPace()),
+		FirstEventTimes: toInts(c.GetFirst()),
+		EventIntervals:  toInts(c.GetPace()),
 		Running:         int(max(c.GetRunning(), 0)),
 		Waiting:         int(max(c.GetWaiting(), 0)),
 	}
 }
 
-func wide(counts []int) []int64 {
+func toInt64s(counts []int) []int64 {
 	out := make([]int64, len(counts))
 	for i, n := range counts {
 		out[i] = int64(n)
@@ -92,7 +92,7 @@
 	return out
 }
 
-func narrow(counts []int64) []int {
+func toInts(counts []int64) []int {
 	out := make([]int, len(counts))
 	for i, n := range counts {
 		out[i] = int(max(n, 0))
--- a/internal/relayer/share.go
+++ b/internal/relayer/stateupdate.go
@@ -12,10 +12,11 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// maxBusy bounds the servers that one report can give.
-const maxBusy = 1e5
+// maxOfferedLoad is the largest offered load, in servers, that an update may
+// report.
+const maxOfferedLoad = 1e5
 
-func encodeShare(s messenger.StateUpdate) *pb.ShareRequest {
+func encodeStateUpdate(s messenger.StateUpdate) *pb.ShareRequest {
 	out := &pb.ShareRequest{
 		Incarnation:        uint64(s.Incarnation),
 		ServersAgeMs:       int64(s.ServersAge),
@@ -39,7 +40,7 @@
 			PrefillMs: int64(s.InFlight[vm].Prefill),
 		})
 	}
-	out.Kept = encodeKept(s.CachedPrefixes)
+	out.Kept = encodeCachedPrefixes(s.CachedPrefixes)
 	for _, suspect := range s.Suspects {
 		out.Suspects = append(out.Suspects, encodeSuspect(suspect))
 	}
@@ -84,7 +85,7 @@
 	}
 }
 
-func decodeShare(q *pb.ShareRequest) messenger.StateUpdate {
+func decodeStateUpdate(q *pb.ShareRequest) messenger.StateUpdate {
 	s := messenger.StateUpdate{
 		Incarnation:        identifier.Incarnation(q.GetIncarnation()),
 		ServersAge:         timekeeper.Duration(q.GetServersAgeMs()),
@@ -109,7 +110,7 @@
 			Prefill: timekeeper.Duration(max(l.GetPrefillMs(), 0)),
 		}
 	}
-	s.CachedPrefixes = decodeKept(q.GetKept())
+	s.CachedPrefixes = decodeCachedPrefixes(q.GetKept())
 	for _, suspect := range q.GetSuspects() {
 		s.Suspects = append(s.Suspects, decodeSuspect(suspect))
 	}
@@ -130,7 +131,7 @@
 	for _, d := range q.GetDemand() {
 		s.Demand[identifier.ServiceName(d.GetService())] = messenger.ServiceDemand{
 			Running:     int(max(d.GetRunning(), 0)),
-			OfferedLoad: busy(d.GetBusy()),
+			OfferedLoad: validLoad(d.GetBusy()),
 		}
 	}
 	return s
@@ -152,35 +153,35 @@
 	}
 }
 
-// encodeKept groups parts by server.
-func encodeKept(parts []messenger.CachedPrefix) []*pb.KeptParts {
+// encodeCachedPrefixes groups prefixes by server.
+func encodeCachedPrefixes(prefixes []messenger.CachedPrefix) []*pb.KeptParts {
 	var out []*pb.KeptParts
-	at := map[identifier.VMID]*pb.KeptParts{}
-	for _, p := range parts {
-		k := at[p.Server]
-		if k == nil {
-			k = &pb.KeptParts{Server: string(p.Server)}
-			at[p.Server] = k
-			out = append(out, k)
+	groups := map[identifier.VMID]*pb.KeptParts{}
+	for _, p := range prefixes {
+		group := groups[p.Server]
+		if group == nil {
+			group = &pb.KeptParts{Server: string(p.Server)}
+			groups[p.Server] = group
+			out = append(out, group)
 		}
-		k.Hashes = append(k.Hashes, uint64(p.Part.Hash))
-		k.Tokens = append(k.Tokens, int64(p.Part.Tokens))
+		group.Hashes = append(group.Hashes, uint64(p.Part.Hash))
+		group.Tokens = append(group.Tokens, int64(p.Part.Tokens))
 	}
 	return out
 }
 
-// decodeKept leaves out what can't be true: lists of different lengths, and
-// parts without tokens.
-func decodeKept(groups []*pb.KeptParts) []messenger.CachedPrefix {
+// decodeCachedPrefixes omits invalid data: lists of different lengths, and
+// prefixes without tokens.
+func decodeCachedPrefixes(groups []*pb.KeptParts) []messenger.CachedPrefix {
 	var out []messenger.CachedPrefix
-	for _, k := range groups {
-		if len(k.GetHashes()) != len(k.GetTokens()) {
+	for _, group := range groups {
+		if len(group.GetHashes()) != len(group.GetTokens()) {
 			continue
 		}
-		for i, hash := range k.GetHashes() {
-			if tokens := k.GetTokens()[i]; tokens > 0 {
+		for i, hash := range group.GetHashes() {
+			if tokens := group.GetTokens()[i]; tokens > 0 {
 				out = append(out, messenger.CachedPrefix{
-					Server: identifier.VMID(k.GetServer()),
+					Server: identifier.VMID(group.GetServer()),
 					Part: messenger.PromptPart{
 						Hash:   identifier.PrefixHash(hash),
 						Tokens: identifier.Tokens(tokens),
@@ -192,9 +193,9 @@
 	return out
 }
 
-// busy leaves out what can't be true.
-func busy(servers float64) float64 {
-	if math.IsNaN(servers) || servers < 0 || servers > maxBusy {
+// validLoad returns an offered load, or zero if it is invalid.
+func validLoad(servers float64) float64 {
+	if math.IsNaN(servers) || servers < 0 || servers > maxOfferedLoad {
 		return 0
 	}
 	return servers
@@ -214,8 +215,7 @@
 	return out
 }
 
-// decodeSuspect leaves out ends where the lists have different lengths, which can't
-// be true.
+// decodeSuspect omits the ends if the lists have different lengths.
 func decodeSuspect(s *pb.SuspectRequest) messenger.SuspectRequest {
 	out := messenger.SuspectRequest{
 		Request:    identifier.Fingerprint(s.GetRequest()),
