--- a/internal/sizer/size.go
+++ b/internal/sizer/size.go
@@ -10,138 +10,141 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// need is the servers that a service's demand takes.
-type need struct {
+// serviceSize is the number of servers that a service needs.
+type serviceSize struct {
 	servers int
-	// fewer and more are since when fewer and more than that were enough and
-	// needed, zero where they are not, with the most and the least of them.
-	fewer, more timekeeper.Time
-	most, least int
-	// before is how many were needed when more than that began to be.
-	before int
-	// onDemand is the on-demand servers ordered last, and raised when their
-	// number last rose.
-	onDemand int
-	raised   timekeeper.Time
+	// fewerSince and moreSince are since when fewer or more servers than that
+	// have been needed, or zero. maxDemanded is the maximum needed since
+	// fewerSince, and minDemanded the minimum needed since moreSince.
+	fewerSince, moreSince    timekeeper.Time
+	maxDemanded, minDemanded int
+	// demandedAtRise is the number needed at moreSince.
+	demandedAtRise int
+	// onDemandOrdered is the number of on-demand servers in the last orders,
+	// and onDemandRaisedAt when it last rose.
+	onDemandOrdered  int
+	onDemandRaisedAt timekeeper.Time
 }
 
-// hold returns how many on-demand servers are ordered where so many are missing.
-// Ones that were ordered are not given up before they can have served: the demand
-// that is measured goes up and down with single long prompts.
-func (n *need) hold(in Input, missing int) int {
+// retainOnDemand returns the number of on-demand servers to order if missing
+// servers are missing. Ordered servers are not released before they can have
+// served, because the measured demand fluctuates with single long prompts.
+func (n *serviceSize) retainOnDemand(in Input, missing int) int {
 	missing = max(missing, 0)
-	if missing >= n.onDemand {
-		if missing > n.onDemand {
-			n.raised = in.Now
+	if missing >= n.onDemandOrdered {
+		if missing > n.onDemandOrdered {
+			n.onDemandRaisedAt = in.Now
 		}
-		n.onDemand = missing
+		n.onDemandOrdered = missing
 		return missing
 	}
-	if in.Now.Sub(n.raised) >= in.Fleet.BootTime+bootSlack {
-		n.onDemand = missing
+	if in.Now.Sub(n.onDemandRaisedAt) >= in.Fleet.BootTime+bootMargin {
+		n.onDemandOrdered = missing
 	}
-	return n.onDemand
+	return n.onDemandOrdered
 }
 
 // Observe updates the size of a service from its servers and its demand. Nodes
 // that do not hold the lease call it too, so that a new holder continues with
 // the service's current size instead of a new estimate.
 func (s *Sizer) Observe(in Input) {
-	if in.Fleet != nil && (len(in.Servers) > 0 || s.services[in.Service] != nil) {
-		s.size(in)
+	if in.Fleet != nil && (len(in.Servers) > 0 || s.sizes[in.Service] != nil) {
+		s.updateSize(in)
 	}
 }
 
-// demanded returns how many servers the demand of now takes, where each may be
-// kept busy for so much of the time.
-func demanded(in Input, busy float64) int {
-	n := math.Ceil(in.Demand.OfferedLoad / busy)
-	if slots := slots(in.Servers); slots > 0 {
-		n = max(n, math.Ceil(float64(in.Demand.Running)/(slots*slotsInUse)))
+// demandedServers returns the number of servers that the current demand needs
+// at the given utilization.
+func demandedServers(in Input, utilization float64) int {
+	n := math.Ceil(in.Demand.OfferedLoad / utilization)
+	if slots := slotsPerServer(in.Servers); slots > 0 {
+		n = max(n, math.Ceil(float64(in.Demand.Running)/(slots*maxSlotUtilization)))
 	}
 	return int(n)
 }
 
-// slots is how many requests a server runs at once.
-func slots(servers []*registrar.Server) float64 {
-	most := 0
+// slotsPerServer returns the number of requests that a server runs
+// concurrently.
+func slotsPerServer(servers []*registrar.Server) float64 {
+	maxSlots := 0
 	for _, s := range servers {
-		most = max(most, s.Slots)
+		maxSlots = max(maxSlots, s.Slots)
 	}
-	return float64(most)
+	return float64(maxSlots)
 }
 
-// size brings up to date how many servers the demand takes, where it took more
-// or fewer for a while.
-func (s *Sizer) size(in Input) {
-	now := max(1, demanded(in, restBusy))
-	n := s.services[in.Service]
+// updateSize updates the size of a service once its demand has been higher or
+// lower for long enough.
+func (s *Sizer) updateSize(in Input) {
+	required := max(1, demandedServers(in, targetUtilization))
+	n := s.sizes[in.Service]
 	if n == nil {
-		n = &need{
-			servers: firstNeed(in),
-			fewer:   in.Now.Add(firstTime - shrinkAfter),
+		n = &serviceSize{
+			servers:    initialSize(in),
+			fewerSince: in.Now.Add(initialSizeDuration - shrinkDelay),
 		}
-		s.services[in.Service] = n
+		s.sizes[in.Service] = n
 	}
 	switch {
-	case now > n.servers:
-		n.grow(in, now)
-	case now < n.servers:
-		n.shrink(in, now, s.zonesOut(in, slices.Collect(maps.Keys(in.Fleet.ZonePrices))))
+	case required > n.servers:
+		n.grow(in, required)
+	case required < n.servers:
+		n.shrink(in, required, s.countUnavailable(in, slices.Collect(maps.Keys(in.Fleet.ZonePrices))))
 	default:
-		n.fewer, n.more = 0, 0
+		n.fewerSince, n.moreSince = 0, 0
 	}
 }
 
-// grow takes in that more servers are needed. Where the demand takes all that
-// serve it does not wait.
-func (n *need) grow(in Input, now int) {
-	n.fewer = 0
-	if n.more == 0 {
-		n.more = in.Now
-		n.least = now
-		n.before = now
+// grow records that more servers are needed. The size grows after a delay, or
+// at once if the demand needs all serving servers.
+func (n *serviceSize) grow(in Input, demanded int) {
+	n.fewerSince = 0
+	if n.moreSince == 0 {
+		n.moreSince = in.Now
+		n.minDemanded = demanded
+		n.demandedAtRise = demanded
 	}
-	n.least = min(n.least, now)
+	n.minDemanded = min(n.minDemanded, demanded)
 	serving := countReady(in.Servers, "", catalog.Reclaimable) + countReady(in.Servers, "", catalog.OnDemand)
-	after := growAfter
-	if now > n.before {
-		after = riseAfter
+	delay := growDelay
+	if demanded > n.demandedAtRise {
+		delay = risingGrowDelay
 	}
-	if now < serving && in.Now.Sub(n.more) < after {
+	if demanded < serving && in.Now.Sub(n.moreSince) < delay {
 		return
 	}
-	n.servers = max(n.least, min(now, serving))
-	n.more = 0
+	n.servers = max(n.minDemanded, min(demanded, serving))
+	n.moreSince = 0
 }
 
-// shrink takes in that fewer servers are enough. While zones are out none is
-// given up.
-func (n *need) shrink(in Input, now, out int) {
-	n.more = 0
-	if n.fewer == 0 {
-		n.fewer = in.Now
-		n.most = 0
+// shrink records that fewer servers are needed. The size does not shrink while
+// a zone is unavailable.
+func (n *serviceSize) shrink(in Input, demanded, unavailable int) {
+	n.moreSince = 0
+	if n.fewerSince == 0 {
+		n.fewerSince = in.Now
+		n.maxDemanded = 0
 	}
-	n.most = max(n.most, now)
-	if out == 0 && in.Now.Sub(n.fewer) >= shrinkAfter {
-		n.servers = n.most
-		n.fewer = 0
+	n.maxDemanded = max(n.maxDemanded, demanded)
+	if unavailable == 0 && in.Now.Sub(n.fewerSince) >= shrinkDelay {
+		n.servers = n.maxDemanded
+		n.fewerSince = 0
 	}
 }
 
-// firstNeed returns how many servers a service is taken to need before its
-// demand has shown: as many reclaimable ones as an earlier holder of the lease
-// ordered for it, by the zone that has most, since others may be out; and where
-// there are none a part of what operators allow.
-func firstNeed(in Input) int {
+// initialSize returns the estimated size of a service before its demand is
+// known. It is derived from the reclaimable servers that an earlier holder of
+// the lease ordered in the zone with the most of them, since other zones may be
+// out of capacity. If there are none, it is a fraction of the operators'
+// maximum.
+func initialSize(in Input) int {
 	zones := len(in.Fleet.ZonePrices)
 	ordered := 0
 	for zone := range in.Fleet.ZonePrices {
 		ordered = max(ordered, countReady(in.Servers, zone, catalog.Reclaimable))
 	}
 	if ordered == 0 {
-		ordered = int(math.Ceil(float64(in.Fleet.Max) * firstPart))
+		ordered = int(math.Ceil(float64(in.Fleet.Max) * initialFraction))
 	}
-	return ordered * max(zones-lostZones, 1)
+	return ordered * max(zones-toleratedZoneLosses, 1)
 }
--- a/internal/sizer/sizer.go
+++ b/internal/sizer/sizer.go
@@ -1,19 +1,19 @@
-// Package sizer decides how many backend servers of a service are ordered in
-// each availability zone, reclaimable ones and others. It runs on the holder of
-// the lease.
+// Package sizer decides how many backend servers of a service are ordered in each
+// availability zone, reclaimable and on-demand. It runs on the holder of the
+// lease.
 //
-// A reclaimable server costs a fraction of another, and goes with all of its
-// zone at a few seconds' notice, when none can be had for a while. So the
-// demand is covered by reclaimable servers that are spread over the zones with
-// room for the loss of some zones at once; servers that can't be taken away are
-// ordered only while too few others are left.
+// A reclaimable server costs a fraction of an on-demand one, but it may be
+// reclaimed together with its whole zone at a few seconds' notice, and the zone
+// may then be out of capacity for a while. So the demand is covered by reclaimable
+// servers that are spread over the zones with headroom for the loss of several
+// zones at once. On-demand servers are ordered only while too few others remain.
 //
-//   - size.go says how many servers the demand takes.
-//   - spread.go says how they are spread over zones and kinds.
-//   - sizer.go gives the orders and follows them up.
+//   - size.go computes the number of servers that the demand needs.
+//   - spread.go distributes them over zones and markets.
+//   - sizer.go creates the orders and tracks their results.
 //
-// Orders are absolute: repeating one does no harm, and one that was carried out
-// late is overruled by the next. Everything is pure: time is an argument.
+// Orders are absolute: repeating one is harmless, and one that takes effect late is
+// superseded by the next. The package performs no I/O, and time is an argument.
 package sizer
 
 import (
@@ -28,61 +28,58 @@
 )
 
 const (
-	// lostZones is how many zones' reclaimable servers may be gone at once
-	// with the rest still covering the demand: reclaims came in pairs of
-	// zones, some seconds apart, each lasting 12 to 15 s. While zones are out as
-	// many more may follow: three of four went within six seconds.
-	lostZones = 2
-	// restBusy is the part of the time for which the servers that are needed may be
-	// kept busy, not counting the spare ones for lost zones. At 0.65 a request
-	// waits for nine tenths of another's reading in the mean, if all are alike. At
-	// 0.45 six played days took 208 seconds of servers each in the mean, weighed by
-	// price, at 0.65 190, and callers were served alike.
-	restBusy = 0.65
-	// bearBusy is the same while zones are out: callers wait for one and a half
-	// others' reading, which most response-time goals leave room for. At 0.6 a calm
-	// day with a wave gained 0.04 of its worth and each other day lost 0.008.
-	bearBusy = 0.75
-	// slotsInUse is the part of a server's slots that may be in use.
-	slotsInUse = 0.5
-	// exposedZones is the number of zones that are not out from which on down
-	// the loss of a further one is prepared for.
-	exposedZones = 2
-	// leastPerZone is the number of reclaimable servers a zone has at least,
-	// where the users' bounds allow it: a zone with one has none for a while
-	// whenever that one fails.
-	leastPerZone = 2
-	// firstTime is how long a service has the size that it is taken to need
-	// until its demand has shown.
-	firstTime = 20 * timekeeper.Second
-	// firstPart is the part of the servers that operators allow that is ordered
-	// at first: they allow two to three times what a fleet needs. Sized by the
-	// servers that have published themselves so far, a fleet of 90 was taken for
-	// one of 16, and waiting for all of them costs seconds of each.
-	firstPart = 0.5
-	// growAfter is how long more servers must have been needed before any are
-	// ordered for that: the first prompts of a day are all read, and a few long
-	// ones come together. The spare ones for lost zones bear it meanwhile.
-	growAfter = 3 * timekeeper.Second
-	// riseAfter is the same where the need has risen further meanwhile: a crowd is
-	// coming, while a few long prompts make one step that fades. Servers that are ordered three
-	// seconds into a crowd serve after seven, when the next wave may be there.
-	riseAfter = 1 * timekeeper.Second
-	// shrinkAfter is how long fewer servers must have been enough before any
-	// is given up: one that is ordered again takes seconds to serve.
-	shrinkAfter = 12 * timekeeper.Second
-	// refusedPause is the pause after a refused order, and unknownPause that
-	// after one of which nothing was heard.
-	refusedPause = 2 * timekeeper.Second
-	unknownPause = 1 * timekeeper.Second
-	// outTime is how long a zone counts as one without reclaimable servers
-	// after an order for some was refused there: two more orders.
-	outTime = 2*refusedPause + 500*timekeeper.Millisecond
-	// bootSlack is what a server may take beyond its boot time to show up.
-	bootSlack = 2 * timekeeper.Second
+	// toleratedZoneLosses is the number of zones whose reclaimable servers may
+	// be lost at once while the rest still cover the demand. While zones are
+	// unavailable, as many more may follow.
+	toleratedZoneLosses = 2
+	// targetUtilization is the target utilization of the needed servers, not
+	// counting the spare ones for lost zones. At 0.65, a request waits 0.9
+	// service times on average.
+	targetUtilization = 0.65
+	// degradedUtilization is the same while zones are unavailable. At 0.75, a
+	// request waits 1.5 service times on average, which most response-time
+	// targets allow.
+	degradedUtilization = 0.75
+	// maxSlotUtilization is the fraction of a server's slots that may be in
+	// use.
+	maxSlotUtilization = 0.5
+	// reserveZoneThreshold is the number of available zones at or below which
+	// servers are reserved for the loss of another zone.
+	reserveZoneThreshold = 2
+	// minPerZone is the minimum number of reclaimable servers per zone, within
+	// the users' bounds. A zone with a single server would have none for a
+	// while whenever it fails.
+	minPerZone = 2
+	// initialSizeDuration is how long a new service keeps at least its initial
+	// size.
+	initialSizeDuration = 20 * timekeeper.Second
+	// initialFraction is the fraction of the servers allowed by operators that
+	// is ordered initially. The servers published so far are no measure of a
+	// fleet's size while it starts.
+	initialFraction = 0.5
+	// growDelay is how long more servers must have been needed before the size
+	// grows. Long prompts that coincide raise the demand briefly, which the
+	// spare servers for lost zones absorb.
+	growDelay = 3 * timekeeper.Second
+	// risingGrowDelay is the same if the need has risen further since. That
+	// indicates a growing load, while coinciding long prompts raise the demand
+	// only once.
+	risingGrowDelay = 1 * timekeeper.Second
+	// shrinkDelay is how long fewer servers must have been needed before the
+	// size shrinks, because a replacement takes seconds to serve.
+	shrinkDelay = 12 * timekeeper.Second
+	// refusedRetryDelay is the delay after a refused order, and
+	// unknownRetryDelay the delay after an order without a known result.
+	refusedRetryDelay = 2 * timekeeper.Second
+	unknownRetryDelay = 1 * timekeeper.Second
+	// outOfCapacityDuration is how long a zone counts as out of capacity after
+	// an order for reclaimable servers was refused. It allows two more orders.
+	outOfCapacityDuration = 2*refusedRetryDelay + 500*timekeeper.Millisecond
+	// bootMargin is added to the boot time before a server counts as missing.
+	bootMargin = 2 * timekeeper.Second
 )
 
-// Input is what a plan for one service reads.
+// Input is the input of one plan for one service.
 type Input struct {
 	Now     timekeeper.Time
 	Service identifier.ServiceName
@@ -95,20 +92,22 @@
 	GrowOnly bool
 }
 
-// idle reports whether no caller asks for anything: servers are given up then
-// that have not published themselves yet, a second of each earlier.
+// idle reports whether there is no demand. Servers that have not been published
+// yet are then released too.
 func (in Input) idle() bool { return in.Demand.Running == 0 && in.Demand.OfferedLoad == 0 }
 
-// Sizer is what the holder of the lease ordered so far.
+// Sizer is the state of the holder of the lease: its orders and the sizes of
+// the services.
 type Sizer struct {
-	orders map[key]*order
-	// outUntil is until when a zone counts as one without reclaimable servers.
-	outUntil map[key]timekeeper.Time
-	services map[identifier.ServiceName]*need
+	orders map[orderKey]*order
+	// outOfCapacityUntil is until when a market counts as out of capacity in a
+	// zone.
+	outOfCapacityUntil map[orderKey]timekeeper.Time
+	sizes              map[identifier.ServiceName]*serviceSize
 }
 
-// key names what an order counts.
-type key struct {
+// orderKey identifies the servers that an order counts.
+type orderKey struct {
 	service identifier.ServiceName
 	zone    identifier.Zone
 	market  catalog.Market
@@ -116,66 +115,68 @@
 
 type order struct {
 	count int
-	// more tells that it asked for more servers than there were.
-	more    bool
-	sent    timekeeper.Time
-	pending bool
-	result  messenger.LeaderTaskResult
+	// increases reports whether the order asked for more servers than existed.
+	increases      bool
+	sentAt         timekeeper.Time
+	awaitingResult bool
+	result         messenger.LeaderTaskResult
 }
 
-// New returns a Sizer that has ordered nothing.
+// New returns a Sizer without orders.
 func New() *Sizer {
 	return &Sizer{
-		orders:   map[key]*order{},
-		outUntil: map[key]timekeeper.Time{},
-		services: map[identifier.ServiceName]*need{},
+		orders:             map[orderKey]*order{},
+		outOfCapacityUntil: map[orderKey]timekeeper.Time{},
+		sizes:              map[identifier.ServiceName]*serviceSize{},
 	}
 }
 
-// Forget drops what was ordered: another node may have ordered since.
+// Forget drops all orders, as another node may have sent orders since.
 func (s *Sizer) Forget() {
 	clear(s.orders)
-	clear(s.outUntil)
+	clear(s.outOfCapacityUntil)
 }
 
 // NeededServers returns the number of servers that a service is estimated to
 // need, or zero before its first servers are known.
 func (s *Sizer) NeededServers(service identifier.ServiceName) int {
-	if n := s.services[service]; n != nil {
+	if n := s.sizes[service]; n != nil {
 		return n.servers
 	}
 	return 0
 }
 
-// Plan returns the orders to give now.
+// Plan returns the orders to send now.
 func (s *Sizer) Plan(in Input) []messenger.ServerOrder {
 	s.Observe(in)
-	size := s.services[in.Service]
+	size := s.sizes[in.Service]
 	if size == nil {
-		// Without its first servers a service's size is not known yet.
+		// The size of a service is unknown until its first servers are
+		// published.
 		return nil
 	}
-	need := size.servers
+	servers := size.servers
 	zones := slices.Sorted(maps.Keys(in.Fleet.ZonePrices))
 	if len(zones) == 0 {
 		return nil
 	}
-	reclaimable := s.reclaimable(in, zones, need)
-	// On-demand servers are for the demand of now. While servers lack, requests pile
-	// up, and the size that they seem to take lasts beyond the pile: 19 on-demand
-	// servers were ordered for the demand of ten.
-	missing := demanded(in, bearBusy) - s.sure(in, zones, reclaimable)
-	onDemand := s.onDemand(in, zones, reclaimable, size.hold(in, max(missing, s.kept(in, zones))))
+	reclaimable := s.reclaimableByZone(in, zones, servers)
+	// On-demand servers cover the current demand, not the size: requests that
+	// queue up while servers are missing inflate the size, which shrinks only
+	// after a delay.
+	missing := demandedServers(in, degradedUtilization) - s.dependableServers(in, zones, reclaimable)
+	onDemand := s.onDemandByZone(in, zones, reclaimable, size.retainOnDemand(in, max(missing, s.retainedOnDemand(in, zones))))
 	var out []messenger.ServerOrder
 	for _, zone := range zones {
-		out = append(out, s.order(in, zone, catalog.Reclaimable, min(reclaimable[zone], in.Fleet.Max-onDemand[zone]))...)
-		out = append(out, s.order(in, zone, catalog.OnDemand, onDemand[zone])...)
+		out = append(out, s.planOrder(in, zone, catalog.Reclaimable, min(reclaimable[zone], in.Fleet.Max-onDemand[zone]))...)
+		out = append(out, s.planOrder(in, zone, catalog.OnDemand, onDemand[zone])...)
 	}
 	return out
 }
 
-// ordered returns how many servers of a market were ordered last, in all zones.
-func (s *Sizer) ordered(service identifier.ServiceName, market catalog.Market) int {
+// orderedCount returns the number of servers of a market in the last orders for
+// all zones.
+func (s *Sizer) orderedCount(service identifier.ServiceName, market catalog.Market) int {
 	n := 0
 	for k, o := range s.orders {
 		if k.service == service && k.market == market {
@@ -185,9 +186,9 @@
 	return n
 }
 
-// order returns the order for one zone and market, if one is due.
-func (s *Sizer) order(in Input, zone identifier.Zone, market catalog.Market, count int) []messenger.ServerOrder {
-	k := key{
+// planOrder returns the order for one zone and market, if one is due.
+func (s *Sizer) planOrder(in Input, zone identifier.Zone, market catalog.Market, count int) []messenger.ServerOrder {
+	k := orderKey{
 		service: in.Service,
 		zone:    zone,
 		market:  market,
@@ -208,9 +209,9 @@
 		return nil
 	}
 	o.count = count
-	o.more = count > have
-	o.sent = in.Now
-	o.pending = true
+	o.increases = count > have
+	o.sentAt = in.Now
+	o.awaitingResult = true
 	return []messenger.ServerOrder{
 		{
 			Service: in.Service,
@@ -221,8 +222,8 @@
 	}
 }
 
-// countReady counts the servers of a market that serve and are not leaving, in
-// one zone or, where that is empty, in all.
+// countReady counts the ready servers of a market in one zone, or in all zones
+// if zone is empty.
 func countReady(servers []*registrar.Server, zone identifier.Zone, market catalog.Market) int {
 	n := 0
 	for _, s := range servers {
@@ -233,41 +234,41 @@
 	return n
 }
 
-// due reports whether the order has to be given again.
+// due reports whether the order must be sent now.
 func (o *order) due(now timekeeper.Time, f *catalog.Fleet, count, have int) bool {
-	if o.sent == 0 {
+	if o.sentAt == 0 {
 		return true
 	}
-	age := now.Sub(o.sent)
-	if o.pending {
-		return age >= unknownPause && o.count != count || age >= 2*unknownPause
+	age := now.Sub(o.sentAt)
+	if o.awaitingResult {
+		return age >= unknownRetryDelay && o.count != count || age >= 2*unknownRetryDelay
 	}
 	switch o.result {
 	case messenger.LeaderTaskRefused:
-		return age >= refusedPause && have < count || o.count != count
+		return age >= refusedRetryDelay && have < count || o.count != count
 	case messenger.LeaderTaskUnknown, messenger.LeaderTaskFenced:
-		return age >= unknownPause
+		return age >= unknownRetryDelay
 	}
-	return o.count != count || have != count && age >= f.BootTime+bootSlack
+	return o.count != count || have != count && age >= f.BootTime+bootMargin
 }
 
 // OrderEnded records the result of an order.
 func (s *Sizer) OrderEnded(now timekeeper.Time, e messenger.ServerOrder, result messenger.LeaderTaskResult) {
-	k := key{
+	k := orderKey{
 		service: e.Service,
 		zone:    e.Zone,
 		market:  e.Market,
 	}
 	o := s.orders[k]
 	if result == messenger.LeaderTaskRefused {
-		s.outUntil[k] = now.Add(outTime)
+		s.outOfCapacityUntil[k] = now.Add(outOfCapacityDuration)
 	}
 	if o == nil || o.count != e.Count {
 		return
 	}
-	if result == messenger.LeaderTaskDone && o.more {
-		delete(s.outUntil, k)
+	if result == messenger.LeaderTaskDone && o.increases {
+		delete(s.outOfCapacityUntil, k)
 	}
-	o.pending = false
+	o.awaitingResult = false
 	o.result = result
 }
--- a/internal/sizer/sizer_test.go
+++ b/internal/sizer/sizer_test.go
@@ -17,48 +17,47 @@
 
 const start timekeeper.Time = 1_000_000
 
-// busyPerRequest is the part of a server that a request keeps busy while it
-// runs: ten of them take one server at rest. A hundred keep 6.5 servers busy,
-// which nine are enough for while zones are out: they are busy for 72 in 100 of
-// the time.
-const busyPerRequest = 0.065
+// loadPerRequest is the offered load of one running request: at
+// targetUtilization, ten requests need one server. A hundred requests need nine
+// servers at degradedUtilization.
+const loadPerRequest = 0.065
 
 var zones = []identifier.Zone{"boston-a", "boston-b", "portland-me", "providence"}
 
-// cloud is a platform that carries out orders after a boot time, and that has
-// no reclaimable servers in some zones.
+// cloud simulates a platform that carries out orders after a boot time and has
+// zones that are out of reclaimable capacity.
 type cloud struct {
-	t     *testing.T
-	now   timekeeper.Time
-	fleet *catalog.Fleet
-	sizer *sizer.Sizer
-	out   map[identifier.Zone]bool
-	have  map[key]int
-	boots []boot
-	// silent makes the cloud carry out nothing and answer nothing.
-	silent bool
-	// watcher is a node that does not hold the lease; nil where there is none.
-	watcher *sizer.Sizer
+	t             *testing.T
+	now           timekeeper.Time
+	fleet         *catalog.Fleet
+	sizer         *sizer.Sizer
+	outOfCapacity map[identifier.Zone]bool
+	running       map[orderKey]int
+	boots         []boot
+	// unresponsive makes the cloud ignore all orders.
+	unresponsive bool
+	// observer belongs to a node that does not hold the lease, or is nil.
+	observer *sizer.Sizer
 }
 
-type key struct {
+type orderKey struct {
 	zone   identifier.Zone
 	market catalog.Market
 }
 
 type boot struct {
 	at    timekeeper.Time
-	key   key
+	key   orderKey
 	count int
 }
 
-func newCloud(t *testing.T, found int) *cloud {
+func newCloud(t *testing.T, initial int) *cloud {
 	c := &cloud{
-		t:     t,
-		now:   start,
-		sizer: sizer.New(),
-		out:   map[identifier.Zone]bool{},
-		have:  map[key]int{},
+		t:             t,
+		now:           start,
+		sizer:         sizer.New(),
+		outOfCapacity: map[identifier.Zone]bool{},
+		running:       map[orderKey]int{},
 		fleet: &catalog.Fleet{
 			Min:      1,
 			Max:      6,
@@ -71,8 +70,8 @@
 			},
 		},
 	}
-	for i := range found {
-		c.have[key{
+	for i := range initial {
+		c.running[orderKey{
 			zone:   zones[i%len(zones)],
 			market: catalog.OnDemand,
 		}]++
@@ -82,7 +81,7 @@
 
 func (c *cloud) servers() []*registrar.Server {
 	var out []*registrar.Server
-	for k, n := range c.have {
+	for k, n := range c.running {
 		for i := range n {
 			out = append(out, &registrar.Server{
 				PublishedServer: messenger.PublishedServer{
@@ -97,7 +96,7 @@
 	return out
 }
 
-// run lets time pass with so many requests in flight.
+// run advances the time by span with a constant number of running requests.
 func (c *cloud) run(span timekeeper.Duration, running int) {
 	for end := c.now.Add(span); c.now.Before(end); c.now = c.now.Add(500) {
 		c.finishBoots()
@@ -108,11 +107,11 @@
 			Servers: c.servers(),
 			Demand: messenger.ServiceDemand{
 				Running:     running,
-				OfferedLoad: float64(running) * busyPerRequest,
+				OfferedLoad: float64(running) * loadPerRequest,
 			},
 		}
-		if c.watcher != nil {
-			c.watcher.Observe(in)
+		if c.observer != nil {
+			c.observer.Observe(in)
 		}
 		orders := c.sizer.Plan(in)
 		for _, o := range orders {
@@ -128,26 +127,26 @@
 			rest = append(rest, b)
 			continue
 		}
-		c.have[b.key] = b.count
+		c.running[b.key] = b.count
 	}
 	c.boots = rest
 }
 
 func (c *cloud) order(o messenger.ServerOrder) messenger.LeaderTaskResult {
-	k := key{
+	k := orderKey{
 		zone:   o.Zone,
 		market: o.Market,
 	}
-	if c.silent {
+	if c.unresponsive {
 		return messenger.LeaderTaskUnknown
 	}
 	require.GreaterOrEqual(c.t, o.Count, 0)
 	require.LessOrEqual(c.t, o.Count, c.fleet.Max)
-	if o.Market == catalog.Reclaimable && c.out[o.Zone] && o.Count > c.have[k] {
+	if o.Market == catalog.Reclaimable && c.outOfCapacity[o.Zone] && o.Count > c.running[k] {
 		return messenger.LeaderTaskRefused
 	}
-	if o.Count < c.have[k] {
-		c.have[k] = o.Count
+	if o.Count < c.running[k] {
+		c.running[k] = o.Count
 		return messenger.LeaderTaskDone
 	}
 	c.boots = append(c.boots, boot{
@@ -158,21 +157,21 @@
 	return messenger.LeaderTaskDone
 }
 
-// reclaim takes all reclaimable servers of a zone away, those that boot too,
-// with none to be had.
+// reclaim removes all reclaimable servers of a zone, booting ones included, and
+// leaves the zone out of capacity.
 func (c *cloud) reclaim(zone identifier.Zone) {
-	k := key{
+	k := orderKey{
 		zone:   zone,
 		market: catalog.Reclaimable,
 	}
-	c.out[zone] = true
-	c.have[k] = 0
+	c.outOfCapacity[zone] = true
+	c.running[k] = 0
 	c.boots = slices.DeleteFunc(c.boots, func(b boot) bool { return b.key == k })
 }
 
 func (c *cloud) total(market catalog.Market) int {
 	n := 0
-	for k, have := range c.have {
+	for k, have := range c.running {
 		if k.market == market {
 			n += have
 		}
@@ -180,23 +179,23 @@
 	return n
 }
 
-// The operators start servers that can't be taken away. They give way to
-// reclaimable ones, spread over the zones, once the demand is known.
-func TestReclaimableServersTakeOver(t *testing.T) {
+// The operators' on-demand servers are replaced by reclaimable ones, spread
+// over the zones, once the demand is known.
+func TestReclaimableServersReplaceOnDemand(t *testing.T) {
 	c := newCloud(t, 9)
 	c.run(40*timekeeper.Second, 40)
 	require.Zero(t, c.total(catalog.OnDemand))
 	require.Equal(t, 8, c.total(catalog.Reclaimable))
 	for _, zone := range zones {
-		require.Equal(t, 2, c.have[key{
+		require.Equal(t, 2, c.running[orderKey{
 			zone:   zone,
 			market: catalog.Reclaimable,
 		}])
 	}
 }
 
-// Two zones are reclaimed within seconds. What is left covers the demand
-// without an on-demand server.
+// After two zones are reclaimed, the remaining servers cover the demand without
+// on-demand servers.
 func TestTwoZonesLost(t *testing.T) {
 	c := newCloud(t, 9)
 	c.run(40*timekeeper.Second, 60)
@@ -208,9 +207,8 @@
 	require.Zero(t, c.total(catalog.OnDemand))
 }
 
-// Three zones of four are reclaimed, four and two seconds apart. Once two are
-// out, the others are raised to carry the demand each alone: callers had a third
-// of the servers they needed for ten seconds, until on-demand ones had booted.
+// Once two of four zones are unavailable, each of the others grows to carry the
+// whole demand, so that the loss of a third leaves enough servers.
 func TestThirdZoneLost(t *testing.T) {
 	c := newCloud(t, 9)
 	c.fleet.Max = 46
@@ -224,10 +222,9 @@
 	require.GreaterOrEqual(t, c.total(catalog.Reclaimable), 46)
 }
 
-// All four zones are reclaimed in turn, and nothing reclaimable is to be had
-// anywhere. Callers were refused for 14 seconds, since orders for reclaimable
-// servers took all the room that the zones have. Others take that room, and
-// give it back once the reclaimable ones serve again.
+// While all zones are out of reclaimable capacity, orders for reclaimable
+// servers must not use up the zones' limits: on-demand servers take their place
+// until reclaimable ones serve again.
 func TestAllZonesLost(t *testing.T) {
 	c := newCloud(t, 9)
 	c.run(40*timekeeper.Second, 100)
@@ -238,38 +235,37 @@
 	c.run(10*timekeeper.Second, 100)
 	require.Zero(t, c.total(catalog.Reclaimable))
 	require.GreaterOrEqual(t, c.total(catalog.OnDemand), 9)
-	clear(c.out)
+	clear(c.outOfCapacity)
 	c.run(30*timekeeper.Second, 100)
 	require.GreaterOrEqual(t, c.total(catalog.Reclaimable), 10)
 	require.Zero(t, c.total(catalog.OnDemand))
 }
 
-// A clump of requests has passed. Servers are given up only after a while: one
-// that is ordered again takes seconds to serve.
-func TestShrinksSlowly(t *testing.T) {
+// The size shrinks only after a delay, because a replacement takes seconds to
+// serve.
+func TestShrinksAfterDelay(t *testing.T) {
 	c := newCloud(t, 9)
 	c.run(40*timekeeper.Second, 100)
-	most := c.total(catalog.Reclaimable)
+	before := c.total(catalog.Reclaimable)
 	c.run(10*timekeeper.Second, 10)
-	require.Equal(t, most, c.total(catalog.Reclaimable))
+	require.Equal(t, before, c.total(catalog.Reclaimable))
 	c.run(10*timekeeper.Second, 10)
 	require.Equal(t, 8, c.total(catalog.Reclaimable))
 }
 
-// Before a service's servers are known its size can't be judged: an order then
-// would replace the operators' fleet by the smallest one.
-func TestNoOrderBeforeTheFirstServers(t *testing.T) {
+// An order before the first servers are published would replace the operators'
+// fleet by a minimal one.
+func TestNoOrderBeforeFirstServers(t *testing.T) {
 	c := newCloud(t, 0)
 	c.run(5*timekeeper.Second, 0)
 	require.Empty(t, c.boots)
-	require.Empty(t, c.have)
+	require.Empty(t, c.running)
 }
 
-// Ninety servers publish themselves one after the other while the system starts.
-// A fleet sized by the first sixteen would be a quarter of what callers need. It
-// is sized by what operators allow, and before anyone asks for anything those
-// that have not published themselves are given up too.
-func TestFirstSizeIsNotThatOfTheFirstServers(t *testing.T) {
+// While the servers of a starting fleet are published one after the other, the
+// fleet is sized by the operators' limit. Without demand, on-demand servers
+// that are not published yet are released too.
+func TestInitialSizeIgnoresPublishedServers(t *testing.T) {
 	c := newCloud(t, 16)
 	c.fleet.Max = 46
 	c.run(timekeeper.Second, 0)
@@ -278,15 +274,15 @@
 	require.GreaterOrEqual(t, c.total(catalog.Reclaimable), 60)
 }
 
-// The same with callers that ask already: the servers that the demand takes stay
-// until others have booted, also those that publish themselves only then.
-func TestServersThatAppearUnderLoadAreKept(t *testing.T) {
+// Under load, the on-demand servers that the demand needs stay until others
+// have booted, including those that are published later.
+func TestServersPublishedUnderLoadAreKept(t *testing.T) {
 	c := newCloud(t, 16)
 	c.fleet.Max = 46
-	for found := 16; found < 70; found += 18 {
+	for published := 16; published < 70; published += 18 {
 		c.run(timekeeper.Second, 480)
-		require.GreaterOrEqual(t, c.total(catalog.OnDemand), min(found, 42))
-		c.have[key{
+		require.GreaterOrEqual(t, c.total(catalog.OnDemand), min(published, 42))
+		c.running[orderKey{
 			zone:   "boston-a",
 			market: catalog.OnDemand,
 		}] += 18
@@ -295,11 +291,9 @@
 	require.GreaterOrEqual(t, c.total(catalog.Reclaimable), 60)
 }
 
-// All nodes lose power, and the first holder afterwards has watched nothing. It
-// finds the servers that were ordered before, spare ones for lost zones among
-// them, and goes on with them: sized for all that it finds, a fleet would grow by
-// as much again with each restart.
-func TestRestartKeepsTheFleet(t *testing.T) {
+// After a restart of all nodes, the fleet must not grow by counting the spare
+// servers for lost zones as demand.
+func TestRestartKeepsFleet(t *testing.T) {
 	c := newCloud(t, 9)
 	c.run(60*timekeeper.Second, 60)
 	size := c.total(catalog.Reclaimable)
@@ -309,8 +303,8 @@
 	require.Zero(t, c.total(catalog.OnDemand))
 }
 
-// The system takes over a fleet that is serving callers. The servers that the
-// operators started go only as reclaimable ones serve, not when those are ordered.
+// When the system takes over a fleet under load, the operators' servers are
+// released only once reclaimable ones serve.
 func TestServersUnderLoadAreKept(t *testing.T) {
 	c := newCloud(t, 9)
 	c.run(3*timekeeper.Second, 60)
@@ -321,7 +315,7 @@
 	require.GreaterOrEqual(t, c.total(catalog.Reclaimable), 6)
 }
 
-// A service whose servers can't be ordered gets no orders.
+// A service without a fleet gets no orders.
 func TestFixedService(t *testing.T) {
 	require.Empty(t, sizer.New().Plan(sizer.Input{
 		Now:     start,
@@ -330,13 +324,12 @@
 	}))
 }
 
-// The holder of the lease dies under load, and another node takes over that has
-// watched the service. It goes on with the size that the demand takes, where
-// sizing anew would go by the servers that it finds.
-func TestNewHolderKeepsTheSize(t *testing.T) {
+// A new holder that has observed the service keeps the size instead of
+// estimating it from the servers.
+func TestNewHolderKeepsSize(t *testing.T) {
 	c := newCloud(t, 9)
 	next := sizer.New()
-	c.watcher = next
+	c.observer = next
 	c.run(60*timekeeper.Second, 40)
 	size := c.total(catalog.Reclaimable)
 	c.sizer = next
@@ -345,10 +338,9 @@
 	require.Equal(t, 8, size)
 }
 
-// All zones were reclaimed, and on-demand servers serve. Reclaimable ones are to be
-// had again in one zone only, which can be reclaimed within seconds: the on-demand
-// ones stay until another zone has some, and none that serves makes way for one
-// that has yet to boot.
+// After the loss of all zones, on-demand servers stay while only one zone has
+// reclaimable servers, and serving ones are not released for servers that still
+// boot.
 func TestOnDemandServersStayUntilTwoZonesServe(t *testing.T) {
 	c := newCloud(t, 9)
 	c.fleet.Max = 12
@@ -359,14 +351,14 @@
 	c.run(20*timekeeper.Second, 100)
 	require.GreaterOrEqual(t, c.total(catalog.OnDemand), 9)
 
-	delete(c.out, "providence")
+	delete(c.outOfCapacity, "providence")
 	for range 40 {
 		c.run(500, 100)
 		require.GreaterOrEqual(t, c.total(catalog.OnDemand), 9)
 	}
 	require.GreaterOrEqual(t, c.total(catalog.Reclaimable), 9)
 
-	clear(c.out)
+	clear(c.outOfCapacity)
 	for range 40 {
 		c.run(500, 100)
 		require.GreaterOrEqual(t, c.total(catalog.OnDemand)+c.total(catalog.Reclaimable), 9)
@@ -374,10 +366,9 @@
 	require.Zero(t, c.total(catalog.OnDemand))
 }
 
-// All servers were lost while callers kept asking, and requests piled up at the
-// first on-demand ones. Once the pile is worked off and reclaimable servers are to be
-// had, on-demand ones go as those serve, not when the size at the pile's time lapses.
-func TestPileUpGivesOnDemandServersBack(t *testing.T) {
+// The on-demand servers for a backlog are released as reclaimable ones serve,
+// not when the size shrinks.
+func TestOnDemandServersReleasedAfterBacklog(t *testing.T) {
 	c := newCloud(t, 9)
 	c.run(40*timekeeper.Second, 80)
 	for _, zone := range zones {
@@ -385,7 +376,7 @@
 	}
 	c.run(10*timekeeper.Second, 200)
 	require.GreaterOrEqual(t, c.total(catalog.OnDemand), 18)
-	clear(c.out)
+	clear(c.outOfCapacity)
 	c.run(6*timekeeper.Second, 80)
 	require.LessOrEqual(t, c.total(catalog.OnDemand), 8)
 	c.run(8*timekeeper.Second, 80)
@@ -393,30 +384,28 @@
 	require.GreaterOrEqual(t, c.total(catalog.Reclaimable), 16)
 }
 
-// Requests pile up while the cloud answers no order, and the pile is worked off
-// before it does. The on-demand servers that are ordered then are for the callers of
-// now, not for the pile.
-func TestNoOnDemandServersForAPileThatIsGone(t *testing.T) {
+// If a backlog clears before the cloud answers orders, the on-demand servers
+// are ordered for the current demand, not for the backlog.
+func TestNoOnDemandServersForClearedBacklog(t *testing.T) {
 	c := newCloud(t, 9)
 	c.run(40*timekeeper.Second, 80)
 	for _, zone := range zones {
 		c.reclaim(zone)
 	}
-	c.silent = true
+	c.unresponsive = true
 	c.run(6*timekeeper.Second, 250)
 	c.run(2*timekeeper.Second, 100)
-	c.silent = false
+	c.unresponsive = false
 	c.run(8*timekeeper.Second, 100)
 	require.InDelta(t, 10, c.total(catalog.OnDemand), 1)
 }
 
-// All zones are reclaimed while orders for more servers than a zone takes were
-// given. No order asks for fewer servers than none: the cloud refused it, and
-// with it the zone's on-demand servers.
+// No order has a negative count while all zones are reclaimed and a zone
+// exceeds its limit: the cloud would refuse it.
 func TestNoOrderBelowZero(t *testing.T) {
 	c := newCloud(t, 9)
 	c.run(30*timekeeper.Second, 60)
-	c.have[key{
+	c.running[orderKey{
 		zone:   "boston-a",
 		market: catalog.Reclaimable,
 	}] = 9
@@ -424,16 +413,15 @@
 	c.run(20*timekeeper.Second, 200)
 }
 
-// All nodes die while two zones are out and nothing reclaimable is to be had. The
-// next holder finds servers in two zones only. It keeps them all: two of three in
-// each were given up, and callers waited ten seconds for others.
-func TestNewHolderInAWave(t *testing.T) {
+// A new holder that starts while all zones are out of capacity releases no
+// servers.
+func TestNewHolderDuringWave(t *testing.T) {
 	c := newCloud(t, 9)
 	c.run(60*timekeeper.Second, 60)
 	c.reclaim("boston-a")
 	c.reclaim("boston-b")
-	c.out["providence"] = true
-	c.out["portland-me"] = true
+	c.outOfCapacity["providence"] = true
+	c.outOfCapacity["portland-me"] = true
 	c.run(3*timekeeper.Second, 60)
 	size := c.total(catalog.Reclaimable)
 	require.Positive(t, size)
@@ -442,18 +430,16 @@
 	require.Equal(t, size, c.total(catalog.Reclaimable))
 }
 
-// A wave takes one zone after the other. When two are left, on-demand servers are
-// ordered for the loss of the next, so that they serve when it comes: ordered
-// after the third notice they served a boot time too late, and callers of a calm
-// day were served by a third for ten seconds.
-func TestOnDemandServersAheadOfTheWave(t *testing.T) {
+// When only two zones are available, on-demand servers are ordered in advance
+// for the loss of another.
+func TestOnDemandServersBeforeThirdZoneLoss(t *testing.T) {
 	c := newCloud(t, 9)
 	c.run(60*timekeeper.Second, 60)
 	c.reclaim("boston-a")
 	c.run(5*timekeeper.Second, 60)
 	require.Zero(t, c.total(catalog.OnDemand))
 	for _, zone := range zones {
-		c.out[zone] = true
+		c.outOfCapacity[zone] = true
 	}
 	c.reclaim("boston-b")
 	c.run(5*timekeeper.Second, 60)
@@ -461,10 +447,8 @@
 	require.GreaterOrEqual(t, c.total(catalog.OnDemand)+c.total(catalog.Reclaimable), 6)
 }
 
-// One long prompt more makes the demand seem larger for a second. Nothing is
-// ordered for it, and on-demand servers that were are not given up and ordered
-// again as the measure goes up and down.
-func TestNoOrderForASecond(t *testing.T) {
+// A change of the demand for a second causes no orders, in either direction.
+func TestBriefDemandChangeIsIgnored(t *testing.T) {
 	c := newCloud(t, 9)
 	c.run(40*timekeeper.Second, 60)
 	size := c.total(catalog.Reclaimable)
@@ -475,18 +459,16 @@
 		c.reclaim(zone)
 	}
 	c.run(8*timekeeper.Second, 60)
-	most := c.total(catalog.OnDemand)
+	before := c.total(catalog.OnDemand)
 	for range 4 {
 		c.run(timekeeper.Second, 50)
 		c.run(timekeeper.Second, 60)
 	}
-	require.Equal(t, most, c.total(catalog.OnDemand))
+	require.Equal(t, before, c.total(catalog.OnDemand))
 }
 
-// Callers come in a crowd that grows for seconds. Servers for it were ordered after more had
-// been needed for three, and served when two zones were being reclaimed. While the need goes
-// on rising they are ordered after one.
-func TestServersForACrowdThatGrows(t *testing.T) {
+// While the demand keeps rising, servers are ordered after the shorter delay.
+func TestRisingDemandIsServedSooner(t *testing.T) {
 	c := newCloud(t, 9)
 	c.run(40*timekeeper.Second, 60)
 	size := c.total(catalog.Reclaimable)
