--- a/internal/scaler/forecast.go
+++ b/internal/scaler/forecast.go
@@ -7,143 +7,144 @@
 )
 
 const (
-	// levelTime and trendTime are the time constants by which the mean of the
-	// busy slots and its slope follow what is seen.
-	levelTime = 30 * timekeeper.Second
-	trendTime = 3 * timekeeper.Minute
-	// baseTime and fastTime are those of the usual and the present rate of
-	// arrivals.
-	baseTime = 20 * timekeeper.Minute
-	fastTime = 10 * timekeeper.Second
-	// stakeTime is that of the penalties at stake.
-	stakeTime = 5 * timekeeper.Minute
-	// maxGrowth bounds the foreseen demand as a multiple of the present one:
-	// a slope is a guess.
-	maxGrowth = 2.0
-	maxFlash  = 4.0
-	// flashRatio is the growth of arrivals that counts as a flash crowd, and
-	// flashThreshold the evidence, a log-likelihood ratio, that it takes. At
-	// ln 10,000 false alarms are rare, and a doubled rate of 2 requests a
-	// second is seen after about 12 s.
+	// levelTimeConstant and trendTimeConstant are the time constants of the
+	// smoothed number of busy slots and of its slope.
+	levelTimeConstant = 30 * timekeeper.Second
+	trendTimeConstant = 3 * timekeeper.Minute
+	// baseRateTimeConstant and currentRateTimeConstant are the time constants
+	// of the usual and the current arrival rate.
+	baseRateTimeConstant    = 20 * timekeeper.Minute
+	currentRateTimeConstant = 10 * timekeeper.Second
+	// penaltyTimeConstant is the time constant of the request and penalty
+	// rates.
+	penaltyTimeConstant = 5 * timekeeper.Minute
+	// maxTrendGrowth and maxFlashGrowth limit the predicted demand, as
+	// multiples of the current and of the usual level.
+	maxTrendGrowth = 2.0
+	maxFlashGrowth = 4.0
+	// flashRatio is the growth of the arrival rate that counts as a flash
+	// crowd, and flashThreshold the log-likelihood ratio required to detect
+	// one. At ln 10,000 false alarms are rare, and a doubled rate of 2 requests
+	// per second is detected after about 12 s.
 	flashRatio     = 2.0
 	flashThreshold = 9.2
 )
 
-// forecast foresees the busy slots of a pool: a mean with a slope (Holt), and
-// a test for flash crowds on the arrivals.
+// forecast predicts the busy slots of a pool with a smoothed level and slope
+// (Holt) and a test for flash crowds on the arrivals.
 //
 // The test is Page's CUSUM as in Tang, Tay and Wen, "Dynamic Request
-// Redirection and Elastic Service Scaling in Cloud-Centric Media Networks", eq. 5,
-// on counts of a Poisson process.
+// Redirection and Elastic Service Scaling in Cloud-Centric Media Networks", eq.
+// 5, on counts of a Poisson process.
 type forecast struct {
-	at          timekeeper.Time
+	updatedAt   timekeeper.Time
 	started     bool
 	level       float64
 	slope       float64 // per second
 	interactive float64
-	base        float64 // arrivals per second
-	baseBusy    float64
-	// requests and atStake are the arrivals and their penalties a second,
-	// both by stakeTime, so that their quotient is a mean penalty.
-	requests     float64
-	atStake      float64
-	fast         float64
-	evidenceUp   float64
-	evidenceDown float64
-	flash        bool
+	baseRate    float64 // arrivals per second
+	baseLevel   float64
+	// requestRate and penaltyRate are the arrivals and their penalties per
+	// second, smoothed with the same time constant, so that their quotient is
+	// the mean penalty.
+	requestRate   float64
+	penaltyRate   float64
+	currentRate   float64
+	startEvidence float64
+	endEvidence   float64
+	inFlashCrowd  bool
 }
 
 func (f *forecast) observe(now timekeeper.Time, d Demand) {
-	passed := now.Sub(f.at)
+	elapsed := now.Sub(f.updatedAt)
 	if !f.started {
 		f.started = true
-		f.at = now
+		f.updatedAt = now
 		f.level = d.InFlight
 		f.interactive = d.Interactive
 		return
 	}
-	if passed <= 0 {
+	if elapsed <= 0 {
 		return
 	}
-	f.at = now
-	f.observeBusy(passed, d)
-	f.observeArrivals(passed, float64(d.Arrivals))
-	f.requests = follow(f.requests, float64(d.Arrivals)/passed.Seconds(), passed, stakeTime)
-	f.atStake = follow(f.atStake, float64(d.TotalPenalty)/passed.Seconds(), passed, stakeTime)
+	f.updatedAt = now
+	f.observeInFlight(elapsed, d)
+	f.observeArrivals(elapsed, float64(d.Arrivals))
+	f.requestRate = smooth(f.requestRate, float64(d.Arrivals)/elapsed.Seconds(), elapsed, penaltyTimeConstant)
+	f.penaltyRate = smooth(f.penaltyRate, float64(d.TotalPenalty)/elapsed.Seconds(), elapsed, penaltyTimeConstant)
 }
 
-func (f *forecast) observeBusy(passed timekeeper.Duration, d Demand) {
-	before := f.level
-	f.level = follow(f.level+f.slope*passed.Seconds(), d.InFlight, passed, levelTime)
-	f.slope = follow(f.slope, (f.level-before)/passed.Seconds(), passed, trendTime)
-	f.interactive = follow(f.interactive, d.Interactive, passed, levelTime)
+func (f *forecast) observeInFlight(elapsed timekeeper.Duration, d Demand) {
+	previous := f.level
+	f.level = smooth(f.level+f.slope*elapsed.Seconds(), d.InFlight, elapsed, levelTimeConstant)
+	f.slope = smooth(f.slope, (f.level-previous)/elapsed.Seconds(), elapsed, trendTimeConstant)
+	f.interactive = smooth(f.interactive, d.Interactive, elapsed, levelTimeConstant)
 }
 
-func (f *forecast) observeArrivals(passed timekeeper.Duration, arrivals float64) {
-	rate := arrivals / passed.Seconds()
-	if f.base == 0 {
-		f.base, f.fast = rate, rate
-		f.baseBusy = f.level
+func (f *forecast) observeArrivals(elapsed timekeeper.Duration, arrivals float64) {
+	rate := arrivals / elapsed.Seconds()
+	if f.baseRate == 0 {
+		f.baseRate, f.currentRate = rate, rate
+		f.baseLevel = f.level
 		return
 	}
-	f.fast = follow(f.fast, rate, passed, fastTime)
-	f.test(passed, arrivals)
-	if !f.flash {
-		f.base = follow(f.base, rate, passed, baseTime)
-		f.baseBusy = follow(f.baseBusy, f.level, passed, baseTime)
+	f.currentRate = smooth(f.currentRate, rate, elapsed, currentRateTimeConstant)
+	f.detectFlashCrowd(elapsed, arrivals)
+	if !f.inFlashCrowd {
+		f.baseRate = smooth(f.baseRate, rate, elapsed, baseRateTimeConstant)
+		f.baseLevel = smooth(f.baseLevel, f.level, elapsed, baseRateTimeConstant)
 	}
 }
 
-// test runs the CUSUM test for the beginning of a flash crowd or, during one,
-// for its end.
-func (f *forecast) test(passed timekeeper.Duration, arrivals float64) {
-	expected := f.base * passed.Seconds()
+// detectFlashCrowd runs the CUSUM test for the start of a flash crowd or,
+// during one, for its end.
+func (f *forecast) detectFlashCrowd(elapsed timekeeper.Duration, arrivals float64) {
+	expected := f.baseRate * elapsed.Seconds()
 	likelihood := arrivals*math.Log(flashRatio) - expected*(flashRatio-1)
-	f.evidenceUp = max(0, f.evidenceUp+likelihood)
-	f.evidenceDown = max(0, f.evidenceDown-likelihood)
+	f.startEvidence = max(0, f.startEvidence+likelihood)
+	f.endEvidence = max(0, f.endEvidence-likelihood)
 	switch {
-	case !f.flash && f.evidenceUp >= flashThreshold:
-		f.flash = true
-		f.evidenceDown = 0
-	case f.flash && f.evidenceDown >= flashThreshold:
-		f.flash = false
-		f.evidenceUp = 0
+	case !f.inFlashCrowd && f.startEvidence >= flashThreshold:
+		f.inFlashCrowd = true
+		f.endEvidence = 0
+	case f.inFlashCrowd && f.endEvidence >= flashThreshold:
+		f.inFlashCrowd = false
+		f.startEvidence = 0
 	}
 }
 
-// busy returns the busy slots foreseen for the end of the horizon.
-func (f *forecast) busy(horizon timekeeper.Duration, r Rules) float64 {
-	foreseen := f.level
+// predict returns the predicted number of busy slots at the end of the horizon.
+func (f *forecast) predict(horizon timekeeper.Duration, r Rules) float64 {
+	predicted := f.level
 	if r.Ahead {
-		foreseen = max(f.level, min(f.level+f.slope*horizon.Seconds(), maxGrowth*f.level))
+		predicted = max(f.level, min(f.level+f.slope*horizon.Seconds(), maxTrendGrowth*f.level))
 	}
-	if r.Flash && f.flash && f.base > 0 {
-		foreseen = max(foreseen, f.baseBusy*min(f.fast/f.base, maxFlash))
+	if r.Flash && f.inFlashCrowd && f.baseRate > 0 {
+		predicted = max(predicted, f.baseLevel*min(f.currentRate/f.baseRate, maxFlashGrowth))
 	}
-	return foreseen
+	return predicted
 }
 
-// perSlot returns how many requests a second one busy slot ends (Little's
-// law), or 0 where that is not known yet.
-func (f *forecast) perSlot() float64 {
+// ratePerSlot returns the number of requests per second that one busy slot
+// completes (Little's law), or 0 if it is unknown.
+func (f *forecast) ratePerSlot() float64 {
 	if f.level <= 0 {
 		return 0
 	}
-	return f.fast / f.level
+	return f.currentRate / f.level
 }
 
-// penalty returns the mean penalty of the requests that arrive, or 0 where it
-// is not known.
-func (f *forecast) penalty() float64 {
-	if f.requests <= 0 {
+// meanPenalty returns the mean penalty of arriving requests, or 0 if it is
+// unknown.
+func (f *forecast) meanPenalty() float64 {
+	if f.requestRate <= 0 {
 		return 0
 	}
-	return f.atStake / f.requests
+	return f.penaltyRate / f.requestRate
 }
 
-// follow moves mean towards sample as an exponential mean of the given time
-// constant does in the time that passed.
-func follow(mean, sample float64, passed, constant timekeeper.Duration) float64 {
-	weight := 1 - math.Exp(-passed.Seconds()/constant.Seconds())
+// smooth returns the exponential moving average after the elapsed time.
+func smooth(mean, sample float64, elapsed, timeConstant timekeeper.Duration) float64 {
+	weight := 1 - math.Exp(-elapsed.Seconds()/timeConstant.Seconds())
 	return mean + weight*(sample-mean)
 }
--- a/internal/scaler/market.go
+++ b/internal/scaler/market.go
@@ -12,142 +12,142 @@
 )
 
 const (
-	// firstBackoff and maxBackoff bound how long a refused offer is left
-	// alone; each refusal in a row doubles it.
-	firstBackoff = 15 * timekeeper.Second
-	maxBackoff   = 5 * timekeeper.Minute
-	// shunTime is how long nothing reclaimable is bought in a zone that has
-	// just reclaimed a VM: waves come in pieces.
-	shunTime = 2 * timekeeper.Minute
-	// priorReclaims and priorHours are what is believed before anything was
-	// seen: so many reclaims in so many VM hours. A zone is believed to be as
-	// the others are until it has shown as many VM hours of its own.
+	// initialBackoff and maxBackoff are the bounds of the backoff after a
+	// refused purchase, which doubles with each consecutive refusal.
+	initialBackoff = 15 * timekeeper.Second
+	maxBackoff     = 5 * timekeeper.Minute
+	// zoneAvoidDuration is how long no reclaimable VM is bought in a zone after
+	// a reclaim there, because reclaims come in waves.
+	zoneAvoidDuration = 2 * timekeeper.Minute
+	// priorReclaims and priorHours are the prior of the reclaim rate: reclaims
+	// per VM hours over all zones. A zone's own rate outweighs the overall rate
+	// after priorHours VM hours.
 	priorReclaims = 0.8
 	priorHours    = 4.0
 )
 
-// offer is a way to buy a VM.
+// offer identifies a zone and market in which VMs are sold.
 type offer struct {
 	zone   identifier.Zone
 	market catalog.Market
 }
 
-// pricedOffer is an offer with its price of an hour, raised by its risk.
+// pricedOffer is an offer with its hourly price, including the expected cost of
+// reclaims.
 type pricedOffer struct {
 	offer
-	price float64
-	// tie orders offers of one price at random, so that the pools of a
-	// deployment do not all buy in the zone that sorts first.
+	riskPrice float64
+	// tie orders offers of equal price randomly, so that the pools of a
+	// deployment do not all buy in the same zone.
 	tie uint64
 }
 
-// market is what is known of the offers beyond their price.
+// market holds the refusals and reclaims observed so far.
 type market struct {
-	backoff map[offer]backoff
-	zones   map[identifier.Zone]*zoneRecord
-	at      timekeeper.Time
-	leaving map[identifier.VMID]bool
+	backoff     map[offer]backoff
+	records     map[identifier.Zone]*zoneRecord
+	updatedAt   timekeeper.Time
+	seenLeaving map[identifier.VMID]bool
 }
 
 type backoff struct {
-	until timekeeper.Time
-	span  timekeeper.Duration
+	until    timekeeper.Time
+	duration timekeeper.Duration
 }
 
-// zoneRecord counts a zone's reclaims and the hours its VMs ran.
+// zoneRecord counts a zone's reclaims and VM hours.
 type zoneRecord struct {
-	reclaims float64
-	hours    float64
-	shunned  timekeeper.Time
+	reclaims     float64
+	hours        float64
+	avoidedUntil timekeeper.Time
 }
 
 func newMarket() market {
 	return market{
-		backoff: make(map[offer]backoff),
-		zones:   make(map[identifier.Zone]*zoneRecord),
-		leaving: make(map[identifier.VMID]bool),
+		backoff:     make(map[offer]backoff),
+		records:     make(map[identifier.Zone]*zoneRecord),
+		seenLeaving: make(map[identifier.VMID]bool),
 	}
 }
 
-func (m *market) zone(z identifier.Zone) *zoneRecord {
-	if m.zones[z] == nil {
-		m.zones[z] = &zoneRecord{}
+func (m *market) record(z identifier.Zone) *zoneRecord {
+	if m.records[z] == nil {
+		m.records[z] = &zoneRecord{}
 	}
-	return m.zones[z]
+	return m.records[z]
 }
 
-// observe counts VM hours and the reclaims that are new on the list.
-func (m *market) observe(now timekeeper.Time, servers []Server, ours func(identifier.VMID) bool) {
-	passed := now.Sub(m.at)
-	if m.at == 0 {
-		passed = 0
+// observe counts VM hours and the reclaims that are new in the list.
+func (m *market) observe(now timekeeper.Time, servers []Server, releasing func(identifier.VMID) bool) {
+	elapsed := now.Sub(m.updatedAt)
+	if m.updatedAt == 0 {
+		elapsed = 0
 	}
-	m.at = now
+	m.updatedAt = now
 	leaving := make(map[identifier.VMID]bool)
 	for _, v := range servers {
 		if v.Market != catalog.Reclaimable {
 			continue
 		}
-		record := m.zone(v.Zone)
-		record.hours += float64(passed) / float64(timekeeper.Hour)
+		record := m.record(v.Zone)
+		record.hours += float64(elapsed) / float64(timekeeper.Hour)
 		if !v.Leaving {
 			continue
 		}
 		leaving[v.VM] = true
-		if !m.leaving[v.VM] && !ours(v.VM) {
+		if !m.seenLeaving[v.VM] && !releasing(v.VM) {
 			record.reclaims++
-			record.shunned = now.Add(shunTime)
+			record.avoidedUntil = now.Add(zoneAvoidDuration)
 		}
 	}
-	m.leaving = leaving
+	m.seenLeaving = leaving
 }
 
-// reclaimsPerHour returns the rate at which VMs of a zone are believed to be
-// reclaimed.
+// reclaimsPerHour returns the estimated hourly reclaim rate of a VM in a zone.
 func (m *market) reclaimsPerHour(z identifier.Zone) float64 {
-	record := m.zone(z)
+	record := m.record(z)
 	return (priorHours*m.overallRate() + record.reclaims) / (priorHours + record.hours)
 }
 
-// overallRate returns the rate over all zones.
+// overallRate returns the estimated reclaim rate over all zones.
 func (m *market) overallRate() float64 {
 	reclaims, hours := priorReclaims, priorHours
-	for _, z := range slices.Sorted(maps.Keys(m.zones)) {
-		reclaims += m.zones[z].reclaims
-		hours += m.zones[z].hours
+	for _, z := range slices.Sorted(maps.Keys(m.records)) {
+		reclaims += m.records[z].reclaims
+		hours += m.records[z].hours
 	}
 	return reclaims / hours
 }
 
-func (m *market) refused(now timekeeper.Time, o offer) {
-	span := firstBackoff
-	if last, ok := m.backoff[o]; ok && now.Before(last.until.Add(last.span)) {
-		span = min(2*last.span, maxBackoff)
+func (m *market) recordRefusal(now timekeeper.Time, o offer) {
+	duration := initialBackoff
+	if last, ok := m.backoff[o]; ok && now.Before(last.until.Add(last.duration)) {
+		duration = min(2*last.duration, maxBackoff)
 	}
 	m.backoff[o] = backoff{
-		until: now.Add(span),
-		span:  span,
+		until:    now.Add(duration),
+		duration: duration,
 	}
 }
 
-// open tells whether an offer is worth trying.
-func (m *market) open(now timekeeper.Time, o offer) bool {
+// available reports whether a purchase may be tried now.
+func (m *market) available(now timekeeper.Time, o offer) bool {
 	if now.Before(m.backoff[o].until) {
 		return false
 	}
-	return o.market == catalog.OnDemand || !now.Before(m.zone(o.zone).shunned)
+	return o.market == catalog.OnDemand || !now.Before(m.record(o.zone).avoidedUntil)
 }
 
-// price returns the price of an hour of an offer, with the expected cost of
-// its reclaims.
-func (m *market) price(listed identifier.Money, o offer, reclaimCost float64, r Rules) float64 {
+// riskPrice returns the hourly price of an offer, including the expected cost
+// of its reclaims.
+func (m *market) riskPrice(listPrice identifier.Money, o offer, reclaimCost float64, r Rules) float64 {
 	if o.market == catalog.OnDemand || !r.RiskPrice {
-		return float64(listed)
+		return float64(listPrice)
 	}
-	return float64(listed) + m.reclaimsPerHour(o.zone)*reclaimCost
+	return float64(listPrice) + m.reclaimsPerHour(o.zone)*reclaimCost
 }
 
-// offers returns the offers of a class that are open, the cheapest first.
+// offers returns the available offers of a class, ordered by price.
 func (m *market) offers(
 	now timekeeper.Time,
 	class catalog.Class,
@@ -155,28 +155,28 @@
 	r Rules,
 	rng *rand.Rand,
 ) []pricedOffer {
-	var found []pricedOffer
+	var offers []pricedOffer
 	for _, z := range sortedZones(class) {
 		for _, kind := range []catalog.Market{catalog.Reclaimable, catalog.OnDemand} {
 			o := offer{
 				zone:   z,
 				market: kind,
 			}
-			listed, sold := class.Prices[z][kind]
-			if !sold || !m.open(now, o) {
+			listPrice, sold := class.Prices[z][kind]
+			if !sold || !m.available(now, o) {
 				continue
 			}
-			found = append(found, pricedOffer{
-				offer: o,
-				price: m.price(listed, o, reclaimCost, r),
-				tie:   rng.Uint64(),
+			offers = append(offers, pricedOffer{
+				offer:     o,
+				riskPrice: m.riskPrice(listPrice, o, reclaimCost, r),
+				tie:       rng.Uint64(),
 			})
 		}
 	}
-	slices.SortFunc(found, func(a, b pricedOffer) int {
-		return cmp.Or(cmp.Compare(a.price, b.price), cmp.Compare(a.tie, b.tie))
+	slices.SortFunc(offers, func(a, b pricedOffer) int {
+		return cmp.Or(cmp.Compare(a.riskPrice, b.riskPrice), cmp.Compare(a.tie, b.tie))
 	})
-	return found
+	return offers
 }
 
 func sortedZones(class catalog.Class) []identifier.Zone {
--- a/internal/scaler/plan.go
+++ b/internal/scaler/plan.go
@@ -8,8 +8,8 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Plan returns the purchases and releases to make now. It is called every few
-// seconds by the holder of the lease; rng breaks ties between offers.
+// Plan returns the purchases and releases to make now. The holder of the lease
+// calls it every few seconds; rng breaks ties between offers.
 func (s *Scaler) Plan(now timekeeper.Time, in Input, rng *rand.Rand) []Action {
 	if in.Fence != s.fence {
 		s.fence = in.Fence
@@ -19,25 +19,25 @@
 	if in.ListAsOf.Before(in.SafeAfter) {
 		return nil
 	}
-	s.slots.absorb(in.ListAsOf, in.Servers)
+	s.slots.applyList(in.ListAsOf, in.Servers)
 	p := &plan{
-		scaler: s,
-		now:    now,
-		size:   s.sizing(in.Catalog),
-		rng:    rng,
-		inZone: make(map[identifier.Zone]int),
+		scaler:        s,
+		now:           now,
+		size:          s.sizing(in.Catalog),
+		rng:           rng,
+		serversInZone: make(map[identifier.Zone]int),
 	}
 	p.count()
-	p.repeat()
+	p.resendUnconfirmed()
 	p.buy()
 	p.swap()
-	p.release()
+	p.releaseSurplus()
 	return p.actions
 }
 
-// releasing tells whether the scaler itself is giving the VM back, so that
-// its leaving is no reclaim.
-func (s *Scaler) releasing(vm identifier.VMID) bool {
+// isReleasing reports whether the scaler itself is releasing the VM. Such a VM
+// is leaving without having been reclaimed.
+func (s *Scaler) isReleasing(vm identifier.VMID) bool {
 	for _, slot := range s.slots.used {
 		if slot.vm == vm {
 			return slot.releasing
@@ -48,45 +48,45 @@
 
 // plan is the state of one call of Plan.
 type plan struct {
-	scaler   *Scaler
-	now      timekeeper.Time
-	size     sizing
-	rng      *rand.Rand
-	have     int
-	onDemand int
-	inZone   map[identifier.Zone]int
-	actions  []Action
+	scaler        *Scaler
+	now           timekeeper.Time
+	size          sizing
+	rng           *rand.Rand
+	servers       int
+	onDemand      int
+	serversInZone map[identifier.Zone]int
+	actions       []Action
 }
 
-// count counts the servers that stay, those still being bought included.
+// count counts the servers that stay, including unconfirmed purchases.
 func (p *plan) count() {
 	for _, s := range p.scaler.slots.all() {
 		if !s.releasing {
-			p.counted(s.offer, 1)
+			p.addCount(s.offer, 1)
 		}
 	}
 }
 
-func (p *plan) counted(o offer, n int) {
-	p.have += n
-	p.inZone[o.zone] += n
+func (p *plan) addCount(o offer, n int) {
+	p.servers += n
+	p.serversInZone[o.zone] += n
 	if o.market == catalog.OnDemand {
 		p.onDemand += n
 	}
 }
 
-// repeat gives purchases whose answer is missing, and releases that the list
-// does not show, once more.
-func (p *plan) repeat() {
+// resendUnconfirmed repeats purchases without an answer and releases that the
+// list does not show yet.
+func (p *plan) resendUnconfirmed() {
 	for _, s := range p.scaler.slots.all() {
-		if p.now.Before(s.lastGiven.Add(repeatAfter)) {
+		if p.now.Before(s.lastSentAt.Add(resendInterval)) {
 			continue
 		}
 		switch {
 		case s.vm == "":
-			p.give(s, p.purchase(s))
+			p.emit(s, p.purchase(s))
 		case s.releasing:
-			p.give(s, Action{
+			p.emit(s, Action{
 				Kind: Release,
 				VM:   s.vm,
 			})
@@ -94,8 +94,8 @@
 	}
 }
 
-func (p *plan) give(s *slot, a Action) {
-	s.lastGiven = p.now
+func (p *plan) emit(s *slot, a Action) {
+	s.lastSentAt = p.now
 	p.actions = append(p.actions, a)
 }
 
@@ -110,19 +110,19 @@
 	}
 }
 
-// buy buys what is missing, one server after the other, as each changes what
-// the next one should be.
+// buy buys the missing servers one by one, because each purchase affects the
+// choice of the next.
 func (p *plan) buy() {
-	if p.have >= p.size.want {
+	if p.servers >= p.size.targetServers {
 		return
 	}
 	offers := p.offers()
-	for p.have < p.size.want {
-		o, ok := p.choose(offers)
+	for p.servers < p.size.targetServers {
+		o, ok := p.chooseOffer(offers)
 		if !ok {
 			return
 		}
-		p.open(o)
+		p.buyInNewSlot(o)
 	}
 }
 
@@ -130,44 +130,45 @@
 	return p.scaler.market.offers(p.now, p.size.class, p.size.reclaimCost, p.scaler.config.Rules, p.rng)
 }
 
-func (p *plan) open(o offer) *slot {
-	s := p.scaler.slots.open()
+func (p *plan) buyInNewSlot(o offer) *slot {
+	s := p.scaler.slots.allocate()
 	s.offer = o
 	s.token = clientToken(p.scaler.config.Pool, p.scaler.fence, s)
-	p.give(s, p.purchase(s))
-	p.counted(o, 1)
+	p.emit(s, p.purchase(s))
+	p.addCount(o, 1)
 	return s
 }
 
-// choose returns the cheapest offer in a zone that is not full. A share of
-// on-demand VMs that the pool wants comes first. Beyond it, an on-demand VM
-// must be the cheaper one by its risk, or be worth its price because nothing
-// reclaimable is to be had.
-func (p *plan) choose(offers []pricedOffer) (offer, bool) {
-	mustStay := p.onDemand < p.size.onDemand(max(p.have+1, p.size.want)) && sells(offers, catalog.OnDemand)
-	bound := p.size.zoneCap(p.scaler.config.Rules)
-	var crowded *pricedOffer
+// chooseOffer returns the cheapest offer in a zone below its limit, or else the
+// cheapest offer. The pool's share of on-demand VMs takes precedence. Beyond
+// it, an on-demand VM is bought only if it is cheaper including risk, or if
+// nothing reclaimable is available and it costs less than the penalties it
+// avoids.
+func (p *plan) chooseOffer(offers []pricedOffer) (offer, bool) {
+	needsOnDemand := p.onDemand < p.size.minOnDemand(max(p.servers+1, p.size.targetServers)) && hasMarket(offers, catalog.OnDemand)
+	zoneLimit := p.size.zoneLimit(p.scaler.config.Rules)
+	var fallback *pricedOffer
 	for i, o := range offers {
-		if mustStay && o.market != catalog.OnDemand {
+		if needsOnDemand && o.market != catalog.OnDemand {
 			continue
 		}
-		if !mustStay && !p.acceptable(o, offers) {
+		if !needsOnDemand && !p.worthBuying(o, offers) {
 			continue
 		}
-		if p.inZone[o.zone] < bound {
+		if p.serversInZone[o.zone] < zoneLimit {
 			return o.offer, true
 		}
-		if crowded == nil {
-			crowded = &offers[i]
+		if fallback == nil {
+			fallback = &offers[i]
 		}
 	}
-	if crowded == nil {
+	if fallback == nil {
 		return offer{}, false
 	}
-	return crowded.offer, true
+	return fallback.offer, true
 }
 
-func sells(offers []pricedOffer, m catalog.Market) bool {
+func hasMarket(offers []pricedOffer, m catalog.Market) bool {
 	for _, o := range offers {
 		if o.market == m {
 			return true
@@ -176,15 +177,16 @@
 	return false
 }
 
-// acceptable tells whether an offer may be bought beyond the on-demand share.
-func (p *plan) acceptable(o pricedOffer, offers []pricedOffer) bool {
+// worthBuying reports whether an offer may be bought beyond the on-demand
+// share.
+func (p *plan) worthBuying(o pricedOffer, offers []pricedOffer) bool {
 	if o.market == catalog.Reclaimable || !p.scaler.config.Rules.PriceThreshold {
 		return true
 	}
 	for _, other := range offers {
 		if other.market == catalog.Reclaimable {
-			return o.price < other.price
+			return o.riskPrice < other.riskPrice
 		}
 	}
-	return o.price < p.size.worth(p.have)
+	return o.riskPrice < p.size.avoidedPenalty(p.servers)
 }
--- a/internal/scaler/scaler.go
+++ b/internal/scaler/scaler.go
@@ -1,28 +1,27 @@
-// Package scaler decides which VMs a pool of backend servers buys and gives
-// back. It runs on the holder of the pool's lease.
+// Package scaler decides which VMs a pool of backend servers buys and releases. It
+// runs on the holder of the pool's lease.
 //
-// A new VM loads its weights at a limited rate, so that it serves minutes
-// after it was bought: the scaler buys for the demand it foresees by then. It
-// buys the cheapest mix of zones and markets, with the price of a reclaimable
-// VM raised by what a reclaim costs, keeps the share of on-demand VMs that the
-// pool wants, and spreads the VMs so that the loss of any one zone leaves
-// enough for interactive requests. A refused purchase is tried in another
-// zone, and on demand only where the penalties it avoids are dearer.
+// A new VM takes minutes to load its weights before it serves, so the scaler buys
+// for the demand predicted for that time. It buys the cheapest mix of zones and
+// markets, adding the expected cost of reclaims to the price of a reclaimable VM.
+// It keeps the pool's share of on-demand VMs, and spreads the VMs so that after
+// the loss of any one zone enough remain for interactive requests. A refused
+// purchase is tried in another zone, and on demand only if that costs less than the
+// penalties it avoids.
 //
 // # No purchase twice
 //
-// A pool has slots, numbered from 0. Each purchase is made for a slot in a
-// generation, under the fencing number of the lease, and these three make its
-// client token. A purchase whose answer was lost is repeated under the same
-// token, and is the same purchase.
+// A pool has slots, numbered from 0. The client token of a purchase consists of a
+// slot, the slot's generation and the fencing number of the lease. A purchase
+// whose answer was lost is repeated with the same token, so that it takes effect
+// only once.
 //
-// Slots are nowhere stored. A new holder begins with an empty table under its
-// own, larger fencing number: it waits until the platform's list is as of an
-// instant at which the last purchase of the holder before it had taken effect
-// (Input.SafeAfter), and gives the VMs on the list the slots from 0 on. So the
-// list tells what earlier holders bought, and tokens of two holders never
-// meet. A purchase that an earlier holder's pause delayed past SafeAfter can
-// still land; it shows on the list as one server too many and is released.
+// Slots are not stored. A new holder starts with an empty table under its own,
+// larger fencing number. It waits until the platform's list is recent enough to
+// show all purchases of the previous holder (Input.SafeAfter), and assigns slots
+// to the VMs on the list. So the list shows what earlier holders bought, and the
+// tokens of two holders never collide. If a pause of an earlier holder delays a
+// purchase past SafeAfter, the surplus server appears on the list and is released.
 package scaler
 
 import (
@@ -32,33 +31,34 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Rules switches single rules, so that a measurement can show what each is
-// worth.
+// Rules switches individual rules on, so that the effect of each can be
+// measured.
 type Rules struct {
-	// Ahead buys for the demand foreseen for the end of a VM's load time;
-	// without it, for the demand of now.
+	// Ahead buys for the demand predicted for the end of a VM's load time
+	// instead of the current demand.
 	Ahead bool
 	// Flash detects flash crowds from arrivals by Page's CUSUM test, before
-	// they show as busy slots.
+	// they occupy slots.
 	Flash bool
-	// RiskPrice raises the price of a reclaimable VM by the expected cost of
-	// its reclaims.
+	// RiskPrice adds the expected cost of reclaims to the price of a
+	// reclaimable VM.
 	RiskPrice bool
-	// Spare keeps more slots free where penalties are costly against VMs.
+	// Spare keeps more slots free if penalties are high compared with the price
+	// of a VM.
 	Spare bool
-	// ZoneSpread bounds how many servers stand in one zone.
+	// ZoneSpread limits the number of servers in one zone.
 	ZoneSpread bool
-	// PriceThreshold buys on demand after refusals only where the penalties
-	// avoided are dearer; without it, always.
+	// PriceThreshold buys on demand after refusals only if the avoided
+	// penalties cost more than the VM; without it, always.
 	PriceThreshold bool
-	// Swap replaces servers by clearly cheaper ones, as what is believed of
-	// reclaims changes.
+	// Swap replaces servers by substantially cheaper ones as the estimated
+	// reclaim rates change.
 	Swap bool
-	// Hysteresis releases a VM only after a while of surplus.
+	// Hysteresis releases a VM only after a lasting surplus.
 	Hysteresis bool
 }
 
-// AllRules returns the rules with all of them on.
+// AllRules returns Rules with all rules on.
 func AllRules() Rules {
 	return Rules{
 		Ahead:          true,
@@ -72,24 +72,24 @@
 	}
 }
 
-// Config is what a Scaler is made from.
+// Config configures a Scaler.
 type Config struct {
 	Pool  identifier.PoolName
 	Rules Rules
-	// LoadTime is how long after its purchase a VM serves.
+	// LoadTime is the time from a VM's purchase until it serves.
 	LoadTime timekeeper.Duration
 }
 
-// Server is one VM of the pool; one that still loads its weights counts too.
+// Server is one VM of the pool, which may still be loading its weights.
 type Server = messenger.VMState
 
-// Demand is what the pool is asked for.
+// Demand is the current demand for the pool.
 type Demand struct {
 	// InFlight is the number of requests that run or wait, over all servers.
 	InFlight float64
 	// Interactive is the number of these that are interactive.
 	Interactive float64
-	// Arrivals counts the requests that arrived since the previous Plan.
+	// Arrivals is the number of requests that arrived since the previous call.
 	Arrivals int
 	// TotalPenalty is the sum of the penalties for missing the targets of these
 	// arrivals. Zero means unknown: the mean penalty of the pool's targets is
@@ -97,30 +97,30 @@
 	TotalPenalty identifier.Money
 }
 
-// Input is what one Plan is made from.
+// Input is the input of Plan and Observe.
 type Input struct {
 	Catalog *catalog.Catalog
 	// Fence is the fencing number of the lease under which the plan is made.
 	Fence identifier.Fence
-	// SafeAfter is the instant by which every purchase of earlier holders
-	// has taken effect. Nothing is bought or released on a list older than it.
+	// SafeAfter is the time by which all purchases of earlier holders have
+	// taken effect. Nothing is bought or released based on an older list.
 	SafeAfter timekeeper.Time
-	// ListAsOf is the instant of the platform's list behind Servers.
+	// ListAsOf is the time of the platform's list that Servers was read from.
 	ListAsOf timekeeper.Time
-	// Servers are the VMs of the pool on the list; those known to leave have
-	// Leaving set, whatever the list says.
+	// Servers contains the pool's VMs on the list. Leaving is set for those
+	// known to be leaving, even if the list does not show it.
 	Servers []Server
 	Demand  Demand
 }
 
-// ActionKind is a kind of action.
+// ActionKind is the kind of an action.
 type ActionKind string
 
 // The kinds of action.
 const (
 	// Buy buys a VM.
 	Buy ActionKind = "buy"
-	// Release gives a VM back, after its requests have ended or moved.
+	// Release releases a VM after its requests have ended or moved.
 	Release ActionKind = "release"
 )
 
@@ -155,7 +155,7 @@
 	surplus  surplus
 }
 
-// New returns a Scaler without history.
+// New returns a Scaler without any observations.
 func New(c Config) *Scaler {
 	return &Scaler{
 		config: c,
@@ -170,7 +170,7 @@
 // them.
 func (s *Scaler) Observe(now timekeeper.Time, in Input) {
 	s.forecast.observe(now, in.Demand)
-	s.market.observe(now, in.Servers, s.releasing)
+	s.market.observe(now, in.Servers, s.isReleasing)
 }
 
 // PurchaseEnded records the result of the purchase with the given client token.
@@ -182,9 +182,9 @@
 	}
 	switch {
 	case r.VM != "":
-		s.slots.bought(now, slot, r.VM)
+		s.slots.recordPurchase(now, slot, r.VM)
 	case r.Refused:
-		s.market.refused(now, slot.offer)
+		s.market.recordRefusal(now, slot.offer)
 		s.slots.free(slot)
 	}
 }
--- a/internal/scaler/scaler_test.go
+++ b/internal/scaler/scaler_test.go
@@ -45,11 +45,11 @@
 	}
 }
 
-// cloud is a platform that honours client tokens, with a list that lags.
+// cloud simulates a platform with idempotent client tokens and a delayed list.
 type cloud struct {
 	byToken map[string]identifier.VMID
 	vms     []Server
-	// listed is how many of vms the list shows.
+	// listed is the number of VMs shown by the list.
 	listed int
 }
 
@@ -81,7 +81,7 @@
 	}
 }
 
-// buyAll lets a scaler buy until it is content.
+// buyAll runs the scaler three times and carries out its purchases.
 func buyAll(s *Scaler, c *cloud) []Action {
 	var all []Action
 	for i := range 3 {
@@ -96,11 +96,11 @@
 
 func testRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// overbought runs one random history of lost answers, a lagging list and
-// holders that follow each other, and returns how many VMs exist at its end.
-func overbought(t *rapid.T, waitForList bool) int {
+// runRandomHistory simulates lost answers, a delayed list and changes of the
+// holder, and returns the number of VMs at the end.
+func runRandomHistory(t *rapid.T, waitForList bool) int {
 	c := &cloud{byToken: make(map[string]identifier.VMID)}
-	// A swap has a server too many for a while, on purpose.
+	// A swap temporarily has one server too many by design.
 	rules := AllRules()
 	rules.Swap = false
 	s := New(Config{
@@ -139,22 +139,20 @@
 	return len(c.vms)
 }
 
-// What the operator sees: a bill for VMs that nobody asked for. Answers to
-// purchases get lost, the list lags, and the lease passes to a holder that
-// knows nothing of them. A repeated token is the same purchase, and a new
-// holder waits for a list that shows what the old one bought.
+// Lost answers, a delayed list and changes of the lease holder must not lead to
+// VMs being bought twice.
 func TestNothingIsBoughtTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		require.LessOrEqual(t, overbought(t, true), 5)
+		require.LessOrEqual(t, runRandomHistory(t, true), 5)
 	})
 	doubled := false
 	rapid.Check(t, func(t *rapid.T) {
-		doubled = doubled || overbought(t, false) > 5
+		doubled = doubled || runRandomHistory(t, false) > 5
 	})
 	require.True(t, doubled, "negative control: without waiting for the list VMs are bought twice")
 }
 
-func TestMixAndSpread(t *testing.T) {
+func TestMarketMixAndZoneSpread(t *testing.T) {
 	c := &cloud{byToken: make(map[string]identifier.VMID)}
 	s := New(Config{
 		Pool:  "p",
@@ -172,7 +170,7 @@
 	}
 	require.Equal(t, 1, onDemand)
 	for z, n := range zones {
-		require.GreaterOrEqual(t, 5-n, 2, "interactive requests outlive the loss of %s", z)
+		require.GreaterOrEqual(t, 5-n, 2, "servers for interactive requests after the loss of %s", z)
 	}
 
 	rules := AllRules()
@@ -187,14 +185,13 @@
 			inA++
 		}
 	}
-	require.GreaterOrEqual(t, inA, 4, "negative control: the cheapest zone gets them")
+	require.GreaterOrEqual(t, inA, 4, "negative control: most VMs are bought in the cheapest zone")
 }
 
-// A zone is reclaimed and the cloud has nothing reclaimable left. The pool
-// carries the demand with what it has, so it waits; once penalties are dearer
-// than an hour on demand, it buys on demand.
-func TestOnDemandOnlyWherePenaltiesAreDearer(t *testing.T) {
-	refuse := func(demand Demand) map[catalog.Market]int {
+// If no reclaimable VMs are available, the pool buys on demand only if the
+// avoided penalties cost more than the VM.
+func TestOnDemandOnlyIfPenaltiesCostMore(t *testing.T) {
+	purchases := func(demand Demand) map[catalog.Market]int {
 		c := &cloud{byToken: make(map[string]identifier.VMID)}
 		s := New(Config{
 			Pool:  "p",
@@ -202,7 +199,7 @@
 		})
 		buyAll(s, c)
 		c.listed = len(c.vms)
-		asked := make(map[catalog.Market]int)
+		attempted := make(map[catalog.Market]int)
 		for i := range 6 {
 			now := start.Add(timekeeper.Duration(7+i*5) * timekeeper.Second)
 			in := c.input(1, 0, now)
@@ -211,25 +208,25 @@
 			pool.OnDemandPercent = 0
 			in.Catalog.Pools["p"] = pool
 			for _, a := range s.Plan(now, in, testRand()) {
-				asked[a.Market]++
+				attempted[a.Market]++
 				s.PurchaseEnded(now, a.ClientToken, PurchaseResult{Refused: a.Market == catalog.Reclaimable})
 			}
 		}
-		return asked
+		return attempted
 	}
-	calm := refuse(Demand{
+	covered := purchases(Demand{
 		InFlight: 40,
 		Arrivals: 50,
 	})
-	require.NotZero(t, calm[catalog.Reclaimable])
-	require.Zero(t, calm[catalog.OnDemand])
-	require.NotZero(t, refuse(Demand{
+	require.NotZero(t, covered[catalog.Reclaimable])
+	require.Zero(t, covered[catalog.OnDemand])
+	require.NotZero(t, purchases(Demand{
 		InFlight: 90,
 		Arrivals: 50,
 	})[catalog.OnDemand])
 }
 
-func TestReleaseWaitsForALastingSurplus(t *testing.T) {
+func TestReleaseWaitsForLastingSurplus(t *testing.T) {
 	c := &cloud{byToken: make(map[string]identifier.VMID)}
 	s := New(Config{
 		Pool:  "p",
@@ -251,11 +248,11 @@
 	}
 	require.Len(t, released, 2)
 	for _, after := range released {
-		require.Greater(t, after, surplusTime)
+		require.Greater(t, after, surplusDuration)
 	}
 }
 
-func TestFlashCrowdIsSeenBeforeItIsBusy(t *testing.T) {
+func TestFlashCrowdIsDetectedEarly(t *testing.T) {
 	var f forecast
 	rng := testRand()
 	now := start
@@ -274,17 +271,17 @@
 	}
 	for range 1200 {
 		arrive(4)
-		require.False(t, f.flash, "false alarm")
+		require.False(t, f.inFlashCrowd, "false alarm")
 	}
 	seconds := 0
-	for !f.flash {
+	for !f.inFlashCrowd {
 		arrive(12)
 		seconds++
 	}
 	require.LessOrEqual(t, seconds, 10)
-	require.Greater(t, f.busy(0, AllRules()), 25.0)
+	require.Greater(t, f.predict(0, AllRules()), 25.0)
 	for range 120 {
 		arrive(4)
 	}
-	require.False(t, f.flash)
+	require.False(t, f.inFlashCrowd)
 }
--- a/internal/scaler/slots.go
+++ b/internal/scaler/slots.go
@@ -11,34 +11,34 @@
 )
 
 const (
-	// repeatAfter is the wait before a purchase or release that has not shown
-	// its effect is given again. Both are idempotent.
-	repeatAfter = 5 * timekeeper.Second
-	// listPatience is how long a bought VM may be missing from the list. One
-	// that was reclaimed before it was ever listed would otherwise hold its
-	// slot for good, and the pool would stay short by one.
-	listPatience = 2 * timekeeper.Minute
+	// resendInterval is the interval after which a purchase or release without
+	// visible effect is repeated. Both are idempotent.
+	resendInterval = 5 * timekeeper.Second
+	// listTimeout is how long a bought VM may be missing from the list. A VM
+	// that was reclaimed before it was ever listed would otherwise occupy its
+	// slot forever, and the pool would stay one server short.
+	listTimeout = 2 * timekeeper.Minute
 )
 
-// slot is the place of one VM in the pool.
+// slot represents one VM of the pool.
 type slot struct {
 	number     int
 	generation int
 	token      string
 	offer      offer
-	// vm is empty while the purchase is not settled.
-	vm       identifier.VMID
-	listed   bool
-	boughtAt timekeeper.Time
-	// lastGiven is when the purchase or the release last went out.
-	lastGiven timekeeper.Time
-	releasing bool
-	// replaces is the VM that goes once this one serves.
+	// vm is empty until the purchase is confirmed.
+	vm          identifier.VMID
+	listed      bool
+	purchasedAt timekeeper.Time
+	// lastSentAt is when the purchase or the release was last sent.
+	lastSentAt timekeeper.Time
+	releasing  bool
+	// replaces is the VM to release once this one serves.
 	replaces identifier.VMID
 }
 
-// slotTable holds the slots in use and the generations of all slots. It grows
-// to the largest number of VMs that the pool ever had at once.
+// slotTable holds the slots in use and the generations of all slots. Its size
+// is the maximum number of VMs that the pool ever had at once.
 type slotTable struct {
 	used        map[int]*slot
 	generations map[int]int
@@ -51,11 +51,11 @@
 	}
 }
 
-// all returns the slots in use in the order of their numbers.
+// all returns the slots in use, ordered by number.
 func (t *slotTable) all() []*slot {
-	found := slices.Collect(maps.Values(t.used))
-	slices.SortFunc(found, func(a, b *slot) int { return cmp.Compare(a.number, b.number) })
-	return found
+	sorted := slices.Collect(maps.Values(t.used))
+	slices.SortFunc(sorted, func(a, b *slot) int { return cmp.Compare(a.number, b.number) })
+	return sorted
 }
 
 func (t *slotTable) byToken(token string) (*slot, bool) {
@@ -67,8 +67,8 @@
 	return nil, false
 }
 
-// open takes the lowest free slot.
-func (t *slotTable) open() *slot {
+// allocate takes the lowest free slot.
+func (t *slotTable) allocate() *slot {
 	n := 0
 	for t.used[n] != nil {
 		n++
@@ -81,16 +81,17 @@
 	return s
 }
 
-// free ends a generation of a slot: its token is never used again.
+// free frees a slot and increments its generation, so that its token is never
+// used again.
 func (t *slotTable) free(s *slot) {
 	t.generations[s.number] = s.generation + 1
 	delete(t.used, s.number)
 }
 
-// bought settles a purchase. Where its answer was lost, the list may have
-// shown the VM first and given it a slot of its own; counted twice, it would
-// leave the pool short by one.
-func (t *slotTable) bought(now timekeeper.Time, s *slot, vm identifier.VMID) {
+// recordPurchase assigns a purchased VM to its slot. If the answer was delayed,
+// the list may have shown the VM first and another slot holds it; counting it
+// twice would leave the pool one server short.
+func (t *slotTable) recordPurchase(now timekeeper.Time, s *slot, vm identifier.VMID) {
 	for _, other := range t.used {
 		if other.vm == vm {
 			t.free(s)
@@ -98,16 +99,16 @@
 		}
 	}
 	s.vm = vm
-	s.boughtAt = now
+	s.purchasedAt = now
 }
 
-// absorb brings the slots in line with the list: VMs that have gone or are
-// leaving free their slot, and VMs that no slot knows get one.
-func (t *slotTable) absorb(asOf timekeeper.Time, servers []Server) {
-	staying := make(map[identifier.VMID]Server, len(servers))
+// applyList updates the slots from the list: the slots of removed and leaving
+// VMs are freed, and unknown VMs get a slot.
+func (t *slotTable) applyList(asOf timekeeper.Time, servers []Server) {
+	listedServers := make(map[identifier.VMID]Server, len(servers))
 	leaving := make(map[identifier.VMID]bool)
 	for _, v := range servers {
-		staying[v.VM] = v
+		listedServers[v.VM] = v
 		leaving[v.VM] = v.Leaving
 	}
 	known := make(map[identifier.VMID]bool)
@@ -116,19 +117,19 @@
 			continue
 		}
 		known[s.vm] = true
-		_, listed := staying[s.vm]
+		_, listed := listedServers[s.vm]
 		s.listed = s.listed || listed
 		switch {
 		case leaving[s.vm] && !s.releasing:
 			t.free(s)
-		case !listed && (s.listed || asOf.After(s.boughtAt.Add(listPatience))):
+		case !listed && (s.listed || asOf.After(s.purchasedAt.Add(listTimeout))):
 			t.free(s)
 		}
 	}
-	t.adopt(servers, known)
+	t.addUnknown(servers, known)
 }
 
-func (t *slotTable) adopt(servers []Server, known map[identifier.VMID]bool) {
+func (t *slotTable) addUnknown(servers []Server, known map[identifier.VMID]bool) {
 	sorted := slices.SortedFunc(slices.Values(servers), func(a, b Server) int {
 		return cmp.Compare(a.VM, b.VM)
 	})
@@ -136,7 +137,7 @@
 		if known[v.VM] || v.Leaving {
 			continue
 		}
-		s := t.open()
+		s := t.allocate()
 		s.vm = v.VM
 		s.listed = true
 		s.offer = offer{
@@ -146,8 +147,8 @@
 	}
 }
 
-// clientToken names a purchase for a slot. The fencing number keeps the
-// tokens of two holders apart.
+// clientToken returns the token of a purchase for a slot. The fencing number
+// keeps the tokens of different holders distinct.
 func clientToken(pool identifier.PoolName, fence identifier.Fence, s *slot) string {
 	return fmt.Sprintf("%s.%d.%d.%d", pool, fence, s.number, s.generation)
 }
--- a/internal/scaler/surplus.go
+++ b/internal/scaler/surplus.go
@@ -6,77 +6,79 @@
 )
 
 const (
-	// surplusTime is how long a surplus must last before a VM is released,
-	// and releaseEvery the least time between two releases. A VM that was
-	// released too early takes its load time to get back.
-	surplusTime  = 5 * timekeeper.Minute
-	releaseEvery = 30 * timekeeper.Second
+	// surplusDuration is how long a surplus must last before a VM is released,
+	// and releaseInterval the minimum interval between releases. A VM that is
+	// released too early takes its load time to replace.
+	surplusDuration = 5 * timekeeper.Minute
+	releaseInterval = 30 * timekeeper.Second
 )
 
-// surplus remembers since when there have been servers to spare.
+// surplus records since when there have been surplus servers.
 type surplus struct {
-	since        timekeeper.Time
-	lastReleased timekeeper.Time
+	since          timekeeper.Time
+	lastReleasedAt timekeeper.Time
 }
 
-// release gives back the dearest server that can be spared.
-func (p *plan) release() {
+// releaseSurplus releases the most expensive server if the surplus has lasted.
+func (p *plan) releaseSurplus() {
 	state := &p.scaler.surplus
-	if p.have <= p.size.keep {
+	if p.servers <= p.size.releaseThreshold {
 		state.since = 0
 		return
 	}
 	if state.since == 0 {
 		state.since = p.now
 	}
-	if p.scaler.config.Rules.Hysteresis && !p.settled(state) {
+	if p.scaler.config.Rules.Hysteresis && !p.surplusLasts(state) {
 		return
 	}
-	if s := p.dearest(); s != nil {
-		state.lastReleased = p.now
-		p.giveBack(s)
+	if s := p.mostExpensive(); s != nil {
+		state.lastReleasedAt = p.now
+		p.releaseSlot(s)
 	}
 }
 
-func (p *plan) giveBack(s *slot) {
+func (p *plan) releaseSlot(s *slot) {
 	s.releasing = true
-	p.counted(s.offer, -1)
-	p.give(s, Action{
+	p.addCount(s.offer, -1)
+	p.emit(s, Action{
 		Kind: Release,
 		VM:   s.vm,
 	})
 }
 
-// priceOf returns the price of an hour of a server, with its risk.
-func (p *plan) priceOf(o offer) float64 {
+// riskPriceOf returns the hourly price of a server, including the expected cost
+// of reclaims.
+func (p *plan) riskPriceOf(o offer) float64 {
 	listed := p.size.class.Prices[o.zone][o.market]
-	return p.scaler.market.price(listed, o, p.size.reclaimCost, p.scaler.config.Rules)
+	return p.scaler.market.riskPrice(listed, o, p.size.reclaimCost, p.scaler.config.Rules)
 }
 
-func (p *plan) settled(state *surplus) bool {
-	return p.now.Sub(state.since) >= surplusTime && p.now.Sub(state.lastReleased) >= releaseEvery
+func (p *plan) surplusLasts(state *surplus) bool {
+	return p.now.Sub(state.since) >= surplusDuration && p.now.Sub(state.lastReleasedAt) >= releaseInterval
 }
 
-// dearest returns the server whose release saves most. On-demand servers that
-// the pool's share needs stay; a crowded zone gives first.
-func (p *plan) dearest() *slot {
-	bound := p.size.zoneCap(p.scaler.config.Rules)
+// mostExpensive returns the server whose release saves the most, preferring
+// zones above their limit. On-demand servers that the pool's share requires are
+// excluded.
+func (p *plan) mostExpensive() *slot {
+	zoneLimit := p.size.zoneLimit(p.scaler.config.Rules)
 	var best *slot
 	var bestPrice float64
-	var bestCrowded bool
+	var bestOverLimit bool
 	for _, s := range p.scaler.slots.all() {
-		if s.vm == "" || s.releasing || p.replaced(s.vm) || !p.spared(s.offer) {
+		if s.vm == "" || s.releasing || p.hasReplacement(s.vm) || !p.canRelease(s.offer) {
 			continue
 		}
-		price := p.priceOf(s.offer)
-		crowded := p.inZone[s.offer.zone] > bound
-		if best == nil || crowded && !bestCrowded || crowded == bestCrowded && price > bestPrice {
-			best, bestPrice, bestCrowded = s, price, crowded
+		price := p.riskPriceOf(s.offer)
+		overLimit := p.serversInZone[s.offer.zone] > zoneLimit
+		if best == nil || overLimit && !bestOverLimit || overLimit == bestOverLimit && price > bestPrice {
+			best, bestPrice, bestOverLimit = s, price, overLimit
 		}
 	}
 	return best
 }
 
-func (p *plan) spared(o offer) bool {
-	return o.market != catalog.OnDemand || p.onDemand-1 >= p.size.onDemand(p.have-1)
+func (p *plan) canRelease(o offer) bool {
+	return o.market != catalog.OnDemand || p.onDemand-1 >= p.size.minOnDemand(p.servers-1)
 }
--- a/internal/scaler/swap.go
+++ b/internal/scaler/swap.go
@@ -3,77 +3,78 @@
 import "github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 
 const (
-	// swapGain is the part of a server's price that another must save to take
-	// its place. Beliefs move a little all the time.
-	swapGain = 0.15
-	// maxSwaps bounds the servers being replaced at once: all of them load
-	// their weights from one store.
+	// minSwapGain is the minimum fraction of a server's price that a
+	// replacement must save. Small changes of the estimated reclaim rates
+	// should not cause swaps.
+	minSwapGain = 0.15
+	// maxSwaps is the maximum number of concurrent replacements, as all of them
+	// load their weights from the same store.
 	maxSwaps = 2
 )
 
-// swap replaces the dearest servers by cheaper ones, and releases a server
-// once the one in its place has had the time to load.
+// swap replaces the most expensive servers by cheaper ones, and releases a
+// server once its replacement has had time to load.
 func (p *plan) swap() {
 	if !p.scaler.config.Rules.Swap {
 		return
 	}
-	open := p.finishSwaps()
-	if p.have < p.size.want || p.have > p.size.keep {
+	inProgress := p.finishSwaps()
+	if p.servers < p.size.targetServers || p.servers > p.size.releaseThreshold {
 		return
 	}
-	for ; open < maxSwaps; open++ {
-		if !p.beginSwap() {
+	for ; inProgress < maxSwaps; inProgress++ {
+		if !p.startSwap() {
 			return
 		}
 	}
 }
 
-// finishSwaps releases what has been replaced and returns how many
-// replacements still load.
+// finishSwaps releases the servers whose replacements have loaded, and returns
+// the number of replacements still loading.
 func (p *plan) finishSwaps() int {
-	open := 0
+	inProgress := 0
 	for _, s := range p.scaler.slots.all() {
 		if s.replaces == "" {
 			continue
 		}
-		if s.vm == "" || p.now.Before(s.boughtAt.Add(p.scaler.config.LoadTime)) {
-			open++
+		if s.vm == "" || p.now.Before(s.purchasedAt.Add(p.scaler.config.LoadTime)) {
+			inProgress++
 			continue
 		}
 		p.releaseVM(s.replaces)
 		s.replaces = ""
 	}
-	return open
+	return inProgress
 }
 
 func (p *plan) releaseVM(vm identifier.VMID) {
 	for _, s := range p.scaler.slots.all() {
 		if s.vm == vm && !s.releasing {
-			p.giveBack(s)
+			p.releaseSlot(s)
 		}
 	}
 }
 
-func (p *plan) beginSwap() bool {
-	old := p.dearest()
-	if old == nil {
+func (p *plan) startSwap() bool {
+	replaced := p.mostExpensive()
+	if replaced == nil {
 		return false
 	}
-	price := p.priceOf(old.offer)
+	price := p.riskPriceOf(replaced.offer)
 	for _, o := range p.offers() {
-		if o.price > (1-swapGain)*price {
+		if o.riskPrice > (1-minSwapGain)*price {
 			return false
 		}
-		if p.inZone[o.zone] < p.size.zoneCap(p.scaler.config.Rules) {
-			p.open(o.offer).replaces = old.vm
+		if p.serversInZone[o.zone] < p.size.zoneLimit(p.scaler.config.Rules) {
+			p.buyInNewSlot(o.offer).replaces = replaced.vm
 			return true
 		}
 	}
 	return false
 }
 
-// replaced tells whether a server already has one coming in its place.
-func (p *plan) replaced(vm identifier.VMID) bool {
+// hasReplacement reports whether a replacement for the server has been bought.
+func (p *plan) hasReplacement(vm identifier.VMID) bool {
 	for _, s := range p.scaler.slots.used {
 		if s.replaces == vm {
 			return true
--- a/internal/scaler/swap_test.go
+++ b/internal/scaler/swap_test.go
@@ -10,11 +10,11 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Zones are reclaimed again and again, and each time callers get late answers
-// while replacements load. The pool learns that its cheap servers are dear: it
-// replaces them by on-demand ones, and gives an old one back only when the new
-// one has had the time to load. A holder that only watched has learned it too.
-func TestSwapAfterReclaimsWereSeen(t *testing.T) {
+// After repeated reclaims, the reclaim cost makes reclaimable servers the more
+// expensive ones: they are swapped for on-demand servers, each released only
+// after its replacement has had time to load. A new holder that has only
+// observed does the same.
+func TestSwapAfterReclaims(t *testing.T) {
 	c := &cloud{byToken: make(map[string]identifier.VMID)}
 	const load = 60 * timekeeper.Second
 	config := Config{
@@ -39,7 +39,7 @@
 		next.Observe(now, in)
 		for _, a := range s.Plan(now, in, testRand()) {
 			if a.Kind == Release {
-				c.take(a.VM)
+				c.markLeaving(a.VM)
 				continue
 			}
 			vm := c.buy(a)
@@ -47,7 +47,7 @@
 			s.PurchaseEnded(now, a.ClientToken, PurchaseResult{VM: vm})
 		}
 		if i > 100 {
-			require.GreaterOrEqual(t, c.serving(now.Add(-load), boughtAt), 4, "at step %d", i)
+			require.GreaterOrEqual(t, c.servingSince(now.Add(-load), boughtAt), 4, "at step %d", i)
 		}
 	}
 	for _, v := range c.vms {
@@ -64,7 +64,7 @@
 	}
 }
 
-func (c *cloud) take(vm identifier.VMID) {
+func (c *cloud) markLeaving(vm identifier.VMID) {
 	for i, v := range c.vms {
 		if v.VM == vm {
 			c.vms[i].Leaving = true
@@ -72,7 +72,7 @@
 	}
 }
 
-func (c *cloud) serving(since timekeeper.Time, boughtAt map[identifier.VMID]timekeeper.Time) int {
+func (c *cloud) servingSince(since timekeeper.Time, boughtAt map[identifier.VMID]timekeeper.Time) int {
 	n := 0
 	for _, v := range c.vms {
 		if !v.Leaving && !boughtAt[v.VM].After(since) {
