--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -40,6 +40,7 @@
 	maxServers = 8192
 )
 
+// Server is an entry of the table: a published backend server and what this node knows of it.
 type Server struct {
 	messenger.PublishedServer
 	// ChangedAt is the time at which this node received the entry's last change, and
--- a/internal/rehearser/replace_test.go
+++ b/internal/rehearser/replace_test.go
@@ -153,7 +153,9 @@
 	got  string
 }
 
-func (e *wrongAnswerError) Error() string { return fmt.Sprintf("wrong answer: want %q, got %q", e.want, e.got) }
+func (e *wrongAnswerError) Error() string {
+	return fmt.Sprintf("wrong answer: want %q, got %q", e.want, e.got)
+}
 
 func tag(ctx context.Context, client *caller.Client, i int) error {
 	prompt := fmt.Sprintf("Tag submission %d.", i)
