--- a/internal/assessor/assessor.go
+++ b/internal/assessor/assessor.go
@@ -205,10 +205,10 @@
 
 // baselineRate returns the highest of the old version's rates over the windows. A fault
 // that has just begun shows in its last answers first, as in those of the new version.
-func (r *route) baselineRate(of func(*baseline) float64) float64 {
-	rate := max(of(&r.long), of(&r.short))
+func (r *route) baselineRate(rateIn func(*baseline) float64) float64 {
+	rate := max(rateIn(&r.long), rateIn(&r.short))
 	if r.last.answers >= minLastAnswers {
-		rate = max(rate, of(&r.last))
+		rate = max(rate, rateIn(&r.last))
 	}
 	return rate
 }
@@ -220,18 +220,18 @@
 	}
 	rate = max(rate, minRate)
 	badRate := rate + (minEffect+effectGrowth*rate)*(1-rate)
-	step := float64(bad)*math.Log(badRate/rate) + float64(answers-bad)*math.Log((1-badRate)/(1-rate))
+	evidence := float64(bad)*math.Log(badRate/rate) + float64(answers-bad)*math.Log((1-badRate)/(1-rate))
 	t.baselineRate = rate
 	t.answers += answers
 	t.bad += bad
 	if t.totalByServer == nil {
 		t.totalByServer = map[identifier.VMID]float64{}
 	}
-	t.totalByServer[s.Server] += step
+	t.totalByServer[s.Server] += evidence
 	if s.UnderLoad {
-		t.loadedSum = max(t.loadedSum+step, 0)
+		t.loadedSum = max(t.loadedSum+evidence, 0)
 	}
-	t.sum += step
+	t.sum += evidence
 	if t.sum <= 0 {
 		t.sum = 0
 		t.sumByServer = nil
@@ -240,7 +240,7 @@
 	if t.sumByServer == nil {
 		t.sumByServer = map[identifier.VMID]float64{}
 	}
-	t.sumByServer[s.Server] += step
+	t.sumByServer[s.Server] += evidence
 }
 
 // condemns reports whether the test shows a bad version, even if all waiting requests
@@ -311,7 +311,7 @@
 		Trusted:    len(a.routes) > 0,
 		Acceptable: len(a.routes) > 0,
 	}
-	total, answers, maxSum := 0.0, 0, math.Inf(-1)
+	total, answers, highest := 0.0, 0, math.Inf(-1)
 	for _, r := range a.routes {
 		answers += r.answers
 	}
@@ -330,8 +330,8 @@
 				v.Trusted = false
 				v.Acceptable = false
 			}
-			if t.sum > maxSum {
-				maxSum = t.sum
+			if t.sum > highest {
+				highest = t.sum
 				v.Why = t.describe(name, measure(m))
 			}
 		}
--- a/internal/leaser/lease.go
+++ b/internal/leaser/lease.go
@@ -246,31 +246,31 @@
 		t.counts.Overflowed++
 		return
 	}
-	sent, mine := l.takePending(r.Nonce)
-	e := t.judge(ready, l, at, r)
-	if e == ineffective {
+	sentAt, pending := l.takePending(r.Nonce)
+	v := t.judge(ready, l, at, r)
+	if v == ineffective {
 		return
 	}
-	l.lastKnown = e == effective
+	l.lastKnown = v == effective
 	l.accept(now, at, r)
-	own := r.Holder == t.config.Self && r.Incarnation == t.config.Incarnation
-	if !own {
+	ownRecord := r.Holder == t.config.Self && r.Incarnation == t.config.Incarnation
+	if !ownRecord {
 		l.ownFence = 0
 		l.safeAfter = max(l.safeAfter, now.Add(r.TTL+t.config.Margin))
 		return
 	}
-	if mine && e == effective {
-		t.extendTenure(now, l, sent, r)
+	if pending && v == effective {
+		t.extendTenure(now, l, sentAt, r)
 	}
 }
 
 // takePending removes the pending append with a nonce. It returns the time of the
 // append, and whether there was one.
-func (l *lease) takePending(nonce identifier.Nonce) (sent timekeeper.Time, ours bool) {
-	for i, a := range l.pending {
-		if a.nonce == nonce {
+func (l *lease) takePending(nonce identifier.Nonce) (sentAt timekeeper.Time, found bool) {
+	for i, p := range l.pending {
+		if p.nonce == nonce {
 			l.pending = slices.Delete(l.pending, i, i+1)
-			return a.sentAt, true
+			return p.sentAt, true
 		}
 	}
 	return 0, false
@@ -293,12 +293,12 @@
 }
 
 // extendTenure extends this process's tenure by a record that it appended.
-func (t *Table) extendTenure(now timekeeper.Time, l *lease, sent timekeeper.Time, r record) {
+func (t *Table) extendTenure(now timekeeper.Time, l *lease, sentAt timekeeper.Time, r record) {
 	if t.off.countFromRead {
-		sent = now
+		sentAt = now
 	}
-	l.renewedAt = sent
-	l.notAfter = sent.Add(t.config.TTL)
+	l.renewedAt = sentAt
+	l.notAfter = sentAt.Add(t.config.TTL)
 	l.ownFence = l.fence
 	if l.releasing || r.Kind == releaseKind {
 		l.ownFence = 0
--- a/internal/promoter/choose.go
+++ b/internal/promoter/choose.go
@@ -143,26 +143,26 @@
 // limit on its own requests, whatever the leader asks for, so the limit holds for all
 // nodes together.
 func (p *Promoter) mayExpose(req Request, r *rollout, readyOld int) bool {
-	t := &r.counts
-	allowed := usableShare*p.config.Share*float64(t.sent+1) + usableSlack*p.config.Slack/float64(p.nodeCount)
-	if float64(t.exposed+1) > allowed {
+	c := &r.counts
+	allowed := usableShare*p.config.Share*float64(c.sent+1) + usableSlack*p.config.Slack/float64(p.nodeCount)
+	if float64(c.exposed+1) > allowed {
 		return false
 	}
 	if readyOld == 0 {
 		return true
 	}
-	return req.Rand.Float64() < r.trafficShare*t.routeWeight(req.Route)
+	return req.Rand.Float64() < r.trafficShare*c.routeWeight(req.Route)
 }
 
 // routeWeight returns the factor by which a route's requests are sent to the new
 // version more often than the average. Half of the exposed requests is spread over the
 // routes by their traffic and half evenly, because each route is assessed separately.
-func (t *rolloutCounts) routeWeight(route identifier.RouteName) float64 {
-	routes, sentOnRoute := len(t.sentByRoute), t.sentByRoute[route]
+func (c *rolloutCounts) routeWeight(route identifier.RouteName) float64 {
+	routes, sentOnRoute := len(c.sentByRoute), c.sentByRoute[route]
 	if routes == 0 || sentOnRoute == 0 {
 		return 1
 	}
-	fraction := float64(sentOnRoute) / float64(t.sent)
+	fraction := float64(sentOnRoute) / float64(c.sent)
 	return min(0.5+0.5/float64(routes)/fraction, maxRouteFraction/fraction)
 }
 
--- a/internal/promoter/count.go
+++ b/internal/promoter/count.go
@@ -106,11 +106,11 @@
 	return t
 }
 
-func (t *rolloutCounts) counts(key countKey) *attemptCounts {
-	counts := t.local[key]
-	if counts == nil && len(t.local) < maxCountKeys {
+func (c *rolloutCounts) counts(key countKey) *attemptCounts {
+	counts := c.local[key]
+	if counts == nil && len(c.local) < maxCountKeys {
 		counts = &attemptCounts{}
-		t.local[key] = counts
+		c.local[key] = counts
 	}
 	return counts
 }
@@ -224,7 +224,7 @@
 // MergePeerCounts merges the counts that a peer's process reported and the phases that
 // it follows.
 func (p *Promoter) MergePeerCounts(now timekeeper.Time, vm identifier.VMID, i identifier.Incarnation, s messenger.StateUpdate) {
-	from := peerProcess{
+	process := peerProcess{
 		vm:          vm,
 		incarnation: i,
 	}
@@ -233,7 +233,7 @@
 		if r == nil || r.order.Offset != update.Order.Offset || r.phase.Final() {
 			continue
 		}
-		if peer := r.counts.peer(from); peer != nil {
+		if peer := r.counts.peer(process); peer != nil {
 			peer.receivedAt = now
 			peer.phase = update.Phase
 		}
@@ -243,31 +243,31 @@
 		if r == nil || r.order.Offset != c.Order {
 			continue
 		}
-		if peer := r.counts.peer(from); peer != nil {
+		if peer := r.counts.peer(process); peer != nil {
 			peer.merge(c)
 		}
 	}
 }
 
-func (t *rolloutCounts) peer(from peerProcess) *peerCounts {
-	peer := t.peers[from]
-	if peer == nil && len(t.peers) < maxProcesses {
+func (c *rolloutCounts) peer(process peerProcess) *peerCounts {
+	peer := c.peers[process]
+	if peer == nil && len(c.peers) < maxProcesses {
 		peer = &peerCounts{counts: map[countKey]attemptCounts{}}
-		t.peers[from] = peer
+		c.peers[process] = peer
 	}
 	return peer
 }
 
-func (rep *peerCounts) merge(c messenger.VersionCount) {
+func (peer *peerCounts) merge(c messenger.VersionCount) {
 	key := countKey{
 		route:  c.Route,
 		server: c.Server,
 	}
-	known, ok := rep.counts[key]
-	if !ok && len(rep.counts) >= maxCountKeys || c.Sent < known.sent {
+	known, ok := peer.counts[key]
+	if !ok && len(peer.counts) >= maxCountKeys || c.Sent < known.sent {
 		return
 	}
-	rep.counts[key] = attemptCounts{
+	peer.counts[key] = attemptCounts{
 		sent:            c.Sent,
 		answers:         max(c.Answers, known.answers),
 		failed:          max(c.Failed, known.failed),
@@ -279,12 +279,12 @@
 }
 
 // total returns the sums of the counts of all nodes by key.
-func (t *rolloutCounts) total() map[countKey]attemptCounts {
-	sum := make(map[countKey]attemptCounts, len(t.local))
-	for key, counts := range t.local {
+func (c *rolloutCounts) total() map[countKey]attemptCounts {
+	sum := make(map[countKey]attemptCounts, len(c.local))
+	for key, counts := range c.local {
 		sum[key] = *counts
 	}
-	for _, peer := range t.peers {
+	for _, peer := range c.peers {
 		for key, counts := range peer.counts {
 			sum[key] = sum[key].plus(counts)
 		}
@@ -292,15 +292,15 @@
 	return sum
 }
 
-func (t attemptCounts) plus(o attemptCounts) attemptCounts {
-	t.sent += o.sent
-	t.answers += o.answers
-	t.failed += o.failed
-	t.inFlight += o.inFlight
-	t.waiting += o.waiting
-	for i := range t.firstEventTimes {
-		t.firstEventTimes[i] += o.firstEventTimes[i]
-		t.eventIntervals[i] += o.eventIntervals[i]
+func (c attemptCounts) plus(other attemptCounts) attemptCounts {
+	c.sent += other.sent
+	c.answers += other.answers
+	c.failed += other.failed
+	c.inFlight += other.inFlight
+	c.waiting += other.waiting
+	for i := range c.firstEventTimes {
+		c.firstEventTimes[i] += other.firstEventTimes[i]
+		c.eventIntervals[i] += other.eventIntervals[i]
 	}
-	return t
+	return c
 }
--- a/internal/promoter/lead.go
+++ b/internal/promoter/lead.go
@@ -213,8 +213,8 @@
 	if r == nil || e.Result != messenger.LeaderTaskDone {
 		return
 	}
-	if n := r.leader.superseded; len(n) > 0 && n[0].Order.Offset == e.Order {
-		r.leader.superseded = n[1:]
+	if superseded := r.leader.superseded; len(superseded) > 0 && superseded[0].Order.Offset == e.Order {
+		r.leader.superseded = superseded[1:]
 		r.leader.sentAt = 0
 		return
 	}
@@ -289,8 +289,8 @@
 // migrationTime returns the time reserved for the migration, and watchTime the minimum
 // time for which the version is watched before.
 func (r *rollout) migrationTime() timekeeper.Duration {
-	time := timekeeper.Duration(migrationFraction * float64(r.order.TimeLimit))
-	return min(max(time, min(minMigrationTime, r.order.TimeLimit/2)), maxMigrationTime)
+	reserved := timekeeper.Duration(migrationFraction * float64(r.order.TimeLimit))
+	return min(max(reserved, min(minMigrationTime, r.order.TimeLimit/2)), maxMigrationTime)
 }
 
 func (r *rollout) watchTime() timekeeper.Duration {
