--- a/internal/limiter/pool.go
+++ b/internal/limiter/pool.go
@@ -51,10 +51,8 @@
 	planned    bool
 	plannedAt  timekeeper.Time
 	plannedUse float64
-	// excess is the use above the account's fair share, and base the remainder.
-	// excessStart and baseStart are their positions in the order of shedding.
-	excess    float64
-	byPenalty bool
+	excess     float64
+	byPenalty  bool
 }
 
 type entryKey struct {
@@ -69,8 +67,8 @@
 	use       float64
 	// value is the moving average of the penalty saved per second of slot time.
 	value float64
-	// excess is the use above the account's fair share, base the rest. Both
-	// start at their place in the order of shedding.
+	// excess is the use above the account's fair share, and base the remainder.
+	// excessStart and baseStart are their positions in the order of shedding.
 	excess      float64
 	base        float64
 	excessStart float64
--- a/internal/reducer/apply_test.go
+++ b/internal/reducer/apply_test.go
@@ -22,8 +22,8 @@
 
 const start = timekeeper.Time(1_000_000)
 
-// bodies holds each type of event.
-var bodies = []messenger.EventBody{
+// eventBodies has a value of each type of event.
+var eventBodies = []messenger.EventBody{
 	messenger.RequestReceived{},
 	messenger.RequestCancelled{},
 	messenger.CallerDisconnected{},
@@ -88,17 +88,16 @@
 	})
 }
 
-// Somebody adds a type of event and forgets its case in Apply: the first such
-// event would end the process. Each type has its case, and one that knows of
-// no request changes nothing that a later event would trip over.
-func TestEveryEventHasACase(t *testing.T) {
+// Guards against an event type without a case in Apply. The zero event of each type
+// must not panic either.
+func TestEveryEventIsHandled(t *testing.T) {
 	var listed []string
-	for _, body := range bodies {
+	for _, body := range eventBodies {
 		listed = append(listed, reflect.TypeOf(body).Name())
 	}
 	require.ElementsMatch(t, declaredEvents(t), listed)
 	r := newReducer(1)
-	for _, body := range bodies {
+	for _, body := range eventBodies {
 		require.NotPanics(t, func() {
 			r.Apply(messenger.Event{
 				At:   start,
@@ -108,18 +107,17 @@
 	}
 }
 
-// Without a case the event is not dropped in silence.
-func TestUnknownEvent(t *testing.T) {
+// An event type without a case must not be ignored silently.
+func TestUnknownEventPanics(t *testing.T) {
 	unknown := struct{ messenger.EventBody }{}
 	require.PanicsWithError(t, (&reducer.UnknownEventError{}).Error(), func() {
 		newReducer(1).Apply(messenger.Event{Body: unknown})
 	})
 }
 
-// A node has just started and has read no configuration. It says so, with a
-// time to come back; told of an unknown service, a caller would give up for
-// good. It has nothing to give to a peer that asks for the configuration.
-func TestBeforeTheFirstConfiguration(t *testing.T) {
+// A node without a configuration refuses requests with a retry time, and does not
+// export a configuration to peers.
+func TestRefusalBeforeFirstConfiguration(t *testing.T) {
 	r := newReducer(1)
 	require.Nil(t, r.Catalog())
 	effects := r.Apply(messenger.Event{
@@ -154,31 +152,29 @@
 	return names
 }
 
-// A fault found by a schedule of events has to come back with the schedule. Two
-// reducers that get the same events, among them a wave of reclaims over many
-// requests, give the same effects in the same order; with another seed they
-// differ, so that the comparison sees what chance decides.
+// Guards against nondeterminism: the same events give the same effects in the same
+// order, and another seed gives other effects.
 func TestSameEventsSameEffects(t *testing.T) {
-	first := play(t, 1)
+	first := runScenario(t, 1)
 	for range 5 {
-		require.Equal(t, first, play(t, 1))
+		require.Equal(t, first, runScenario(t, 1))
 	}
-	require.NotEqual(t, first, play(t, 2))
+	require.NotEqual(t, first, runScenario(t, 2))
 }
 
-// player drives one reducer by its own effects.
-type player struct {
+// driver drives one reducer and answers its effects.
+type driver struct {
 	r       *reducer.Reducer
 	now     timekeeper.Time
 	effects []messenger.Effect
 	offset  identifier.Offset
 }
 
-// play lets a node serve many requests through a wave of reclaims and its own
-// end, and returns all effects.
-func play(t *testing.T, seed uint64) []messenger.Effect {
+// runScenario runs a node with many requests through reclaims of several servers and
+// its own drain, and returns all effects.
+func runScenario(t *testing.T, seed uint64) []messenger.Effect {
 	t.Helper()
-	p := &player{
+	p := &driver{
 		r:   newReducer(seed),
 		now: start,
 	}
@@ -199,22 +195,22 @@
 	for i := range 40 {
 		p.apply(messenger.RequestReceived{Spec: request(i)})
 	}
-	p.ticks(20)
+	p.tick(20)
 	for i := range 5 {
 		p.apply(messenger.NoticeReceived{
 			VM:       engine(i),
 			Deadline: p.now.Add(5 * timekeeper.Second),
 		})
 	}
-	p.ticks(120)
+	p.tick(120)
 	p.apply(messenger.DrainStarted{Deadline: p.now.Add(10 * timekeeper.Second)})
-	p.ticks(20)
-	require.Greater(t, p.r.Counters().Attempts, p.r.Counters().Accepted, "the wave moves streams")
+	p.tick(20)
+	require.Greater(t, p.r.Counters().Attempts, p.r.Counters().Accepted, "the reclaims move streams")
 	return p.effects
 }
 
-// configure restores the folder of examples through the log.
-func (p *player) configure(t *testing.T) {
+// configure restores the example settings through the log.
+func (p *driver) configure(t *testing.T) {
 	t.Helper()
 	files, err := folderreader.ReadDir("../../examples/quillmark")
 	require.NoError(t, err)
@@ -229,8 +225,8 @@
 	require.NotNil(t, p.r.Catalog())
 }
 
-// apply gives the reducer an event, and then the answers to its effects.
-func (p *player) apply(body messenger.EventBody) {
+// apply applies an event, and then the answers to its effects.
+func (p *driver) apply(body messenger.EventBody) {
 	effects := p.r.Apply(messenger.Event{
 		At:   p.now,
 		Body: body,
@@ -241,7 +237,7 @@
 	}
 }
 
-func (p *player) answer(effect messenger.Effect) {
+func (p *driver) answer(effect messenger.Effect) {
 	switch e := effect.(type) {
 	case messenger.AppendRecord:
 		p.read(e.Stream, e.Data)
@@ -261,8 +257,8 @@
 	}
 }
 
-// read gives the reducer a record of a stream.
-func (p *player) read(stream identifier.LogStream, data []byte) {
+// read applies a read of a log stream, with one record if data is not nil.
+func (p *driver) read(stream identifier.LogStream, data []byte) {
 	read := messenger.LogRead{
 		Stream: stream,
 		First:  42,
@@ -281,7 +277,7 @@
 	p.apply(read)
 }
 
-func (p *player) ticks(n int) {
+func (p *driver) tick(n int) {
 	for range n {
 		p.now = p.now.Add(messenger.TickInterval)
 		p.apply(messenger.Tick{})
@@ -311,7 +307,7 @@
 	return out
 }
 
-// request returns one of many requests, of several services and accounts.
+// request returns the i-th request. Services and accounts rotate.
 func request(i int) messenger.RequestSpec {
 	services := []identifier.ServiceName{"query_summary", "genre_tag", "portal_lookup"}
 	accounts := []identifier.AccountID{"portal", "dashboard"}
--- a/internal/reducer/duty.go
+++ b/internal/reducer/duty.go
@@ -16,20 +16,20 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// gatewayLogRead takes in records of the streams of the duties.
-func (r *Reducer) gatewayLogRead(w *conductor.Env, e messenger.LogRead) []messenger.Effect {
+// gatewayLogRead applies records of the streams of the leader tasks.
+func (r *Reducer) gatewayLogRead(env *conductor.Env, e messenger.LogRead) []messenger.Effect {
 	g := r.gateway
 	switch e.Stream {
 	case leaser.Stream:
 		g.leaseRead = true
-		g.leases.ApplyRecords(w.Now, e)
+		g.leases.ApplyRecords(env.Now, e)
 	case quarantiner.Stream:
 		g.quarantineRead = true
-		return r.quarantineRead(w, e)
+		return r.quarantineRead(env, e)
 	case accountant.Stream:
 		unreadable := g.usage.Ignored()
-		g.usage.Absorb(w.Now, e)
-		out := r.tickUsage(w)
+		g.usage.Absorb(env.Now, e)
+		out := r.tickUsage(env)
 		if n := g.usage.Ignored() - unreadable; n > 0 {
 			out = append(out, messenger.TimelineEntry{
 				Kind:   "usage_unreadable",
@@ -42,42 +42,42 @@
 	return nil
 }
 
-// tickDuties tries for the lease of the duties and, while it is held, does
-// them.
-func (r *Reducer) tickDuties(w *conductor.Env) []messenger.Effect {
+// tickLeaderTasks tries to acquire or renew the lease and, while the node holds it,
+// runs the leader tasks.
+func (r *Reducer) tickLeaderTasks(env *conductor.Env) []messenger.Effect {
 	g := r.gateway
-	if !g.draining && g.settled && r.ranking.Chosen(string(dutyLease), dutyNodes) {
-		g.leases.Want(w.Now, dutyLease)
+	if !g.draining && g.settled && r.ranking.Chosen(string(leaderLease), leaderNodes) {
+		g.leases.Want(env.Now, leaderLease)
 	}
 	var out []messenger.Effect
-	for _, a := range g.leases.Tick(w.Now, r.rand) {
+	for _, a := range g.leases.Tick(env.Now, r.rand) {
 		out = append(out, messenger.AppendRecord{
 			Stream: a.Stream,
 			Data:   a.Data,
 		})
 	}
-	out = append(out, r.noteTenure(w)...)
+	out = append(out, r.recordLeadership(env)...)
 	if !g.config.LeaderTasks {
 		return out
 	}
-	out = append(out, r.tickUsage(w)...)
-	return append(out, r.tickSizes(w)...)
+	out = append(out, r.tickUsage(env)...)
+	return append(out, r.tickSizes(env)...)
 }
 
-// noteTenure tells the time line when this node comes to hold the lease, or no
-// longer does. Another holder may have ordered in between.
-func (r *Reducer) noteTenure(w *conductor.Env) []messenger.Effect {
+// recordLeadership records in the time line that this node acquired or lost the lease,
+// and resets the state that another holder may have changed meanwhile.
+func (r *Reducer) recordLeadership(env *conductor.Env) []messenger.Effect {
 	g := r.gateway
-	fence, _, held := g.leases.Held(dutyLease, w.Now)
+	fence, _, held := g.leases.Held(leaderLease, env.Now)
 	if !held {
 		fence = 0
 	}
-	if fence == g.holding {
+	if fence == g.heldFence {
 		return nil
 	}
-	g.holding = fence
+	g.heldFence = fence
 	g.sizes.Forget()
-	g.central = limiter.NewCentral()
+	g.centralLimits = limiter.NewCentral()
 	kind := messenger.TimelineKind("duties_held")
 	if !held {
 		kind = "duties_lost"
@@ -91,30 +91,30 @@
 	}
 }
 
-func (r *Reducer) tickUsage(w *conductor.Env) []messenger.Effect {
+func (r *Reducer) tickUsage(env *conductor.Env) []messenger.Effect {
 	g := r.gateway
 	if !g.config.LeaderTasks {
 		return nil
 	}
-	out := g.usage.Rewrite(w.Now)
-	fence, notAfter, held := g.leases.Held(dutyLease, w.Now)
+	out := g.usage.Rewrite(env.Now)
+	fence, notAfter, held := g.leases.Held(leaderLease, env.Now)
 	if !held {
 		return out
 	}
-	return append(out, g.usage.Tick(w.Now, fence, notAfter)...)
+	return append(out, g.usage.Tick(env.Now, fence, notAfter)...)
 }
 
-// tickSizes orders the backend servers that the demand takes.
-func (r *Reducer) tickSizes(w *conductor.Env) []messenger.Effect {
+// tickSizes orders the backend servers that the demand requires.
+func (r *Reducer) tickSizes(env *conductor.Env) []messenger.Effect {
 	g := r.gateway
-	if g.catalog == nil || w.Now.Before(g.nextPlan) {
+	if g.catalog == nil || env.Now.Before(g.nextPlan) {
 		return nil
 	}
-	g.nextPlan = w.Now.Add(planEvery)
-	fence, notAfter, held := g.leases.Held(dutyLease, w.Now)
+	g.nextPlan = env.Now.Add(planInterval)
+	fence, notAfter, held := g.leases.Held(leaderLease, env.Now)
 	var out []messenger.Effect
 	for _, service := range slices.Sorted(maps.Keys(g.catalog.Routing.Backends)) {
-		in := g.sizing(w.Now, service)
+		in := g.sizerInput(env.Now, service)
 		if !held {
 			g.sizes.Observe(in)
 			continue
@@ -122,7 +122,7 @@
 		before := g.sizes.NeededServers(service)
 		orders := g.sizes.Plan(in)
 		if need := g.sizes.NeededServers(service); need != before {
-			out = append(out, r.sized(in, need))
+			out = append(out, r.sizeEntry(in, need))
 		}
 		for _, o := range orders {
 			out = append(out, messenger.OrderServers{
@@ -135,8 +135,8 @@
 	return out
 }
 
-// sized tells the time line what a service's size follows from.
-func (r *Reducer) sized(in sizer.Input, need int) messenger.TimelineEntry {
+// sizeEntry returns a time line entry with a service's size and the inputs to it.
+func (r *Reducer) sizeEntry(in sizer.Input, need int) messenger.TimelineEntry {
 	return messenger.TimelineEntry{
 		Kind:   "service_sized",
 		VM:     r.config.Self,
@@ -144,23 +144,22 @@
 	}
 }
 
-// sizing is what a service is sized by.
-func (g *gateway) sizing(now timekeeper.Time, service identifier.ServiceName) sizer.Input {
+func (g *gateway) sizerInput(now timekeeper.Time, service identifier.ServiceName) sizer.Input {
 	return sizer.Input{
 		Now:     now,
 		Service: service,
 		Fleet:   g.catalog.Routing.Backends[service].Fleet,
 		Servers: g.versions.PrimaryServers(service, g.servers.ServersOf(service)),
 		Demand:  g.exchanges.Demand(now, service),
-		// The fleet is ordered by number, whatever the versions of its servers.
+		// Orders count all servers of a fleet, whatever their version.
 		GrowOnly: g.versions.InProgress(service),
 	}
 }
 
-func (r *Reducer) serversOrdered(w *conductor.Env, e messenger.ServersOrdered) []messenger.Effect {
+func (r *Reducer) serversOrdered(env *conductor.Env, e messenger.ServersOrdered) []messenger.Effect {
 	g := r.gateway
-	g.sizes.OrderEnded(w.Now, e.Order, e.Result)
-	r.fencedOff(e.Result)
+	g.sizes.OrderEnded(env.Now, e.Order, e.Result)
+	r.releaseIfFenced(e.Result)
 	return []messenger.Effect{
 		messenger.TimelineEntry{
 			Kind: "servers_ordered",
@@ -174,7 +173,7 @@
 func (r *Reducer) usageReported(e messenger.UsageReported) []messenger.Effect {
 	g := r.gateway
 	g.usage.Reported(e.Window, e.Result)
-	r.fencedOff(e.Result)
+	r.releaseIfFenced(e.Result)
 	return []messenger.Effect{
 		messenger.TimelineEntry{
 			Kind:   "usage_reported",
--- a/internal/reducer/following.go
+++ b/internal/reducer/following.go
@@ -9,22 +9,22 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// streams returns the streams of the log that the node follows: those of the
-// duties, where it may come to hold them. One that may goes on for good, so that it
-// need not learn the lease's state anew each time the membership changes.
+// streams returns the log streams that the node follows. A node that may hold the lease
+// follows those of the leader tasks from then on, so that it need not read the state of
+// the lease again after each change of the membership.
 //
-// A node that has just started reads the lease once, whether it may hold it or not:
-// where all nodes were killed at once, the time that the last holder's lease still
-// runs is counted from this read. Reading on until it had heard of its peers, each
-// of 195 nodes would make calls to the store for what only three need.
+// A node that has just started reads the lease once in any case: after a loss of all
+// nodes, the remaining time of the last holder's lease is counted from this read.
+// Further reads before it knows its peers would be paid calls to the store by every
+// node, although only leaderNodes of them need the state.
 //
-// Those that may hold it also read once which requests were refused before, and tell
-// the others: after a loss of all nodes nobody else knows.
+// Candidates also read once which requests were refused before, and report these to
+// their peers, because after a loss of all nodes no node knows them.
 func (g *gateway) streams() []identifier.LogStream {
 	switch {
-	case g.candidate && !g.quarantineRead:
+	case g.leaderCandidate && !g.quarantineRead:
 		return []identifier.LogStream{leaser.Stream, accountant.Stream, quarantiner.Stream}
-	case g.candidate:
+	case g.leaderCandidate:
 		return []identifier.LogStream{leaser.Stream, accountant.Stream}
 	case !g.settled && !g.leaseRead:
 		return []identifier.LogStream{leaser.Stream}
@@ -32,43 +32,44 @@
 	return nil
 }
 
-// Following tells which records of the platform's store a node reads itself.
+// Following states which published records a node reads from the platform's store
+// itself.
 type Following struct {
 	Servers       bool
 	Configuration bool
 }
 
-// Following returns what the node reads itself now: its part of what the nodes
-// read for one another, and what its peers have not told it of for long.
+// Following returns what the node reads itself now: the records that it reads for all
+// nodes, and those for which the updates of its peers are too old.
 func (r *Reducer) Following(now timekeeper.Time) Following {
 	g := r.gateway
 	if g == nil {
 		return Following{}
 	}
 	return Following{
-		Servers: now.Sub(g.servers.AsOf()) > serversStale ||
+		Servers: now.Sub(g.servers.AsOf()) > maxServersAge ||
 			g.settled && r.ranking.Chosen("published_servers", serverReaders),
-		Configuration: now.Sub(g.confirmed) > configStale ||
+		Configuration: now.Sub(g.configConfirmedAt) > maxConfigAge ||
 			g.settled && r.ranking.Chosen("published_configuration", configReaders),
 	}
 }
 
-// Ready reports whether callers may be sent to this node: it knows what is
-// published, and does not leave.
+// Ready reports whether this node may receive requests: it knows the published records
+// and is not draining.
 func (r *Reducer) Ready() bool {
 	g := r.gateway
 	return g != nil && g.catalog != nil && g.servers.AsOf() != 0 && !g.draining
 }
 
-// ReadyNodes returns the nodes that callers may be sent to.
+// ReadyNodes returns the nodes that may receive requests.
 func (r *Reducer) ReadyNodes() []gossiper.Node {
-	news := r.members.Statuses()
+	statuses := r.members.Statuses()
 	var out []gossiper.Node
 	for _, n := range r.members.Nodes() {
 		if n.State != gossiper.Alive {
 			continue
 		}
-		if n.VM == r.config.Self && r.Ready() || news[n.VM].Revision > 0 {
+		if n.VM == r.config.Self && r.Ready() || statuses[n.VM].Revision > 0 {
 			out = append(out, n)
 		}
 	}
--- a/internal/reducer/following_test.go
+++ b/internal/reducer/following_test.go
@@ -14,107 +14,103 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// All of 61 nodes start at once. Each reads the lease once, so that the time that
-// its last holder has left is counted from then; until they had heard of their
-// peers all of them read on. Afterwards the few that may hold the lease follow it,
-// and the usage that its holder reports, and read once which requests were refused.
-func TestStartReadsTheLeaseOnce(t *testing.T) {
-	f := newFleet(61)
+// All nodes start at once. Each reads the lease once, and afterwards only the
+// candidates follow it and the usage, and read the refused requests once. Guards
+// against repeated reads of the lease by all nodes.
+func TestNewNodesReadLeaseOnce(t *testing.T) {
+	c := newCluster(61)
 	lease := []identifier.LogStream{leaser.Stream}
-	for _, id := range f.ids {
-		require.Equal(t, lease, f.nodes[id].Streams(), "at %s", id)
+	for _, id := range c.ids {
+		require.Equal(t, lease, c.nodes[id].Streams(), "at %s", id)
 	}
-	f.run(fleetStep)
-	for _, id := range f.ids {
-		require.Equal(t, lease, f.nodes[id].Streams(), "the store has not answered %s yet", id)
-		f.apply(id, messenger.LogRead{
+	c.run(stepTime)
+	for _, id := range c.ids {
+		require.Equal(t, lease, c.nodes[id].Streams(), "before the store answers %s", id)
+		c.apply(id, messenger.LogRead{
 			Stream: leaser.Stream,
 			End:    true,
 		})
-		require.Empty(t, f.nodes[id].Streams(), "at %s", id)
+		require.Empty(t, c.nodes[id].Streams(), "at %s", id)
 	}
-	f.run(3 * timekeeper.Second)
-	following := 0
-	for _, id := range f.ids {
-		streams := f.nodes[id].Streams()
+	c.run(3 * timekeeper.Second)
+	followers := 0
+	for _, id := range c.ids {
+		streams := c.nodes[id].Streams()
 		if len(streams) == 0 {
 			continue
 		}
 		require.Equal(t, []identifier.LogStream{leaser.Stream, accountant.Stream, quarantiner.Stream}, streams, "at %s", id)
-		f.apply(id, messenger.LogRead{
+		c.apply(id, messenger.LogRead{
 			Stream: quarantiner.Stream,
 			End:    true,
 		})
-		require.Equal(t, []identifier.LogStream{leaser.Stream, accountant.Stream}, f.nodes[id].Streams(), "at %s", id)
-		following++
+		require.Equal(t, []identifier.LogStream{leaser.Stream, accountant.Stream}, c.nodes[id].Streams(), "at %s", id)
+		followers++
 	}
-	require.Equal(t, dutyNodes, following)
+	require.Equal(t, leaderNodes, followers)
 }
 
-// All of many nodes start at once, and read the list of them. After 1.4 seconds a
-// node knew 65 of 195 in the mean, so that many took themselves for the first of all,
-// and read the store. Each waited a second and a half before it did any work for
-// all, and relays as long again before they told of others' requests; meanwhile long
-// prompts were refused and servers chosen blindly. A node that has heard of most of
-// those listed goes ahead.
-func TestStartOfAllSettlesEarly(t *testing.T) {
+// All nodes start at once with a list of them. Nodes that know most of the listed ones
+// must settle before settleTime, with few false candidates, and relays must not wait
+// for relayWarmUp.
+func TestSimultaneousStartSettlesEarly(t *testing.T) {
 	for _, nodes := range []int{61, 195} {
-		f := newFleet(nodes)
-		listed := messenger.ListRead{AsOf: f.now}
-		for _, id := range f.ids {
+		c := newCluster(nodes)
+		listed := messenger.ListRead{AsOf: c.now}
+		for _, id := range c.ids {
 			listed.VMs = append(listed.VMs, messenger.VMState{
 				VM:      id,
 				Address: string(id),
 			})
 		}
-		for _, id := range f.ids {
-			f.apply(id, listed)
+		for _, id := range c.ids {
+			c.apply(id, listed)
 		}
-		f.run(1400 * timekeeper.Millisecond)
+		c.run(1400 * timekeeper.Millisecond)
 		settled, candidates := 0, 0
-		for _, id := range f.ids {
-			require.GreaterOrEqual(t, len(f.nodes[id].members.Nodes()), nodes*9/10, "at %s", id)
-			g := f.nodes[id].gateway
+		for _, id := range c.ids {
+			require.GreaterOrEqual(t, len(c.nodes[id].members.Nodes()), nodes*9/10, "at %s", id)
+			g := c.nodes[id].gateway
 			if g.settled {
 				settled++
 			}
-			if g.candidate {
+			if g.leaderCandidate {
 				candidates++
 			}
 		}
 		require.GreaterOrEqual(t, settled, nodes*9/10, "of %d nodes", nodes)
-		require.LessOrEqual(t, candidates, 2*dutyNodes)
-		f.run(400 * timekeeper.Millisecond)
-		told := 0
-		for _, id := range f.ids {
-			if f.nodes[id].gateway.exchanges.UsesRelayReports(f.now) {
-				told++
+		require.LessOrEqual(t, candidates, 2*leaderNodes)
+		c.run(400 * timekeeper.Millisecond)
+		informed := 0
+		for _, id := range c.ids {
+			if c.nodes[id].gateway.exchanges.UsesRelayReports(c.now) {
+				informed++
 			}
 		}
-		require.GreaterOrEqual(t, told, nodes*9/10, "of %d nodes", nodes)
+		require.GreaterOrEqual(t, informed, nodes*9/10, "of %d nodes", nodes)
 	}
 }
 
-// Each of 61 nodes has counts of usage. They reach the nodes that may come to report
-// them, and are no part of what relays and others are told.
-func TestUsageGoesToThoseWhoReportIt(t *testing.T) {
-	f := newFleet(61)
-	f.run(6 * timekeeper.Second)
-	g := f.nodes["entry-60"].gateway
-	g.usage.Began(f.now, "agency")
-	w := f.nodes["entry-60"].world(f.now)
-	duties := f.nodes["entry-60"].ranking.First(string(dutyLease), dutyNodes)
-	told := 0
-	for range shareRoundsOfAll {
-		for _, e := range f.nodes["entry-60"].shareNow(w) {
-			share, ok := e.(messenger.SendStateUpdate)
+// Counts of usage are sent to the candidates for the lease, and not to relays and other
+// peers.
+func TestUsageGoesToCandidates(t *testing.T) {
+	c := newCluster(61)
+	c.run(6 * timekeeper.Second)
+	g := c.nodes["entry-60"].gateway
+	g.usage.Began(c.now, "agency")
+	env := c.nodes["entry-60"].env(c.now)
+	candidates := c.nodes["entry-60"].ranking.First(string(leaderLease), leaderNodes)
+	sent := 0
+	for range fullUpdateRounds {
+		for _, e := range c.nodes["entry-60"].sendUpdates(env) {
+			update, ok := e.(messenger.SendStateUpdate)
 			require.True(t, ok)
-			reports := ranker.Contains(duties, share.Peer)
-			require.Equal(t, reports, len(share.Update.Usage) > 0, "to %s", share.Peer)
-			if reports {
-				told++
+			candidate := ranker.Contains(candidates, update.Peer)
+			require.Equal(t, candidate, len(update.Update.Usage) > 0, "to %s", update.Peer)
+			if candidate {
+				sent++
 			}
 		}
 	}
-	require.GreaterOrEqual(t, told, dutyNodes)
+	require.GreaterOrEqual(t, sent, leaderNodes)
 }
--- a/internal/reducer/gateway.go
+++ b/internal/reducer/gateway.go
@@ -22,95 +22,95 @@
 )
 
 const (
-	// gatewayHoldOff and gatewayMaxHoldOff bound the time without work of a
-	// suspected server: it is one of a dozen, and faults last some seconds.
-	gatewayHoldOff    = 1 * timekeeper.Second
-	gatewayMaxHoldOff = 8 * timekeeper.Second
-	gatewayProbeTime  = 3 * timekeeper.Second
-	gatewayProbes     = 2
-	// retryShare is how much of a retry each request earns. It leaves a part of the
-	// users' bound to nodes whose requests are few and to resumed streams.
-	retryShare = 0.15
-	// retryExtra is the retries of a service in retrySpan, of all nodes together,
-	// beyond that, and retryNodeExtra those of each node: a stream that broke off at a
-	// node with few requests goes on elsewhere, also right after its start. The users
-	// allow 40 and two a node, so that both fit twice, for a loss of all nodes, and a
-	// third time where a node has some two requests a second.
-	retryExtra     = 12
-	retryNodeExtra = 1
-	retrySpan      = 10 * timekeeper.Second
+	// gatewayHoldOff and gatewayMaxHoldOff bound the time for which a suspected server
+	// receives no requests. They are short because a service may have only a dozen
+	// servers.
+	gatewayHoldOff      = 1 * timekeeper.Second
+	gatewayMaxHoldOff   = 8 * timekeeper.Second
+	gatewayProbeTimeout = 3 * timekeeper.Second
+	gatewayProbes       = 2
+	// retryFraction is the fraction of a retry that each request earns. It leaves a
+	// part of the allowed retries to nodes with few requests and to resumed streams.
+	retryFraction = 0.15
+	// extraRetries is the number of additional retries of a service per retryWindow
+	// over all nodes, and extraRetriesPerNode the number that each node adds. They
+	// allow a node with few requests, or one that has just started, to resume broken
+	// streams. A total of 40 and two per node is tolerated, so the budget may be used
+	// twice, as after a loss of all nodes.
+	extraRetries        = 12
+	extraRetriesPerNode = 1
+	retryWindow         = 10 * timekeeper.Second
 
-	// dutyLease is the lease of all duties.
-	dutyLease leaser.Name = "duties"
-	// leaseTerm is how long a holder that died keeps others out. Its renewals,
-	// three a term, are calls to the store that are paid for.
-	leaseTerm = 3 * timekeeper.Second
-	// dutyNodes is how many nodes follow the lease and may come to hold it:
-	// a zone's loss and one failure more leave one.
-	dutyNodes = 3
-	// settleTime is how long a node that has just started waits before it takes
-	// itself for one of the first for a purpose: until it hears of its peers
-	// it is the first of all. A lease that its last holder left behind lapses
-	// later than that.
+	// leaderLease is the lease of all leader tasks.
+	leaderLease leaser.Name = "duties"
+	// leaseTTL is the time after which the lease of a dead holder expires. A holder
+	// renews it three times per leaseTTL, and each renewal is a paid call to the store.
+	leaseTTL = 3 * timekeeper.Second
+	// leaderNodes is the number of nodes that follow the lease and may hold it. After
+	// the loss of a zone and of another node, one of them remains.
+	leaderNodes = 3
+	// settleTime is the time after its start for which a node does not regard itself as
+	// one of the first ranked nodes: until it knows its peers, it is the first of all.
+	// A lease of a previous holder expires later than that.
 	settleTime = 1500 * timekeeper.Millisecond
-	// mostNodes is the part of the nodes that the platform's list names of which a
-	// node has heard when it need not wait for settleTime: of those first for a
-	// purpose it then knows most, so that few take themselves for one in vain.
-	mostNodes = 0.9
-	// leastSettle is how long it waits in any case: where all start for the first
-	// time, the list that the first of them read names hardly anyone.
-	leastSettle = 700 * timekeeper.Millisecond
-	// serverReaders and configReaders are how many nodes read the store while
-	// peers hear from them; each read is paid for.
+	// settledFraction is the fraction of the nodes in the platform's list that a node
+	// has to know before it may skip the rest of settleTime. It then knows most of the
+	// first ranked nodes.
+	settledFraction = 0.9
+	// minSettleTime is the minimum settle time: when all nodes start for the first
+	// time, the list read by the first of them is almost empty.
+	minSettleTime = 700 * timekeeper.Millisecond
+	// serverReaders and configReaders are the numbers of nodes that read the store
+	// while their peers receive the records from them. Each read is a paid call.
 	serverReaders = 2
 	configReaders = 4
-	// serversStale and configStale are the ages of what peers tell past which
-	// a node reads the store itself. Servers that are leaving must get nothing
-	// two seconds after their notice, and configurations be in force in two.
-	serversStale = 1100 * timekeeper.Millisecond
-	configStale  = 4 * timekeeper.Second
-	// configDoubt is the age past which unknown routes and keys are not
-	// refused for good.
-	configDoubt = 6 * timekeeper.Second
+	// maxServersAge and maxConfigAge are the ages of received records from which a node
+	// reads the store itself. Leaving servers must get no requests from 2 s after their
+	// notice, and a configuration must be in force within 2 s.
+	maxServersAge = 1100 * timekeeper.Millisecond
+	maxConfigAge  = 4 * timekeeper.Second
+	// maxTrustedConfigAge is the age of the configuration from which unknown routes and
+	// keys are not refused permanently.
+	maxTrustedConfigAge = 6 * timekeeper.Second
 
-	// shareEachTime is the spacing of the shares to each peer.
-	shareEachTime = 500 * timekeeper.Millisecond
-	// wantAfter is how long after its start a node that has not read all servers from
-	// the store asks its peers for them.
-	wantAfter = 500 * timekeeper.Millisecond
-	// relayedWindow is the same as shareWindow for one of two relays: each node of
-	// its zone hears of an entry from both, twice.
-	relayedWindow = 600 * timekeeper.Millisecond
-	// newcomerTime is for how long a peer that joined or came back hears of all
-	// entries: it may not reach the store, and would know no server.
-	newcomerTime = 2 * timekeeper.Second
-	// shareWindow is for how long a changed entry is reported again: each peer
-	// hears of it four times.
-	shareWindow = 2 * timekeeper.Second
-	// sharePeers is the most peers that a node tells all of them what it knows;
-	// where there are more, relays pass it on.
-	sharePeers = 16
-	planEvery  = 500 * timekeeper.Millisecond
-	// fetchPause is the spacing of fetches of a peer's configuration.
-	fetchPause = 300 * timekeeper.Millisecond
-	// acceptWhileLeaving is how long a leaving node takes new requests. Callers
-	// keep its address for some seconds; one that is refused comes back
-	// elsewhere, which costs it one of its few tries.
-	acceptWhileLeaving = 3 * timekeeper.Second
-	// lingerLeaving is how long a leaving node without requests stays: callers
-	// that have not heard of the stop would find its port closed.
-	lingerLeaving = 2500 * timekeeper.Millisecond
+	// updateInterval is the time between state updates to each peer.
+	updateInterval = 500 * timekeeper.Millisecond
+	// serversRequestDelay is the time after its start from which a node that has not
+	// read all servers from the store requests them from its peers.
+	serversRequestDelay = 500 * timekeeper.Millisecond
+	// relayUpdateWindow is the time for which a relay reports a changed server entry.
+	// Each node of its zone receives an entry twice from each of two relays.
+	relayUpdateWindow = 600 * timekeeper.Millisecond
+	// newPeerTime is the time for which a peer that joined or returned receives all
+	// entries, because it may be unable to read the store.
+	newPeerTime = 2 * timekeeper.Second
+	// updateWindow is the time for which a node that is not a relay reports a changed
+	// server entry. Each peer receives it four times.
+	updateWindow = 2 * timekeeper.Second
+	// maxDirectPeers is the maximum number of peers to which each node sends its
+	// updates directly. In larger clusters relays forward them.
+	maxDirectPeers = 16
+	planInterval   = 500 * timekeeper.Millisecond
+	// peerFetchInterval is the minimum time between fetches of a peer's configuration.
+	peerFetchInterval = 300 * timekeeper.Millisecond
+	// drainAcceptTime is the time for which a draining node accepts new requests.
+	// Callers keep its address for some seconds, and a rejection costs them one of few
+	// retries.
+	drainAcceptTime = 3 * timekeeper.Second
+	// minDrainTime is the minimum time for which a draining node keeps its port open,
+	// for callers that do not know of the drain.
+	minDrainTime = 2500 * timekeeper.Millisecond
 )
 
-// GatewayConfig sets up a node that serves opaque exchanges.
+// GatewayConfig configures a node that serves opaque exchanges.
 type GatewayConfig struct {
 	// LeaderTasks makes the holder of the lease order servers from the platform and
 	// report usage to it.
 	LeaderTasks bool
 	UsageWindow timekeeper.Duration
 	UsageLate   timekeeper.Duration
-	// Share is the part of a service's requests that a version which is not trusted
-	// yet may get, and Slack a number beside.
+	// Share is the fraction of a service's requests that an untrusted version may get.
+	// Slack is a number of requests that it may get in addition.
 	Share float64
 	Slack float64
 }
@@ -120,98 +120,104 @@
 		Rules:        detector.AllRules(),
 		HoldOff:      gatewayHoldOff,
 		MaxHoldOff:   gatewayMaxHoldOff,
-		ProbeTimeout: gatewayProbeTime,
+		ProbeTimeout: gatewayProbeTimeout,
 		Probes:       gatewayProbes,
 	}
 }
 
 func newRetries() *retrier.Allowance {
 	return retrier.NewAllowance(retrier.AllowanceConfig{
-		Share: retryShare,
-		Span:  retrySpan,
+		Share: retryFraction,
+		Span:  retryWindow,
 	})
 }
 
-// gateway is the part of the state that opaque exchanges need.
+// gateway is the part of the state for opaque exchanges.
 type gateway struct {
 	config      GatewayConfig
 	self        identifier.VMID
 	incarnation identifier.Incarnation
 	catalog     *catalog.Catalog
-	data        []byte
-	// confirmed is the instant as of which no newer configuration was known.
-	confirmed timekeeper.Time
-	servers   *registrar.Table
-	exchanges *dispatcher.Dispatcher
-	retries   *retrier.Allowance
-	// quarantine is that of the reducer.
+	catalogData []byte
+	// configConfirmedAt is the last time at which the current configuration was known
+	// to be the newest.
+	configConfirmedAt timekeeper.Time
+	servers           *registrar.Table
+	exchanges         *dispatcher.Dispatcher
+	retries           *retrier.Allowance
+	// quarantine is the table of the Reducer.
 	quarantine *quarantiner.Quarantine
 	usage      *accountant.Accountant
 	sizes      *sizer.Sizer
 	versions   *promoter.Promoter
 	leases     *leaser.Table
-	holding    identifier.Fence
-	// limits are the request rates that servers accept.
-	limits *throttler.Table
-	// permits are what this node grants of them.
-	permits *throttler.Permits
-	local   *limiter.Buckets
-	// central is what this node grants while it holds the lease.
-	central *limiter.Buckets
-	// granter is the peer that was heard last to hold the lease.
-	granter      identifier.VMID
-	granterFence identifier.Fence
-	granterHeard timekeeper.Time
-	// silent counts the questions that it did not answer since.
-	silent int
-	// listed is how many nodes the platform's list named.
-	listed int
-	// startedAt is the first tick, and settled tells that the node has had
-	// time to hear of its peers since.
+	heldFence  identifier.Fence
+	// serverLimits are the request rates that servers accept.
+	serverLimits *throttler.Table
+	// permits are the permits that this node grants for limited servers.
+	permits     *throttler.Permits
+	localLimits *limiter.Buckets
+	// centralLimits are the account limits that this node grants while it holds the
+	// lease.
+	centralLimits *limiter.Buckets
+	// allocator is the peer that last reported to hold the lease, directly or through
+	// relays.
+	allocator         identifier.VMID
+	allocatorFence    identifier.Fence
+	allocatorLastSeen timekeeper.Time
+	// unanswered is the number of requests to the allocator without an answer since
+	// allocatorLastSeen.
+	unanswered int
+	// listedNodes is the number of nodes in the platform's list.
+	listedNodes int
+	// startedAt is the time of the first tick. settled reports whether the node has had
+	// time to learn of its peers since.
 	startedAt timekeeper.Time
 	settled   bool
-	// candidate tells that the node was ever one that may hold the duties.
-	candidate bool
-	// leaseRead tells that the node has read the lease's stream, and quarantineRead
-	// that it has read that of the requests that are refused.
+	// leaderCandidate reports whether the node was ever one of those that may hold the
+	// lease.
+	leaderCandidate bool
+	// leaseRead and quarantineRead report whether the node has read the stream of
+	// leases and that of refused requests.
 	leaseRead      bool
 	quarantineRead bool
-	nextShare      timekeeper.Time
+	nextUpdate     timekeeper.Time
 	nextRelay      timekeeper.Time
-	// shareRounds counts the shares that were sent.
-	shareRounds int
-	// relayNews tells that a server's entry changed since the last sums.
-	relayNews bool
-	// relaySince is when this node became a relay, or zero while it is none.
+	// updateRounds counts the rounds of state updates.
+	updateRounds int
+	// relayPending reports whether a server's entry changed since the last sums were
+	// sent.
+	relayPending bool
+	// relaySince is the time at which this node became a relay, or zero if it is none.
 	relaySince timekeeper.Time
 	nextPlan   timekeeper.Time
 	nextFetch  timekeeper.Time
-	// newcomers are the peers that joined or came back lately, with the
-	// instant until which they hear of all entries.
-	newcomers map[identifier.VMID]timekeeper.Time
-	// wanting are the peers that want to hear of all servers, and whole tells that
-	// this node knows all.
-	wanting map[identifier.VMID]bool
-	whole   bool
-	// many tells that nodes are so many that relays pass news on.
-	many bool
-	// gathered is what newcomers were told last.
-	gathered *entries
-	draining bool
-	leaveAt  timekeeper.Time
-	exiting  bool
+	// newPeers are the peers that recently joined or returned, with the time until
+	// which they receive all entries.
+	newPeers map[identifier.VMID]timekeeper.Time
+	// serversRequested are the peers that requested all servers. knowsAllServers
+	// reports whether this node knows all servers.
+	serversRequested map[identifier.VMID]bool
+	knowsAllServers  bool
+	// usesRelays reports whether the cluster is so large that relays forward updates.
+	usesRelays bool
+	// cachedEntries is the last result of allEntries.
+	cachedEntries *entries
+	draining      bool
+	earliestExit  timekeeper.Time
+	exiting       bool
 }
 
 func newGateway(c Config, quarantine *quarantiner.Quarantine) *gateway {
 	return &gateway{
-		retries:     newRetries(),
-		quarantine:  quarantine,
-		config:      *c.Gateway,
-		self:        c.Self,
-		incarnation: c.Incarnation,
-		servers:     registrar.New(),
-		newcomers:   map[identifier.VMID]timekeeper.Time{},
-		wanting:     map[identifier.VMID]bool{},
+		retries:          newRetries(),
+		quarantine:       quarantine,
+		config:           *c.Gateway,
+		self:             c.Self,
+		incarnation:      c.Incarnation,
+		servers:          registrar.New(),
+		newPeers:         map[identifier.VMID]timekeeper.Time{},
+		serversRequested: map[identifier.VMID]bool{},
 		exchanges: dispatcher.New(dispatcher.Config{
 			Self: c.Self,
 			Zone: c.Zone,
@@ -227,13 +233,13 @@
 			Share:       c.Gateway.Share,
 			Slack:       c.Gateway.Slack,
 		}),
-		limits:  throttler.New(),
-		permits: throttler.NewPermits(),
-		local:   limiter.NewLocal(),
+		serverLimits: throttler.New(),
+		permits:      throttler.NewPermits(),
+		localLimits:  limiter.NewLocal(),
 		leases: leaser.New(leaser.Config{
 			Self:        c.Self,
 			Incarnation: c.Incarnation,
-			TTL:         leaseTerm,
+			TTL:         leaseTTL,
 			Retention:   c.LogRetention,
 		}),
 	}
@@ -246,98 +252,98 @@
 	return g.catalog.Revision
 }
 
-// gatewayEvent hands an event to the parts that serve opaque exchanges.
-func (r *Reducer) gatewayEvent(w *conductor.Env, body messenger.EventBody) []messenger.Effect {
+// gatewayEvent passes an event to the parts that serve opaque exchanges.
+func (r *Reducer) gatewayEvent(env *conductor.Env, body messenger.EventBody) []messenger.Effect {
 	g := r.gateway
 	if g == nil {
 		return nil
 	}
 	switch b := body.(type) {
 	case messenger.ExchangeReceived:
-		return r.withNews(w, g.exchanges.Receive(r.exchangeWorld(w), b.Spec))
+		return r.withUpdates(env, g.exchanges.Receive(r.exchangeEnv(env), b.Spec))
 	case messenger.ExchangeBegan:
-		g.exchanges.Began(r.exchangeWorld(w), b)
-		return r.withNews(w)
+		g.exchanges.Began(r.exchangeEnv(env), b)
+		return r.withUpdates(env)
 	case messenger.ExchangeAttemptEnded:
-		effect := g.exchanges.AttemptEnded(r.exchangeWorld(w), b)
-		r.tellEndsSoon(w)
-		return r.withNews(w, effect)
+		effect := g.exchanges.AttemptEnded(r.exchangeEnv(env), b)
+		r.scheduleSuspectUpdate(env)
+		return r.withUpdates(env, effect)
 	case messenger.ExchangeEnded:
-		g.exchanges.Ended(r.exchangeWorld(w), b)
-		r.tellEndsSoon(w)
+		g.exchanges.Ended(r.exchangeEnv(env), b)
+		r.scheduleSuspectUpdate(env)
 	case messenger.CatalogPublished:
-		return r.catalogPublished(w, b)
+		return r.catalogPublished(env, b)
 	case messenger.CatalogConfirmed:
-		g.confirmed = w.Now
+		g.configConfirmedAt = env.Now
 	case messenger.ServersPublished:
-		g.whole = g.whole || b.All
-		return r.serversChanged(w, g.servers.ApplyRead(w.Now, b.Servers, b.All), true)
+		g.knowsAllServers = g.knowsAllServers || b.All
+		return r.serversChanged(env, g.servers.ApplyRead(env.Now, b.Servers, b.All), true)
 	case messenger.StateUpdateReceived:
-		return r.shareReceived(w, b)
+		return r.stateUpdateReceived(env, b)
 	case messenger.ServersOrdered:
-		return r.serversOrdered(w, b)
+		return r.serversOrdered(env, b)
 	case messenger.UsageReported:
 		return r.usageReported(b)
 	case messenger.ServerLimitReceived:
-		return r.serverLimitHeard(w, b)
+		return r.serverLimitReceived(env, b)
 	case messenger.PermitRequested:
-		return r.permitAsked(w, b)
+		return r.permitRequested(env, b)
 	case messenger.PermitAnswered:
-		return r.permitAnswered(w, b)
+		return r.permitAnswered(env, b)
 	case messenger.RolloutsClaimed:
-		return r.rolloutsClaimed(w, b)
+		return r.rolloutsClaimed(env, b)
 	case messenger.RolloutStored:
-		return r.rolloutKept(w, b)
+		return r.rolloutStored(env, b)
 	case messenger.LimitAnswered:
-		r.granterAnswered(w, b.Unknown, b.NotGranting)
-		return r.withNews(w, g.exchanges.LimitAnswered(r.exchangeWorld(w), b))
+		r.allocatorAnswered(env, b.Unknown, b.NotGranting)
+		return r.withUpdates(env, g.exchanges.LimitAnswered(r.exchangeEnv(env), b))
 	case messenger.LimitRequested:
 		return []messenger.Effect{
 			messenger.AnswerLimit{
 				Ticket: b.Ticket,
-				Answer: dispatcher.GrantLimit(r.exchangeWorld(w), b.Account, b.Tokens),
+				Answer: dispatcher.GrantLimit(r.exchangeEnv(env), b.Account, b.Tokens),
 			},
 		}
 	}
 	return nil
 }
 
-func (r *Reducer) exchangeWorld(w *conductor.Env) dispatcher.Env {
+func (r *Reducer) exchangeEnv(env *conductor.Env) dispatcher.Env {
 	g := r.gateway
-	out := dispatcher.Env{
-		Now:             w.Now,
+	exchangeEnv := dispatcher.Env{
+		Now:             env.Now,
 		Catalog:         g.catalog,
 		Servers:         g.servers,
-		Local:           g.local,
+		Local:           g.localLimits,
 		Retries:         g.retries,
 		Suspicions:      r.suspicions,
 		Quarantine:      r.quarantine,
 		Versions:        g.versions,
-		OrdersAsOf:      g.confirmed,
+		OrdersAsOf:      g.configConfirmedAt,
 		Rand:            r.rand,
-		OnBegan:         func(a identifier.AccountID) { g.usage.Began(w.Now, a) },
-		Limits:          g.limits,
+		OnBegan:         func(a identifier.AccountID) { g.usage.Began(env.Now, a) },
+		Limits:          g.serverLimits,
 		Permits:         g.permits,
-		PermitAllocator: func(server identifier.VMID) *dispatcher.Allocator { return r.permitsOf(w, server) },
-		ConfigStale:     w.Now.Sub(g.confirmed) > configDoubt,
+		PermitAllocator: func(server identifier.VMID) *dispatcher.Allocator { return r.permitAllocator(env, server) },
+		ConfigStale:     env.Now.Sub(g.configConfirmedAt) > maxTrustedConfigAge,
 		Inputs: messenger.DecisionInputs{
 			Revision:    g.revision(),
-			RevisionAge: age(w.Now, g.confirmed),
-			ServersAge:  age(w.Now, g.servers.AsOf()),
+			RevisionAge: age(env.Now, g.configConfirmedAt),
+			ServersAge:  age(env.Now, g.servers.AsOf()),
 		},
 	}
-	if _, _, held := g.leases.Held(dutyLease, w.Now); held {
-		out.Central = g.central
-		return out
+	if _, _, held := g.leases.Held(leaderLease, env.Now); held {
+		exchangeEnv.Central = g.centralLimits
+		return exchangeEnv
 	}
-	if out.Allocator = r.granterNow(w); out.Allocator != nil {
-		return out
+	if exchangeEnv.Allocator = r.reachableAllocator(env); exchangeEnv.Allocator != nil {
+		return exchangeEnv
 	}
-	out.AllocatorDue = max(g.granterDue().Sub(w.Now), 0)
-	return out
+	exchangeEnv.AllocatorDue = max(g.allocatorDue().Sub(env.Now), 0)
+	return exchangeEnv
 }
 
-// age returns how long ago an instant was, or a negative span where it is none.
+// age returns the time since an instant, or a negative duration if the instant is zero.
 func age(now, at timekeeper.Time) timekeeper.Duration {
 	if at == 0 {
 		return -1
@@ -345,40 +351,40 @@
 	return now.Sub(at)
 }
 
-// catalogPublished puts a configuration in force if it is newer than the one
-// that is, whatever path it came by. An older one never comes back.
-func (r *Reducer) catalogPublished(w *conductor.Env, e messenger.CatalogPublished) []messenger.Effect {
+// catalogPublished applies a configuration if it is newer than the current one, whether
+// it came from the store or from a peer.
+func (r *Reducer) catalogPublished(env *conductor.Env, e messenger.CatalogPublished) []messenger.Effect {
 	g := r.gateway
 	if e.FromStore {
-		g.confirmed = w.Now
+		g.configConfirmedAt = env.Now
 	}
-	g.versions.ApplyOrders(w.Now, e.Orders)
-	out := r.noteRollouts(w)
+	g.versions.ApplyOrders(env.Now, e.Orders)
+	out := r.recordRollouts(env)
 	if e.Catalog == nil || e.Catalog.Revision <= g.revision() {
 		return out
 	}
 	g.catalog = e.Catalog
-	g.data = e.Data
-	g.local.Forget(e.Catalog)
+	g.catalogData = e.Data
+	g.localLimits.Forget(e.Catalog)
 	out = append(out, messenger.TimelineEntry{
 		Kind:   "config_in_force",
 		VM:     r.config.Self,
 		Detail: fmt.Sprintf("revision=%d direct=%t", e.Catalog.Revision, e.FromStore),
 	})
 	if e.FromStore {
-		out = append(out, r.shareNow(w)...)
+		out = append(out, r.sendUpdates(env)...)
 	}
 	return out
 }
 
-// serversChanged tells the time line, and the peers where this node heard of
-// the change first.
-func (r *Reducer) serversChanged(w *conductor.Env, changed []messenger.PublishedServer, direct bool) []messenger.Effect {
+// serversChanged records changed servers in the time line, and notifies the peers if
+// this node read the change from the store.
+func (r *Reducer) serversChanged(env *conductor.Env, changed []messenger.PublishedServer, direct bool) []messenger.Effect {
 	if len(changed) == 0 {
 		return nil
 	}
-	r.gateway.nextRelay = w.Now
-	r.gateway.relayNews = true
+	r.gateway.nextRelay = env.Now
+	r.gateway.relayPending = true
 	var out []messenger.Effect
 	for _, s := range changed {
 		out = append(out, messenger.TimelineEntry{
@@ -389,65 +395,65 @@
 		})
 		switch s.State {
 		case messenger.ServerReady:
-			r.gateway.versions.ObserveVersion(w.Now, s.Service, s.Version)
+			r.gateway.versions.ObserveVersion(env.Now, s.Service, s.Version)
 		case messenger.ServerLeaving:
 			r.gateway.exchanges.ServerLeaving(s.Server)
 		case messenger.ServerRemoved:
 			r.suspicions.Forget(s.Server)
-			r.gateway.exchanges.ServerRemoved(r.exchangeWorld(w), s.Server)
-			r.gateway.limits.Forget(s.Server)
+			r.gateway.exchanges.ServerRemoved(r.exchangeEnv(env), s.Server)
+			r.gateway.serverLimits.Forget(s.Server)
 			r.gateway.permits.Forget(s.Server)
 		}
 	}
 	if direct {
-		out = append(out, r.shareNow(w)...)
+		out = append(out, r.sendUpdates(env)...)
 	}
 	return out
 }
 
-// tickGateway lets time pass for the exchanges and the duties.
-func (r *Reducer) tickGateway(w *conductor.Env) []messenger.Effect {
+// tickGateway advances the exchanges and the leader tasks to the current time.
+func (r *Reducer) tickGateway(env *conductor.Env) []messenger.Effect {
 	g := r.gateway
-	out := r.serversChanged(w, g.servers.Tick(w.Now), true)
+	out := r.serversChanged(env, g.servers.Tick(env.Now), true)
 	if g.startedAt == 0 {
-		g.startedAt = w.Now
+		g.startedAt = env.Now
 	}
-	g.settled = g.settled || w.Now.Sub(g.startedAt) >= settleTime || r.heardMost(w.Now)
-	if g.settled && !g.candidate {
-		g.candidate = r.ranking.Chosen(string(dutyLease), dutyNodes)
+	g.settled = g.settled || env.Now.Sub(g.startedAt) >= settleTime || r.knowsMostNodes(env.Now)
+	if g.settled && !g.leaderCandidate {
+		g.leaderCandidate = r.ranking.Chosen(string(leaderLease), leaderNodes)
 	}
-	r.shareGrants(w)
-	g.limits.Tick(w.Now)
-	if !w.Now.Before(g.nextShare) {
-		out = append(out, r.shareNow(w)...)
+	r.divideLimits(env)
+	g.serverLimits.Tick(env.Now)
+	if !env.Now.Before(g.nextUpdate) {
+		out = append(out, r.sendUpdates(env)...)
 	}
-	out = append(out, r.relayNow(w)...)
-	out = append(out, r.tickDuties(w)...)
-	out = append(out, r.tickRollouts(w)...)
-	out = append(out, r.tickQuarantine(w)...)
-	if g.draining && !g.exiting && !w.Now.Before(g.leaveAt) && g.exchanges.InFlight() == 0 {
+	out = append(out, r.sendSums(env)...)
+	out = append(out, r.tickLeaderTasks(env)...)
+	out = append(out, r.tickRollouts(env)...)
+	out = append(out, r.tickQuarantine(env)...)
+	if g.draining && !g.exiting && !env.Now.Before(g.earliestExit) && g.exchanges.InFlight() == 0 {
 		g.exiting = true
 		out = append(out, messenger.Exit{})
 	}
 	return out
 }
 
-// heardMost reports whether a node that has just started has heard of most of the
-// nodes that there are.
-func (r *Reducer) heardMost(now timekeeper.Time) bool {
-	listed := r.gateway.listed
-	return listed > 1 && now.Sub(r.gateway.startedAt) >= leastSettle &&
-		float64(r.members.Count(now, cutMemory)) >= mostNodes*float64(listed)
+// knowsMostNodes reports whether a node that has just started knows most of the listed
+// nodes.
+func (r *Reducer) knowsMostNodes(now timekeeper.Time) bool {
+	listed := r.gateway.listedNodes
+	return listed > 1 && now.Sub(r.gateway.startedAt) >= minSettleTime &&
+		float64(r.members.Count(now, nodeRetention)) >= settledFraction*float64(listed)
 }
 
-// gatewayDrain begins a planned stop: callers are sent elsewhere at once, and
-// the node stays until what it took has ended.
-func (r *Reducer) gatewayDrain(w *conductor.Env, e messenger.DrainStarted) []messenger.Effect {
+// gatewayDrain begins a planned stop: callers are sent to other nodes at once, and the
+// node stays until its exchanges have ended.
+func (r *Reducer) gatewayDrain(env *conductor.Env, e messenger.DrainStarted) []messenger.Effect {
 	g := r.gateway
 	g.draining = true
-	g.leaveAt = w.Now.Add(lingerLeaving)
-	g.exchanges.Leave(w.Now.Add(acceptWhileLeaving))
+	g.earliestExit = env.Now.Add(minDrainTime)
+	g.exchanges.Leave(env.Now.Add(drainAcceptTime))
 	g.leases.ReleaseAll()
-	marked := r.membersChanged(w, r.members.MarkLeaving(w.Now, r.config.Self, e.Deadline))
-	return append(r.tickGossip(w), marked...)
+	marked := r.membersChanged(env, r.members.MarkLeaving(env.Now, r.config.Self, e.Deadline))
+	return append(r.tickGossip(env), marked...)
 }
--- a/internal/reducer/granting.go
+++ b/internal/reducer/granting.go
@@ -8,137 +8,135 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// The limits of accounts, as the nodes divide them. The node that holds the lease of
-// the duties grants most of each limit; the others ask it, and each has a small part
-// of its own, or an equal part of the whole while nobody can be asked.
+// Accounts' limits are divided among the nodes. The holder of the lease, the allocator,
+// grants most of each limit on request of its peers. Each node grants a small part by
+// itself, or an equal part of the whole limit while it can't reach the allocator.
 const (
-	// grantNewsTime is how long after a node may take the lease all have heard that
-	// it holds it: an append, its read, and shares over relays.
-	grantNewsTime = 700 * timekeeper.Millisecond
-	// granterAge is how long a peer that holds the lease is asked for limits
-	// after it was last heard; then this node grants its part alone. It is
-	// longer than granteeAge, after which that peer takes this node's part off
-	// its own. Both are two or three times the spacing of shares.
-	granterAge = 1600 * timekeeper.Millisecond
-	granteeAge = 1100 * timekeeper.Millisecond
-	// deafAge is how long after it was last heard that peer counts as gone which
-	// left silentAsks questions unanswered since: one whose VM was taken away is
-	// asked in vain for a second less.
-	deafAge    = 700 * timekeeper.Millisecond
-	silentAsks = 2
-	// cutMemory is how long a silent node's part of the limits is kept for
-	// it: it may be cut off and serve callers on its side.
-	cutMemory = 15 * timekeeper.Second
-	// unlistedNodes is how many nodes are taken to share the limits until the
-	// platform's list or a peer says how many there are.
-	unlistedNodes = 100
+	// leaderAnnounceTime is the time from the expiry of a lease until all nodes know
+	// the new holder: an append, its read, and updates through relays.
+	leaderAnnounceTime = 700 * timekeeper.Millisecond
+	// allocatorTimeout is the time without an update of the allocator after which this
+	// node grants its part alone. It is longer than deductionTimeout, the time without
+	// an update of a node after which the allocator deducts that node's part from its
+	// own. Both are two to three times updateInterval.
+	allocatorTimeout = 1600 * timekeeper.Millisecond
+	deductionTimeout = 1100 * timekeeper.Millisecond
+	// unresponsiveAge is the time without an update of the allocator after which it
+	// counts as unreachable if it also left maxUnanswered requests without an answer.
+	// It shortens the time in which an allocator that was removed is asked in vain.
+	unresponsiveAge = 700 * timekeeper.Millisecond
+	maxUnanswered   = 2
+	// nodeRetention is the time for which the part of a node without updates is
+	// reserved, because it may be partitioned and still serve callers.
+	nodeRetention = 15 * timekeeper.Second
+	// assumedNodes is the assumed number of nodes that share the limits until the
+	// platform's list or a peer states one.
+	assumedNodes = 100
 )
 
-// heardOfHolder takes in who holds the lease of the duties, from that node or
-// from one that heard of it.
-func (g *gateway) heardOfHolder(now timekeeper.Time, s messenger.StateUpdate) {
-	if s.Leader == "" || s.Leader == g.self || s.Fence < g.granterFence {
+// mergeLeader applies the holder of the lease that a peer reports.
+func (g *gateway) mergeLeader(now timekeeper.Time, s messenger.StateUpdate) {
+	if s.Leader == "" || s.Leader == g.self || s.Fence < g.allocatorFence {
 		return
 	}
-	heard := now.Add(-s.LeaderAge)
-	if s.Fence == g.granterFence && !heard.After(g.granterHeard) {
+	lastSeen := now.Add(-s.LeaderAge)
+	if s.Fence == g.allocatorFence && !lastSeen.After(g.allocatorLastSeen) {
 		return
 	}
-	g.granter = s.Leader
-	g.granterFence = s.Fence
-	g.granterHeard = heard
-	g.silent = 0
+	g.allocator = s.Leader
+	g.allocatorFence = s.Fence
+	g.allocatorLastSeen = lastSeen
+	g.unanswered = 0
 }
 
-// shareGrants sets this node's parts of the accounts' limits and of the retries
-// by whom it hears.
-func (r *Reducer) shareGrants(w *conductor.Env) {
+// divideLimits sets this node's parts of the accounts' limits and of the retries, by
+// the nodes that it knows and can reach.
+func (r *Reducer) divideLimits(env *conductor.Env) {
 	g := r.gateway
-	nodes := r.nodesToShare(w)
-	_, _, held := g.leases.Held(dutyLease, w.Now)
-	g.retries.SetExtra(retryExtra/float64(nodes) + retryNodeExtra)
-	g.local.SetNodes(nodes, !held && !g.granterThere(w.Now))
-	if g.central != nil {
-		g.central.SetReachable(1+g.exchanges.CountAllReportingPeers(w.Now, granteeAge), nodes)
+	nodes := r.limitNodes(env)
+	_, _, held := g.leases.Held(leaderLease, env.Now)
+	g.retries.SetExtra(extraRetries/float64(nodes) + extraRetriesPerNode)
+	g.localLimits.SetNodes(nodes, !held && !g.allocatorReachable(env.Now))
+	if g.centralLimits != nil {
+		g.centralLimits.SetReachable(1+g.exchanges.CountAllReportingPeers(env.Now, deductionTimeout), nodes)
 	}
 }
 
-// nodesToShare returns the number of nodes that may grant a part of the limits.
+// limitNodes returns the number of nodes that may grant a part of the limits.
 //
-// A node that has just started has heard of no other, and would take the whole
-// of each limit for its own part. Where all nodes start at once each of them
-// does, for the quarter of a second until they hear of one another. Until those
-// that were killed would be forgotten, all that the platform's list names count.
-func (r *Reducer) nodesToShare(w *conductor.Env) int {
+// A node that has just started knows no peer and would take the whole of each limit.
+// When all nodes start at once, each would do so until they learn of each other. So
+// until nodes killed before the start would be forgotten, all nodes in the platform's
+// list count.
+func (r *Reducer) limitNodes(env *conductor.Env) int {
 	g := r.gateway
-	heard := r.members.Count(w.Now, cutMemory)
-	if g.startedAt != 0 && w.Now.Sub(g.startedAt) > cutMemory {
-		return heard
+	known := r.members.Count(env.Now, nodeRetention)
+	if g.startedAt != 0 && env.Now.Sub(g.startedAt) > nodeRetention {
+		return known
 	}
-	if g.listed == 0 && heard == 1 && w.Now.Sub(g.startedAt) < settleTime {
-		return unlistedNodes
+	if g.listedNodes == 0 && known == 1 && env.Now.Sub(g.startedAt) < settleTime {
+		return assumedNodes
 	}
-	return max(heard, g.listed)
+	return max(known, g.listedNodes)
 }
 
-// nodesListed takes in how many nodes the platform's list names. The first list
-// begins this node's parts of the limits: by then they were those of one of many,
-// with next to nothing to grant, and callers that come back after all nodes were
-// down would be refused until these had grown.
-func (r *Reducer) nodesListed(w *conductor.Env, nodes int) {
+// nodesListed applies the number of nodes in the platform's list. The first list resets
+// this node's parts of the limits: the parts for assumedNodes hold almost nothing, so
+// callers that return after a total outage would be refused until these have refilled.
+func (r *Reducer) nodesListed(env *conductor.Env, nodes int) {
 	g := r.gateway
 	if g == nil {
 		return
 	}
-	first := g.listed == 0
-	g.listed = nodes
+	first := g.listedNodes == 0
+	g.listedNodes = nodes
 	if first && nodes > 0 {
-		g.local = limiter.NewLocal()
-		r.shareGrants(w)
+		g.localLimits = limiter.NewLocal()
+		r.divideLimits(env)
 	}
 }
 
-// granterNow returns the peer that grants limits, or nil where none can be asked.
-func (r *Reducer) granterNow(w *conductor.Env) *dispatcher.Allocator {
+// reachableAllocator returns the peer that grants limits, or nil if there is none or it
+// can't be reached.
+func (r *Reducer) reachableAllocator(env *conductor.Env) *dispatcher.Allocator {
 	g := r.gateway
-	node, known := r.members.Node(g.granter)
-	if !known || !g.granterThere(w.Now) {
+	node, known := r.members.Node(g.allocator)
+	if !known || !g.allocatorReachable(env.Now) {
 		return nil
 	}
 	return &dispatcher.Allocator{
-		Node:    g.granter,
+		Node:    g.allocator,
 		Address: node.PeerAddress,
 	}
 }
 
-// granterAnswered takes in that the peer that was asked did not answer, or that it grants
-// nothing any more.
-func (r *Reducer) granterAnswered(w *conductor.Env, unknown, notGranting bool) {
+// allocatorAnswered records that the allocator did not answer (unknown), or that it no
+// longer grants.
+func (r *Reducer) allocatorAnswered(env *conductor.Env, unknown, notGranting bool) {
 	if notGranting {
-		// Nobody grants until a node has the lease. All nodes go on with
-		// equal parts at once: waiting until the old holder counts as silent
-		// refused all accounts for two seconds.
-		r.gateway.granterHeard = 0
-		r.shareGrants(w)
+		// No node grants until one acquires the lease. All nodes switch to equal
+		// parts at once, because waiting for allocatorTimeout would refuse the
+		// requests of all accounts meanwhile.
+		r.gateway.allocatorLastSeen = 0
+		r.divideLimits(env)
 	}
 	if unknown {
-		r.gateway.silent++
+		r.gateway.unanswered++
 	}
 }
 
-// granterThere reports whether the node that grants centrally can be asked.
-func (g *gateway) granterThere(now timekeeper.Time) bool {
-	age := now.Sub(g.granterHeard)
-	return age <= granterAge && (age <= deafAge || g.silent < silentAsks)
+func (g *gateway) allocatorReachable(now timekeeper.Time) bool {
+	age := now.Sub(g.allocatorLastSeen)
+	return age <= allocatorTimeout && (age <= unresponsiveAge || g.unanswered < maxUnanswered)
 }
 
-// granterDue returns when a node probably grants centrally again that this one has
-// heard of: once those that may hold the lease have settled, and the lease of the
-// last holder has lapsed, which it can't renew any more.
-func (g *gateway) granterDue() timekeeper.Time {
-	due := g.startedAt.Add(settleTime + grantNewsTime)
-	if g.granterHeard != 0 {
-		due = max(due, g.granterHeard.Add(leaseTerm+grantNewsTime))
+// allocatorDue returns the time at which this node probably knows an allocator again:
+// the candidates have settled, the lease of the last known holder has expired, and the
+// new holder has been announced.
+func (g *gateway) allocatorDue() timekeeper.Time {
+	due := g.startedAt.Add(settleTime + leaderAnnounceTime)
+	if g.allocatorLastSeen != 0 {
+		due = max(due, g.allocatorLastSeen.Add(leaseTTL+leaderAnnounceTime))
 	}
 	return due
 }
--- a/internal/reducer/membership.go
+++ b/internal/reducer/membership.go
@@ -12,14 +12,14 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// How gossip runs, where nothing else is set.
+// The parameters of gossip.
 const (
-	gossipEvery        = 200 * timekeeper.Millisecond
+	gossipInterval     = 200 * timekeeper.Millisecond
 	gossipSuspectAfter = 1500 * timekeeper.Millisecond
 	gossipDeadAfter    = 4 * timekeeper.Second
 	gossipFanout       = 2
-	// gossipByteBudget keeps two messages every gossipEvery at 12 KB a second,
-	// about half of what a node may spend on control: see docs/CAPACITY.md.
+	// gossipByteBudget limits two messages per gossipInterval to 12 KB/s, about half of
+	// a node's budget for control traffic.
 	gossipByteBudget = 1200
 )
 
@@ -33,7 +33,7 @@
 		CallerAddress: c.CallerAddress,
 		Capacity:      c.Capacity,
 		Seeds:         c.Seeds,
-		Period:        gossipEvery,
+		Period:        gossipInterval,
 		SuspectAfter:  gossipSuspectAfter,
 		DeadAfter:     gossipDeadAfter,
 		Fanout:        gossipFanout,
@@ -41,27 +41,27 @@
 	})
 }
 
-// membersChanged passes changes of the membership on. Servers that are
-// leaving are planned for once, for the whole wave that one event brought.
-func (r *Reducer) membersChanged(w *conductor.Env, changes []gossiper.Change) []messenger.Effect {
+// membersChanged passes on changes of the membership. The conductor plans once for all
+// servers that leave by one event.
+func (r *Reducer) membersChanged(env *conductor.Env, changes []gossiper.Change) []messenger.Effect {
 	var out []messenger.Effect
-	wave := false
+	serversLeaving := false
 	for _, ch := range changes {
-		out = append(out, noteChange(ch))
-		wave = wave || ch.Kind == gossiper.ServerLeaving
-		out = append(out, r.memberChanged(w, ch)...)
+		out = append(out, memberEntry(ch))
+		serversLeaving = serversLeaving || ch.Kind == gossiper.ServerLeaving
+		out = append(out, r.memberChanged(env, ch)...)
 	}
-	if wave {
-		out = append(out, r.requests.ServersLeaving(w)...)
+	if serversLeaving {
+		out = append(out, r.requests.ServersLeaving(env)...)
 	}
 	return out
 }
 
-func (r *Reducer) memberChanged(w *conductor.Env, ch gossiper.Change) []messenger.Effect {
+func (r *Reducer) memberChanged(env *conductor.Env, ch gossiper.Change) []messenger.Effect {
 	if r.gateway != nil && ch.Kind != gossiper.NodeOutdated {
-		// Nothing of an opaque exchange stands with another node.
+		// No state of an opaque exchange is on another node.
 		if ch.Kind == gossiper.NodeJoined || ch.Kind == gossiper.NodeAlive {
-			r.gateway.newcomers[ch.VM] = r.newcomerUntil(w.Now)
+			r.gateway.newPeers[ch.VM] = r.newPeerUntil(env.Now)
 			r.gateway.leases.ProcessStarted(ch.VM, ch.Incarnation)
 		}
 		return nil
@@ -70,24 +70,23 @@
 	case gossiper.NodeLeaving:
 		if ch.VM == r.config.Self {
 			r.provisioner.Stop()
-			return r.requests.Drain(w, ch.Deadline, false)
+			return r.requests.Drain(env, ch.Deadline, false)
 		}
-		return r.requests.NodeLeaving(w, ch.VM)
+		return r.requests.NodeLeaving(env, ch.VM)
 	case gossiper.NodeDead:
-		return r.requests.NodeDead(w, ch.VM)
+		return r.requests.NodeDead(env, ch.VM)
 	case gossiper.NodeOutdated:
-		// A later process on this VM has taken the name over: peers ignore
-		// this one for good, and what it told callers would be heard by them
-		// alone.
+		// A later process on this VM has taken over the name. Peers ignore this
+		// process, so it must not go on serving callers.
 		return []messenger.Effect{messenger.Exit{}}
 	case gossiper.ServerRemoved:
 		delete(r.loads, ch.VM)
-		return r.requests.ServerRemoved(w, ch.VM)
+		return r.requests.ServerRemoved(env, ch.VM)
 	}
 	return nil
 }
 
-func noteChange(ch gossiper.Change) messenger.TimelineEntry {
+func memberEntry(ch gossiper.Change) messenger.TimelineEntry {
 	detail := ""
 	if ch.Kind == gossiper.NodeLeaving || ch.Kind == gossiper.ServerLeaving {
 		detail = fmt.Sprintf("deadline=%s", ch.Deadline)
@@ -99,8 +98,8 @@
 	}
 }
 
-func (r *Reducer) gossipReceived(w *conductor.Env, e messenger.GossipReceived) []messenger.Effect {
-	changes, err := r.members.Receive(w.Now, e.From, e.Data)
+func (r *Reducer) gossipReceived(env *conductor.Env, e messenger.GossipReceived) []messenger.Effect {
+	changes, err := r.members.Receive(env.Now, e.From, e.Data)
 	if err != nil {
 		return []messenger.Effect{
 			messenger.TimelineEntry{
@@ -110,30 +109,31 @@
 			},
 		}
 	}
-	return r.membersChanged(w, changes)
+	return r.membersChanged(env, changes)
 }
 
-// drainStarted begins a planned stop: peers learn of it by the same mark as
-// of a reclaim, so that callers are sent elsewhere and copies move away.
-func (r *Reducer) drainStarted(w *conductor.Env, e messenger.DrainStarted) []messenger.Effect {
+// drainStarted begins a planned stop. Peers learn of it by the same mark as of a
+// reclaimed VM, so that callers are sent to other nodes and copies move away.
+func (r *Reducer) drainStarted(env *conductor.Env, e messenger.DrainStarted) []messenger.Effect {
 	if r.gateway != nil {
-		return r.gatewayDrain(w, e)
+		return r.gatewayDrain(env, e)
 	}
 	r.provisioner.Stop()
-	began := r.requests.Drain(w, e.Deadline, true)
-	marked := r.membersChanged(w, r.members.MarkLeaving(w.Now, r.config.Self, e.Deadline))
-	// A node with nothing in flight ends at once. Peers that learned of it only
-	// by its silence would give it out until then, so they are told first.
-	return slices.Concat(r.tickGossip(w), began, marked)
+	began := r.requests.Drain(env, e.Deadline, true)
+	marked := r.membersChanged(env, r.members.MarkLeaving(env.Now, r.config.Self, e.Deadline))
+	// A node without requests in flight exits at once. Its peers are notified first,
+	// or they would return its address to callers until it misses heartbeats.
+	return slices.Concat(r.tickGossip(env), began, marked)
 }
 
-// tickGossip sends this node's news and takes up what silence says.
-func (r *Reducer) tickGossip(w *conductor.Env) []messenger.Effect {
+// tickGossip sends this node's status, and applies failures detected by missing
+// heartbeats.
+func (r *Reducer) tickGossip(env *conductor.Env) []messenger.Effect {
 	r.members.SetStatus(gossiper.Status{
 		Revision: r.revision(),
-		Demand:   r.ownDemand(w.Now),
+		Demand:   r.ownDemand(env.Now),
 	})
-	messages, changes := r.members.Tick(w.Now, r.rand)
+	messages, changes := r.members.Tick(env.Now, r.rand)
 	var out []messenger.Effect
 	for _, m := range messages {
 		out = append(out, messenger.SendGossip{
@@ -142,27 +142,28 @@
 			Data:    m.Data,
 		})
 	}
-	return append(out, r.membersChanged(w, changes)...)
+	return append(out, r.membersChanged(env, changes)...)
 }
 
 func (r *Reducer) ownDemand(now timekeeper.Time) map[identifier.AccountID]gossiper.Demand {
 	if r.gateway != nil {
-		return nil // Limits are granted centrally, not shared by demand.
+		return nil // The allocator grants limits; they are not divided by demand.
 	}
-	own := r.limits.Demand(now)
-	out := make(map[identifier.AccountID]gossiper.Demand, len(own))
-	for account, d := range own {
+	demand := r.limits.Demand(now)
+	out := make(map[identifier.AccountID]gossiper.Demand, len(demand))
+	for account, d := range demand {
 		out[account] = gossiper.Demand(d)
 	}
 	return out
 }
 
-// shareLimits divides the accounts' limits by the demand that peers report.
-func (r *Reducer) shareLimits(now timekeeper.Time) {
+// mergePeerDemand passes the demand that peers report to the limits, which are divided
+// by it.
+func (r *Reducer) mergePeerDemand(now timekeeper.Time) {
 	peers := map[identifier.VMID]map[identifier.AccountID]limiter.Demand{}
-	for vm, news := range r.members.Statuses() {
-		demand := make(map[identifier.AccountID]limiter.Demand, len(news.Demand))
-		for account, d := range news.Demand {
+	for vm, status := range r.members.Statuses() {
+		demand := make(map[identifier.AccountID]limiter.Demand, len(status.Demand))
+		for account, d := range status.Demand {
 			demand[account] = limiter.Demand(d)
 		}
 		peers[vm] = demand
@@ -170,12 +171,12 @@
 	r.limits.SetPeers(now, peers)
 }
 
-// newcomerUntil is until when a node that joined now hears of all that this one knows.
-// Where nodes are many it hears so once from each relay of its zone, which is one of many
-// messages that reach it; where they are few, from each node for a while.
-func (r *Reducer) newcomerUntil(now timekeeper.Time) timekeeper.Time {
-	if len(r.ranking.Peers()) > sharePeers {
+// newPeerUntil returns the time until which a node that joined now receives all
+// entries. In large clusters it receives them once from each relay of its zone, and
+// otherwise from each node for newPeerTime.
+func (r *Reducer) newPeerUntil(now timekeeper.Time) timekeeper.Time {
+	if len(r.ranking.Peers()) > maxDirectPeers {
 		return now
 	}
-	return now.Add(newcomerTime)
+	return now.Add(newPeerTime)
 }
--- a/internal/reducer/outdated_test.go
+++ b/internal/reducer/outdated_test.go
@@ -12,11 +12,10 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// A process was frozen while its VM started another one. Peers listen to the
-// later process alone; the frozen one thaws and would go on answering its
-// callers unheard by all others. The first news that it gets ends it.
-func TestOutdatedProcessEnds(t *testing.T) {
-	old := New(Config{
+// A process is paused while its VM starts another one. Peers ignore the older process,
+// so it must exit when it receives gossip.
+func TestOutdatedProcessExits(t *testing.T) {
+	outdated := New(Config{
 		Self:        "n1",
 		Incarnation: 5,
 		Zone:        "a",
@@ -24,15 +23,15 @@
 	})
 	later := member("n1", 6, "n2")
 	peer := member("n2", 1)
-	talk(t, later, peer)
+	introduce(t, later, peer)
 
-	ended := false
+	exited := false
 	now := timekeeper.Time(1000)
 	for range 20 {
 		now = now.Add(messenger.TickInterval)
 		messages, _ := peer.Tick(now, rand.New(rand.NewPCG(1, 1)))
 		for _, m := range messages {
-			ended = ended || exits(old.Apply(messenger.Event{
+			exited = exited || exits(outdated.Apply(messenger.Event{
 				At: now,
 				Body: messenger.GossipReceived{
 					From: "n2",
@@ -41,7 +40,7 @@
 			}))
 		}
 	}
-	require.True(t, ended)
+	require.True(t, exited)
 }
 
 func member(vm identifier.VMID, incarnation identifier.Incarnation, seeds ...string) *gossiper.Members {
@@ -54,8 +53,8 @@
 	})
 }
 
-// talk lets one member tell another of itself.
-func talk(t *testing.T, from, to *gossiper.Members) {
+// introduce sends gossip from one member to another.
+func introduce(t *testing.T, from, to *gossiper.Members) {
 	t.Helper()
 	messages, _ := from.Tick(1000, rand.New(rand.NewPCG(1, 1)))
 	require.NotEmpty(t, messages)
--- a/internal/reducer/platformlog.go
+++ b/internal/reducer/platformlog.go
@@ -16,7 +16,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// The streams of the platform's log.
+// The log streams of the configuration and of leases.
 const (
 	configStream identifier.LogStream = "config"
 	leaseStream  identifier.LogStream = "leases"
@@ -44,7 +44,7 @@
 	})
 }
 
-// Streams returns the log streams that the node has to be fed, in order.
+// Streams returns the log streams that the node follows, in order.
 func (r *Reducer) Streams() []identifier.LogStream {
 	if r.gateway != nil {
 		return r.gateway.streams()
@@ -52,31 +52,32 @@
 	return append([]identifier.LogStream{configStream, leaseStream, quarantiner.Stream}, r.claims.Streams()...)
 }
 
-func (r *Reducer) logRead(w *conductor.Env, e messenger.LogRead) []messenger.Effect {
+func (r *Reducer) logRead(env *conductor.Env, e messenger.LogRead) []messenger.Effect {
 	if r.gateway != nil {
-		return r.gatewayLogRead(w, e)
+		return r.gatewayLogRead(env, e)
 	}
 	switch e.Stream {
 	case configStream:
-		return r.configRead(w, e)
+		return r.configRead(env, e)
 	case leaseStream:
-		r.provisioner.LogRead(w.Now, e)
+		r.provisioner.LogRead(env.Now, e)
 		return nil
 	case quarantiner.Stream:
-		return r.quarantineRead(w, e)
+		return r.quarantineRead(env, e)
 	}
-	return r.requests.ClaimsDecided(w, r.claims.Absorb(w.Now, e))
+	return r.requests.ClaimsDecided(env, r.claims.Absorb(env.Now, e))
 }
 
-func (r *Reducer) configRead(w *conductor.Env, e messenger.LogRead) []messenger.Effect {
+func (r *Reducer) configRead(env *conductor.Env, e messenger.LogRead) []messenger.Effect {
 	before := r.revision()
-	r.timers.configOut = timekeeper.Never
-	out := r.changesJudged(r.files.Absorb(w.Now, e))
-	return append(out, r.configApplied(w, before)...)
+	r.timers.configUnavailableSince = timekeeper.Never
+	out := r.replyVerdicts(r.files.Absorb(env.Now, e))
+	return append(out, r.configApplied(env, before)...)
 }
 
-// changesJudged tells the operators of this node what became of their changes.
-func (r *Reducer) changesJudged(applied []configurer.Applied) []messenger.Effect {
+// replyVerdicts records the verdicts on changes of the configuration, and replies to
+// the operators of this node that proposed them.
+func (r *Reducer) replyVerdicts(applied []configurer.Applied) []messenger.Effect {
 	var out []messenger.Effect
 	for _, a := range applied {
 		out = append(out, messenger.TimelineEntry{
@@ -94,26 +95,27 @@
 	return out
 }
 
-// configApplied lets the other slices see a configuration that just came into
-// force.
-func (r *Reducer) configApplied(w *conductor.Env, before identifier.Revision) []messenger.Effect {
-	now := r.revision()
-	if now == before {
+// configApplied passes a configuration that came into force to the other parts of the
+// state. before is the previous revision.
+func (r *Reducer) configApplied(env *conductor.Env, before identifier.Revision) []messenger.Effect {
+	revision := r.revision()
+	if revision == before {
 		return nil
 	}
-	r.limits.SetCatalog(w.Now, r.files.Catalog())
+	r.limits.SetCatalog(env.Now, r.files.Catalog())
 	r.claims.SetRetention(r.files.Catalog().LogRetention)
 	r.provisioner.SetRetention(r.files.Catalog().LogRetention)
 	return []messenger.Effect{
 		messenger.TimelineEntry{
 			Kind:   "config_in_force",
 			VM:     r.config.Self,
-			Detail: fmt.Sprintf("revision=%d", now),
+			Detail: fmt.Sprintf("revision=%d", revision),
 		},
 	}
 }
 
-// revision returns the configuration in force, zero before the first.
+// revision returns the revision of the configuration in force, or zero before the
+// first.
 func (r *Reducer) revision() identifier.Revision {
 	if r.gateway != nil {
 		return r.gateway.revision()
@@ -121,21 +123,21 @@
 	return r.files.Catalog().Revision
 }
 
-func (r *Reducer) logUnavailable(w *conductor.Env, e messenger.LogUnavailable) []messenger.Effect {
+func (r *Reducer) logUnavailable(env *conductor.Env, e messenger.LogUnavailable) []messenger.Effect {
 	if r.gateway != nil {
-		return nil // Leases lapse by themselves.
+		return nil // Leases expire by themselves.
 	}
-	if e.Stream == configStream && r.timers.configOut == timekeeper.Never {
-		r.timers.configOut = w.Now
+	if e.Stream == configStream && r.timers.configUnavailableSince == timekeeper.Never {
+		r.timers.configUnavailableSince = env.Now
 	}
-	r.claims.Unavailable(w.Now, e.Stream)
+	r.claims.Unavailable(env.Now, e.Stream)
 	return nil
 }
 
-func (r *Reducer) changeProposed(w *conductor.Env, e messenger.ChangeProposed) []messenger.Effect {
+func (r *Reducer) changeProposed(env *conductor.Env, e messenger.ChangeProposed) []messenger.Effect {
 	r.timers.proposals++
 	nonce := identifier.Nonce(fmt.Sprintf("%s.%d.%d", r.config.Self, r.config.Incarnation, r.timers.proposals))
-	record, err := r.proposal(w.Now, e, nonce)
+	record, err := r.proposal(env.Now, e, nonce)
 	if err != nil {
 		return []messenger.Effect{
 			messenger.ReplyOperator{
@@ -146,7 +148,7 @@
 			},
 		}
 	}
-	r.timers.changes[e.Ticket] = nonce
+	r.timers.pendingChanges[e.Ticket] = nonce
 	return []messenger.Effect{r.appendChange(e.Ticket, record)}
 }
 
@@ -158,21 +160,21 @@
 	}
 }
 
-// changeAgain is the spacing of appends of a change that has no verdict yet.
-const changeAgain = 1 * timekeeper.Second
+// changeRetryInterval is the time between appends of a change without a verdict.
+const changeRetryInterval = 1 * timekeeper.Second
 
-// tickChanges appends the changes without a verdict again: the log may have
-// failed the append or never had it. The nonce makes the copies count once.
-func (r *Reducer) tickChanges(w *conductor.Env) []messenger.Effect {
-	if w.Now.Before(r.timers.nextChange) {
+// tickChanges appends changes without a verdict again, because an append may have
+// failed or been lost. The nonce makes the records idempotent.
+func (r *Reducer) tickChanges(env *conductor.Env) []messenger.Effect {
+	if env.Now.Before(r.timers.nextChange) {
 		return nil
 	}
-	r.timers.nextChange = w.Now.Add(changeAgain)
+	r.timers.nextChange = env.Now.Add(changeRetryInterval)
 	var out []messenger.Effect
-	for _, t := range slices.Sorted(maps.Keys(r.timers.changes)) {
-		record, waits := r.files.Again(r.timers.changes[t])
-		if !waits {
-			delete(r.timers.changes, t)
+	for _, t := range slices.Sorted(maps.Keys(r.timers.pendingChanges)) {
+		record, pending := r.files.Again(r.timers.pendingChanges[t])
+		if !pending {
+			delete(r.timers.pendingChanges, t)
 			continue
 		}
 		out = append(out, r.appendChange(t, record))
@@ -180,7 +182,7 @@
 	return out
 }
 
-// proposal returns the record of an operator's change.
+// proposal returns the log record of an operator's change.
 func (r *Reducer) proposal(now timekeeper.Time, e messenger.ChangeProposed, nonce identifier.Nonce) ([]byte, error) {
 	if e.Restore != nil {
 		return r.files.ProposeRestore(now, e.Restore, e.Ticket, nonce)
@@ -188,46 +190,46 @@
 	return r.files.Propose(now, e, nonce)
 }
 
-// tickConfig answers operators whose change the log does not settle, appends
-// a due snapshot, and asks a peer for the configuration while the log is out.
-func (r *Reducer) tickConfig(w *conductor.Env) []messenger.Effect {
+// tickConfig replies to operators whose changes timed out, appends a snapshot if due,
+// and fetches the configuration from a peer while the log is unavailable.
+func (r *Reducer) tickConfig(env *conductor.Env) []messenger.Effect {
 	var out []messenger.Effect
-	for _, a := range r.files.Timeouts(w.Now) {
+	for _, a := range r.files.Timeouts(env.Now) {
 		out = append(out, messenger.ReplyOperator{
 			Ticket:  a.Ticket,
 			Verdict: a.Verdict,
 		})
 	}
-	out = append(out, r.tickChanges(w)...)
-	if record, due := r.files.SnapshotDue(w.Now, r.rand); due {
+	out = append(out, r.tickChanges(env)...)
+	if record, due := r.files.SnapshotDue(env.Now, r.rand); due {
 		out = append(out, messenger.AppendRecord{
 			Stream: configStream,
 			Data:   record,
 		})
 	}
-	return append(out, r.tickFetch(w)...)
+	return append(out, r.tickFetch(env)...)
 }
 
 const (
-	// fetchAfter is how long the log is out before a peer is asked.
-	fetchAfter = 1 * timekeeper.Second
-	// fetchEvery is the spacing of such questions.
-	fetchEvery = 1 * timekeeper.Second
+	// fetchDelay is the time for which the log is unavailable before the configuration
+	// is fetched from a peer.
+	fetchDelay    = 1 * timekeeper.Second
+	fetchInterval = 1 * timekeeper.Second
 )
 
-// tickFetch asks a peer that has a newer configuration. A node that starts
-// while the log is out would otherwise refuse everything, and one that was cut
-// off from the log alone would serve by old settings.
-func (r *Reducer) tickFetch(w *conductor.Env) []messenger.Effect {
-	out := r.timers.configOut != timekeeper.Never && w.Now.Sub(r.timers.configOut) >= fetchAfter
-	if !out || w.Now.Before(r.timers.nextFetch) {
+// tickFetch fetches the configuration from a peer that has a newer one. Otherwise a
+// node that starts while the log is unavailable would refuse all requests, and one that
+// lost only the log would serve with outdated settings.
+func (r *Reducer) tickFetch(env *conductor.Env) []messenger.Effect {
+	unavailable := r.timers.configUnavailableSince != timekeeper.Never && env.Now.Sub(r.timers.configUnavailableSince) >= fetchDelay
+	if !unavailable || env.Now.Before(r.timers.nextFetch) {
 		return nil
 	}
 	peer, ok := r.newerPeer()
 	if !ok {
 		return nil
 	}
-	r.timers.nextFetch = w.Now.Add(fetchEvery)
+	r.timers.nextFetch = env.Now.Add(fetchInterval)
 	return []messenger.Effect{
 		messenger.FetchConfiguration{
 			Peer:    peer.VM,
@@ -236,24 +238,24 @@
 	}
 }
 
-// newerPeer returns the node with the newest configuration, if it is newer
-// than this node's own.
+// newerPeer returns the node with the newest configuration, if it is newer than this
+// node's.
 func (r *Reducer) newerPeer() (gossiper.Node, bool) {
 	best := r.revision()
-	var found gossiper.Node
-	news := r.members.Statuses()
+	var newest gossiper.Node
+	statuses := r.members.Statuses()
 	for _, n := range r.members.Nodes() {
-		if rev := news[n.VM].Revision; n.VM != r.config.Self && rev > best {
-			best = rev
-			found = n
+		if revision := statuses[n.VM].Revision; n.VM != r.config.Self && revision > best {
+			best = revision
+			newest = n
 		}
 	}
-	return found, found.VM != ""
+	return newest, newest.VM != ""
 }
 
-func (r *Reducer) configurationReceived(w *conductor.Env, e messenger.ConfigurationReceived) []messenger.Effect {
+func (r *Reducer) configurationReceived(env *conductor.Env, e messenger.ConfigurationReceived) []messenger.Effect {
 	before := r.revision()
-	applied, err := r.files.Import(w.Now, e.Data)
+	applied, err := r.files.Import(env.Now, e.Data)
 	if err != nil {
 		return []messenger.Effect{
 			messenger.TimelineEntry{
@@ -263,14 +265,14 @@
 			},
 		}
 	}
-	return append(r.changesJudged(applied), r.configApplied(w, before)...)
+	return append(r.replyVerdicts(applied), r.configApplied(env, before)...)
 }
 
-// ExportConfiguration returns the state of the configuration for a peer, and
-// whether there is one.
+// ExportConfiguration returns the state of the configuration for a peer, or false if
+// there is none.
 func (r *Reducer) ExportConfiguration() ([]byte, bool) {
 	if r.gateway != nil {
-		return r.gateway.data, r.gateway.catalog != nil
+		return r.gateway.catalogData, r.gateway.catalog != nil
 	}
 	if r.Catalog() == nil {
 		return nil, false
--- a/internal/reducer/quarantine.go
+++ b/internal/reducer/quarantine.go
@@ -11,41 +11,41 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// endsSoon is how long a node gathers the requests of a server that ended before it
-// tells peers of them: their connections break within some milliseconds, and each
-// would be a message to every peer.
-const endsSoon = 50 * timekeeper.Millisecond
+// updateBatchDelay is the time for which a node collects urgent changes before it
+// notifies peers. The connections to a server that ends break within some milliseconds
+// of each other, and each would cause a message to every peer.
+const updateBatchDelay = 50 * timekeeper.Millisecond
 
-// tellEndsSoon lets peers hear soon of a server that ended under a request: by then
-// its caller may have sent it to one of them.
-func (r *Reducer) tellEndsSoon(w *conductor.Env) {
+// scheduleSuspectUpdate advances the next update to peers if a server ended under a
+// request, because the caller may already have sent the request to one of them.
+func (r *Reducer) scheduleSuspectUpdate(env *conductor.Env) {
 	if !r.quarantine.PendingUpdates() {
 		return
 	}
-	next := &r.timers.nextSuspects
+	next := &r.timers.nextSuspectUpdate
 	if r.gateway != nil {
-		next = &r.gateway.nextShare
+		next = &r.gateway.nextUpdate
 	}
-	*next = min(*next, w.Now.Add(endsSoon))
+	*next = min(*next, env.Now.Add(updateBatchDelay))
 }
 
-// tellSuspects tells peers of the requests under which servers ended, if there are any.
-// Nodes that serve opaque exchanges do so with what else they share.
-func (r *Reducer) tellSuspects(w *conductor.Env) []messenger.Effect {
-	if w.Now.Before(r.timers.nextSuspects) {
+// sendSuspects sends the requests under which servers ended to peers, if there are any.
+// Nodes that serve opaque exchanges send them with their state updates.
+func (r *Reducer) sendSuspects(env *conductor.Env) []messenger.Effect {
+	if env.Now.Before(r.timers.nextSuspectUpdate) {
 		return nil
 	}
-	r.timers.nextSuspects = w.Now.Add(shareEachTime)
+	r.timers.nextSuspectUpdate = env.Now.Add(updateInterval)
 	peers := slices.Clone(r.ranking.Peers())
-	// Where nodes are many, what a node hears it passes on.
-	passOn := len(peers) > sharePeers
-	suspects := r.quarantine.Updates(w.Now, passOn)
+	// In large clusters, nodes forward what they receive.
+	includeReceived := len(peers) > maxDirectPeers
+	suspects := r.quarantine.Updates(env.Now, includeReceived)
 	if len(suspects) == 0 {
 		return nil
 	}
-	if passOn {
+	if includeReceived {
 		r.rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-		peers = peers[:sharePeers]
+		peers = peers[:maxDirectPeers]
 	}
 	out := make([]messenger.Effect, 0, len(peers))
 	for _, p := range peers {
@@ -58,26 +58,26 @@
 	return out
 }
 
-// keepsQuarantine reports whether this node keeps the requests that are refused in the
-// log: the holder of the duties, or else the first of the nodes. Two that do so for a
-// while write the same.
-func (r *Reducer) keepsQuarantine(now timekeeper.Time) bool {
+// storesQuarantine reports whether this node stores the refused requests in the log:
+// the holder of the lease or, without a gateway, the first ranked node. If two nodes do
+// so for a while, they write the same.
+func (r *Reducer) storesQuarantine(now timekeeper.Time) bool {
 	if r.gateway == nil {
 		return r.ranking.Chosen(string(quarantiner.Stream), 1)
 	}
-	_, _, held := r.gateway.leases.Held(dutyLease, now)
+	_, _, held := r.gateway.leases.Held(leaderLease, now)
 	return held
 }
 
-// tickQuarantine forgets what is old, tells the time line which requests are refused,
-// and keeps these in the log where that is for this node to do.
-func (r *Reducer) tickQuarantine(w *conductor.Env) []messenger.Effect {
-	r.quarantine.Tick(w.Now)
-	out := r.quarantineNotes()
-	if !r.keepsQuarantine(w.Now) {
+// tickQuarantine expires old requests, records changed verdicts in the time line, and
+// stores the refused requests in the log if this node is the one that does so.
+func (r *Reducer) tickQuarantine(env *conductor.Env) []messenger.Effect {
+	r.quarantine.Tick(env.Now)
+	out := r.recordVerdicts()
+	if !r.storesQuarantine(env.Now) {
 		return out
 	}
-	data, due, err := r.quarantine.SnapshotDue(w.Now)
+	data, due, err := r.quarantine.SnapshotDue(env.Now)
 	if err != nil {
 		return append(out, r.quarantineUnreadable(err))
 	}
@@ -90,10 +90,10 @@
 	return out
 }
 
-// quarantineNotes tells the time line which requests are refused from now on, or no
-// longer. The notes name the last server that ended, as notes of others' VMs are summed
-// up in the log where they come in crowds.
-func (r *Reducer) quarantineNotes() []messenger.Effect {
+// recordVerdicts records in the time line which requests are refused from now on, or no
+// longer. An entry names the last server that ended, because bursts of entries about
+// other VMs are summarized in the log.
+func (r *Reducer) recordVerdicts() []messenger.Effect {
 	var out []messenger.Effect
 	for _, c := range r.quarantine.Changes() {
 		var last identifier.VMID
@@ -126,9 +126,9 @@
 	}
 }
 
-// quarantineRead takes in the requests that were refused before this node started.
-func (r *Reducer) quarantineRead(w *conductor.Env, e messenger.LogRead) []messenger.Effect {
-	if err := r.quarantine.ApplyRecords(w.Now, e.Records); err != nil {
+// quarantineRead applies the requests that were refused before this node started.
+func (r *Reducer) quarantineRead(env *conductor.Env, e messenger.LogRead) []messenger.Effect {
+	if err := r.quarantine.ApplyRecords(env.Now, e.Records); err != nil {
 		return []messenger.Effect{r.quarantineUnreadable(err)}
 	}
 	return nil
--- a/internal/reducer/quarantine_test.go
+++ b/internal/reducer/quarantine_test.go
@@ -14,36 +14,36 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// firstKept is the oldest offset that the log of a cluster keeps: what it had before
-// has expired, so that a folder of settings may be restored.
-const firstKept identifier.Offset = 42
+// firstOffset is the oldest offset in the log of a cluster. It is above one, as if
+// older records had expired, so that settings may be restored.
+const firstOffset identifier.Offset = 42
 
-// cluster is some nodes with one log and messages between them.
+// cluster is a simulated cluster with one log and messages between the nodes.
 type cluster struct {
-	t     *testing.T
-	now   timekeeper.Time
-	nodes map[identifier.VMID]*member
-	ids   []identifier.VMID
-	log   []logged
-	mail  []message
-	// ended are the servers whose process is gone, and under how many there were of
-	// each content.
-	ended map[identifier.VMID]bool
-	under map[identifier.ContentHash]int
-	specs map[identifier.RequestID]messenger.RequestSpec
-	// told is how each request was ended.
-	told map[identifier.RequestID]messenger.Refusal
+	t        *testing.T
+	now      timekeeper.Time
+	nodes    map[identifier.VMID]*member
+	ids      []identifier.VMID
+	records  []logEntry
+	inFlight []message
+	// endedServers are the servers that ended, and endsByContent is the number of them
+	// by the content of the request that they ran.
+	endedServers  map[identifier.VMID]bool
+	endsByContent map[identifier.ContentHash]int
+	specs         map[identifier.RequestID]messenger.RequestSpec
+	// outcomes are the results of the ended requests.
+	outcomes map[identifier.RequestID]messenger.Refusal
 }
 
 // member is a node of a cluster.
 type member struct {
 	r *reducer.Reducer
-	// read is how many records it has read, of all streams.
-	read int
-	cut  bool
+	// recordsRead is the number of log records, of all streams, that the node has read.
+	recordsRead int
+	partitioned bool
 }
 
-type logged struct {
+type logEntry struct {
 	stream identifier.LogStream
 	record messenger.Record
 }
@@ -53,18 +53,17 @@
 	body messenger.EventBody
 }
 
-// newCluster returns nodes that have met, with the settings of the examples and their
-// servers.
+// newCluster returns nodes that know each other, with the example settings and servers.
 func newCluster(t *testing.T, nodes int) *cluster {
 	t.Helper()
 	c := &cluster{
-		t:     t,
-		now:   start,
-		nodes: map[identifier.VMID]*member{},
-		ended: map[identifier.VMID]bool{},
-		under: map[identifier.ContentHash]int{},
-		specs: map[identifier.RequestID]messenger.RequestSpec{},
-		told:  map[identifier.RequestID]messenger.Refusal{},
+		t:             t,
+		now:           start,
+		nodes:         map[identifier.VMID]*member{},
+		endedServers:  map[identifier.VMID]bool{},
+		endsByContent: map[identifier.ContentHash]int{},
+		specs:         map[identifier.RequestID]messenger.RequestSpec{},
+		outcomes:      map[identifier.RequestID]messenger.Refusal{},
 	}
 	for i := range nodes {
 		c.ids = append(c.ids, identifier.VMID(fmt.Sprintf("entry-%d", i)))
@@ -84,7 +83,7 @@
 	return c
 }
 
-// startNode starts a node's process, which knows nothing.
+// startNode starts a new process of a node.
 func (c *cluster) startNode(id identifier.VMID) {
 	c.nodes[id] = &member{r: reducer.New(reducer.Config{
 		Self:        id,
@@ -104,35 +103,35 @@
 		At:   c.now,
 		Body: body,
 	}) {
-		c.perform(id, n, e)
+		c.carryOut(id, n, e)
 	}
 }
 
-func (c *cluster) perform(id identifier.VMID, n *member, effect messenger.Effect) {
+func (c *cluster) carryOut(id identifier.VMID, n *member, effect messenger.Effect) {
 	switch e := effect.(type) {
 	case messenger.SendGossip:
-		c.send(n, e.Address, messenger.GossipReceived{
+		c.post(n, e.Address, messenger.GossipReceived{
 			From: id,
 			Data: e.Data,
 		})
 	case messenger.SendStateUpdate:
-		c.send(n, e.Address, messenger.StateUpdateReceived{
+		c.post(n, e.Address, messenger.StateUpdateReceived{
 			From:   id,
 			Update: e.Update,
 		})
 	case messenger.AppendRecord:
-		if n.cut {
+		if n.partitioned {
 			return
 		}
-		c.log = append(c.log, logged{
+		c.records = append(c.records, logEntry{
 			stream: e.Stream,
 			record: messenger.Record{
-				Offset:   firstKept + identifier.Offset(len(c.log)),
+				Offset:   firstOffset + identifier.Offset(len(c.records)),
 				Appended: c.now,
 				Data:     e.Data,
 			},
 		})
-		c.mail = append(c.mail, message{
+		c.inFlight = append(c.inFlight, message{
 			to: id,
 			body: messenger.AppendEnded{
 				Ticket: e.Ticket,
@@ -146,11 +145,11 @@
 			Holder:  e.Holder,
 		})
 	case messenger.SendAttempt:
-		c.serve(id, e)
+		c.runAttempt(id, e)
 	case messenger.Refuse:
-		c.told[e.Request] = e.Refusal
+		c.outcomes[e.Request] = e.Refusal
 	case messenger.Finish:
-		c.told[e.Request] = messenger.Refusal{
+		c.outcomes[e.Request] = messenger.Refusal{
 			Reason:     e.Reason,
 			Outcome:    e.Outcome,
 			RetryAfter: e.RetryAfter,
@@ -158,41 +157,42 @@
 	}
 }
 
-func (c *cluster) send(n *member, address string, body messenger.EventBody) {
-	if !n.cut {
-		c.mail = append(c.mail, message{
+func (c *cluster) post(n *member, address string, body messenger.EventBody) {
+	if !n.partitioned {
+		c.inFlight = append(c.inFlight, message{
 			to:   identifier.VMID(address),
 			body: body,
 		})
 	}
 }
 
-// serve lets the server of an attempt end under it, or tells that it has ended.
-func (c *cluster) serve(id identifier.VMID, e messenger.SendAttempt) {
+// runAttempt makes the server of an attempt end under it, or rejects the attempt if the
+// server has already ended.
+func (c *cluster) runAttempt(id identifier.VMID, e messenger.SendAttempt) {
 	end := messenger.AttemptEnded{
 		Request:     e.Request,
 		Attempt:     e.Attempt,
 		Result:      messenger.AttemptNotSent,
 		ServerEnded: true,
 	}
-	if !c.ended[e.Server] {
-		c.ended[e.Server] = true
-		c.under[c.specs[e.Request].Content]++
+	if !c.endedServers[e.Server] {
+		c.endedServers[e.Server] = true
+		c.endsByContent[c.specs[e.Request].Content]++
 		end.Result = messenger.AttemptBroken
 	}
-	c.mail = append(c.mail, message{
+	c.inFlight = append(c.inFlight, message{
 		to:   id,
 		body: end,
 	})
 }
 
-// run lets time pass. A node that is cut off hears nobody and reads no log.
+// run advances the time. A partitioned node receives no messages and reads no log.
 func (c *cluster) run(span timekeeper.Duration) {
 	for end := c.now.Add(span); c.now.Before(end); c.now = c.now.Add(messenger.TickInterval) {
-		mail := c.mail
-		c.mail = nil
-		for _, m := range mail {
-			if n := c.nodes[m.to]; n != nil && (!n.cut || isOwn(m.body)) {
+		delivered := c.inFlight
+		c.inFlight = nil
+		for _, m := range delivered {
+			if n := c.nodes[m.to]; n != nil && (!n.partitioned || isOwn(m.body)) {
 				c.apply(m.to, m.body)
 			}
 		}
@@ -207,7 +207,7 @@
 	}
 }
 
-// isOwn reports whether an event is of a node's own attempts.
+// isOwn reports whether an event concerns a node's own attempts.
 func isOwn(body messenger.EventBody) bool {
 	_, own := body.(messenger.AttemptEnded)
 	return own
@@ -215,27 +215,27 @@
 
 func (c *cluster) readLog(id identifier.VMID) {
 	n := c.nodes[id]
-	if n.cut {
+	if n.partitioned {
 		return
 	}
 	for _, stream := range n.r.Streams() {
 		read := messenger.LogRead{
 			Stream: stream,
-			First:  firstKept,
+			First:  firstOffset,
 			End:    true,
 		}
-		for _, l := range c.log[n.read:] {
+		for _, l := range c.records[n.recordsRead:] {
 			if l.stream == stream {
 				read.Records = append(read.Records, l.record)
 			}
 		}
 		c.apply(id, read)
 	}
-	n.read = len(c.log)
+	n.recordsRead = len(c.records)
 }
 
-// ask sends a request to a node and waits for its end.
-func (c *cluster) ask(id identifier.VMID, spec messenger.RequestSpec) messenger.Refusal {
+// send sends a request to a node and returns its outcome.
+func (c *cluster) send(id identifier.VMID, spec messenger.RequestSpec) messenger.Refusal {
 	spec.Request = identifier.RequestID(fmt.Sprintf("r-%d", len(c.specs)))
 	spec.EntryNode = id
 	spec.Received = c.now
@@ -243,18 +243,18 @@
 	c.specs[spec.Request] = spec
 	c.apply(id, messenger.RequestReceived{Spec: spec})
 	for range 400 {
-		if told, ended := c.told[spec.Request]; ended {
-			return told
+		if outcome, ended := c.outcomes[spec.Request]; ended {
+			return outcome
 		}
 		c.run(messenger.TickInterval)
 	}
-	c.t.Fatalf("%s has no end", spec.Request)
+	c.t.Fatalf("%s did not end", spec.Request)
 	return messenger.Refusal{}
 }
 
-// ownRequests are requests of each kind that the product's own interface has: of a
-// model, a plain one, and one that may run once under its key.
-var ownRequests = []messenger.RequestSpec{
+// testRequests are requests of each kind: to a model, without a model, and with an
+// idempotency key.
+var testRequests = []messenger.RequestSpec{
 	{
 		Account:      "portal",
 		Service:      "genre_tag",
@@ -277,41 +277,39 @@
 	},
 }
 
-// A request ends each server that runs it, on the product's own interface. Its caller
-// gets its answer after some servers, and sends it again to another node, a keyed one
-// under another key. Each node gave it up to eight servers each time. After the third
-// it gets none at any node, also at one that was cut off meanwhile, and after a loss
-// of all; the caller hears at once that it need not come back soon.
-func TestOwnRequestThatEndsServers(t *testing.T) {
-	for _, spec := range ownRequests {
+// A request ends each server that runs it, and its caller retries it at other nodes,
+// with new idempotency keys. After three ended servers no node may run it, including
+// one that was partitioned meanwhile, and nodes that start after the loss of all nodes.
+func TestQueryOfDeathIsRefusedByAllNodes(t *testing.T) {
+	for _, spec := range testRequests {
 		t.Run(string(spec.Service), func(t *testing.T) {
 			c := newCluster(t, 4)
-			c.nodes["entry-3"].cut = true
-			var told messenger.Refusal
+			c.nodes["entry-3"].partitioned = true
+			var outcome messenger.Refusal
 			for i := range 6 {
 				if spec.Key != "" {
 					spec.Key = identifier.IdempotencyKey(fmt.Sprintf("k-%d", i))
 				}
-				told = c.ask(c.ids[i%3], spec)
+				outcome = c.send(c.ids[i%3], spec)
 				c.run(timekeeper.Second)
 			}
-			require.Equal(t, 3, c.under[spec.Content])
-			require.Equal(t, messenger.ReasonServersEnded, told.Reason)
-			require.NotEqual(t, messenger.Done, told.Outcome)
-			require.GreaterOrEqual(t, told.RetryAfter, timekeeper.Minute)
+			require.Equal(t, 3, c.endsByContent[spec.Content])
+			require.Equal(t, messenger.ReasonServersEnded, outcome.Reason)
+			require.NotEqual(t, messenger.Done, outcome.Outcome)
+			require.GreaterOrEqual(t, outcome.RetryAfter, timekeeper.Minute)
 
-			c.nodes["entry-3"].cut = false
+			c.nodes["entry-3"].partitioned = false
 			c.run(2 * timekeeper.Second)
 			spec.Key += "-later"
-			require.Equal(t, messenger.ReasonServersEnded, c.ask("entry-3", spec).Reason)
+			require.Equal(t, messenger.ReasonServersEnded, c.send("entry-3", spec).Reason)
 
 			for _, id := range c.ids {
 				c.startNode(id)
 			}
 			c.run(3 * timekeeper.Second)
 			spec.Key += "-again"
-			require.Equal(t, messenger.ReasonServersEnded, c.ask("entry-1", spec).Reason)
-			require.Equal(t, 3, c.under[spec.Content])
+			require.Equal(t, messenger.ReasonServersEnded, c.send("entry-1", spec).Reason)
+			require.Equal(t, 3, c.endsByContent[spec.Content])
 		})
 	}
 }
--- a/internal/reducer/reducer.go
+++ b/internal/reducer/reducer.go
@@ -1,14 +1,13 @@
-// Package reducer is the one place where every event of a node meets the
-// state: Apply takes an event and returns the effects to carry out.
+// Package reducer applies every event of a node to its state: Apply takes an event and
+// returns the effects to carry out.
 //
-// Apply reads no clock, draws no randomness of its own and does no I/O. Time
-// is a field of the event and the random source is seeded at New, so that the
-// same events always give the same effects, and a test can drive several
-// nodes through any schedule of faults in one goroutine.
+// Apply reads no clock, does no I/O, and uses no randomness but its own. Time is a
+// field of the event and the random source is seeded in New, so the same events always
+// give the same effects, and a test can run several nodes through any schedule of
+// faults in one goroutine.
 //
-// The reducer itself decides nothing. It hands each event to the packages
-// whose slice of the state it concerns and, where one slice's news concerns
-// another, passes it on.
+// The reducer itself decides nothing. It passes each event to the packages whose part
+// of the state it concerns, and passes on changes of one part that concern another.
 package reducer
 
 import (
@@ -31,18 +30,17 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// The bounds of a node's tables, where its Config leaves them out.
+// The defaults of Config.
 const (
 	defaultMaxRequests = 4096
 	defaultMaxCopies   = 2048
 	defaultMaxClaims   = 200_000
 	defaultPartitions  = 4
-	// defaultRetention stands until the configuration says how long the log
-	// keeps a record.
+	// defaultRetention applies until a configuration states the retention of the log.
 	defaultRetention = 1 * timekeeper.Hour
 )
 
-// Config says which node the reducer decides for.
+// Config configures a node's Reducer.
 type Config struct {
 	Self          identifier.VMID
 	Incarnation   identifier.Incarnation
@@ -50,26 +48,26 @@
 	Region        identifier.Region
 	PeerAddress   string
 	CallerAddress string
-	// Capacity is what the VM can carry beside others; zero where it is not
-	// known.
+	// Capacity is the VM's capacity relative to that of other nodes, or zero if
+	// unknown.
 	Capacity uint32
-	// Seed starts the random source. Two nodes should not share it.
+	// Seed is the seed of the random source. It should differ between nodes.
 	Seed uint64
-	// Partitions is the number of log streams that carry claims. It is the
-	// same on all nodes.
+	// Partitions is the number of log streams that carry claims. It must be the same on
+	// all nodes.
 	Partitions  int
 	MaxRequests int
 	MaxCopies   int
-	// LogRetention is the least time for which the log keeps a record.
+	// LogRetention is the minimum time for which the log keeps a record.
 	LogRetention timekeeper.Duration
-	// LoadTime is how long a new VM takes until it serves.
+	// LoadTime is the time from the purchase of a VM until it serves.
 	LoadTime   timekeeper.Duration
 	Safeguards conductor.Safeguards
-	// Gateway makes the node serve the opaque exchanges of a configuration and
-	// of backend servers that the platform publishes, in place of operators'
-	// folders and bought VMs; nil where it does not.
+	// Gateway makes the node serve opaque exchanges, with the configuration and the
+	// backend servers that the platform publishes. If it is nil, the node serves
+	// requests with operators' folders and the VMs that it buys.
 	Gateway *GatewayConfig
-	// Seeds are peer addresses to try while the node knows no peer.
+	// Seeds are peer addresses to contact while the node knows no peer.
 	Seeds []string
 }
 
@@ -93,7 +91,7 @@
 	gateway     *gateway
 }
 
-// New returns the state of a node that knows nothing yet.
+// New returns the initial state of a node.
 func New(c Config) *Reducer {
 	c = c.withDefaults()
 	r := &Reducer{
@@ -155,117 +153,117 @@
 
 // Apply changes the state by one event and returns the effects to carry out.
 func (r *Reducer) Apply(e messenger.Event) []messenger.Effect {
-	w := r.world(e.At)
+	env := r.env(e.At)
 	switch b := e.Body.(type) {
 	case messenger.RequestReceived:
-		return r.requests.Receive(w, b.Spec)
+		return r.requests.Receive(env, b.Spec)
 	case messenger.RequestCancelled:
-		return r.requests.Cancel(w, b.Request)
+		return r.requests.Cancel(env, b.Request)
 	case messenger.CallerDisconnected:
-		return r.requests.CallerDisconnected(w, b.Request)
+		return r.requests.CallerDisconnected(env, b.Request)
 	case messenger.CallerAttached:
-		return r.requests.CallerAttached(w, b.Request)
+		return r.requests.CallerAttached(env, b.Request)
 
 	case messenger.AttemptStarted:
-		return r.requests.AttemptStarted(w, b)
+		return r.requests.AttemptStarted(env, b)
 	case messenger.AttemptProgress:
-		return r.requests.AttemptProgress(w, b)
+		return r.requests.AttemptProgress(env, b)
 	case messenger.AttemptEnded:
-		out := r.requests.AttemptEnded(w, b)
-		r.tellEndsSoon(w)
+		out := r.requests.AttemptEnded(env, b)
+		r.scheduleSuspectUpdate(env)
 		return out
 	case messenger.KVMoved:
-		return r.requests.KVMoved(w, b)
+		return r.requests.KVMoved(env, b)
 
 	case messenger.HoldAcked:
-		return r.requests.HoldAcked(w, b)
+		return r.requests.HoldAcked(env, b)
 	case messenger.HoldFailed:
-		return r.requests.HoldFailed(w, b)
+		return r.requests.HoldFailed(env, b)
 	case messenger.HoldRefused:
-		return r.requests.HoldRefused(w, b)
+		return r.requests.HoldRefused(env, b)
 	case messenger.CopyHeld:
-		return r.requests.CopyHeld(w, b)
+		return r.requests.CopyHeld(env, b)
 	case messenger.CopyDropped:
-		return r.requests.CopyDropped(w, b)
+		return r.requests.CopyDropped(env, b)
 	case messenger.RequestHandedOver:
-		return r.requests.RequestHandedOver(w, b)
+		return r.requests.RequestHandedOver(env, b)
 	case messenger.HandoverAcked:
-		return r.requests.HandoverAcked(w, b)
+		return r.requests.HandoverAcked(env, b)
 	case messenger.HandoverFailed:
-		return r.requests.HandoverFailed(w, b)
+		return r.requests.HandoverFailed(env, b)
 
 	case messenger.LogRead:
-		return r.logRead(w, b)
+		return r.logRead(env, b)
 	case messenger.LogUnavailable:
-		return r.logUnavailable(w, b)
+		return r.logUnavailable(env, b)
 	case messenger.StoreRestored:
-		return r.storeRestored(w, b)
+		return r.storeRestored(env, b)
 	case messenger.AppendEnded:
-		// Only reading the log back settles an append.
-		r.claims.AppendEnded(w.Now, b.Stream, b.OK)
+		// An append takes effect only when it is read back from the log.
+		r.claims.AppendEnded(env.Now, b.Stream, b.OK)
 		r.quarantineAppended(b)
 		return nil
 	case messenger.ChangeProposed:
-		return r.changeProposed(w, b)
+		return r.changeProposed(env, b)
 	case messenger.ConfigurationReceived:
-		return r.configurationReceived(w, b)
+		return r.configurationReceived(env, b)
 
 	case messenger.ListRead:
 		r.provisioner.ListRead(b.AsOf)
-		changed := r.membersChanged(w, r.members.MergeList(w.Now, b.AsOf, b.VMs))
-		r.nodesListed(w, len(b.VMs))
+		changed := r.membersChanged(env, r.members.MergeList(env.Now, b.AsOf, b.VMs))
+		r.nodesListed(env, len(b.VMs))
 		return changed
 	case messenger.NoticeReceived:
-		return r.membersChanged(w, r.members.MarkReclaimed(w.Now, b.VM, b.Deadline))
+		return r.membersChanged(env, r.members.MarkReclaimed(env.Now, b.VM, b.Deadline))
 	case messenger.GossipReceived:
-		return r.gossipReceived(w, b)
+		return r.gossipReceived(env, b)
 	case messenger.PeerFailed:
-		return nil // Silence is judged by heartbeats, which others may relay.
+		return nil // Failures are detected by heartbeats, which other nodes may relay.
 	case messenger.DrainStarted:
-		return r.drainStarted(w, b)
+		return r.drainStarted(env, b)
 
 	case messenger.LoadReported:
-		return r.loadReported(w, b)
+		return r.loadReported(env, b)
 	case messenger.LoadMissed:
-		return r.loadMissed(w, b)
+		return r.loadMissed(env, b)
 	case messenger.CacheReported:
-		r.hints.Observe(w.Now, b.Server, b.Cached, b.Evicted, b.Gap)
+		r.hints.Observe(env.Now, b.Server, b.Cached, b.Evicted, b.Gap)
 		return nil
 
 	case messenger.StateUpdateReceived:
-		r.quarantine.Merge(w.Now, b.Update.Suspects)
-		return r.gatewayEvent(w, b)
+		r.quarantine.Merge(env.Now, b.Update.Suspects)
+		return r.gatewayEvent(env, b)
 	case messenger.ExchangeReceived, messenger.ExchangeBegan, messenger.ExchangeAttemptEnded,
 		messenger.ExchangeEnded, messenger.CatalogPublished, messenger.CatalogConfirmed,
 		messenger.ServersPublished,
 		messenger.ServersOrdered, messenger.UsageReported, messenger.LimitAnswered, messenger.LimitRequested,
 		messenger.RolloutsClaimed, messenger.RolloutStored, messenger.ServerLimitReceived,
 		messenger.PermitRequested, messenger.PermitAnswered:
-		return r.gatewayEvent(w, b)
+		return r.gatewayEvent(env, b)
 
 	case messenger.BuyEnded:
-		return r.provisioner.BuyEnded(w.Now, b)
+		return r.provisioner.BuyEnded(env.Now, b)
 	case messenger.OrderEnded:
-		return r.provisioner.OrderEnded(w.Now, b)
+		return r.provisioner.OrderEnded(env.Now, b)
 
 	case messenger.Tick:
-		return r.tick(w)
+		return r.tick(env)
 	}
 	panic(&UnknownEventError{Body: e.Body})
 }
 
 var _ error = (*UnknownEventError)(nil)
 
-// UnknownEventError is the broken invariant that an event type has no case in
-// Apply.
+// UnknownEventError is the panic value of Apply for an event type that it does not
+// handle.
 type UnknownEventError struct{ Body messenger.EventBody }
 
 func (e *UnknownEventError) Error() string {
 	return "reducer: event type without a case in Apply"
 }
 
-// world lends the slices of the state to the conductor for one event.
-func (r *Reducer) world(now timekeeper.Time) *conductor.Env {
+// env returns the parts of the state that the conductor uses for one event.
+func (r *Reducer) env(now timekeeper.Time) *conductor.Env {
 	return &conductor.Env{
 		Now:        now,
 		Catalog:    r.Catalog(),
--- a/internal/reducer/relay.go
+++ b/internal/reducer/relay.go
@@ -12,66 +12,65 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Where nodes are many, two relays in each availability zone hear all nodes of
-// their zone, tell the relays of other zones the sum, and tell each node of
-// their zone the sum over all others. A node then knows the load of all servers
-// by a few messages a second, however many nodes there are.
+// In large clusters, two relays per availability zone receive the updates of all nodes
+// of their zone, send the sum over the zone to the relays of other zones, and send each
+// node of their zone the sum over all other nodes. So each node knows the load of all
+// servers from a few messages per second, whatever the number of nodes.
 //
-// Were a few peers drawn at random each time, a node would miss half of the others
-// within a second: servers would be chosen by half of their load, accounts refused
-// within their limits, and usage reported too low.
+// With updates to random peers instead, a node would miss half of the others within a
+// second. Servers would be chosen by half of their load, requests within their account's
+// limits refused, and usage underreported.
 const (
-	// relaysPerZone is two, so that the news goes on when one dies.
+	// relaysPerZone is two, so that updates are forwarded while one relay is dead.
 	relaysPerZone = 2
-	// relayEvery is the spacing of relays' sums. With two hops of it and a read
-	// of the store, news is younger than serversStale everywhere.
-	relayEvery = 250 * timekeeper.Millisecond
-	// relayWarmUp is how long a node has been a relay before it tells sums though it
-	// does not hear all nodes of its zone: those that live have learned by then that
-	// it is one. One that takes over from a dead relay at once would report a part of
-	// the load in place of what the other relay of its zone knows. One that hears all
-	// need not wait.
+	// relayInterval is the time between the sums of a zone. Two hops and a read of the
+	// store take less than maxServersAge in total.
+	relayInterval = 250 * timekeeper.Millisecond
+	// relayWarmUp is the time for which a new relay sends no sums unless all nodes of
+	// its zone report to it. By then all live nodes know that it is a relay. A relay
+	// that replaces a dead one and sent sums at once would overwrite the complete sums
+	// of the other relay with partial ones.
 	relayWarmUp = 2500 * timekeeper.Millisecond
-	// regularNews is the age up to which a report is one of a series: the spacing of
-	// shares and a way.
-	regularNews = 700 * timekeeper.Millisecond
-	// strayPeers is how many further peers hear a node directly: news travels
-	// on if all relays of a zone die at once.
-	strayPeers = 2
-	// shareRoundsOfAll is in how many of its shares, one, a node tells more than
-	// the relays and the granter. Those that may hold the duties next need its
-	// counts of usage within the seconds in which these are due.
-	shareRoundsOfAll = 2
+	// maxReportAge is the maximum age of the last report from a peer that reports
+	// regularly: updateInterval plus transit time.
+	maxReportAge = 700 * timekeeper.Millisecond
+	// randomPeers is the number of additional random peers that receive a node's
+	// updates, so that they spread even if all relays of a zone die at once.
+	randomPeers = 2
+	// fullUpdateRounds is the number of update rounds of which one also goes to
+	// candidates for the lease and to random peers. Candidates need the counts of usage
+	// within the seconds in which these have to be reported.
+	fullUpdateRounds = 2
 )
 
-// relays returns the nodes of a zone that pass on what its nodes tell.
+// relays returns the relays of a zone.
 func (r *Reducer) relays(zone identifier.Zone) []gossiper.Node {
 	return r.ranking.FirstInZone(zone, "relay", relaysPerZone)
 }
 
-// fewPeers returns the peers that hear this node directly: the relays of its
-// zone and the node that grants limits, which takes this node's part off what it
-// grants, and every other time the nodes that may come to hold the duties, which
-// keep its counts of usage, and a few drawn ones.
-func (r *Reducer) fewPeers(peers []gossiper.Node) []gossiper.Node {
+// directPeers returns the peers that receive this node's updates directly in a large
+// cluster: the relays of its zone and the allocator, which deducts the parts of nodes
+// that it can't reach, and in every fullUpdateRounds-th round also the candidates for
+// the lease, which need the counts of usage, and some random peers.
+func (r *Reducer) directPeers(peers []gossiper.Node) []gossiper.Node {
 	g := r.gateway
-	g.shareRounds++
-	few := peerSet{self: g.self}
-	few.add(r.relays(r.config.Zone)...)
-	if granter, known := r.members.Node(g.granter); known && granter.State != gossiper.Dead {
-		few.add(granter)
+	g.updateRounds++
+	direct := peerSet{self: g.self}
+	direct.add(r.relays(r.config.Zone)...)
+	if allocator, known := r.members.Node(g.allocator); known && allocator.State != gossiper.Dead {
+		direct.add(allocator)
 	}
-	if g.shareRounds%shareRoundsOfAll != 0 {
-		return few.nodes
+	if g.updateRounds%fullUpdateRounds != 0 {
+		return direct.nodes
 	}
-	few.add(r.ranking.First(string(dutyLease), dutyNodes)...)
-	for range strayPeers {
-		few.add(peers[r.rand.IntN(len(peers))])
+	direct.add(r.ranking.First(string(leaderLease), leaderNodes)...)
+	for range randomPeers {
+		direct.add(peers[r.rand.IntN(len(peers))])
 	}
-	return few.nodes
+	return direct.nodes
 }
 
-// peerSet gathers peers, each once.
+// peerSet is a list of distinct peers.
 type peerSet struct {
 	self  identifier.VMID
 	nodes []gossiper.Node
@@ -85,107 +84,106 @@
 	}
 }
 
-// relayNow passes on what the nodes of this zone reported, where this node is one of
-// the zone's relays.
-func (r *Reducer) relayNow(w *conductor.Env) []messenger.Effect {
+// sendSums forwards the reports of the nodes of this zone, if this node is one of the
+// zone's relays.
+func (r *Reducer) sendSums(env *conductor.Env) []messenger.Effect {
 	g := r.gateway
-	if w.Now.Before(g.nextRelay) {
+	if env.Now.Before(g.nextRelay) {
 		return nil
 	}
-	g.nextRelay = w.Now.Add(relayEvery)
+	g.nextRelay = env.Now.Add(relayInterval)
 	relays := r.relays(r.config.Zone)
-	if len(r.ranking.Peers()) <= sharePeers || !ranker.Contains(relays, g.self) {
+	if len(r.ranking.Peers()) <= maxDirectPeers || !ranker.Contains(relays, g.self) {
 		g.relaySince = 0
 		return nil
 	}
 	if g.relaySince == 0 {
-		g.relaySince = w.Now
+		g.relaySince = env.Now
 	}
-	warm := w.Now.Sub(g.relaySince) >= relayWarmUp
-	if !warm && !r.hearsZone(w.Now) {
+	warmedUp := env.Now.Sub(g.relaySince) >= relayWarmUp
+	if !warmedUp && !r.receivesWholeZone(env.Now) {
 		return nil
 	}
-	zone := g.exchanges.ZoneSum(w.Now, r.ranking.Neighbours())
-	all := g.exchanges.AddZones(w.Now, zone)
-	g.exchanges.MergePeerLoad(w.Now, g.self, r.sumWithout(w.Now, all, g.self))
-	if warm && !g.relayNews && !r.relayTurn(w.Now, relays) {
+	zone := g.exchanges.ZoneSum(env.Now, r.ranking.Neighbours())
+	total := g.exchanges.AddZones(env.Now, zone)
+	g.exchanges.MergePeerLoad(env.Now, g.self, r.updateForNode(env.Now, total, g.self))
+	if warmedUp && !g.relayPending && !r.isRelayTurn(env.Now, relays) {
 		return nil
 	}
-	g.relayNews = false
-	out := r.tellZones(w.Now, zone)
-	if warm || r.hearsZones(w.Now) {
-		out = append(out, r.tellNeighbours(w.Now, all)...)
+	g.relayPending = false
+	out := r.sendToZones(env.Now, zone)
+	if warmedUp || r.receivesOtherZones(env.Now) {
+		out = append(out, r.sendToNeighbours(env.Now, total)...)
 	}
 	return out
 }
 
-// hearsZone reports whether all nodes of this zone report to this relay. Each does
-// so twice a second to its relays, and seldom to others.
-func (r *Reducer) hearsZone(now timekeeper.Time) bool {
+// receivesWholeZone reports whether all nodes of this zone report to this relay. A node
+// reports to its relays in every round, and rarely to other nodes.
+func (r *Reducer) receivesWholeZone(now timekeeper.Time) bool {
 	neighbours := r.ranking.Neighbours()
-	return r.gateway.exchanges.CountReportingPeers(now, neighbours, regularNews) == len(neighbours)
+	return r.gateway.exchanges.CountReportingPeers(now, neighbours, maxReportAge) == len(neighbours)
 }
 
-// hearsZones reports whether a relay of each other zone reports to this one.
-func (r *Reducer) hearsZones(now timekeeper.Time) bool {
+// receivesOtherZones reports whether a relay of each other zone reports to this one.
+func (r *Reducer) receivesOtherZones(now timekeeper.Time) bool {
 	zones := r.ranking.OtherZones()
-	return r.gateway.exchanges.CountReportingZones(now, zones, regularNews) == len(zones)
+	return r.gateway.exchanges.CountReportingZones(now, zones, maxReportAge) == len(zones)
 }
 
-// relayTurn reports whether it is this relay's turn to tell sums: the relays of a
-// zone take turns by the clock, so that its nodes, and the relays of other zones,
-// hear one of them in each relayEvery, and half as many messages as if both told
-// each time.
-func (r *Reducer) relayTurn(now timekeeper.Time, relays []gossiper.Node) bool {
-	at := slices.IndexFunc(relays, func(n gossiper.Node) bool { return n.VM == r.gateway.self })
-	return int64(now)/int64(relayEvery)%int64(len(relays)) == int64(at)
+// isRelayTurn reports whether it is this relay's turn to send sums. The relays of a
+// zone take turns by the clock, so that receivers get one message per relayInterval,
+// half as many as if every relay sent each time.
+func (r *Reducer) isRelayTurn(now timekeeper.Time, relays []gossiper.Node) bool {
+	position := slices.IndexFunc(relays, func(n gossiper.Node) bool { return n.VM == r.gateway.self })
+	return int64(now)/int64(relayInterval)%int64(len(relays)) == int64(position)
 }
 
-// tellNeighbours tells each node of this zone the sum over all others.
-func (r *Reducer) tellNeighbours(now timekeeper.Time, all dispatcher.LoadSum) []messenger.Effect {
+// sendToNeighbours sends each node of this zone the sum over all other nodes.
+func (r *Reducer) sendToNeighbours(now timekeeper.Time, total dispatcher.LoadSum) []messenger.Effect {
 	var out []messenger.Effect
 	for _, p := range r.ranking.Peers() {
 		if p.Zone == r.config.Zone {
-			out = append(out, r.gateway.send(now, p, r.sumWithout(now, all, p.VM)))
+			out = append(out, r.gateway.send(now, p, r.updateForNode(now, total, p.VM)))
 		}
 	}
 	return out
 }
 
-// sumWithout is what a relay tells one node: the sum over all others, of the servers
-// that the node chooses from.
-func (r *Reducer) sumWithout(now timekeeper.Time, all dispatcher.LoadSum, vm identifier.VMID) messenger.StateUpdate {
+// updateForNode returns a relay's update for one node: the sum over all other nodes,
+// limited to the servers from which the node chooses.
+func (r *Reducer) updateForNode(now timekeeper.Time, total dispatcher.LoadSum, vm identifier.VMID) messenger.StateUpdate {
 	g := r.gateway
-	tells := dispatcher.SubsetFilter(vm)
-	part := all.ForServers(func(server identifier.VMID) bool { return tells(server, g.servers.ServiceSize(server)) })
-	return g.sums(now, messenger.ScopeOthers, g.exchanges.WithoutNode(now, part, vm))
+	inSubset := dispatcher.SubsetFilter(vm)
+	part := total.ForServers(func(server identifier.VMID) bool { return inSubset(server, g.servers.ServiceSize(server)) })
+	return g.sumUpdate(now, messenger.ScopeOthers, g.exchanges.WithoutNode(now, part, vm))
 }
 
-// tellZones tells the relays of the other zones the sum over this one.
-func (r *Reducer) tellZones(now timekeeper.Time, zone dispatcher.LoadSum) []messenger.Effect {
+// sendToZones sends the sum over this zone to the relays of the other zones.
+func (r *Reducer) sendToZones(now timekeeper.Time, zone dispatcher.LoadSum) []messenger.Effect {
 	g := r.gateway
-	share := g.sums(now, messenger.ScopeZone, zone)
-	share.Zone = r.config.Zone
+	update := g.sumUpdate(now, messenger.ScopeZone, zone)
+	update.Zone = r.config.Zone
 	var out []messenger.Effect
 	for _, other := range r.ranking.OtherZones() {
 		for _, p := range r.relays(other) {
-			out = append(out, g.send(now, p, share))
+			out = append(out, g.send(now, p, update))
 		}
 	}
 	return out
 }
 
-// sums is what a relay tells. It passes on who holds the lease; other nodes say
-// so only of themselves, so that hearsay does not go round.
-func (g *gateway) sums(now timekeeper.Time, scope messenger.UpdateScope, sum dispatcher.LoadSum) messenger.StateUpdate {
-	s := g.news(now)
+// sumUpdate returns a relay's update with a sum. Only relays report another node as
+// holder of the lease, so that an outdated holder is not reported forever.
+func (g *gateway) sumUpdate(now timekeeper.Time, scope messenger.UpdateScope, sum dispatcher.LoadSum) messenger.StateUpdate {
+	s := g.baseUpdate(now)
 	s.CachedPrefixes = g.exchanges.RelayedCachedPrefixUpdates(now)
 	s.Scope = scope
 	s.InFlight = sum.InFlight
 	s.Demand = sum.Demand
-	if age := now.Sub(g.granterHeard); s.Leader == "" && g.granter != "" && age <= granterAge {
-		s.Leader = g.granter
-		s.Fence = g.granterFence
+	if age := now.Sub(g.allocatorLastSeen); s.Leader == "" && g.allocator != "" && age <= allocatorTimeout {
+		s.Leader = g.allocator
+		s.Fence = g.allocatorFence
 		s.LeaderAge = age
 	}
 	return s
--- a/internal/reducer/relay_test.go
+++ b/internal/reducer/relay_test.go
@@ -13,56 +13,55 @@
 )
 
 const (
-	fleetStart timekeeper.Time = 1_000_000
-	fleetStep                  = 50 * timekeeper.Millisecond
-	fleetZones                 = 4
-	fleetDuty                  = identifier.Fence(7)
-	// Of many nodes the first strongNodes can carry much more than the rest.
-	strongNodes = 8
-	strong      = uint32(800)
-	weak        = uint32(40)
+	clusterStart timekeeper.Time = 1_000_000
+	stepTime                     = 50 * timekeeper.Millisecond
+	clusterZones                 = 4
+	testFence                    = identifier.Fence(7)
+	// The first highCapacityNodes have a much higher capacity than the others.
+	highCapacityNodes = 8
+	highCapacity      = uint32(800)
+	lowCapacity       = uint32(40)
 )
 
-// fleet is the reducers of many nodes, with gossip and shares between them that
-// arrive one step later. The first node's lease is a given fact: there is no
-// log.
-type fleet struct {
-	now   timekeeper.Time
-	nodes map[identifier.VMID]*Reducer
-	ids   []identifier.VMID
-	down  map[identifier.VMID]bool
-	mail  []letter
-	// shares counts those that were sent, and sent and got the entries of servers in
-	// them by node.
-	shares int
-	sent   map[identifier.VMID]int
-	got    map[identifier.VMID]int
+// cluster is a simulated cluster. Gossip and state updates between its nodes arrive one
+// step later. There is no log: tests state the holder of the lease.
+type cluster struct {
+	now      timekeeper.Time
+	nodes    map[identifier.VMID]*Reducer
+	ids      []identifier.VMID
+	down     map[identifier.VMID]bool
+	inFlight []message
+	// updates is the number of state updates sent. entriesSent and entriesReceived
+	// count the server entries in them by node.
+	updates         int
+	entriesSent     map[identifier.VMID]int
+	entriesReceived map[identifier.VMID]int
 }
 
-type letter struct {
+type message struct {
 	to   identifier.VMID
 	body messenger.EventBody
 }
 
-func newFleet(nodes int) *fleet {
-	f := &fleet{
-		now:   fleetStart,
-		nodes: map[identifier.VMID]*Reducer{},
-		down:  map[identifier.VMID]bool{},
-		sent:  map[identifier.VMID]int{},
-		got:   map[identifier.VMID]int{},
+func newCluster(nodes int) *cluster {
+	c := &cluster{
+		now:             clusterStart,
+		nodes:           map[identifier.VMID]*Reducer{},
+		down:            map[identifier.VMID]bool{},
+		entriesSent:     map[identifier.VMID]int{},
+		entriesReceived: map[identifier.VMID]int{},
 	}
 	for i := range nodes {
 		id := identifier.VMID(fmt.Sprintf("entry-%d", i))
-		f.ids = append(f.ids, id)
-		capacity := weak
-		if i < strongNodes {
-			capacity = strong
+		c.ids = append(c.ids, id)
+		capacity := lowCapacity
+		if i < highCapacityNodes {
+			capacity = highCapacity
 		}
-		f.nodes[id] = New(Config{
+		c.nodes[id] = New(Config{
 			Self:          id,
 			Incarnation:   1,
-			Zone:          identifier.Zone(fmt.Sprintf("zone-%d", i%fleetZones)),
+			Zone:          identifier.Zone(fmt.Sprintf("zone-%d", i%clusterZones)),
 			PeerAddress:   string(id),
 			CallerAddress: string(id),
 			Capacity:      capacity,
@@ -74,19 +73,19 @@
 			},
 		})
 	}
-	return f
+	return c
 }
 
-// apply hands one node an event and posts what it sends to others.
-func (f *fleet) apply(id identifier.VMID, body messenger.EventBody) {
-	effects := f.nodes[id].Apply(messenger.Event{
-		At:   f.now,
+// apply applies an event to one node, and queues the messages that it sends.
+func (c *cluster) apply(id identifier.VMID, body messenger.EventBody) {
+	effects := c.nodes[id].Apply(messenger.Event{
+		At:   c.now,
 		Body: body,
 	})
 	for _, e := range effects {
 		switch e := e.(type) {
 		case messenger.SendGossip:
-			f.mail = append(f.mail, letter{
+			c.inFlight = append(c.inFlight, message{
 				to: identifier.VMID(e.Address),
 				body: messenger.GossipReceived{
 					From: id,
@@ -94,10 +93,10 @@
 				},
 			})
 		case messenger.SendStateUpdate:
-			f.shares++
-			f.sent[id] += len(e.Update.Servers)
-			f.got[identifier.VMID(e.Address)] += len(e.Update.Servers)
-			f.mail = append(f.mail, letter{
+			c.updates++
+			c.entriesSent[id] += len(e.Update.Servers)
+			c.entriesReceived[identifier.VMID(e.Address)] += len(e.Update.Servers)
+			c.inFlight = append(c.inFlight, message{
 				to: identifier.VMID(e.Address),
 				body: messenger.StateUpdateReceived{
 					From:   id,
@@ -108,30 +107,30 @@
 	}
 }
 
-func (f *fleet) run(span timekeeper.Duration) {
-	for end := f.now.Add(span); f.now.Before(end); f.now = f.now.Add(fleetStep) {
-		mail := f.mail
-		f.mail = nil
-		for _, m := range mail {
-			if !f.down[m.to] {
-				f.apply(m.to, m.body)
+func (c *cluster) run(span timekeeper.Duration) {
+	for end := c.now.Add(span); c.now.Before(end); c.now = c.now.Add(stepTime) {
+		delivered := c.inFlight
+		c.inFlight = nil
+		for _, m := range delivered {
+			if !c.down[m.to] {
+				c.apply(m.to, m.body)
 			}
 		}
-		for _, id := range f.ids {
-			if !f.down[id] {
-				f.apply(id, messenger.Tick{})
+		for _, id := range c.ids {
+			if !c.down[id] {
+				c.apply(id, messenger.Tick{})
 			}
 		}
 	}
 }
 
-// serve publishes one server and a configuration, and sends every node as many
-// requests as its number in the fleet.
-func (f *fleet) serve() int {
+// publishAndSend publishes a configuration and one server, sends the i-th node i
+// requests, and returns the total.
+func (c *cluster) publishAndSend() int {
 	sum := 0
-	for i, id := range f.ids {
-		f.apply(id, messenger.CatalogPublished{Catalog: fleetCatalog()})
-		f.apply(id, messenger.ServersPublished{
+	for i, id := range c.ids {
+		c.apply(id, messenger.CatalogPublished{Catalog: clusterCatalog()})
+		c.apply(id, messenger.ServersPublished{
 			Servers: []messenger.PublishedServer{
 				{
 					Server:  "reader-1",
@@ -145,13 +144,13 @@
 			All: true,
 		})
 		for n := range i {
-			f.apply(id, messenger.ExchangeReceived{
+			c.apply(id, messenger.ExchangeReceived{
 				Spec: messenger.ExchangeSpec{
 					Exchange: identifier.ExchangeID(n + 1),
 					Request:  identifier.RequestID(fmt.Sprintf("r-%d-%d", i, n)),
 					Host:     "api.example",
 					Path:     "/report/",
-					Received: f.now,
+					Received: c.now,
 				},
 			})
 		}
@@ -160,7 +159,7 @@
 	return sum
 }
 
-func fleetCatalog() *catalog.Catalog {
+func clusterCatalog() *catalog.Catalog {
 	routing := catalog.NewRouting([]*catalog.Route{
 		{
 			Name:       "report",
@@ -187,10 +186,11 @@
 	}
 }
 
-// limitedCatalog is that of the fleet with one account, whose key is "secret".
+// limitedCatalog returns the catalog of a cluster with one limited account, whose key
+// is "secret".
 func limitedCatalog(t *testing.T, tokens float64) *catalog.Catalog {
 	t.Helper()
-	c := fleetCatalog()
+	c := clusterCatalog()
 	c.Accounts = map[identifier.AccountID]catalog.Account{
 		"agency": {
 			ID:              "agency",
@@ -206,51 +206,48 @@
 	return c
 }
 
-// Callers of 61 nodes ask for one service. Each node heard 16 of the others at a
-// time and knew half of the load, so that it chose servers that were full. Now
-// each knows all requests within two seconds, and sends a few messages a second.
-func TestManyNodesKnowAllLoad(t *testing.T) {
-	f := newFleet(61)
-	f.run(6 * timekeeper.Second)
-	for _, n := range f.nodes["entry-60"].relays("zone-3") {
-		require.Equal(t, strong, n.Capacity, "relays are strong nodes")
+// Guards against updates that reach only a part of a large cluster: each node knows the
+// requests of all nodes within 2 s, with a bounded number of messages.
+func TestLargeClusterKnowsAllLoad(t *testing.T) {
+	c := newCluster(61)
+	c.run(6 * timekeeper.Second)
+	for _, n := range c.nodes["entry-60"].relays("zone-3") {
+		require.Equal(t, highCapacity, n.Capacity, "relays have a high capacity")
 	}
-	sum := f.serve()
-	f.run(2 * timekeeper.Second)
-	for _, id := range f.ids {
-		demand := f.nodes[id].gateway.exchanges.Demand(f.now, "reader")
+	sum := c.publishAndSend()
+	c.run(2 * timekeeper.Second)
+	for _, id := range c.ids {
+		demand := c.nodes[id].gateway.exchanges.Demand(c.now, "reader")
 		require.Equal(t, sum, demand.Running, "at %s", id)
 	}
-	f.shares = 0
-	f.run(4 * timekeeper.Second)
-	require.Less(t, f.shares, 4*61*30)
+	c.updates = 0
+	c.run(4 * timekeeper.Second)
+	require.Less(t, c.updates, 4*61*30)
 }
 
-// What a node sends for shares hardly grows with the nodes. Told by both relays of
-// its zone four times a second, and telling seven others twice, the nodes sent 22.5
-// each a second at 61 nodes where 13 do.
-func TestMessagesOfManyNodes(t *testing.T) {
+// The rate of state updates per node hardly grows with the number of nodes.
+func TestMessageRateOfLargeCluster(t *testing.T) {
 	const seconds = 4
 	for _, nodes := range []int{61, 195} {
-		f := newFleet(nodes)
-		f.run(6 * timekeeper.Second)
-		f.serve()
-		f.run(2 * timekeeper.Second)
-		f.shares = 0
-		f.run(seconds * timekeeper.Second)
-		t.Logf("%d nodes: %.1f shares a node and second", nodes, float64(f.shares)/seconds/float64(nodes))
-		require.LessOrEqual(t, f.shares, seconds*nodes*14, "%d nodes", nodes)
+		c := newCluster(nodes)
+		c.run(6 * timekeeper.Second)
+		c.publishAndSend()
+		c.run(2 * timekeeper.Second)
+		c.updates = 0
+		c.run(seconds * timekeeper.Second)
+		t.Logf("%d nodes: %.1f updates per node and second", nodes, float64(c.updates)/seconds/float64(nodes))
+		require.LessOrEqual(t, c.updates, seconds*nodes*14, "%d nodes", nodes)
 	}
 }
 
-// A server's entry changes, and one node reads so. All others know within half a
-// second: relays pass that on at once, whosever turn it is.
-func TestNewsOfServersIsPassedOnAtOnce(t *testing.T) {
-	f := newFleet(61)
-	f.run(6 * timekeeper.Second)
-	f.serve()
-	f.run(2 * timekeeper.Second)
-	f.apply("entry-60", messenger.ServersPublished{
+// One node reads a changed server entry. All other nodes receive it within 500 ms,
+// because relays forward it without waiting for their turn.
+func TestServerChangeIsForwardedAtOnce(t *testing.T) {
+	c := newCluster(61)
+	c.run(6 * timekeeper.Second)
+	c.publishAndSend()
+	c.run(2 * timekeeper.Second)
+	c.apply("entry-60", messenger.ServersPublished{
 		Servers: []messenger.PublishedServer{
 			{
 				Server:  "reader-1",
@@ -262,143 +259,136 @@
 			},
 		},
 	})
-	f.run(500 * timekeeper.Millisecond)
-	for _, id := range f.ids {
-		s, known := f.nodes[id].gateway.servers.Server("reader-1")
+	c.run(500 * timekeeper.Millisecond)
+	for _, id := range c.ids {
+		s, known := c.nodes[id].gateway.servers.Server("reader-1")
 		require.True(t, known)
 		require.Equal(t, messenger.ServerLeaving, s.State, "at %s", id)
 	}
 }
 
-// One relay of a zone dies, and another node takes its place. It has heard
-// nobody yet; were it to tell sums at once, the nodes of its zone would take a
-// sixth of the load for all. They hear all requests throughout, by the other
-// relay, and those of the dead node for two seconds.
-func TestRelayDies(t *testing.T) {
-	f := newFleet(61)
-	f.run(6 * timekeeper.Second)
-	sum := f.serve()
-	f.run(2 * timekeeper.Second)
-	dead := f.nodes[f.ids[0]].relays("zone-1")[0].VM
-	lost := f.nodes[dead].gateway.exchanges.InFlight()
-	f.down[dead] = true
+// A relay dies and another node replaces it. Guards against incomplete sums from the
+// new relay: all nodes keep knowing the requests of the remaining nodes.
+func TestRelayFailure(t *testing.T) {
+	c := newCluster(61)
+	c.run(6 * timekeeper.Second)
+	sum := c.publishAndSend()
+	c.run(2 * timekeeper.Second)
+	dead := c.nodes[c.ids[0]].relays("zone-1")[0].VM
+	lostRequests := c.nodes[dead].gateway.exchanges.InFlight()
+	c.down[dead] = true
 	known := func(id identifier.VMID) int {
-		return f.nodes[id].gateway.exchanges.Demand(f.now, "reader").Running
+		return c.nodes[id].gateway.exchanges.Demand(c.now, "reader").Running
 	}
 	for range 12 {
-		f.run(500 * timekeeper.Millisecond)
-		for _, id := range f.ids {
-			if !f.down[id] {
-				require.GreaterOrEqual(t, known(id), sum-lost, "at %s", id)
+		c.run(500 * timekeeper.Millisecond)
+		for _, id := range c.ids {
+			if !c.down[id] {
+				require.GreaterOrEqual(t, known(id), sum-lostRequests, "at %s", id)
 			}
 		}
 	}
-	for _, id := range f.ids {
-		if !f.down[id] {
-			require.Equal(t, sum-lost, known(id), "at %s", id)
+	for _, id := range c.ids {
+		if !c.down[id] {
+			require.Equal(t, sum-lostRequests, known(id), "at %s", id)
 		}
 	}
 }
 
-// The holder of the lease is told by all nodes directly, and all know who it is:
-// it takes the parts of nodes that it does not hear off what it grants.
-func TestHolderHearsAllNodes(t *testing.T) {
-	f := newFleet(61)
-	f.run(6 * timekeeper.Second)
-	holder := f.nodes[f.ids[0]].ranking.First(string(dutyLease), dutyNodes)[0].VM
+// The holder of the lease receives updates from all nodes directly, so that it does not
+// deduct the parts of reachable nodes.
+func TestLeaderReceivesFromAllNodes(t *testing.T) {
+	c := newCluster(61)
+	c.run(6 * timekeeper.Second)
+	holder := c.nodes[c.ids[0]].ranking.First(string(leaderLease), leaderNodes)[0].VM
 	for range 40 {
-		for _, id := range f.ids {
+		for _, id := range c.ids {
 			if id != holder {
-				f.nodes[id].gateway.heardOfHolder(f.now, messenger.StateUpdate{
+				c.nodes[id].gateway.mergeLeader(c.now, messenger.StateUpdate{
 					Leader: holder,
-					Fence:  fleetDuty,
+					Fence:  testFence,
 				})
 			}
 		}
-		f.run(fleetStep)
-		require.Equal(t, len(f.ids)-1, f.nodes[holder].gateway.exchanges.CountAllReportingPeers(f.now, granteeAge))
+		c.run(stepTime)
+		require.Equal(t, len(c.ids)-1, c.nodes[holder].gateway.exchanges.CountAllReportingPeers(c.now, deductionTimeout))
 	}
 }
 
-// The holder is heard of through relays, and with its age on the way: nodes stop
-// asking it as soon as they would if they heard it themselves.
-func TestHolderIsHeardThroughRelays(t *testing.T) {
-	f := newFleet(61)
-	f.run(6 * timekeeper.Second)
-	relay := f.nodes[f.ids[0]].relays("zone-0")[0].VM
-	f.nodes[relay].gateway.heardOfHolder(f.now, messenger.StateUpdate{
+// Nodes learn of the holder of the lease through relays, with the age of the report, so
+// that they do not treat a removed holder as reachable for longer.
+func TestLeaderIsKnownThroughRelays(t *testing.T) {
+	c := newCluster(61)
+	c.run(6 * timekeeper.Second)
+	relay := c.nodes[c.ids[0]].relays("zone-0")[0].VM
+	c.nodes[relay].gateway.mergeLeader(c.now, messenger.StateUpdate{
 		Leader: "entry-60",
-		Fence:  fleetDuty,
+		Fence:  testFence,
 	})
-	heardAt := f.now
-	// The time on the way between two nodes does not count as age.
+	receivedAt := c.now
+	// The transit time between two nodes is not part of the age.
 	const hops = 4
-	f.run(1 * timekeeper.Second)
-	for _, id := range f.ids[:60] {
-		g := f.nodes[id].gateway
-		require.Equal(t, identifier.VMID("entry-60"), g.granter, "at %s", id)
-		require.LessOrEqual(t, g.granterHeard, heardAt.Add(hops*fleetStep), "at %s", id)
+	c.run(1 * timekeeper.Second)
+	for _, id := range c.ids[:60] {
+		g := c.nodes[id].gateway
+		require.Equal(t, identifier.VMID("entry-60"), g.allocator, "at %s", id)
+		require.LessOrEqual(t, g.allocatorLastSeen, receivedAt.Add(hops*stepTime), "at %s", id)
 	}
 }
 
-// The VM of the lease's holder is taken away. Its peers ask it in vain, and
-// refuse what they asked for. After two such questions, with no news of it for
-// longer than its shares are apart, they go on with their own parts, and ask it
-// again once they hear of it.
-func TestSilentHolderIsNoLongerAsked(t *testing.T) {
-	f := newFleet(3)
-	f.run(2 * timekeeper.Second)
-	g := f.nodes["entry-1"].gateway
-	hear := func() {
-		g.heardOfHolder(f.now, messenger.StateUpdate{
+// The allocator is removed. After two unanswered requests and unresponsiveAge without
+// an update, its peers stop asking it, until they receive an update again.
+func TestUnresponsiveAllocatorIsNotAsked(t *testing.T) {
+	c := newCluster(3)
+	c.run(2 * timekeeper.Second)
+	g := c.nodes["entry-1"].gateway
+	receive := func() {
+		g.mergeLeader(c.now, messenger.StateUpdate{
 			Leader: "entry-2",
-			Fence:  fleetDuty,
+			Fence:  testFence,
 		})
 	}
-	hear()
-	require.True(t, g.granterThere(f.now))
+	receive()
+	require.True(t, g.allocatorReachable(c.now))
 	unanswered := messenger.LimitAnswered{
 		Exchange: 1,
 		Unknown:  true,
 	}
-	f.apply("entry-1", unanswered)
-	f.apply("entry-1", unanswered)
-	require.True(t, g.granterThere(f.now), "heard a moment ago")
-	f.now = f.now.Add(deafAge + 1)
-	require.False(t, g.granterThere(f.now))
-	hear()
-	require.True(t, g.granterThere(f.now))
-	f.now = f.now.Add(deafAge + 1)
-	f.apply("entry-1", unanswered)
-	require.True(t, g.granterThere(f.now), "one answer may be lost")
+	c.apply("entry-1", unanswered)
+	c.apply("entry-1", unanswered)
+	require.True(t, g.allocatorReachable(c.now), "seen a moment ago")
+	c.now = c.now.Add(unresponsiveAge + 1)
+	require.False(t, g.allocatorReachable(c.now))
+	receive()
+	require.True(t, g.allocatorReachable(c.now))
+	c.now = c.now.Add(unresponsiveAge + 1)
+	c.apply("entry-1", unanswered)
+	require.True(t, g.allocatorReachable(c.now), "a single answer may be lost")
 }
 
-// All nodes are killed at once and start again. For a quarter of a second each has
-// heard of no other, and callers of an account that asks for many times its limit
-// are back at once. A node that took the whole of the limit for its own part let
-// it have half a burst, and one prompt more: 61 of them a tenth more than is
-// tolerated in eight seconds.
-func TestLimitsRightAfterAllStarted(t *testing.T) {
+// All nodes start at once, and callers request many times an account's limit before the
+// nodes know each other. Guards against nodes that each grant the whole limit.
+func TestLimitsAfterSimultaneousStart(t *testing.T) {
 	const (
 		limit  = 680_000
 		prompt = identifier.Tokens(17_000)
 	)
 	for _, nodes := range []int{9, 61} {
-		f := newFleet(nodes)
-		listed := messenger.ListRead{AsOf: f.now}
-		for _, id := range f.ids {
+		c := newCluster(nodes)
+		listed := messenger.ListRead{AsOf: c.now}
+		for _, id := range c.ids {
 			listed.VMs = append(listed.VMs, messenger.VMState{VM: id})
 		}
-		c := limitedCatalog(t, limit)
-		f.serve()
+		limited := limitedCatalog(t, limit)
+		c.publishAndSend()
 		granted := identifier.Tokens(0)
-		for _, id := range f.ids {
-			f.apply(id, listed)
-			f.apply(id, messenger.CatalogPublished{Catalog: c})
-			f.apply(id, messenger.Tick{})
+		for _, id := range c.ids {
+			c.apply(id, listed)
+			c.apply(id, messenger.CatalogPublished{Catalog: limited})
+			c.apply(id, messenger.Tick{})
 			for n := range 40 {
-				effects := f.nodes[id].Apply(messenger.Event{
-					At: f.now,
+				effects := c.nodes[id].Apply(messenger.Event{
+					At: c.now,
 					Body: messenger.ExchangeReceived{
 						Spec: messenger.ExchangeSpec{
 							Exchange:     identifier.ExchangeID(10_000 + n),
@@ -406,7 +396,7 @@
 							Host:         "api.example",
 							Path:         "/report/",
 							Key:          "secret",
-							Received:     f.now,
+							Received:     c.now,
 							PromptTokens: prompt,
 						},
 					},
@@ -422,25 +412,24 @@
 	}
 }
 
-// All of 195 nodes start anew. A long prompt that comes at once is larger than its
-// node's part of the limit, and is refused. Its caller is told to come back when a
-// node should hold the lease again, and grant: it was told three to six seconds.
-func TestRefusedCallerComesBackWhenANodeGrants(t *testing.T) {
+// All nodes start at once. A request larger than its node's part of the limit is
+// refused with the time until an allocator is expected.
+func TestRetryTimeUntilAllocatorIsDue(t *testing.T) {
 	const limit = 680_000
-	f := newFleet(195)
-	listed := messenger.ListRead{AsOf: f.now}
-	for _, id := range f.ids {
+	c := newCluster(195)
+	listed := messenger.ListRead{AsOf: c.now}
+	for _, id := range c.ids {
 		listed.VMs = append(listed.VMs, messenger.VMState{VM: id})
 	}
-	c := limitedCatalog(t, limit)
-	f.serve()
-	id := f.ids[7]
-	f.apply(id, listed)
-	f.apply(id, messenger.CatalogPublished{Catalog: c})
-	f.apply(id, messenger.Tick{})
-	f.now = f.now.Add(200)
-	effects := f.nodes[id].Apply(messenger.Event{
-		At: f.now,
+	limited := limitedCatalog(t, limit)
+	c.publishAndSend()
+	id := c.ids[7]
+	c.apply(id, listed)
+	c.apply(id, messenger.CatalogPublished{Catalog: limited})
+	c.apply(id, messenger.Tick{})
+	c.now = c.now.Add(200)
+	effects := c.nodes[id].Apply(messenger.Event{
+		At: c.now,
 		Body: messenger.ExchangeReceived{
 			Spec: messenger.ExchangeSpec{
 				Exchange:     10_000,
@@ -448,7 +437,7 @@
 				Host:         "api.example",
 				Path:         "/report/",
 				Key:          "secret",
-				Received:     f.now,
+				Received:     c.now,
 				PromptTokens: 17_000,
 			},
 		},
@@ -457,7 +446,7 @@
 	refused, ok := effects[0].(messenger.RefuseExchange)
 	require.True(t, ok)
 	require.Equal(t, messenger.ReasonAccountLimit, refused.Refusal.Reason)
-	due := settleTime + grantNewsTime - 200
+	due := settleTime + leaderAnnounceTime - 200
 	require.GreaterOrEqual(t, refused.Refusal.RetryAfter, due)
 	require.LessOrEqual(t, refused.Refusal.RetryAfter, due+500)
 }
--- a/internal/reducer/restore_test.go
+++ b/internal/reducer/restore_test.go
@@ -12,11 +12,10 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// The fleet was off for longer than the log keeps its records: the first that
-// the log still has comes after all of the configuration. The node says so,
-// and an operator restores the folder through the log. A second restore is
-// rejected, because the configuration is whole by then.
-func TestRestoreOfALostConfiguration(t *testing.T) {
+// The records of the configuration have expired from the log. The node reports the
+// fault, an operator restores the settings through the log, and a second restore is
+// rejected.
+func TestRestoreOfLostConfiguration(t *testing.T) {
 	files, err := folderreader.ReadDir("../../examples/quillmark")
 	require.NoError(t, err)
 	r := reducer.New(reducer.Config{
--- a/internal/reducer/rollout.go
+++ b/internal/reducer/rollout.go
@@ -10,32 +10,31 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// hurriedShare is the spacing of the shares to each peer while a service moves to another
-// version, in place of shareEachTime.
-const hurriedShare = 200 * timekeeper.Millisecond
+// rolloutUpdateInterval replaces updateInterval while a rollout is urgent.
+const rolloutUpdateInterval = 200 * timekeeper.Millisecond
 
-// tickRollouts leads the roll-outs while this node holds the lease.
-func (r *Reducer) tickRollouts(w *conductor.Env) []messenger.Effect {
+// tickRollouts leads the rollouts while this node holds the lease.
+func (r *Reducer) tickRollouts(env *conductor.Env) []messenger.Effect {
 	g := r.gateway
 	if g.versions.Urgent() {
-		g.nextShare = min(g.nextShare, w.Now.Add(hurriedShare))
+		g.nextUpdate = min(g.nextUpdate, env.Now.Add(rolloutUpdateInterval))
 	}
-	g.versions.SetNodes(r.nodesToShare(w))
-	fence, notAfter, held := g.leases.Held(dutyLease, w.Now)
+	g.versions.SetNodes(r.limitNodes(env))
+	fence, notAfter, held := g.leases.Held(leaderLease, env.Now)
 	if !held {
 		return nil
 	}
 	out := g.versions.Lead(promoter.Input{
-		Now:      w.Now,
+		Now:      env.Now,
 		Fence:    fence,
 		NotAfter: notAfter,
 		Nodes:    r.peerIDs(),
 		Servers:  g.servers.ServersOf,
 	})
-	return append(out, r.noteRollouts(w)...)
+	return append(out, r.recordRollouts(env)...)
 }
 
-// Rollouts returns the roll-outs that this node knows, for operators.
+// Rollouts returns the rollouts that this node knows, for operators.
 func (r *Reducer) Rollouts(now timekeeper.Time) []promoter.Status {
 	if r.gateway == nil {
 		return nil
@@ -52,22 +51,23 @@
 	return out
 }
 
-// noteRollouts tells the time line how roll-outs go, and peers at once.
-func (r *Reducer) noteRollouts(w *conductor.Env) []messenger.Effect {
+// recordRollouts records changes of rollouts in the time line, and notifies peers at
+// once.
+func (r *Reducer) recordRollouts(env *conductor.Env) []messenger.Effect {
 	changes := r.gateway.versions.Changes()
 	if len(changes) == 0 {
 		return nil
 	}
 	var out []messenger.Effect
 	for _, c := range changes {
-		out = append(out, r.rolloutNote(c))
+		out = append(out, r.rolloutEntry(c))
 	}
-	r.gateway.nextRelay = w.Now
-	r.gateway.relayNews = true
-	return append(out, r.shareNow(w)...)
+	r.gateway.nextRelay = env.Now
+	r.gateway.relayPending = true
+	return append(out, r.sendUpdates(env)...)
 }
 
-func (r *Reducer) rolloutNote(c promoter.Change) messenger.TimelineEntry {
+func (r *Reducer) rolloutEntry(c promoter.Change) messenger.TimelineEntry {
 	phase := c.Rollout.Phase
 	if phase == messenger.RolloutOrdered {
 		phase = "ordered"
@@ -81,27 +81,28 @@
 	}
 }
 
-func (r *Reducer) rolloutsClaimed(w *conductor.Env, e messenger.RolloutsClaimed) []messenger.Effect {
-	r.fencedOff(e.Result)
-	r.gateway.versions.Claimed(w.Now, e)
-	return r.noteRollouts(w)
+func (r *Reducer) rolloutsClaimed(env *conductor.Env, e messenger.RolloutsClaimed) []messenger.Effect {
+	r.releaseIfFenced(e.Result)
+	r.gateway.versions.Claimed(env.Now, e)
+	return r.recordRollouts(env)
 }
 
-func (r *Reducer) rolloutKept(w *conductor.Env, e messenger.RolloutStored) []messenger.Effect {
-	r.fencedOff(e.Result)
-	r.gateway.versions.Stored(w.Now, e)
-	return r.noteRollouts(w)
+func (r *Reducer) rolloutStored(env *conductor.Env, e messenger.RolloutStored) []messenger.Effect {
+	r.releaseIfFenced(e.Result)
+	r.gateway.versions.Stored(env.Now, e)
+	return r.recordRollouts(env)
 }
 
-// fencedOff gives the lease up where a later holder was there first: this node has
-// lost it and did not know it yet.
-func (r *Reducer) fencedOff(result messenger.LeaderTaskResult) {
+// releaseIfFenced releases the lease if an action was rejected by a later fence:
+// another node holds the lease, and this one did not know it.
+func (r *Reducer) releaseIfFenced(result messenger.LeaderTaskResult) {
 	if result == messenger.LeaderTaskFenced {
-		r.gateway.leases.Release(dutyLease)
+		r.gateway.leases.Release(leaderLease)
 	}
 }
 
-// versionText names a server's version where it has one.
+// versionText returns a suffix that names a server's version, or an empty string if it
+// has none.
 func versionText(v identifier.Version) string {
 	if v == "" {
 		return ""
--- a/internal/reducer/serverlimit.go
+++ b/internal/reducer/serverlimit.go
@@ -10,22 +10,22 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// permitPurpose begins the names under which nodes are ranked that grant permits for a
-// server while no node holds the lease of the duties.
-const permitPurpose = "permits/"
+// permitPurposePrefix is the prefix of the purposes for which nodes are ranked to grant
+// permits for a server while no node holds the lease.
+const permitPurposePrefix = "permits/"
 
-// permitsOf returns the peer that grants permits for a server, or nil where this node
-// does. That is the holder of the lease or, while none can be asked, the node that all
-// nodes rank first for the server: a server would get nothing for the seconds that a new
-// holder takes.
-func (r *Reducer) permitsOf(w *conductor.Env, server identifier.VMID) *dispatcher.Allocator {
-	if _, _, held := r.gateway.leases.Held(dutyLease, w.Now); held {
+// permitAllocator returns the peer that grants permits for a server, or nil if this
+// node does. It is the holder of the lease or, while that can't be reached, the node
+// ranked first for the server, because otherwise the server would get no requests until
+// a new holder takes over.
+func (r *Reducer) permitAllocator(env *conductor.Env, server identifier.VMID) *dispatcher.Allocator {
+	if _, _, held := r.gateway.leases.Held(leaderLease, env.Now); held {
 		return nil
 	}
-	if granter := r.granterNow(w); granter != nil {
-		return granter
+	if allocator := r.reachableAllocator(env); allocator != nil {
+		return allocator
 	}
-	first := r.ranking.First(permitPurpose+string(server), 1)
+	first := r.ranking.First(permitPurposePrefix+string(server), 1)
 	if len(first) == 0 || first[0].VM == r.config.Self {
 		return nil
 	}
@@ -35,47 +35,47 @@
 	}
 }
 
-// serverLimitHeard takes in what a server's answer to this node states of its limit.
-func (r *Reducer) serverLimitHeard(w *conductor.Env, e messenger.ServerLimitReceived) []messenger.Effect {
-	change, changed := r.gateway.limits.Observe(w.Now, e)
+// serverLimitReceived applies the limit in a server's answer to this node.
+func (r *Reducer) serverLimitReceived(env *conductor.Env, e messenger.ServerLimitReceived) []messenger.Effect {
+	change, changed := r.gateway.serverLimits.Observe(env.Now, e)
 	if !changed {
 		return nil
 	}
-	r.gateway.nextShare = min(r.gateway.nextShare, w.Now.Add(endsSoon))
-	return []messenger.Effect{limitNote(change)}
+	r.gateway.nextUpdate = min(r.gateway.nextUpdate, env.Now.Add(updateBatchDelay))
+	return []messenger.Effect{serverLimitEntry(change)}
 }
 
-// learnLimits takes in what a peer knows of servers' limits.
-func (r *Reducer) learnLimits(w *conductor.Env, limits []messenger.ServerLimit) []messenger.Effect {
+// mergeServerLimits applies the limits of servers that a peer reports.
+func (r *Reducer) mergeServerLimits(env *conductor.Env, limits []messenger.ServerLimit) []messenger.Effect {
 	var out []messenger.Effect
 	for _, l := range limits {
 		if s, known := r.gateway.servers.Server(l.Server); !known || s.State == messenger.ServerRemoved {
 			continue
 		}
-		if change, changed := r.gateway.limits.Merge(w.Now, l); changed {
-			out = append(out, limitNote(change))
+		if change, changed := r.gateway.serverLimits.Merge(env.Now, l); changed {
+			out = append(out, serverLimitEntry(change))
 		}
 	}
 	return out
 }
 
-// permitAsked answers a peer that asks for a permit. What it knows of the limits may be
-// newer than what this node does.
-func (r *Reducer) permitAsked(w *conductor.Env, e messenger.PermitRequested) []messenger.Effect {
-	return append(r.learnLimits(w, e.Limits), messenger.AnswerPermit{
+// permitRequested answers a peer's request for a permit. The limits in the request may
+// be newer than those that this node knows.
+func (r *Reducer) permitRequested(env *conductor.Env, e messenger.PermitRequested) []messenger.Effect {
+	return append(r.mergeServerLimits(env, e.Limits), messenger.AnswerPermit{
 		Ticket: e.Ticket,
-		Answer: dispatcher.GrantPermit(r.exchangeWorld(w), e.Limits),
+		Answer: dispatcher.GrantPermit(r.exchangeEnv(env), e.Limits),
 	})
 }
 
-// permitAnswered goes on with an exchange for which a permit was asked.
-func (r *Reducer) permitAnswered(w *conductor.Env, e messenger.PermitAnswered) []messenger.Effect {
-	r.granterAnswered(w, e.Unknown, e.NotGranting)
-	return r.withNews(w, r.gateway.exchanges.PermitAnswered(r.exchangeWorld(w), e))
+// permitAnswered continues an exchange that waited for a permit.
+func (r *Reducer) permitAnswered(env *conductor.Env, e messenger.PermitAnswered) []messenger.Effect {
+	r.allocatorAnswered(env, e.Unknown, e.NotGranting)
+	return r.withUpdates(env, r.gateway.exchanges.PermitAnswered(r.exchangeEnv(env), e))
 }
 
-// limitNote tells the time line of a server's limit.
-func limitNote(c throttler.Change) messenger.Effect {
+// serverLimitEntry returns a time line entry for a changed limit.
+func serverLimitEntry(c throttler.Change) messenger.Effect {
 	if !c.Limited {
 		return messenger.TimelineEntry{
 			Kind:   "server_limit_lifted",
--- a/internal/reducer/share.go
+++ b/internal/reducer/share.go
@@ -8,182 +8,188 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// withNews adds to effects what peers hear of at once.
-func (r *Reducer) withNews(w *conductor.Env, effects ...messenger.Effect) []messenger.Effect {
+// withUpdates appends updates to peers to the effects, if the exchanges have urgent
+// ones.
+func (r *Reducer) withUpdates(env *conductor.Env, effects ...messenger.Effect) []messenger.Effect {
 	if !r.gateway.exchanges.NotifyPeers() {
 		return effects
 	}
-	if len(r.ranking.Peers()) <= sharePeers {
-		return append(effects, r.shareNow(w)...)
+	if len(r.ranking.Peers()) <= maxDirectPeers {
+		return append(effects, r.sendUpdates(env)...)
 	}
-	return append(effects, r.tellRelays(w)...)
+	return append(effects, r.sendToRelays(env)...)
 }
 
-// tellRelays tells the relays of this zone alone what this node has at the
-// servers. Its next share to others follows within shareEachTime.
-func (r *Reducer) tellRelays(w *conductor.Env) []messenger.Effect {
+// sendToRelays sends this node's update to the relays of its zone only. Other peers
+// receive the next one within updateInterval.
+func (r *Reducer) sendToRelays(env *conductor.Env) []messenger.Effect {
 	relays := peerSet{self: r.gateway.self}
 	relays.add(r.relays(r.config.Zone)...)
-	return r.tellFew(relays.nodes, r.gateway.share(w.Now))
+	return r.sendToSelected(relays.nodes, r.gateway.ownUpdate(env.Now))
 }
 
-// shareReceived takes in what a peer knows, and fetches its configuration where
+// stateUpdateReceived applies a peer's update, and fetches the peer's configuration if
 // that is newer.
-func (r *Reducer) shareReceived(w *conductor.Env, e messenger.StateUpdateReceived) []messenger.Effect {
+func (r *Reducer) stateUpdateReceived(env *conductor.Env, e messenger.StateUpdateReceived) []messenger.Effect {
 	g := r.gateway
 	s := e.Update
-	g.exchanges.MergePeerLoad(w.Now, e.From, s)
-	g.whole = g.whole || s.AllServers
+	g.exchanges.MergePeerLoad(env.Now, e.From, s)
+	g.knowsAllServers = g.knowsAllServers || s.AllServers
 	if s.RequestsAllServers {
-		g.wanting[e.From] = true
+		g.serversRequested[e.From] = true
 	}
 	g.usage.PeerCounts(e.From, s.Incarnation, s.Usage)
-	g.versions.Merge(w.Now, s.Rollouts)
+	g.versions.Merge(env.Now, s.Rollouts)
 	if s.Scope == messenger.ScopeOwn {
-		g.versions.MergePeerCounts(w.Now, e.From, s.Incarnation, s)
+		g.versions.MergePeerCounts(env.Now, e.From, s.Incarnation, s)
 	}
-	g.heardOfHolder(w.Now, s)
-	notes := r.learnLimits(w, s.Limits)
+	g.mergeLeader(env.Now, s)
+	timeline := r.mergeServerLimits(env, s.Limits)
 	merge := g.servers.Merge
 	if s.AllServers {
 		merge = g.servers.MergeAll
 	}
-	changed := merge(w.Now, w.Now.Add(-s.ServersAge), s.Servers)
-	out := append(notes, r.noteRollouts(w)...)
-	out = append(out, r.serversChanged(w, changed, false)...)
-	g.exchanges.MergeCachedPrefixes(r.exchangeWorld(w), s.CachedPrefixes, g.relaySince != 0)
+	changed := merge(env.Now, env.Now.Add(-s.ServersAge), s.Servers)
+	out := append(timeline, r.recordRollouts(env)...)
+	out = append(out, r.serversChanged(env, changed, false)...)
+	g.exchanges.MergeCachedPrefixes(r.exchangeEnv(env), s.CachedPrefixes, g.relaySince != 0)
 	if s.Revision == g.revision() {
-		g.confirmed = max(g.confirmed, w.Now.Add(-s.ConfigurationAge))
+		g.configConfirmedAt = max(g.configConfirmedAt, env.Now.Add(-s.ConfigurationAge))
 	}
-	if s.Revision <= g.revision() || w.Now.Before(g.nextFetch) {
+	if s.Revision <= g.revision() || env.Now.Before(g.nextFetch) {
 		return out
 	}
 	node, known := r.members.Node(e.From)
 	if !known {
 		return out
 	}
-	g.nextFetch = w.Now.Add(fetchPause)
+	g.nextFetch = env.Now.Add(peerFetchInterval)
 	return append(out, messenger.FetchConfiguration{
 		Peer:    e.From,
 		Address: node.PeerAddress,
 	})
 }
 
-// shareNow tells peers what this node knows: all of them, or where they are many
-// those that pass it on.
-func (r *Reducer) shareNow(w *conductor.Env) []messenger.Effect {
+// sendUpdates sends this node's update to all peers or, in a large cluster, to those of
+// directPeers.
+func (r *Reducer) sendUpdates(env *conductor.Env) []messenger.Effect {
 	g := r.gateway
-	g.nextShare = w.Now.Add(shareEachTime)
+	g.nextUpdate = env.Now.Add(updateInterval)
 	peers := r.ranking.Peers()
-	g.many = len(peers) > sharePeers
-	if g.many {
-		return r.tellFew(r.fewPeers(peers), g.share(w.Now))
+	g.usesRelays = len(peers) > maxDirectPeers
+	if g.usesRelays {
+		return r.sendToSelected(r.directPeers(peers), g.ownUpdate(env.Now))
 	}
-	share := g.share(w.Now)
+	update := g.ownUpdate(env.Now)
 	out := make([]messenger.Effect, 0, len(peers))
 	for _, p := range peers {
-		out = append(out, g.send(w.Now, p, share))
+		out = append(out, g.send(env.Now, p, update))
 	}
 	return out
 }
 
-// tellFew tells the peers that hear this node directly. Counts of usage and of versions,
-// which are most of a share, go only to those that may come to report and judge them.
-func (r *Reducer) tellFew(peers []gossiper.Node, share messenger.StateUpdate) []messenger.Effect {
-	duties := r.ranking.First(string(dutyLease), dutyNodes)
-	others := share
-	others.Usage = nil
-	others.Versions = nil
-	var reporters, rest []gossiper.Node
+// sendToSelected sends an update to selected peers. Counts of usage and of versions,
+// which are most of an update, go only to the allocator and to candidates for the
+// lease.
+func (r *Reducer) sendToSelected(peers []gossiper.Node, update messenger.StateUpdate) []messenger.Effect {
+	candidates := r.ranking.First(string(leaderLease), leaderNodes)
+	withoutCounts := update
+	withoutCounts.Usage = nil
+	withoutCounts.Versions = nil
+	var candidatePeers, otherPeers []gossiper.Node
 	for _, p := range peers {
-		if p.VM == r.gateway.granter || ranker.Contains(duties, p.VM) {
-			reporters = append(reporters, p)
+		if p.VM == r.gateway.allocator || ranker.Contains(candidates, p.VM) {
+			candidatePeers = append(candidatePeers, p)
 			continue
 		}
-		rest = append(rest, p)
+		otherPeers = append(otherPeers, p)
 	}
-	return append(r.gateway.tellAlike(reporters, share), r.gateway.tellAlike(rest, others)...)
+	return append(r.gateway.sendSame(candidatePeers, update), r.gateway.sendSame(otherPeers, withoutCounts)...)
 }
 
-// tellAlike tells peers the same, whether they joined lately or not.
+// sendSame sends the same update to all of the peers, whether or not they are new.
 //
-// Where nodes are many those that joined hear of all entries from the relays of their
-// zone. Otherwise a relay that starts with all others would hear of all servers, and of
-// all kept parts of prompts, from each of them.
-func (g *gateway) tellAlike(peers []gossiper.Node, share messenger.StateUpdate) []messenger.Effect {
+// In large clusters, new nodes receive all entries from the relays of their zone.
+// Otherwise a relay that starts together with all other nodes would receive all servers
+// and all cached prefixes from each of them.
+func (g *gateway) sendSame(peers []gossiper.Node, update messenger.StateUpdate) []messenger.Effect {
 	out := make([]messenger.Effect, 0, len(peers))
 	for _, p := range peers {
 		out = append(out, messenger.SendStateUpdate{
 			Peer:    p.VM,
 			Address: p.PeerAddress,
-			Update:  share,
+			Update:  update,
 		})
 	}
 	return out
 }
 
-// send tells one peer; one that joined lately hears of all that this node knows, but of
-// all servers only if it wants to. Most have read them from the store: where all nodes
-// start at once a relay would tell each of its zone thousands of servers, again and again.
-func (g *gateway) send(now timekeeper.Time, peer gossiper.Node, share messenger.StateUpdate) messenger.SendStateUpdate {
-	if until, ok := g.newcomers[peer.VM]; ok {
-		all := g.all(now)
-		share.CachedPrefixes = all.kept
-		share.Suspects = all.suspects
+// send sends an update to one peer. A new peer receives all cached prefixes and
+// suspects, but all servers only on request. Most nodes have read these from the store,
+// and when all nodes start at once, a relay would send thousands of servers to each
+// node of its zone repeatedly.
+func (g *gateway) send(now timekeeper.Time, peer gossiper.Node, update messenger.StateUpdate) messenger.SendStateUpdate {
+	if until, ok := g.newPeers[peer.VM]; ok {
+		all := g.allEntries(now)
+		update.CachedPrefixes = all.prefixes
+		update.Suspects = all.suspects
 		if !now.Before(until) {
-			delete(g.newcomers, peer.VM)
+			delete(g.newPeers, peer.VM)
 		}
 	}
-	if g.wanting[peer.VM] && g.whole {
-		share.Servers = g.all(now).servers
-		share.AllServers = true
-		delete(g.wanting, peer.VM)
+	if g.serversRequested[peer.VM] && g.knowsAllServers {
+		update.Servers = g.allEntries(now).servers
+		update.AllServers = true
+		delete(g.serversRequested, peer.VM)
 	}
 	return messenger.SendStateUpdate{
 		Peer:    peer.VM,
 		Address: peer.PeerAddress,
-		Update:  share,
+		Update:  update,
 	}
 }
 
-// entries is all that a node knows of servers and of what they keep, at an instant.
+// entries is all that a node knows of servers, cached prefixes and suspects at an
+// instant.
 type entries struct {
-	at      timekeeper.Time
-	servers []messenger.PublishedServer
-	kept    []messenger.CachedPrefix
+	at       timekeeper.Time
+	servers  []messenger.PublishedServer
+	prefixes []messenger.CachedPrefix
 	// suspects are the requests under which servers ended.
 	suspects []messenger.SuspectRequest
 }
 
-// all gathers the entries, once for all peers that are told at an instant.
-func (g *gateway) all(now timekeeper.Time) *entries {
-	if g.gathered == nil || g.gathered.at != now {
-		g.gathered = &entries{
+// allEntries returns the entries. They are computed once for all peers that receive
+// them at the same instant.
+func (g *gateway) allEntries(now timekeeper.Time) *entries {
+	if g.cachedEntries == nil || g.cachedEntries.at != now {
+		g.cachedEntries = &entries{
 			at:       now,
 			servers:  g.servers.All(),
-			kept:     g.exchanges.CachedPrefixes(),
+			prefixes: g.exchanges.CachedPrefixes(),
 			suspects: g.quarantine.All(now),
 		}
 	}
-	return g.gathered
+	return g.cachedEntries
 }
 
-// passesOn reports whether this node tells peers what other nodes told it: where nodes are
-// many, relays do.
-func (g *gateway) passesOn() bool { return !g.many || g.relaySince != 0 }
+// includesReceived reports whether this node's updates include changes that it received
+// from peers. In large clusters, only those of relays do.
+func (g *gateway) includesReceived() bool { return !g.usesRelays || g.relaySince != 0 }
 
-// newsWindow is for how long a node tells of an entry.
-func (g *gateway) newsWindow() timekeeper.Duration {
+// serverUpdateWindow returns the time for which this node reports a changed server
+// entry.
+func (g *gateway) serverUpdateWindow() timekeeper.Duration {
 	if g.relaySince != 0 {
-		return relayedWindow
+		return relayUpdateWindow
 	}
-	return shareWindow
+	return updateWindow
 }
 
-// share is what this node tells its peers.
-func (g *gateway) share(now timekeeper.Time) messenger.StateUpdate {
+// ownUpdate returns this node's update with its own load and counts.
+func (g *gateway) ownUpdate(now timekeeper.Time) messenger.StateUpdate {
 	running, demand := g.exchanges.OwnLoad(now)
-	s := g.news(now)
+	s := g.baseUpdate(now)
 	s.InFlight = running
 	s.Usage = g.usage.Own(now)
 	s.Versions = g.versions.Counts()
@@ -191,21 +197,22 @@
 	return s
 }
 
-// news is what this node knows that is not of its own requests.
-func (g *gateway) news(now timekeeper.Time) messenger.StateUpdate {
+// baseUpdate returns the part of an update that does not depend on requests of this
+// node.
+func (g *gateway) baseUpdate(now timekeeper.Time) messenger.StateUpdate {
 	s := messenger.StateUpdate{
 		Incarnation:        g.incarnation,
-		Servers:            g.servers.UpdatesSince(now.Add(-g.newsWindow()), g.passesOn()),
-		RequestsAllServers: !g.whole && (!g.many || now.Sub(g.startedAt) >= wantAfter),
+		Servers:            g.servers.UpdatesSince(now.Add(-g.serverUpdateWindow()), g.includesReceived()),
+		RequestsAllServers: !g.knowsAllServers && (!g.usesRelays || now.Sub(g.startedAt) >= serversRequestDelay),
 		ServersAge:         now.Sub(g.servers.AsOf()),
-		ConfigurationAge:   now.Sub(g.confirmed),
+		ConfigurationAge:   now.Sub(g.configConfirmedAt),
 		Revision:           g.revision(),
 		CachedPrefixes:     g.exchanges.CachedPrefixUpdates(now),
 		Suspects:           g.quarantine.Updates(now, g.relaySince != 0),
-		Limits:             g.limits.Updates(now, g.relaySince != 0),
+		Limits:             g.serverLimits.Updates(now, g.relaySince != 0),
 		Rollouts:           g.versions.Updates(now),
 	}
-	if fence, _, held := g.leases.Held(dutyLease, now); held {
+	if fence, _, held := g.leases.Held(leaderLease, now); held {
 		s.Leader = g.self
 		s.Fence = fence
 	}
--- a/internal/reducer/start_test.go
+++ b/internal/reducer/start_test.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// bigFleet and bigServices are the size at which every rule has to hold.
-	bigFleet   = 300
+	// bigCluster and bigServers are the sizes for which the product is specified.
+	bigCluster = 300
 	bigServers = 3000
-	// mostEntries is how many entries of servers a node may send or get a second,
-	// some 110 bytes each: half of what the smallest VM's link carries.
-	mostEntries = 6000
+	// maxEntryRate is the maximum rate of server entries, of some 110 bytes each, that
+	// a node may send or receive per second: half of the bandwidth of the smallest VM.
+	maxEntryRate = 6000
 )
 
-// entriesOf are servers as the store has them after some changes.
-func entriesOf(servers int, offset identifier.Offset) []messenger.PublishedServer {
+// publishedServers returns server entries as read from the store.
+func publishedServers(servers int, offset identifier.Offset) []messenger.PublishedServer {
 	out := make([]messenger.PublishedServer, 0, servers)
 	for i := range servers {
 		out = append(out, messenger.PublishedServer{
@@ -29,7 +29,7 @@
 			Offset:  offset + identifier.Offset(i),
 			Service: "reader",
 			Address: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250),
-			Zone:    identifier.Zone(fmt.Sprintf("zone-%d", i%fleetZones)),
+			Zone:    identifier.Zone(fmt.Sprintf("zone-%d", i%clusterZones)),
 			Slots:   32,
 			State:   messenger.ServerReady,
 		})
@@ -37,51 +37,49 @@
 	return out
 }
 
-// busiest runs a fleet and returns the most entries that one node sent, or got, in a
-// second.
-func busiest(f *fleet, span timekeeper.Duration) (sent, got int) {
-	f.sent = map[identifier.VMID]int{}
-	f.got = map[identifier.VMID]int{}
-	f.run(span)
+// maxEntryRates runs a cluster and returns the highest rates of entries per second that
+// any node sent and received.
+func maxEntryRates(c *cluster, span timekeeper.Duration) (sent, received int) {
+	c.entriesSent = map[identifier.VMID]int{}
+	c.entriesReceived = map[identifier.VMID]int{}
+	c.run(span)
 	seconds := int(span / timekeeper.Second)
-	for _, id := range f.ids {
-		sent = max(sent, f.sent[id]/seconds)
-		got = max(got, f.got[id]/seconds)
+	for _, id := range c.ids {
+		sent = max(sent, c.entriesSent[id]/seconds)
+		received = max(received, c.entriesReceived[id]/seconds)
 	}
-	return sent, got
+	return sent, received
 }
 
-// All of 300 nodes start at once. Each reads from the store which servers there are, and
-// then told its peers of all 3,000 as news, several times; the relays told each node of
-// their zone all of them again, four times a second, as it had just joined. Links were
-// full for seconds, so that a configuration came seven seconds late, and VMs ran out of
-// memory for the messages. What a node reads at its start its peers read as well.
-func TestStartOfAllIsNoNews(t *testing.T) {
-	f := newFleet(bigFleet)
-	entries := entriesOf(bigServers, 1)
-	for _, id := range f.ids {
-		f.apply(id, messenger.CatalogPublished{Catalog: fleetCatalog()})
-		f.apply(id, messenger.ServersPublished{
+// All nodes start at once and read all servers from the store. Guards against nodes
+// that send all of them to their peers as changes, or to each peer as a new one, which
+// fills the links.
+func TestSimultaneousStartSendsFewEntries(t *testing.T) {
+	c := newCluster(bigCluster)
+	entries := publishedServers(bigServers, 1)
+	for _, id := range c.ids {
+		c.apply(id, messenger.CatalogPublished{Catalog: clusterCatalog()})
+		c.apply(id, messenger.ServersPublished{
 			Servers: entries,
 			All:     true,
 		})
 	}
-	sent, got := busiest(f, 2*timekeeper.Second)
-	t.Logf("the busiest node sent %d entries a second and got %d", sent, got)
-	require.LessOrEqual(t, sent, mostEntries)
-	require.LessOrEqual(t, got, mostEntries)
+	sent, received := maxEntryRates(c, 2*timekeeper.Second)
+	t.Logf("the busiest node sent %d entries a second and got %d", sent, received)
+	require.LessOrEqual(t, sent, maxEntryRate)
+	require.LessOrEqual(t, received, maxEntryRate)
 }
 
-// One of the nodes can't reach the store when it starts. It knows no server until a
-// relay tells it of all, which it asks for.
-func TestNodeThatTheStoreTurnsAwayHearsOfAllServers(t *testing.T) {
-	f := newFleet(61)
-	for _, id := range f.ids[1:] {
-		f.apply(id, messenger.ServersPublished{
-			Servers: entriesOf(84, 1),
+// A node that can't read the store when it starts receives all servers from a relay on
+// request.
+func TestNodeWithoutStoreReceivesAllServers(t *testing.T) {
+	c := newCluster(61)
+	for _, id := range c.ids[1:] {
+		c.apply(id, messenger.ServersPublished{
+			Servers: publishedServers(84, 1),
 			All:     true,
 		})
 	}
-	f.run(3 * timekeeper.Second)
-	require.Len(t, f.nodes[f.ids[0]].gateway.servers.ServersOf("reader"), 84)
+	c.run(3 * timekeeper.Second)
+	require.Len(t, c.nodes[c.ids[0]].gateway.servers.ServersOf("reader"), 84)
 }
--- a/internal/reducer/stop_test.go
+++ b/internal/reducer/stop_test.go
@@ -12,10 +12,9 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// A node with no request in flight is told to stop, and ends in the same step.
-// Were its peers not told before, they would give it out to callers, and choose
-// it as a holder, until they miss its heartbeats more than a second later.
-func TestIdleNodeTellsPeersThatItStops(t *testing.T) {
+// An idle node exits in the step in which its drain starts. Its peers must be notified
+// first, or they would return its address to callers until it misses heartbeats.
+func TestDrainNotifiesPeersBeforeExit(t *testing.T) {
 	stopping := New(Config{
 		Self:        "n1",
 		Incarnation: 1,
@@ -23,27 +22,27 @@
 		PeerAddress: "n1",
 	})
 	peer := member("n2", 1, "n1")
-	heard(t, stopping, peer)
+	meet(t, stopping, peer)
 
 	effects := stopping.Apply(messenger.Event{
 		At:   1100,
 		Body: messenger.DrainStarted{Deadline: timekeeper.Time(1000).Add(timekeeper.Minute)},
 	})
-	told := slices.IndexFunc(effects, isA[messenger.SendGossip])
-	ended := slices.IndexFunc(effects, isA[messenger.Exit])
-	require.NotEqual(t, -1, ended)
-	require.NotEqual(t, -1, told)
-	require.Less(t, told, ended)
+	notified := slices.IndexFunc(effects, isA[messenger.SendGossip])
+	exited := slices.IndexFunc(effects, isA[messenger.Exit])
+	require.NotEqual(t, -1, exited)
+	require.NotEqual(t, -1, notified)
+	require.Less(t, notified, exited)
 
-	_, err := peer.Receive(1100, "n1", effects[told].(messenger.SendGossip).Data)
+	_, err := peer.Receive(1100, "n1", effects[notified].(messenger.SendGossip).Data)
 	require.NoError(t, err)
 	n, known := peer.Node("n1")
 	require.True(t, known)
 	require.Equal(t, gossiper.Leaving, n.State)
 }
 
-// heard lets both sides know of each other.
-func heard(t *testing.T, r *Reducer, peer *gossiper.Members) {
+// meet makes the node and its peer known to each other.
+func meet(t *testing.T, r *Reducer, peer *gossiper.Members) {
 	t.Helper()
 	message := func() []byte {
 		messages, _ := peer.Tick(1000, rand.New(rand.NewPCG(1, 1)))
--- a/internal/reducer/tick.go
+++ b/internal/reducer/tick.go
@@ -11,90 +11,91 @@
 )
 
 const (
-	// pollEvery is the spacing of load polls of one server.
-	pollEvery = 500 * timekeeper.Millisecond
-	// watchedServers is how many servers of one pool a node polls.
-	watchedServers = 32
-	// shareEvery is the spacing of the division of limits among nodes.
-	shareEvery = 500 * timekeeper.Millisecond
+	// pollInterval is the time between load polls of one server.
+	pollInterval = 500 * timekeeper.Millisecond
+	// maxPolledServers is the maximum number of servers per pool that a node polls.
+	maxPolledServers = 32
+	// limitShareInterval is the time between divisions of the limits among nodes.
+	limitShareInterval = 500 * timekeeper.Millisecond
 )
 
-// timers holds the instants at which periodic work is next due.
+// timers holds the times at which periodic work is next due, and the state of pending
+// changes of the configuration.
 type timers struct {
-	nextPoll     timekeeper.Time
-	nextShare    timekeeper.Time
-	nextSuspects timekeeper.Time
-	nextFetch    timekeeper.Time
-	// configOut is when the log's stream of the configuration became
-	// unreadable, or Never.
-	configOut timekeeper.Time
-	proposals uint64
-	// changes are the operators' changes of this node without a verdict.
-	changes    map[identifier.Ticket]identifier.Nonce
-	nextChange timekeeper.Time
+	nextPoll          timekeeper.Time
+	nextLimitShare    timekeeper.Time
+	nextSuspectUpdate timekeeper.Time
+	nextFetch         timekeeper.Time
+	// configUnavailableSince is the time at which the log stream of the configuration
+	// became unavailable, or Never.
+	configUnavailableSince timekeeper.Time
+	proposals              uint64
+	// pendingChanges are the changes by operators of this node that have no verdict.
+	pendingChanges map[identifier.Ticket]identifier.Nonce
+	nextChange     timekeeper.Time
 }
 
 func newTimers() timers {
 	return timers{
-		configOut: timekeeper.Never,
-		changes:   map[identifier.Ticket]identifier.Nonce{},
+		configUnavailableSince: timekeeper.Never,
+		pendingChanges:         map[identifier.Ticket]identifier.Nonce{},
 	}
 }
 
-// tick lets time pass in every slice of the state.
-func (r *Reducer) tick(w *conductor.Env) []messenger.Effect {
-	out := r.tickGossip(w)
+// tick advances all parts of the state to the current time.
+func (r *Reducer) tick(env *conductor.Env) []messenger.Effect {
+	out := r.tickGossip(env)
 	if r.gateway != nil {
-		return append(out, r.tickGateway(w)...)
+		return append(out, r.tickGateway(env)...)
 	}
-	out = append(out, r.requests.Tick(w)...)
-	out = append(out, r.tickConfig(w)...)
-	out = append(out, r.tickPolls(w)...)
-	out = append(out, r.tickClaims(w)...)
-	out = append(out, r.tickQuarantine(w)...)
-	out = append(out, r.tellSuspects(w)...)
-	out = append(out, r.tickProvisioner(w)...)
-	if !w.Now.Before(r.timers.nextShare) {
-		r.timers.nextShare = w.Now.Add(shareEvery)
-		r.shareLimits(w.Now)
+	out = append(out, r.requests.Tick(env)...)
+	out = append(out, r.tickConfig(env)...)
+	out = append(out, r.tickPolls(env)...)
+	out = append(out, r.tickClaims(env)...)
+	out = append(out, r.tickQuarantine(env)...)
+	out = append(out, r.sendSuspects(env)...)
+	out = append(out, r.tickProvisioner(env)...)
+	if !env.Now.Before(r.timers.nextLimitShare) {
+		r.timers.nextLimitShare = env.Now.Add(limitShareInterval)
+		r.mergePeerDemand(env.Now)
 	}
 	return out
 }
 
-// tickPolls asks the watched servers for their load.
-func (r *Reducer) tickPolls(w *conductor.Env) []messenger.Effect {
-	if w.Catalog == nil || w.Now.Before(r.timers.nextPoll) {
+// tickPolls polls the load of servers.
+func (r *Reducer) tickPolls(env *conductor.Env) []messenger.Effect {
+	if env.Catalog == nil || env.Now.Before(r.timers.nextPoll) {
 		return nil
 	}
-	r.timers.nextPoll = w.Now.Add(pollEvery)
+	r.timers.nextPoll = env.Now.Add(pollInterval)
 	var out []messenger.Effect
-	for _, pool := range sortedPools(w.Catalog) {
-		for _, vm := range r.watched(pool) {
+	for _, pool := range sortedPools(env.Catalog) {
+		for _, vm := range r.polledServers(pool) {
 			server, _ := r.members.Server(vm)
 			out = append(out, messenger.PollServer{
 				Server:  vm,
 				Address: server.Address,
-				Kind:    w.Catalog.Pools[pool].Kind,
+				Kind:    env.Catalog.Pools[pool].Kind,
 			})
 		}
 	}
 	return out
 }
 
-// watched returns the servers of a pool that this node polls.
-func (r *Reducer) watched(pool identifier.PoolName) []identifier.VMID {
+// maxPolledServers returns the servers of a pool that this node polls.
+func (r *Reducer) polledServers(pool identifier.PoolName) []identifier.VMID {
 	var all []identifier.VMID
 	for _, s := range r.members.Servers(pool) {
 		all = append(all, s.VM)
 	}
-	return placer.WatchedServers(r.config.Self, r.members.Nodes(), all, watchedServers)
+	return placer.WatchedServers(r.config.Self, r.members.Nodes(), all, maxPolledServers)
 }
 
-// tickProvisioner renews leases and plans for the pools that this node holds.
-func (r *Reducer) tickProvisioner(w *conductor.Env) []messenger.Effect {
+// tickProvisioner renews leases, and plans for the pools whose leases this node holds.
+func (r *Reducer) tickProvisioner(env *conductor.Env) []messenger.Effect {
 	return r.provisioner.Tick(provisioner.Input{
-		Now:     w.Now,
-		Catalog: w.Catalog,
+		Now:     env.Now,
+		Catalog: env.Catalog,
 		Members: r.members,
 		Loads:   r.loads,
 		Demand:  r.requests.Demand,
@@ -102,10 +103,10 @@
 	})
 }
 
-// tickClaims appends what the table of claims wants appended.
-func (r *Reducer) tickClaims(w *conductor.Env) []messenger.Effect {
+// tickClaims appends the records that the table of claims has to append.
+func (r *Reducer) tickClaims(env *conductor.Env) []messenger.Effect {
 	var out []messenger.Effect
-	for _, a := range r.claims.Appends(w.Now) {
+	for _, a := range r.claims.Appends(env.Now) {
 		out = append(out, messenger.AppendRecord{
 			Stream: a.Stream,
 			Data:   a.Data,
@@ -114,20 +115,20 @@
 	return out
 }
 
-func (r *Reducer) loadReported(w *conductor.Env, e messenger.LoadReported) []messenger.Effect {
+func (r *Reducer) loadReported(env *conductor.Env, e messenger.LoadReported) []messenger.Effect {
 	if _, known := r.members.Server(e.Server); !known {
 		return nil
 	}
-	// Reports of several polls may cross; an older one never replaces a newer.
+	// Reports may arrive out of order.
 	if e.Load.AsOf.Before(r.loads[e.Server].AsOf) {
 		return nil
 	}
 	r.loads[e.Server] = e.Load
-	r.suspicions.Observe(w.Now, e.Server, detector.Observation{Kind: detector.LoadOK})
+	r.suspicions.Observe(env.Now, e.Server, detector.Observation{Kind: detector.LoadOK})
 	return nil
 }
 
-func (r *Reducer) loadMissed(w *conductor.Env, e messenger.LoadMissed) []messenger.Effect {
-	r.suspicions.Observe(w.Now, e.Server, detector.Observation{Kind: detector.LoadMissed})
+func (r *Reducer) loadMissed(env *conductor.Env, e messenger.LoadMissed) []messenger.Effect {
+	r.suspicions.Observe(env.Now, e.Server, detector.Observation{Kind: detector.LoadMissed})
 	return nil
 }
--- a/internal/reducer/view.go
+++ b/internal/reducer/view.go
@@ -18,10 +18,10 @@
 // the time for which callers still connect to a node that has left.
 const AddressMaxAge = 5 * timekeeper.Second
 
-// View is what this node sees of the system, for operators.
+// View is the state of the system as this node sees it, for operators.
 type View struct {
 	Revision identifier.Revision
-	// Fault tells why the log's configuration can't be followed, or nil.
+	// Fault is the reason why the configuration in the log can't be applied, or nil.
 	Fault     error
 	Draining  bool
 	InFlight  int
@@ -41,9 +41,8 @@
 	Suspect bool
 }
 
-// Catalog returns the configuration in force, or nil before the first. Until
-// then the folder is empty, which is not what the operators want: a request
-// judged by it would be refused for good as one of an unknown service.
+// Catalog returns the configuration in force, or nil before the first. An empty
+// configuration would refuse requests permanently, as those of unknown services.
 func (r *Reducer) Catalog() *catalog.Catalog {
 	if r.gateway != nil {
 		return r.gateway.catalog
@@ -57,27 +56,27 @@
 // Files returns the files of the configuration in force.
 func (r *Reducer) Files() map[identifier.FileName]configurer.FileState { return r.files.Files() }
 
-// History returns the changes of the configuration that the node knows.
+// History returns the changes of the configuration that this node knows.
 func (r *Reducer) History() []configurer.Change { return r.files.History() }
 
-// Nodes returns the members, this node included, without the dead.
+// Nodes returns the members except dead ones, this node included.
 func (r *Reducer) Nodes() []gossiper.Node { return r.members.Nodes() }
 
-// Node returns a member by its VM, dead or not.
+// Node returns a member by its VM, even if it is dead.
 func (r *Reducer) Node(vm identifier.VMID) (gossiper.Node, bool) { return r.members.Node(vm) }
 
-// Counters returns what the node did with requests so far.
+// Counters returns the counts of what this node did with requests.
 func (r *Reducer) Counters() conductor.Counters { return r.requests.Counters() }
 
-// Addresses returns the nodes that callers of an account should use, best
-// first. A node that is leaving, dead or only suspected of it is never among
-// them: a caller that keeps the list would connect to it for seconds to come.
+// Addresses returns the nodes that callers of an account should use, best first.
+// Leaving, dead and suspected nodes are left out, because a caller that caches the list
+// would connect to them for up to AddressMaxAge.
 func (r *Reducer) Addresses(_ timekeeper.Time, account identifier.AccountID) []gossiper.Node {
 	nodes := r.members.Nodes()
 	return placer.Shard(account, nodes, len(nodes))
 }
 
-// View returns what the node sees at an instant.
+// View returns the state at the given time.
 func (r *Reducer) View(now timekeeper.Time) View {
 	v := View{
 		Revision:  r.revision(),
@@ -90,8 +89,8 @@
 		Leases:    r.provisioner.View(now),
 		Counters:  r.requests.Counters(),
 	}
-	for vm, news := range r.members.Statuses() {
-		v.Revisions[vm] = news.Revision
+	for vm, status := range r.members.Statuses() {
+		v.Revisions[vm] = status.Revision
 	}
 	if c := r.Catalog(); c != nil {
 		for _, pool := range sortedPools(c) {
