--- a/internal/detector/detector.go
+++ b/internal/detector/detector.go
@@ -1,15 +1,15 @@
-// Package detector suspects backend servers that fail, fall silent, or are
-// much slower than their load reports promise, and trusts them again one
-// probe at a time.
+// Package detector identifies suspect backend servers: servers that fail,
+// time out, or are much slower than their load reports predict. It trusts
+// them again after successful probes.
 //
-// Each server is in one of three states. A trusted server becomes suspect
-// when evidence against it piles up. It then gets no work for a hold-off,
-// after which it is on probation: one request at a time may try it. A few
-// good probes in a row make it trusted, one bad probe makes it suspect again
-// for twice as long.
+// Each server is in one of three states. A trusted server becomes suspect if
+// enough evidence against it accumulates. It then receives no requests for a
+// hold-off, and is on probation after that: one request at a time may probe
+// it. Several successful probes in a row make it trusted; a failed one makes
+// it suspect again for twice as long.
 //
-// Everything is pure: time is an argument, and nothing is drawn at random.
-// Nothing is safe for concurrent use.
+// Everything is deterministic: time is an argument, and no random numbers are
+// used. Nothing is safe for concurrent use.
 package detector
 
 import (
@@ -26,31 +26,31 @@
 	LoadOK Kind = "load_ok"
 	// LoadMissed: the server did not answer a poll.
 	LoadMissed Kind = "load_missed"
-	// Sent: this node sent the server an attempt. On probation it is the
-	// probe, and no second one goes out before it ends.
+	// Sent: this node sent an attempt to the server. On probation the attempt
+	// is the probe, and no other is allowed until it ends.
 	Sent Kind = "sent"
 	// Started: the server accepted an attempt.
 	Started Kind = "started"
 	// FirstToken: the first token of an attempt arrived.
 	FirstToken Kind = "first_token"
-	// Completed: an attempt ended with its whole answer.
+	// Completed: an attempt ended with its complete answer.
 	Completed Kind = "completed"
 	// NotSent: the server could not be reached.
 	NotSent Kind = "not_sent"
 	// Broken: a connection ended early.
 	Broken Kind = "broken"
-	// Silent: a connection went silent.
+	// TimedOut: no data arrived on a connection within its timeout.
 	TimedOut Kind = "silent"
-	// Failed: the server said that it failed.
+	// Failed: the server reported a failure.
 	Failed Kind = "failed"
 )
 
 // Observation is one piece of evidence.
 type Observation struct {
 	Kind Kind
-	// Latency is the time that a first token or a whole plain answer took,
-	// and PredictedLatency what was predicted from the server's reports.
-	// Either may be zero where it is not known.
+	// Latency is the time until a first token or a complete plain answer, and
+	// PredictedLatency the prediction from the server's reports. Either may
+	// be zero if it is not known.
 	Latency          timekeeper.Duration
 	PredictedLatency timekeeper.Duration
 }
@@ -64,19 +64,21 @@
 	DefaultMaxServers   = 1024
 )
 
-// Rules switches the rules on and off, for measurement.
+// Rules enables the rules individually, for measurements.
 type Rules struct {
-	// Failures suspects servers that fail or fall silent.
+	// Failures suspects servers that fail or time out.
 	Failures bool
-	// Slowness suspects servers that are slower than their reports promise.
+	// Slowness suspects servers that are slower than their load reports
+	// predict.
 	Slowness bool
 	// Growth doubles the hold-off with each suspicion.
 	Growth bool
-	// Probation trusts again by single probes instead of all at once.
+	// Probation requires successful probes before a server is trusted again.
+	// Without it a server is trusted when its hold-off ends.
 	Probation bool
 }
 
-// AllRules returns the rules with each one on.
+// AllRules returns the rules with all of them enabled.
 func AllRules() Rules {
 	return Rules{
 		Failures:  true,
@@ -86,20 +88,21 @@
 	}
 }
 
-// Config sets up Suspicions. Zero numbers mean the defaults, but zero Rules
-// mean that all rules are off: see AllRules.
+// Config configures Suspicions. Zero numbers stand for the defaults, but zero
+// Rules disable all rules: see AllRules.
 type Config struct {
 	Rules Rules
-	// HoldOff is the time without work after a first suspicion; it doubles up
-	// to MaxHoldOff.
+	// HoldOff is the time without requests after a first suspicion. It
+	// doubles with each further one, up to MaxHoldOff.
 	HoldOff    timekeeper.Duration
 	MaxHoldOff timekeeper.Duration
-	// ProbeTimeout is the time after which a probe of which nothing was heard
-	// is given up, and another allowed.
+	// ProbeTimeout is the time after which an unfinished probe is abandoned
+	// and another one is allowed.
 	ProbeTimeout timekeeper.Duration
-	// Probes is the number of good probes in a row that earn trust.
+	// Probes is the number of consecutive successful probes that make a
+	// server trusted.
 	Probes int
-	// MaxServers bounds the number of servers remembered.
+	// MaxServers is the maximum number of tracked servers.
 	MaxServers int
 }
 
@@ -122,91 +125,92 @@
 	return c
 }
 
-// Suspicions holds what is known of each server.
+// Suspicions tracks the state of each server.
 type Suspicions struct {
 	config  Config
-	servers map[identifier.VMID]*suspicion
+	servers map[identifier.VMID]*serverRecord
 	slow    slowness
 	dropped uint64
 }
 
-// New returns Suspicions that trust every server.
+// New returns Suspicions in which every server is trusted.
 func New(c Config) *Suspicions {
 	return &Suspicions{
 		config:  c.withDefaults(),
-		servers: make(map[identifier.VMID]*suspicion),
+		servers: make(map[identifier.VMID]*serverRecord),
 	}
 }
 
-// Observe takes in one piece of evidence about a server.
+// Observe records an observation of a server.
 func (s *Suspicions) Observe(now timekeeper.Time, server identifier.VMID, o Observation) {
-	k := s.server(now, server)
-	k.heard = now
-	k.advance(now, s.config)
-	bad := s.weigh(k, o)
-	switch k.state {
+	r := s.server(now, server)
+	r.lastSeen = now
+	r.advance(now, s.config)
+	weight := s.evidenceWeight(r, o)
+	switch r.state {
 	case trusted:
-		k.blame(now, s.config, o.Kind, bad)
+		r.addEvidence(now, s.config, o.Kind, weight)
 	case probation:
-		k.judgeProbe(now, s.config, o.Kind, bad)
+		r.updateProbe(now, s.config, o.Kind, weight)
 	}
-	if k.state == suspect {
-		s.slow.reset(k)
+	if r.state == suspect {
+		s.slow.reset(r)
 	}
 }
 
-// Suspect reports whether the server should get no work now. On probation it
-// is not suspect while no probe is out.
+// Suspect reports whether the server should receive no requests now. A server
+// on probation is suspect only while a probe is in flight.
 func (s *Suspicions) Suspect(now timekeeper.Time, server identifier.VMID) bool {
-	k, ok := s.servers[server]
+	r, ok := s.servers[server]
 	if !ok {
 		return false
 	}
-	k.advance(now, s.config)
-	switch k.state {
+	r.advance(now, s.config)
+	switch r.state {
 	case suspect:
 		return true
 	case probation:
-		return k.probing
+		return r.probing
 	}
 	return false
 }
 
 // Forget drops what is known of a server.
 func (s *Suspicions) Forget(server identifier.VMID) {
-	if k, ok := s.servers[server]; ok {
-		s.slow.reset(k)
+	if r, ok := s.servers[server]; ok {
+		s.slow.reset(r)
 		delete(s.servers, server)
 	}
 }
 
-// Dropped returns how many servers were forgotten for lack of room.
+// Dropped returns the number of servers that were evicted because the table
+// was full.
 func (s *Suspicions) Dropped() uint64 { return s.dropped }
 
-func (s *Suspicions) server(now timekeeper.Time, id identifier.VMID) *suspicion {
-	k, ok := s.servers[id]
+func (s *Suspicions) server(now timekeeper.Time, id identifier.VMID) *serverRecord {
+	r, ok := s.servers[id]
 	if !ok {
-		s.makeRoom()
-		k = &suspicion{
-			at:    now,
-			heard: now,
+		s.evict()
+		r = &serverRecord{
+			updatedAt: now,
+			lastSeen:  now,
 		}
-		s.servers[id] = k
+		s.servers[id] = r
 	}
-	return k
+	return r
 }
 
-// makeRoom forgets the server not heard of for longest when the table is
-// full, a trusted one if there is any.
-func (s *Suspicions) makeRoom() {
+// evict makes room in a full table. It forgets the least recently seen
+// server, preferably a trusted one.
+func (s *Suspicions) evict() {
 	if len(s.servers) < s.config.MaxServers {
 		return
 	}
 	var victim identifier.VMID
-	var found *suspicion
-	for id, k := range s.servers {
-		if found == nil || k.dropBefore(found) || !found.dropBefore(k) && id < victim {
-			victim, found = id, k
+	var victimRecord *serverRecord
+	for id, r := range s.servers {
+		if victimRecord == nil || r.evictBefore(victimRecord) || !victimRecord.evictBefore(r) && id < victim {
+			victim, victimRecord = id, r
 		}
 	}
 	s.Forget(victim)
--- a/internal/detector/evidence.go
+++ b/internal/detector/evidence.go
@@ -7,34 +7,35 @@
 )
 
 const (
-	// The weights of evidence, as parts of the threshold.
+	// The weights of evidence, as fractions of threshold.
 	notSentWeight    = 0.5
 	brokenWeight     = 0.4
-	silentWeight     = 0.5
+	timedOutWeight   = 0.5
 	failedWeight     = 0.25
 	loadMissedWeight = 0.34
 
-	// slowRatio is the logarithm to base 2 of how much slower than predicted
-	// a server must be, compared with the others, to be suspect.
+	// slowRatio is the binary logarithm of the latency relative to its
+	// prediction and to the other servers from which a server is suspect.
 	slowRatio = 1.5
-	// slowSamples is the number of latencies that a judgement needs.
-	slowSamples = 5
+	// minSamples is the number of latencies needed to judge a server.
+	minSamples = 5
 	// slowSmoothing is the weight of the newest latency.
 	slowSmoothing = 0.25
-	// latencySlack is added to both latencies, so that small spans weigh
-	// little.
+	// latencySlack is added to both latencies, so that differences between
+	// short latencies have little weight.
 	latencySlack = 100 * timekeeper.Millisecond
-	// probeSlowRatio is the ratio at which one slow probe fails.
+	// probeSlowRatio is the ratio from which a probe fails because it is
+	// slow.
 	probeSlowRatio = 2.0
-	// ratioBound limits what one latency can say.
-	ratioBound = 4.0
+	// maxRatio limits the influence of one latency.
+	maxRatio = 4.0
 )
 
-// weigh returns the weight of an observation against the server; zero speaks
-// for it or not at all.
-func (s *Suspicions) weigh(k *suspicion, o Observation) float64 {
+// evidenceWeight returns the weight of an observation against the server. It
+// is zero if the observation is neutral or positive.
+func (s *Suspicions) evidenceWeight(r *serverRecord, o Observation) float64 {
 	if o.Kind == FirstToken || o.Kind == Completed {
-		return s.weighLatency(k, o)
+		return s.latencyWeight(r, o)
 	}
 	if !s.config.Rules.Failures {
 		return 0
@@ -45,7 +46,7 @@
 	case Broken:
 		return brokenWeight
 	case TimedOut:
-		return silentWeight
+		return timedOutWeight
 	case Failed:
 		return failedWeight
 	case LoadMissed:
@@ -54,83 +55,84 @@
 	return 0
 }
 
-// weighLatency compares a latency with its prediction. Predictions come from
-// the server's own reports, so that one that hides its load stands out. The
-// length of a stream says nothing: how much a model answers is not known.
-func (s *Suspicions) weighLatency(k *suspicion, o Observation) float64 {
-	k.streams = k.streams || o.Kind == FirstToken
-	if o.Kind == Completed && k.streams {
+// latencyWeight compares a latency with its prediction. Predictions are based
+// on the server's own reports, so a server that underreports its load stands
+// out. The duration of a stream is ignored, because the length of an answer
+// is not predicted.
+func (s *Suspicions) latencyWeight(r *serverRecord, o Observation) float64 {
+	r.streaming = r.streaming || o.Kind == FirstToken
+	if o.Kind == Completed && r.streaming {
 		return 0
 	}
 	if !s.config.Rules.Slowness || o.Latency <= 0 || o.PredictedLatency <= 0 {
 		return 0
 	}
 	ratio := logRatio(o.Latency, o.PredictedLatency)
-	s.slow.sample(k, ratio)
-	others := s.slow.others(k)
-	if k.state == probation && ratio-others > probeSlowRatio {
+	s.slow.addSample(r, ratio)
+	mean := s.slow.meanOfOthers(r)
+	if r.state == probation && ratio-mean > probeSlowRatio {
 		return threshold
 	}
-	if k.samples >= slowSamples && k.ratio-others > slowRatio {
+	if r.samples >= minSamples && r.latencyRatio-mean > slowRatio {
 		return threshold
 	}
 	return 0
 }
 
 func logRatio(observed, predicted timekeeper.Duration) float64 {
-	r := math.Log2(float64(observed+latencySlack) / float64(predicted+latencySlack))
-	return min(max(r, -ratioBound), ratioBound)
+	ratio := math.Log2(float64(observed+latencySlack) / float64(predicted+latencySlack))
+	return min(max(ratio, -maxRatio), maxRatio)
 }
 
-// slowness sums the smoothed ratios of all servers with enough samples.
+// slowness sums the smoothed ratios of all servers with samples.
 //
-// When the whole pool is slow, because of load or a wrong prediction, each
-// server looks slow by itself. Suspecting them would push all work to the few
-// not yet suspect, and those would follow. So a server is measured against
-// the mean of the others, and a slow pool makes nobody suspect.
+// A server is compared with the mean of the others. Without the comparison, a
+// pool that is slow because of load or a wrong prediction would become
+// suspect server by server, and the remaining servers would be overloaded.
 type slowness struct {
 	sum   float64
 	count int
 }
 
-func (w *slowness) sample(k *suspicion, ratio float64) {
-	w.leave(k)
-	if k.samples == 0 {
-		k.ratio = ratio
+func (s *slowness) addSample(r *serverRecord, ratio float64) {
+	s.remove(r)
+	if r.samples == 0 {
+		r.latencyRatio = ratio
 	} else {
-		k.ratio += slowSmoothing * (ratio - k.ratio)
+		r.latencyRatio += slowSmoothing * (ratio - r.latencyRatio)
 	}
-	k.samples = min(k.samples+1, slowSamples)
-	w.join(k)
+	r.samples = min(r.samples+1, minSamples)
+	s.add(r)
 }
 
-func (w *slowness) join(k *suspicion) {
-	if k.samples > 0 {
-		w.sum += k.ratio
-		w.count++
+func (s *slowness) add(r *serverRecord) {
+	if r.samples > 0 {
+		s.sum += r.latencyRatio
+		s.count++
 	}
 }
 
-func (w *slowness) leave(k *suspicion) {
-	if k.samples > 0 {
-		w.sum -= k.ratio
-		w.count--
+func (s *slowness) remove(r *serverRecord) {
+	if r.samples > 0 {
+		s.sum -= r.latencyRatio
+		s.count--
 	}
 }
 
-// reset forgets the samples of a server, so that a suspect one is judged by
-// its probes alone and its old latencies don't excuse the others.
-func (w *slowness) reset(k *suspicion) {
-	w.leave(k)
-	k.samples = 0
+// reset drops the samples of a server, so that a suspect server is judged
+// only by its probes, and its old latencies do not raise the mean for the
+// others.
+func (s *slowness) reset(r *serverRecord) {
+	s.remove(r)
+	r.samples = 0
 }
 
-// others is the mean ratio of the other servers, never below a prediction
-// that came true.
-func (w *slowness) others(k *suspicion) float64 {
-	sum, count := w.sum, w.count
-	if k.samples > 0 {
-		sum -= k.ratio
+// meanOfOthers returns the mean ratio of the other servers, but not less than
+// zero, the ratio of an accurate prediction.
+func (s *slowness) meanOfOthers(r *serverRecord) float64 {
+	sum, count := s.sum, s.count
+	if r.samples > 0 {
+		sum -= r.latencyRatio
 		count--
 	}
 	if count == 0 {
--- a/internal/detector/seed_test.go
+++ b/internal/detector/seed_test.go
@@ -2,8 +2,8 @@
 
 import "flag"
 
-// The schedules are the same in every run, so that the verdict is. Another
-// seed is tried with -rapid.seed.
+// A fixed seed makes the generated cases and results deterministic;
+// -rapid.seed selects another one.
 func init() {
 	if err := flag.Set("rapid.seed", "20260101"); err != nil {
 		panic(err)
--- a/internal/detector/suspicion.go
+++ b/internal/detector/suspicion.go
@@ -7,15 +7,18 @@
 )
 
 const (
-	// threshold is the level of evidence that makes a server suspect.
+	// threshold is the evidence from which a server is suspect.
 	threshold = 1.0
-	// evidenceHalfLife is the time in which evidence loses half its weight.
+	// evidenceHalfLife is the time in which evidence loses half of its
+	// weight.
 	evidenceHalfLife = 10 * timekeeper.Second
-	// relief is the part of the evidence that remains after a good answer.
-	relief = 0.5
-	// calm is the number of last hold-offs that a server must stay trusted
-	// for its next hold-off to start small again.
-	calm = 10
+	// goodAnswerFactor is the fraction of the evidence that remains after a
+	// good answer.
+	goodAnswerFactor = 0.5
+	// trustedHoldOffs is the time, in multiples of the last hold-off, for
+	// which a server has to stay trusted until its next hold-off is short
+	// again.
+	trustedHoldOffs = 10
 )
 
 type state int
@@ -26,134 +29,136 @@
 	probation
 )
 
-// suspicion is what is known of one server.
-type suspicion struct {
-	state state
-	at    timekeeper.Time
-	heard timekeeper.Time
-	// level is the evidence against a trusted server.
-	level float64
-	// holdOff is the last hold-off; until is its end. After trust is earned
-	// again, until is the instant from which the next one starts small.
+// serverRecord is the state of one server.
+type serverRecord struct {
+	state     state
+	updatedAt timekeeper.Time
+	lastSeen  timekeeper.Time
+	// evidence is the present evidence against a trusted server.
+	evidence float64
+	// holdOff is the last hold-off, and until its end. Once the server is
+	// trusted again, until is the time from which the next hold-off is short
+	// again.
 	holdOff timekeeper.Duration
 	until   timekeeper.Time
-	// probing tells that a probe is out, since probed; good counts the good
-	// ones in a row.
-	probing bool
-	probed  timekeeper.Time
-	good    int
-	// bySilence tells that missed polls alone made the server suspect.
-	bySilence bool
-	// streams tells that the server has sent first tokens.
-	streams bool
-	// ratio is the smoothed logarithm of observed by predicted latency.
-	ratio   float64
-	samples int
+	// probing reports whether a probe is in flight, since probeStart.
+	// goodProbes is the number of consecutive successful probes.
+	probing    bool
+	probeStart timekeeper.Time
+	goodProbes int
+	// byMissedPolls reports whether missed polls made the server suspect.
+	byMissedPolls bool
+	// streaming reports whether the server has sent first tokens.
+	streaming bool
+	// latencyRatio is the smoothed binary logarithm of the ratio of observed
+	// to predicted latency.
+	latencyRatio float64
+	samples      int
 }
 
-// dropBefore orders servers for forgetting.
-func (k *suspicion) dropBefore(o *suspicion) bool {
-	if (k.state == trusted) != (o.state == trusted) {
-		return k.state == trusted
+// evictBefore reports whether r should be evicted before other.
+func (r *serverRecord) evictBefore(other *serverRecord) bool {
+	if (r.state == trusted) != (other.state == trusted) {
+		return r.state == trusted
 	}
-	return k.heard.Before(o.heard)
+	return r.lastSeen.Before(other.lastSeen)
 }
 
-// advance lets time pass.
-func (k *suspicion) advance(now timekeeper.Time, c Config) {
-	passed := now.Sub(k.at)
-	if passed <= 0 {
+// advance applies the time that has passed since the last update.
+func (r *serverRecord) advance(now timekeeper.Time, c Config) {
+	elapsed := now.Sub(r.updatedAt)
+	if elapsed <= 0 {
 		return
 	}
-	k.at = now
-	k.level *= math.Exp2(-float64(passed) / float64(evidenceHalfLife))
-	if k.state == suspect && !now.Before(k.until) {
-		k.release(now, c)
+	r.updatedAt = now
+	r.evidence *= math.Exp2(-float64(elapsed) / float64(evidenceHalfLife))
+	if r.state == suspect && !now.Before(r.until) {
+		r.endHoldOff(now, c)
 	}
-	if k.probing && now.Sub(k.probed) >= c.ProbeTimeout {
-		k.probing = false
+	if r.probing && now.Sub(r.probeStart) >= c.ProbeTimeout {
+		r.probing = false
 	}
 }
 
-// release ends a hold-off.
-func (k *suspicion) release(now timekeeper.Time, c Config) {
-	k.state = probation
-	k.probing = false
-	k.good = 0
+// endHoldOff starts the probation.
+func (r *serverRecord) endHoldOff(now timekeeper.Time, c Config) {
+	r.state = probation
+	r.probing = false
+	r.goodProbes = 0
 	if !c.Rules.Probation {
-		k.trust(now)
+		r.markTrusted(now)
 	}
 }
 
-// blame adds evidence against a trusted server.
-func (k *suspicion) blame(now timekeeper.Time, c Config, kind Kind, bad float64) {
-	if bad == 0 {
+// addEvidence applies an observation of a trusted server.
+func (r *serverRecord) addEvidence(now timekeeper.Time, c Config, kind Kind, weight float64) {
+	if weight == 0 {
 		if kind == FirstToken || kind == Completed {
-			k.level *= relief
+			r.evidence *= goodAnswerFactor
 		}
 		return
 	}
-	k.level += bad
-	if k.level < threshold {
+	r.evidence += weight
+	if r.evidence < threshold {
 		return
 	}
-	k.bySilence = kind == LoadMissed
-	k.suspect(now, c)
+	r.byMissedPolls = kind == LoadMissed
+	r.markSuspect(now, c)
 }
 
-// suspect starts a hold-off.
+// markSuspect starts a hold-off.
 //
-// A server that fails every other request would otherwise be trusted and
-// suspected in turn, and each turn costs a caller a retry. With the hold-off
-// doubling until the server has stayed good for ten times its last one, the
-// number of turns in a time grows only with the logarithm of that time.
-func (k *suspicion) suspect(now timekeeper.Time, c Config) {
-	if k.holdOff == 0 || !c.Rules.Growth || k.state == trusted && !now.Before(k.until) {
-		k.holdOff = c.HoldOff
+// A server that fails every other request would otherwise alternate between
+// trusted and suspect, and each alternation costs a caller a retry. As the
+// hold-off doubles until the server has stayed trusted for ten times the last
+// one, the number of alternations grows only logarithmically with time.
+func (r *serverRecord) markSuspect(now timekeeper.Time, c Config) {
+	if r.holdOff == 0 || !c.Rules.Growth || r.state == trusted && !now.Before(r.until) {
+		r.holdOff = c.HoldOff
 	} else {
-		k.holdOff = min(2*k.holdOff, c.MaxHoldOff)
+		r.holdOff = min(2*r.holdOff, c.MaxHoldOff)
 	}
-	k.state = suspect
-	k.until = now.Add(k.holdOff)
-	k.probing = false
+	r.state = suspect
+	r.until = now.Add(r.holdOff)
+	r.probing = false
 }
 
-// judgeProbe takes the evidence of a server on probation.
-func (k *suspicion) judgeProbe(now timekeeper.Time, c Config, kind Kind, bad float64) {
+// updateProbe applies an observation of a server on probation.
+func (r *serverRecord) updateProbe(now timekeeper.Time, c Config, kind Kind, weight float64) {
 	switch {
-	case bad > 0 && (kind != LoadMissed || k.bySilence):
-		k.suspect(now, c)
+	case weight > 0 && (kind != LoadMissed || r.byMissedPolls):
+		r.markSuspect(now, c)
 	case kind == Sent || kind == Started:
-		if !k.probing {
-			k.probing = true
-			k.probed = now
+		if !r.probing {
+			r.probing = true
+			r.probeStart = now
 		}
-	case k.goodProbe(kind):
-		k.probing = false
-		k.good++
-		if k.good >= c.Probes {
-			k.trust(now)
+	case r.probeSucceeded(kind):
+		r.probing = false
+		r.goodProbes++
+		if r.goodProbes >= c.Probes {
+			r.markTrusted(now)
 		}
 	}
 }
 
-// goodProbe reports whether an observation without fault ends a probe well.
-// The tokens of attempts from before the suspicion do not count, nor does the
-// end of a stream whose first token did.
-func (k *suspicion) goodProbe(kind Kind) bool {
+// probeSucceeded reports whether an observation without fault ends a probe
+// successfully. Tokens of attempts from before the suspicion do not count,
+// and neither does the end of a stream whose first token has counted.
+func (r *serverRecord) probeSucceeded(kind Kind) bool {
 	switch kind {
 	case FirstToken:
-		return k.probing
+		return r.probing
 	case Completed:
-		return k.probing || !k.streams
+		return r.probing || !r.streaming
 	case LoadOK:
-		return k.bySilence
+		return r.byMissedPolls
 	}
 	return false
 }
 
-func (k *suspicion) trust(now timekeeper.Time) {
-	k.state = trusted
-	k.level = 0
-	k.until = now.Add(calm * k.holdOff)
+func (r *serverRecord) markTrusted(now timekeeper.Time) {
+	r.state = trusted
+	r.evidence = 0
+	r.until = now.Add(trustedHoldOffs * r.holdOff)
 }
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -1,9 +1,10 @@
-// Package follower keeps track of how far a node has read one stream of the
-// platform's log: which records are new to it, whether it has replayed the
-// stream to its end, and whether records may have expired before it read them.
+// Package follower tracks a node's reading position in one stream of the
+// platform's log: which records are new, whether the stream has been replayed
+// to its end, and whether records may have expired before they were read.
 //
-// Reads of a stream must be delivered in the order in which they were made;
-// a read that is delivered twice, or overlaps an earlier one, does no harm.
+// Reads of a stream must be applied in the order in which they were made.
+// Applying a read twice, or overlapping reads, has no effect beyond the
+// first.
 package follower
 
 import (
@@ -12,9 +13,9 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Config sets up a Stream.
+// Config configures a Stream.
 type Config struct {
-	// Retention is the least time for which the log keeps a record.
+	// Retention is the minimum time for which the log retains a record.
 	Retention timekeeper.Duration
 }
 
@@ -24,25 +25,26 @@
 	started   bool
 	replayed  bool
 	next      identifier.Offset
-	// ended is when a read last reached the end of the stream.
-	ended timekeeper.Time
+	// endReached is the time at which a read last reached the end of the
+	// stream.
+	endReached timekeeper.Time
 }
 
-// New returns a Stream of which nothing was read yet.
+// New returns a Stream at the position before the first read.
 func New(c Config) *Stream { return &Stream{retention: c.Retention} }
 
-// SetRetention takes up another least time for which the log keeps a record.
+// SetRetention changes the minimum time for which the log retains a record.
 func (s *Stream) SetRetention(d timekeeper.Duration) { s.retention = d }
 
-// Batch is what one read brought.
+// Batch is the result of one read.
 type Batch struct {
-	// Records are the records that were not read before, in log order.
+	// Records are the new records, in log order.
 	Records []messenger.Record
-	// Gap tells that records before these may have expired unread.
+	// Gap reports whether records before these may have expired unread.
 	Gap bool
 }
 
-// Absorb takes in one read of the stream.
+// ApplyRecords applies one read of the stream.
 func (s *Stream) ApplyRecords(now timekeeper.Time, read messenger.LogRead) Batch {
 	b := Batch{
 		Records: nil,
@@ -62,28 +64,28 @@
 	}
 	if read.End {
 		s.replayed = true
-		s.ended = now
+		s.endReached = now
 	}
 	return b
 }
 
-// gap tells whether records may have expired unread.
+// gap reports whether records may have expired unread.
 //
-// Offsets are shared by all streams, so that the oldest kept offset also
-// passes this stream's position when only other streams' records expired.
-// What was appended after the last read that reached the end can't have
-// expired within the retention; half of it leaves room for a read that was
-// absorbed late.
+// Offsets are shared by all streams, so the oldest retained offset also
+// passes this stream's position if only records of other streams expired.
+// Records appended after the last read that reached the end cannot have
+// expired within the retention; half of it is subtracted for reads that are
+// applied late.
 func (s *Stream) gap(now timekeeper.Time, read messenger.LogRead) bool {
 	if !s.started || read.First <= s.next {
 		return false
 	}
-	return !s.replayed || now.Sub(s.ended) >= s.retention/2
+	return !s.replayed || now.Sub(s.endReached) >= s.retention/2
 }
 
-// Replayed reports whether the stream was read from its oldest kept record to
-// its end, with no gap since.
+// Replayed reports whether the stream was read from its oldest retained
+// record to its end, with no gap since.
 func (s *Stream) Replayed() bool { return s.replayed }
 
-// Next returns the offset after the last one that was read.
+// Next returns the offset after the last record that was read.
 func (s *Stream) Next() identifier.Offset { return s.next }
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -21,9 +21,9 @@
 	return r
 }
 
-// Offsets are shared by all streams: a quiet stream is passed by the oldest
-// kept offset all the time, which is a gap only if its end was not seen for
-// long. A read that comes twice brings nothing.
+// Guards against gaps reported for an idle stream, whose position is passed
+// by the oldest retained offset of the log, and against records returned
+// twice.
 func TestStream(t *testing.T) {
 	s := New(Config{Retention: timekeeper.Minute})
 	for _, step := range []struct {
@@ -35,7 +35,7 @@
 		replay bool
 	}{
 		{
-			name:  "a first read, short of the end",
+			name:  "a first read that does not reach the end",
 			now:   0,
 			read:  read(10, false, 12, 15),
 			fresh: 2,
@@ -54,20 +54,20 @@
 			replay: true,
 		},
 		{
-			name:   "a quiet stream, passed by the oldest kept offset",
+			name:   "an idle stream, passed by the oldest retained offset",
 			now:    29_000,
 			read:   read(40, true),
 			replay: true,
 		},
 		{
-			name:   "a record after a quiet while",
+			name:   "a record after an idle time within the limit",
 			now:    58_000,
 			read:   read(60, false, 61),
 			fresh:  1,
 			replay: true,
 		},
 		{
-			name:  "a record after a while too long",
+			name:  "a record after a longer idle time",
 			now:   59_001,
 			read:  read(70, false, 71),
 			fresh: 1,
--- a/internal/summarizer/summarizer.go
+++ b/internal/summarizer/summarizer.go
@@ -1,13 +1,13 @@
-// Package summarizer bounds the log lines of events that come in crowds: the
-// first of a kind in a while are written one by one, and the others are counted
-// and summed up in one line with the names that they are about.
+// Package summarizer limits the log lines of bursts of events: the first
+// events of a kind are logged individually, and the others are counted and
+// logged in one summary that names their VMs.
 //
-// When all nodes start, each of them hears of every other and of every server:
-// 195 nodes wrote 67,000 lines in eight seconds, all at the moment at which they
-// have most else to do. With the bound a node writes some dozens, and each event
-// is still found by its name while no more than a few dozen come at a time.
+// When all nodes start together, each receives an event for every other node
+// and every server at once. Without the limit, logging would take processor
+// time when the node has the most other work.
 //
-// Everything is pure: time is an argument. Nothing is safe for concurrent use.
+// Everything is deterministic: time is an argument. Nothing is safe for
+// concurrent use.
 package summarizer
 
 import (
@@ -20,77 +20,78 @@
 )
 
 const (
-	// window is the time over which events of a kind are counted together: short
-	// enough for a sum to be read beside the lines of what it led to.
+	// window is the time over which events of a kind are counted together. It
+	// is short, so that a summary is logged close to the lines of its
+	// consequences.
 	window = 2 * timekeeper.Second
-	// singleLines is how many events of a kind in a window have a line of their
-	// own. An availability zone loses some ten servers at a time.
-	singleLines = 12
-	// maxNames bounds the VMs that a sum names.
+	// maxSingleLines is the number of events of a kind in a window that are
+	// logged individually: more than the servers of a zone that usually leave
+	// together.
+	maxSingleLines = 12
+	// maxNames is the maximum number of VMs in a summary.
 	maxNames = 24
 )
 
-// Sum is the events of a kind that have no line of their own.
+// Summary describes the events of a kind that were not logged individually.
 type Summary struct {
 	Kind  messenger.TimelineKind
 	Count int
-	// VMs are those that the events are about, the first of them only where they
-	// are many, in the order in which they came.
+	// VMs are the VMs of the first events, in order of arrival.
 	VMs   []identifier.VMID
 	Since timekeeper.Time
 }
 
 // Summarizer counts the events of each kind.
 type Summarizer struct {
-	kinds map[messenger.TimelineKind]*crowd
+	bursts map[messenger.TimelineKind]*burst
 }
 
-// crowd is the events of one kind in the present window.
-type crowd struct {
-	since timekeeper.Time
-	lines int
-	sum   Summary
+// burst holds the events of one kind in the present window.
+type burst struct {
+	start   timekeeper.Time
+	lines   int
+	summary Summary
 }
 
-// New returns a Summarizer that has counted nothing.
-func New() *Summarizer { return &Summarizer{kinds: map[messenger.TimelineKind]*crowd{}} }
+// New returns a Summarizer without events.
+func New() *Summarizer { return &Summarizer{bursts: map[messenger.TimelineKind]*burst{}} }
 
-// Admit reports whether an event about a VM has a line of its own. One that has
-// none is counted in a sum.
+// Admit reports whether to log an event about a VM individually. Otherwise
+// the event is counted in a summary.
 func (s *Summarizer) Admit(now timekeeper.Time, kind messenger.TimelineKind, vm identifier.VMID) bool {
-	c := s.kinds[kind]
-	if c == nil {
-		c = &crowd{since: now}
-		s.kinds[kind] = c
+	b := s.bursts[kind]
+	if b == nil {
+		b = &burst{start: now}
+		s.bursts[kind] = b
 	}
-	if c.lines < singleLines {
-		c.lines++
+	if b.lines < maxSingleLines {
+		b.lines++
 		return true
 	}
-	if c.sum.Count == 0 {
-		c.sum = Summary{
+	if b.summary.Count == 0 {
+		b.summary = Summary{
 			Kind:  kind,
 			Since: now,
 		}
 	}
-	c.sum.Count++
-	if len(c.sum.VMs) < maxNames {
-		c.sum.VMs = append(c.sum.VMs, vm)
+	b.summary.Count++
+	if len(b.summary.VMs) < maxNames {
+		b.summary.VMs = append(b.summary.VMs, vm)
 	}
 	return false
 }
 
-// Due returns the sums of the windows that are over, by kind.
+// Due returns the summaries of the windows that have ended, sorted by kind.
 func (s *Summarizer) Due(now timekeeper.Time) []Summary {
 	var due []Summary
-	for _, kind := range slices.Sorted(maps.Keys(s.kinds)) {
-		c := s.kinds[kind]
-		if now.Sub(c.since) < window {
+	for _, kind := range slices.Sorted(maps.Keys(s.bursts)) {
+		b := s.bursts[kind]
+		if now.Sub(b.start) < window {
 			continue
 		}
-		delete(s.kinds, kind)
-		if c.sum.Count > 0 {
-			due = append(due, c.sum)
+		delete(s.bursts, kind)
+		if b.summary.Count > 0 {
+			due = append(due, b.summary)
 		}
 	}
 	return due
