--- a/internal/planner/part.go
+++ b/internal/planner/part.go
@@ -18,7 +18,7 @@
 // leaves one slot idle.
 type NodeShare struct {
 	Self identifier.VMID
-	// Nodes are the live nodes in the order of their names, Self included.
+	// Nodes are the live nodes, Self included, ordered by name.
 	Nodes []identifier.VMID
 	// OwnStreams is the number of this node's streams on the leaving servers,
 	// and TotalStreams the number of streams that these servers report.
@@ -26,46 +26,46 @@
 	TotalStreams int
 }
 
-// linkExcess is how far the nodes together plan beyond the links' time. Many
-// streams end before their turn, so that a link planned to its last second
-// would idle; and a link serves one export after the other, so that what was
-// planned in excess is what comes last, and runs on meanwhile.
-const linkExcess = 2
+// linkOvercommit is the factor by which the nodes together plan more transfers
+// than the links have time for. Many streams end before their export starts,
+// which would leave links idle. Links serve exports in order, so the excess
+// ones come last, and their streams continue until then.
+const linkOvercommit = 2
 
-// LinkShare returns the part of the links' time to plan with. One stream more
-// than this node has is counted, because a part shorter than any transfer
-// would be of no use.
+// LinkShare returns the fraction of each link's time to plan with. It counts
+// one stream more than this node has, because a share shorter than any transfer
+// would be useless.
 func (p NodeShare) LinkShare() float64 {
-	if linkExcess*(p.OwnStreams+1) >= p.TotalStreams {
+	if linkOvercommit*(p.OwnStreams+1) >= p.TotalStreams {
 		return 1
 	}
-	return float64(linkExcess*(p.OwnStreams+1)) / float64(p.TotalStreams)
+	return float64(linkOvercommit*(p.OwnStreams+1)) / float64(p.TotalStreams)
 }
 
 // Headroom returns this node's share of each server's headroom. The free slots
 // of a server are dealt out in turn, starting at a node chosen by a hash of the
 // server's name.
-func (p NodeShare) Headroom(rooms []Headroom) []Headroom {
-	at, nodes := p.place(), len(p.Nodes)
-	if nodes < 2 || at < 0 {
-		return rooms
+func (p NodeShare) Headroom(headroom []Headroom) []Headroom {
+	index, nodes := p.nodeIndex(), len(p.Nodes)
+	if nodes < 2 || index < 0 {
+		return headroom
 	}
-	parts := make([]Headroom, 0, len(rooms))
-	for _, r := range rooms {
+	shares := make([]Headroom, 0, len(headroom))
+	for _, r := range headroom {
 		first := int(xxhash.Sum64String(string(r.Server)) % uint64(nodes))
-		turn := (at - first + nodes) % nodes
-		slots := max(0, (r.Slots-turn+nodes-1)/nodes)
+		offset := (index - first + nodes) % nodes
+		slots := max(0, (r.Slots-offset+nodes-1)/nodes)
 		if slots == 0 {
 			continue
 		}
 		r.KVTokens = r.KVTokens * identifier.Tokens(slots) / identifier.Tokens(r.Slots)
 		r.Slots = slots
-		parts = append(parts, r)
+		shares = append(shares, r)
 	}
-	return parts
+	return shares
 }
 
-func (p NodeShare) place() int {
+func (p NodeShare) nodeIndex() int {
 	for i, vm := range p.Nodes {
 		if vm == p.Self {
 			return i
--- a/internal/planner/part_test.go
+++ b/internal/planner/part_test.go
@@ -10,9 +10,9 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// All nodes plan at once, each for its own streams. If their parts overlapped,
-// the same slot would be promised to two streams and one of them would wait.
-func TestPartsAddUpToTheWhole(t *testing.T) {
+// If the shares of the nodes overlapped, one slot could be assigned to two
+// streams.
+func TestNodeSharesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var nodes []identifier.VMID
 		for i := range rapid.IntRange(1, 9).Draw(t, "nodes") {
--- a/internal/planner/rank.go
+++ b/internal/planner/rank.go
@@ -8,60 +8,62 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// ranked is a stream with what its export saves per second of transfer.
-type ranked struct {
+// rankedStream is a stream with the value that its export saves per second of
+// transfer.
+type rankedStream struct {
 	stream Stream
 	value  float64
 }
 
-// rankByValue sorts streams, the best use of the bandwidth first.
-func rankByValue(now timekeeper.Time, rate identifier.BytesPerSecond, token identifier.Money, streams []Stream) {
-	order := make([]ranked, len(streams))
+// rankByValue sorts streams by the value saved per second of transfer, highest
+// first.
+func rankByValue(now timekeeper.Time, rate identifier.BytesPerSecond, tokenValue identifier.Money, streams []Stream) {
+	order := make([]rankedStream, len(streams))
 	for i, s := range streams {
 		transfer := transferTime(s, 0, rate)
-		order[i] = ranked{
+		order[i] = rankedStream{
 			stream: s,
-			value:  saved(now, transfer, token, s) / transfer.Seconds(),
+			value:  exportValue(now, transfer, tokenValue, s) / transfer.Seconds(),
 		}
 	}
-	slices.SortFunc(order, func(a, b ranked) int {
-		return cmp.Or(cmp.Compare(b.value, a.value), compareNames(a.stream, b.stream))
+	slices.SortFunc(order, func(a, b rankedStream) int {
+		return cmp.Or(cmp.Compare(b.value, a.value), compareIDs(a.stream, b.stream))
 	})
 	for i, r := range order {
 		streams[i] = r.stream
 	}
 }
 
-// saved returns what the export of s saves: the tokens that need no
-// recomputing, and the penalty where it hangs on the export.
-func saved(now timekeeper.Time, transfer timekeeper.Duration, token identifier.Money, s Stream) float64 {
-	value := float64(token) * float64(s.Context)
-	if penaltyAtStake(now, transfer, s) {
+// exportValue returns the value that the export of s saves: the cost of
+// recomputing its tokens, and the penalty if only an export avoids it.
+func exportValue(now timekeeper.Time, transfer timekeeper.Duration, tokenValue identifier.Money, s Stream) float64 {
+	value := float64(tokenValue) * float64(s.Context)
+	if exportAvoidsMiss(now, transfer, s) {
 		value += float64(s.Penalty)
 	}
 	return value
 }
 
-// penaltyAtStake tells whether s meets its target by an export and misses it
-// by prefill. A stream that is late either way, or in time either way, has no
-// claim on bandwidth that another stream's target needs.
-func penaltyAtStake(now timekeeper.Time, transfer timekeeper.Duration, s Stream) bool {
+// exportAvoidsMiss reports whether s meets its target after an export but
+// misses it after a prefill. For all other streams an export makes no
+// difference to the target.
+func exportAvoidsMiss(now timekeeper.Time, transfer timekeeper.Duration, s Stream) bool {
 	if s.Target == 0 || s.PrefillPerSecond <= 0 {
 		return true
 	}
-	generate := timekeeper.Duration(spanOf(float64(s.Remaining), s.TokensPerSecond))
+	generate := timekeeper.Duration(millisecondsFor(float64(s.Remaining), s.TokensPerSecond))
 	byExport := now.Add(transfer + generate)
-	byPrefill := now.Add(finishTime(s) + timekeeper.Duration(spanOf(float64(s.Context), s.PrefillPerSecond)))
+	byPrefill := now.Add(expectedFinishTime(s) + timekeeper.Duration(millisecondsFor(float64(s.Context), s.PrefillPerSecond)))
 	return !byExport.After(s.Target) && byPrefill.After(s.Target)
 }
 
-// compareStakes orders streams for the room that is left: by priority, by
-// penalty, then by the tokens generated so far.
-func compareStakes(a, b Stream) int {
+// compareForPrefill orders streams for the remaining headroom: by priority, by
+// penalty, then by the size of the context.
+func compareForPrefill(a, b Stream) int {
 	return cmp.Or(
 		cmp.Compare(b.Priority, a.Priority),
 		cmp.Compare(b.Penalty, a.Penalty),
 		cmp.Compare(b.Context, a.Context),
-		compareNames(a, b),
+		compareIDs(a, b),
 	)
 }
--- a/internal/planner/room.go
+++ b/internal/planner/room.go
@@ -8,63 +8,63 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// receiver is a server that may take streams, as the plan fills it.
+// receiver is a server that streams can be moved to.
 type receiver struct {
-	room Headroom
-	// shunned marks a server in a zone that loses servers: the next notice
-	// is likely to be its own.
-	shunned bool
-	// freeAt is the instant from which its bandwidth is not yet spent.
-	freeAt timekeeper.Time
+	headroom Headroom
+	// inLeavingZone marks a server in a zone that loses servers: it is likely
+	// to be reclaimed next.
+	inLeavingZone bool
+	// linkFreeAt is the time from which its bandwidth is unassigned.
+	linkFreeAt timekeeper.Time
 }
 
-// roomTable holds the receivers, in the order of their names.
-type roomTable struct {
-	receivers []receiver
-	byServer  map[identifier.VMID]int
-	keepRoom  bool
+// receiverTable holds the receivers, ordered by name.
+type receiverTable struct {
+	receivers       []receiver
+	byServer        map[identifier.VMID]int
+	enforceHeadroom bool
 }
 
-func newRoomTable(
+func newReceiverTable(
 	now timekeeper.Time,
 	leaving map[identifier.VMID]timekeeper.Time,
-	zones map[identifier.Zone]bool,
-	rooms []Headroom,
+	leavingZones map[identifier.Zone]bool,
+	headroom []Headroom,
 	rules Rules,
-) *roomTable {
-	t := &roomTable{
-		byServer: make(map[identifier.VMID]int, len(rooms)),
-		keepRoom: rules.KeepRoom,
+) *receiverTable {
+	t := &receiverTable{
+		byServer:        make(map[identifier.VMID]int, len(headroom)),
+		enforceHeadroom: rules.KeepRoom,
 	}
-	for _, r := range rooms {
-		if _, gone := leaving[r.Server]; gone && rules.AvoidLeaving {
+	for _, r := range headroom {
+		if _, isLeaving := leaving[r.Server]; isLeaving && rules.AvoidLeaving {
 			continue
 		}
 		t.receivers = append(t.receivers, receiver{
-			room:    r,
-			shunned: rules.AvoidZones && zones[r.Zone],
-			freeAt:  now,
+			headroom:      r,
+			inLeavingZone: rules.AvoidZones && leavingZones[r.Zone],
+			linkFreeAt:    now,
 		})
 	}
 	slices.SortFunc(t.receivers, func(a, b receiver) int {
-		return cmp.Compare(a.room.Server, b.room.Server)
+		return cmp.Compare(a.headroom.Server, b.headroom.Server)
 	})
 	for i, r := range t.receivers {
-		t.byServer[r.room.Server] = i
+		t.byServer[r.headroom.Server] = i
 	}
 	return t
 }
 
-// pick returns the best receiver for s from the instant on, and the instant
-// from which it has bandwidth: outside the leaving zones, free soonest, with
-// the most slots left.
-func (t *roomTable) pick(s Stream, from timekeeper.Time) (identifier.VMID, timekeeper.Time, bool) {
+// choose returns the best receiver for s, and the earliest time after from at
+// which its link is free. Receivers outside the leaving zones are preferred,
+// then those whose link is free first, then those with the most free slots.
+func (t *receiverTable) choose(s Stream, from timekeeper.Time) (identifier.VMID, timekeeper.Time, bool) {
 	best := -1
 	for i := range t.receivers {
 		if !t.fits(i, s) {
 			continue
 		}
-		if best < 0 || t.better(i, best, from) {
+		if best < 0 || t.isBetter(i, best, from) {
 			best = i
 		}
 	}
@@ -72,43 +72,43 @@
 		return "", 0, false
 	}
 	r := t.receivers[best]
-	return r.room.Server, max(from, r.freeAt), true
+	return r.headroom.Server, max(from, r.linkFreeAt), true
 }
 
-func (t *roomTable) better(i, j int, from timekeeper.Time) bool {
+func (t *receiverTable) isBetter(i, j int, from timekeeper.Time) bool {
 	a, b := &t.receivers[i], &t.receivers[j]
-	if a.shunned != b.shunned {
-		return b.shunned
+	if a.inLeavingZone != b.inLeavingZone {
+		return b.inLeavingZone
 	}
-	aFree, bFree := max(from, a.freeAt), max(from, b.freeAt)
+	aFree, bFree := max(from, a.linkFreeAt), max(from, b.linkFreeAt)
 	if aFree != bFree {
 		return aFree < bFree
 	}
-	return a.room.Slots > b.room.Slots
+	return a.headroom.Slots > b.headroom.Slots
 }
 
-func (t *roomTable) fits(i int, s Stream) bool {
-	if !t.keepRoom {
+func (t *receiverTable) fits(i int, s Stream) bool {
+	if !t.enforceHeadroom {
 		return true
 	}
-	r := &t.receivers[i].room
+	r := &t.receivers[i].headroom
 	return r.Slots > 0 && r.KVTokens >= s.Context+s.Remaining
 }
 
-// take gives s a place on the server and reports whether it had one.
-func (t *roomTable) take(server identifier.VMID, s Stream) bool {
+// reserve assigns s to the server and reports whether the server had headroom.
+func (t *receiverTable) reserve(server identifier.VMID, s Stream) bool {
 	i, ok := t.byServer[server]
 	if !ok || !t.fits(i, s) {
 		return false
 	}
-	t.receivers[i].room.Slots--
-	t.receivers[i].room.KVTokens -= s.Context + s.Remaining
+	t.receivers[i].headroom.Slots--
+	t.receivers[i].headroom.KVTokens -= s.Context + s.Remaining
 	return true
 }
 
-// busy tells that the server's bandwidth is spent until the instant.
-func (t *roomTable) busy(server identifier.VMID, until timekeeper.Time) {
+// occupyLink marks the server's link as occupied until the given time.
+func (t *receiverTable) occupyLink(server identifier.VMID, until timekeeper.Time) {
 	if i, ok := t.byServer[server]; ok {
-		t.receivers[i].freeAt = max(t.receivers[i].freeAt, until)
+		t.receivers[i].linkFreeAt = max(t.receivers[i].linkFreeAt, until)
 	}
 }
--- a/internal/planner/seed_test.go
+++ b/internal/planner/seed_test.go
@@ -2,8 +2,7 @@
 
 import "flag"
 
-// The schedules are the same in every run, so that the verdict is. Another
-// seed is tried with -rapid.seed.
+// A fixed seed makes the runs reproducible. Use -rapid.seed to try another.
 func init() {
 	if err := flag.Set("rapid.seed", "20260101"); err != nil {
 		panic(err)
--- a/internal/planner/wave.go
+++ b/internal/planner/wave.go
@@ -9,38 +9,39 @@
 )
 
 const (
-	// lastMoment is kept free before the deadline of a leaving server. The
-	// cloud may be a little early and a pace a little slow; a transfer cut at
-	// its last byte saves nothing.
-	lastMoment = 300 * timekeeper.Millisecond
-	// finishReserve stretches the time a stream is expected to need, because
-	// a stream that was left in place and does not end in time pays twice.
-	finishReserve = 1.1
+	// deadlineMargin is the safety margin before the deadline of a leaving
+	// server. The cloud may be slightly early and a transfer slightly slow, and
+	// a transfer that is cut off saves nothing.
+	deadlineMargin = 300 * timekeeper.Millisecond
+	// finishTimeFactor is the safety factor on the expected run time of a
+	// stream, because a stream that stays and does not end in time must be
+	// moved at the last moment.
+	finishTimeFactor = 1.1
 )
 
 // wave is the state of one call of PlanWave.
 type wave struct {
-	now     timekeeper.Time
-	leaving map[identifier.VMID]timekeeper.Time
-	rate    identifier.BytesPerSecond
-	rules   Rules
-	rooms   *roomTable
-	// sourceFree is the instant from which a leaving server's bandwidth is
-	// not yet spent.
-	sourceFree map[identifier.VMID]timekeeper.Time
+	now       timekeeper.Time
+	leaving   map[identifier.VMID]timekeeper.Time
+	rate      identifier.BytesPerSecond
+	rules     Rules
+	receivers *receiverTable
+	// linkFreeAt is the time from which a leaving server's bandwidth is
+	// unassigned.
+	linkFreeAt map[identifier.VMID]timekeeper.Time
 	moves      []Move
 }
 
 // PlanWave returns one move for each stream on a leaving server, ordered by
-// start and name. Leaving holds the deadlines of all servers that leave, and
-// rate is the bandwidth of one server for transfers. Streams on other servers
-// are left alone.
+// start, request and attempt. The map leaving holds the deadlines of all
+// leaving servers, and rate is the transfer bandwidth of one server. Streams on
+// other servers are ignored.
 func PlanWave(
 	now timekeeper.Time,
 	leaving map[identifier.VMID]timekeeper.Time,
 	rate identifier.BytesPerSecond,
 	streams []Stream,
-	rooms []Headroom,
+	headroom []Headroom,
 	rules Rules,
 ) []Move {
 	w := &wave{
@@ -48,28 +49,27 @@
 		leaving:    leaving,
 		rate:       rate,
 		rules:      rules,
-		rooms:      newRoomTable(now, leaving, leavingZones(leaving, streams), rooms, rules),
-		sourceFree: make(map[identifier.VMID]timekeeper.Time),
+		receivers:  newReceiverTable(now, leaving, leavingZones(leaving, streams), headroom, rules),
+		linkFreeAt: make(map[identifier.VMID]timekeeper.Time),
 	}
-	rest := w.keepFinishing(affected(leaving, streams))
-	rest = w.keepMoving(rest)
-	rest = w.export(rest)
-	w.prefill(rest)
+	remaining := w.planFinishing(affectedStreams(leaving, streams))
+	remaining = w.planOngoingExports(remaining)
+	remaining = w.planExports(remaining)
+	w.planPrefills(remaining)
 	slices.SortFunc(w.moves, compareMoves)
 	return w.moves
 }
 
-// affected returns the streams on leaving servers, in the order of their
-// names.
-func affected(leaving map[identifier.VMID]timekeeper.Time, streams []Stream) []Stream {
-	var found []Stream
+// affectedStreams returns the streams on leaving servers, ordered by request.
+func affectedStreams(leaving map[identifier.VMID]timekeeper.Time, streams []Stream) []Stream {
+	var streamsOnLeaving []Stream
 	for _, s := range streams {
 		if _, ok := leaving[s.Server]; ok {
-			found = append(found, s)
+			streamsOnLeaving = append(streamsOnLeaving, s)
 		}
 	}
-	slices.SortFunc(found, compareNames)
-	return found
+	slices.SortFunc(streamsOnLeaving, compareIDs)
+	return streamsOnLeaving
 }
 
 // leavingZones returns the zones that lose a server with streams on it.
@@ -83,100 +83,100 @@
 	return zones
 }
 
-// keepFinishing plans the streams that end in time and returns the others.
-func (w *wave) keepFinishing(streams []Stream) []Stream {
+// planFinishing plans the streams that will end in time and returns the others.
+func (w *wave) planFinishing(streams []Stream) []Stream {
 	if !w.rules.FinishInPlace {
 		return streams
 	}
-	var rest []Stream
+	var remaining []Stream
 	for _, s := range streams {
-		if s.MovingTo != "" || w.lastStart(s).Before(w.now.Add(finishTime(s))) {
-			rest = append(rest, s)
+		if s.MovingTo != "" || w.effectiveDeadline(s).Before(w.now.Add(expectedFinishTime(s))) {
+			remaining = append(remaining, s)
 			continue
 		}
-		w.add(s, Finish, s.Server, w.now)
+		w.addMove(s, Finish, s.Server, w.now)
 	}
-	return rest
+	return remaining
 }
 
-// keepMoving keeps the exports under way whose receiver still stays and which
-// still end in time, and returns the other streams.
+// planOngoingExports continues the exports whose receiver is not leaving and
+// that will end in time, and returns the other streams.
 //
-// Cutting a running export for a better one would throw away the bandwidth it
-// has used; a receiver that has become a leaving server is the one good
-// reason to.
-func (w *wave) keepMoving(streams []Stream) []Stream {
-	var rest []Stream
+// Replacing a running export by a better one would waste the bandwidth it has
+// used, so an export is only abandoned if it cannot succeed.
+func (w *wave) planOngoingExports(streams []Stream) []Stream {
+	var remaining []Stream
 	for _, s := range streams {
-		if s.MovingTo == "" || s.MovingUntil.After(w.lastStart(s)) || !w.rooms.take(s.MovingTo, s) {
-			rest = append(rest, s)
+		if s.MovingTo == "" || s.MovingUntil.After(w.effectiveDeadline(s)) || !w.receivers.reserve(s.MovingTo, s) {
+			remaining = append(remaining, s)
 			continue
 		}
-		w.rooms.busy(s.MovingTo, s.MovingUntil)
-		w.sourceFree[s.Server] = max(w.sourceFree[s.Server], s.MovingUntil)
-		w.add(s, Export, s.MovingTo, w.now)
+		w.receivers.occupyLink(s.MovingTo, s.MovingUntil)
+		w.linkFreeAt[s.Server] = max(w.linkFreeAt[s.Server], s.MovingUntil)
+		w.addMove(s, Export, s.MovingTo, w.now)
 	}
-	return rest
+	return remaining
 }
 
-// export spends the bandwidth of the leaving servers and returns the streams
-// that got none of it.
-func (w *wave) export(streams []Stream) []Stream {
+// planExports assigns the bandwidth of the leaving servers and returns the
+// streams that are not exported.
+func (w *wave) planExports(streams []Stream) []Stream {
 	if !w.rules.ExportKV || w.rate <= 0 {
 		return streams
 	}
 	if w.rules.RankByValue {
 		rankByValue(w.now, w.rate, w.rules.TokenValue, streams)
 	}
-	var rest []Stream
+	var remaining []Stream
 	for _, s := range streams {
-		if !w.exportOne(s) {
-			rest = append(rest, s)
+		if !w.planExport(s) {
+			remaining = append(remaining, s)
 		}
 	}
-	return rest
+	return remaining
 }
 
-func (w *wave) exportOne(s Stream) bool {
-	free := max(w.now, w.sourceFree[s.Server])
-	to, ready, ok := w.rooms.pick(s, free)
+func (w *wave) planExport(s Stream) bool {
+	free := max(w.now, w.linkFreeAt[s.Server])
+	to, ready, ok := w.receivers.choose(s, free)
 	if !ok {
 		return false
 	}
 	start := max(free, ready)
 	end := start.Add(transferTime(s, start.Sub(w.now), w.rate))
-	if w.rules.KeepBandwidth && end.After(w.lastEnd(s)) {
+	if w.rules.KeepBandwidth && end.After(w.exportDeadline(s)) {
 		return false
 	}
-	w.rooms.take(to, s)
-	w.rooms.busy(to, end)
-	w.sourceFree[s.Server] = end
-	w.add(s, Export, to, start)
+	w.receivers.reserve(to, s)
+	w.receivers.occupyLink(to, end)
+	w.linkFreeAt[s.Server] = end
+	w.addMove(s, Export, to, start)
 	return true
 }
 
-// prefill gives the remaining room to the streams with the most to lose.
+// planPrefills assigns the remaining headroom to the streams in the order of
+// compareForPrefill.
 //
-// They run on until the last moment. Streams are planned by the most tokens
-// that they may still generate, and many end before that: moved at once, they
-// would all be computed again. The few tokens more to read for the others cost
-// less.
-func (w *wave) prefill(streams []Stream) {
-	slices.SortFunc(streams, compareStakes)
+// They continue until shortly before the deadline: streams are planned with the
+// maximum number of tokens they may still generate, and many end earlier.
+// Moving them at once would recompute all of them, which costs more than
+// processing a few more tokens of the others.
+func (w *wave) planPrefills(streams []Stream) {
+	slices.SortFunc(streams, compareForPrefill)
 	for _, s := range streams {
 		start := w.now
 		if w.rules.PrefillLate {
-			start = max(w.now, w.lastStart(s))
+			start = max(w.now, w.effectiveDeadline(s))
 		}
-		to, _, ok := w.rooms.pick(s, w.now)
+		to, _, ok := w.receivers.choose(s, w.now)
 		if ok {
-			w.rooms.take(to, s)
+			w.receivers.reserve(to, s)
 		}
-		w.add(s, Prefill, to, start)
+		w.addMove(s, Prefill, to, start)
 	}
 }
 
-func (w *wave) add(s Stream, a Action, to identifier.VMID, start timekeeper.Time) {
+func (w *wave) addMove(s Stream, a Action, to identifier.VMID, start timekeeper.Time) {
 	w.moves = append(w.moves, Move{
 		Request: s.Request,
 		Attempt: s.Attempt,
@@ -186,40 +186,41 @@
 	})
 }
 
-// lastStart returns the instant at which the stream's server counts as gone.
-func (w *wave) lastStart(s Stream) timekeeper.Time {
-	return w.leaving[s.Server].Add(-lastMoment)
+// effectiveDeadline returns the deadline of the stream's server minus
+// deadlineMargin.
+func (w *wave) effectiveDeadline(s Stream) timekeeper.Time {
+	return w.leaving[s.Server].Add(-deadlineMargin)
 }
 
-// lastEnd returns the instant by which the stream's export must end: the end
-// of this plan's part of the link's time.
-func (w *wave) lastEnd(s Stream) timekeeper.Time {
-	last := w.lastStart(s)
+// exportDeadline returns the time by which the stream's export must end, given
+// this plan's share of the link's time.
+func (w *wave) exportDeadline(s Stream) timekeeper.Time {
+	last := w.effectiveDeadline(s)
 	if w.rules.LinkShare <= 0 || w.rules.LinkShare >= 1 {
 		return last
 	}
 	return w.now.Add(timekeeper.Duration(float64(last.Sub(w.now)) * w.rules.LinkShare))
 }
 
-// finishTime returns how long the stream is expected to run.
-func finishTime(s Stream) timekeeper.Duration {
-	return timekeeper.Duration(finishReserve * spanOf(float64(s.Remaining), s.TokensPerSecond))
+// expectedFinishTime returns the time the stream is expected to need to end.
+func expectedFinishTime(s Stream) timekeeper.Duration {
+	return timekeeper.Duration(finishTimeFactor * millisecondsFor(float64(s.Remaining), s.TokensPerSecond))
 }
 
-// transferTime returns how long the export of s takes if it begins after the
-// given wait. The cache grows while the stream waits for its turn.
+// transferTime returns the duration of the export of s if it starts after the
+// given wait. The cache grows during the wait.
 func transferTime(s Stream, wait timekeeper.Duration, rate identifier.BytesPerSecond) timekeeper.Duration {
 	size := float64(s.KVBytes)
 	if s.Context > 0 {
 		grown := min(s.TokensPerSecond*wait.Seconds(), float64(s.Remaining))
 		size += size * grown / float64(s.Context)
 	}
-	return timekeeper.Duration(spanOf(size, float64(rate))) + timekeeper.Millisecond
+	return timekeeper.Duration(millisecondsFor(size, float64(rate))) + timekeeper.Millisecond
 }
 
-// spanOf returns amount/rate in milliseconds. Without a rate it
-// is longer than any notice.
-func spanOf(amount, rate float64) float64 {
+// millisecondsFor returns amount/rate in milliseconds, or an hour if the rate
+// is not positive.
+func millisecondsFor(amount, rate float64) float64 {
 	if amount <= 0 {
 		return 0
 	}
@@ -237,6 +238,6 @@
 	)
 }
 
-func compareNames(a, b Stream) int {
+func compareIDs(a, b Stream) int {
 	return cmp.Or(cmp.Compare(a.Request, b.Request), cmp.Compare(a.Attempt, b.Attempt))
 }
--- a/internal/planner/wave_test.go
+++ b/internal/planner/wave_test.go
@@ -17,9 +17,9 @@
 )
 
 type input struct {
-	leaving map[identifier.VMID]timekeeper.Time
-	streams []Stream
-	rooms   []Headroom
+	leaving  map[identifier.VMID]timekeeper.Time
+	streams  []Stream
+	headroom []Headroom
 }
 
 func drawInput(t *rapid.T) input {
@@ -30,7 +30,7 @@
 		if i == 0 || rapid.Bool().Draw(t, "leaves") {
 			in.leaving[vm] = testNow + timekeeper.Time(rapid.IntRange(0, 20_000).Draw(t, "notice"))
 		}
-		in.rooms = append(in.rooms, Headroom{
+		in.headroom = append(in.headroom, Headroom{
 			Server:   vm,
 			Zone:     identifier.Zone(fmt.Sprintf("zone-%d", i%3)),
 			Slots:    rapid.IntRange(0, 4).Draw(t, "slots"),
@@ -63,7 +63,7 @@
 	return s
 }
 
-// violation returns the first promise that the plan breaks, or "".
+// violation returns the first invariant that the plan violates, or "".
 func violation(in input, moves []Move) string {
 	byName := make(map[identifier.RequestID]Stream)
 	for _, s := range in.streams {
@@ -71,16 +71,16 @@
 	}
 	slots := make(map[identifier.VMID]int)
 	tokens := make(map[identifier.VMID]identifier.Tokens)
-	for _, r := range in.rooms {
+	for _, r := range in.headroom {
 		slots[r.Server], tokens[r.Server] = r.Slots, r.KVTokens
 	}
-	sent := make(map[identifier.VMID]timekeeper.Duration)
+	exportTime := make(map[identifier.VMID]timekeeper.Duration)
 	for _, m := range moves {
 		s := byName[m.Request]
 		if m.Action == Finish {
 			continue
 		}
-		if _, gone := in.leaving[m.To]; gone {
+		if _, isLeaving := in.leaving[m.To]; isLeaving {
 			return "moved to a leaving server"
 		}
 		if m.To != "" {
@@ -88,11 +88,11 @@
 			tokens[m.To] -= s.Context + s.Remaining
 		}
 		if slots[m.To] < 0 && m.To != "" || tokens[m.To] < 0 && m.To != "" {
-			return "beyond room"
+			return "beyond headroom"
 		}
 		if m.Action == Export && s.MovingTo != m.To {
-			sent[s.Server] += transferTime(s, m.Start.Sub(testNow), testRate)
-			if testNow.Add(sent[s.Server]).After(in.leaving[s.Server]) {
+			exportTime[s.Server] += transferTime(s, m.Start.Sub(testNow), testRate)
+			if testNow.Add(exportTime[s.Server]).After(in.leaving[s.Server]) {
 				return "beyond bandwidth"
 			}
 		}
@@ -100,14 +100,13 @@
 	return ""
 }
 
-// What the caller sees: a stream that breaks a second time, or one that waits
-// on a full server. It would happen if the plan sent a stream to a server that
-// leaves too, to one without room, or over a link that has no time left. So no
-// plan may ever do these, whatever the wave.
-func TestPlanKeepsItsPromises(t *testing.T) {
+// A plan must never move a stream to a leaving server, to a server without
+// headroom, or over a link without time left: the stream would break again or
+// be queued.
+func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
-		moves := PlanWave(testNow, in.leaving, testRate, in.streams, in.rooms, AllRules())
+		moves := PlanWave(testNow, in.leaving, testRate, in.streams, in.headroom, AllRules())
 		require.Empty(t, violation(in, moves))
 
 		planned := make(map[identifier.RequestID]int)
@@ -116,30 +115,30 @@
 		}
 		for _, s := range in.streams {
 			want := 0
-			if _, gone := in.leaving[s.Server]; gone {
+			if _, isLeaving := in.leaving[s.Server]; isLeaving {
 				want = 1
 			}
 			require.Equal(t, want, planned[s.Request], "moves of %s", s.Request)
 		}
-		require.Equal(t, moves, PlanWave(testNow, in.leaving, testRate, in.streams, in.rooms, AllRules()))
+		require.Equal(t, moves, PlanWave(testNow, in.leaving, testRate, in.streams, in.headroom, AllRules()))
 	})
 }
 
-// Each safeguard is needed: with its rule off, some wave breaks the promise.
+// Each rule is necessary: without it, some wave violates the invariant.
 func TestPlanNegativeControls(t *testing.T) {
 	controls := map[string]func(*Rules){
 		"moved to a leaving server": func(r *Rules) { r.AvoidLeaving = false },
-		"beyond room":               func(r *Rules) { r.KeepRoom = false },
+		"beyond headroom":           func(r *Rules) { r.KeepRoom = false },
 		"beyond bandwidth":          func(r *Rules) { r.KeepBandwidth = false },
 	}
-	for want, off := range controls {
+	for want, disable := range controls {
 		t.Run(want, func(t *testing.T) {
 			rules := AllRules()
-			off(&rules)
+			disable(&rules)
 			found := false
 			rapid.Check(t, func(t *rapid.T) {
 				in := drawInput(t)
-				moves := PlanWave(testNow, in.leaving, testRate, in.streams, in.rooms, rules)
+				moves := PlanWave(testNow, in.leaving, testRate, in.streams, in.headroom, rules)
 				found = found || violation(in, moves) == want
 			})
 			require.True(t, found)
@@ -162,24 +161,23 @@
 }
 
 func actions(moves []Move) map[identifier.RequestID]string {
-	found := make(map[identifier.RequestID]string)
+	described := make(map[identifier.RequestID]string)
 	for _, m := range moves {
-		found[m.Request] = fmt.Sprintf("%s to %s", m.Action, m.To)
+		described[m.Request] = fmt.Sprintf("%s to %s", m.Action, m.To)
 	}
-	return found
+	return described
 }
 
-// A server leaves in 4.3 s. The caller of the short stream sees nothing; the
-// link has time for the cache of one of the long ones, and that is the one
-// with the dear penalty; the other reads its prompt again elsewhere.
-func TestPlanSpendsTheNoticeOnWhatIsDear(t *testing.T) {
+// Of two long streams, the one with a penalty is exported and the other resumes
+// by prefill; the short stream ends in place.
+func TestExportsAreRankedByPenalty(t *testing.T) {
 	leaving := map[identifier.VMID]timekeeper.Time{"old": testNow + 4300}
 	streams := []Stream{
 		stream("cheap", 5000, 3500, 0),
-		stream("dear", 5000, 3500, identifier.Coin),
+		stream("costly", 5000, 3500, identifier.Coin),
 		stream("short", 100, 3500, identifier.Coin),
 	}
-	rooms := []Headroom{
+	headroom := []Headroom{
 		{
 			Server:   "near",
 			Zone:     "a",
@@ -193,28 +191,29 @@
 			KVTokens: 90_000,
 		},
 	}
-	moves := PlanWave(testNow, leaving, testRate, streams, rooms, AllRules())
+	moves := PlanWave(testNow, leaving, testRate, streams, headroom, AllRules())
 	require.Equal(t, map[identifier.RequestID]string{
-		"cheap": "prefill to away",
-		"dear":  "export to away",
-		"short": "finish to old",
+		"cheap":  "prefill to away",
+		"costly": "export to away",
+		"short":  "finish to old",
 	}, actions(moves))
 
-	require.Equal(t, leaving["old"].Add(-lastMoment), startOf(moves, "cheap"), "it may end before that")
+	require.Equal(t, leaving["old"].Add(-deadlineMargin), startOf(moves, "cheap"), "the stream may end before its prefill")
 	early := AllRules()
 	early.PrefillLate = false
-	require.Equal(t, testNow, startOf(PlanWave(testNow, leaving, testRate, streams, rooms, early), "cheap"))
+	require.Equal(t, testNow, startOf(PlanWave(testNow, leaving, testRate, streams, headroom, early), "cheap"))
 
-	// The second notice takes the receiver in the middle of the export, and
-	// every replacement was refused: only the zone's own survivor has room.
+	// A second notice takes the receiver during the export, and only a server
+	// in the leaving zone has headroom.
 	streams[1].MovingTo, streams[1].MovingUntil = "away", testNow+3500
 	leaving["away"] = testNow + 9000
-	moves = PlanWave(testNow+1, leaving, testRate, streams, rooms, AllRules())
-	require.Equal(t, "export to near", actions(moves)["dear"])
+	moves = PlanWave(testNow+1, leaving, testRate, streams, headroom, AllRules())
+	require.Equal(t, "export to near", actions(moves)["costly"])
 
-	// With no room at all a stream runs on until the last moment.
+	// Without any headroom, a stream continues until shortly before the
+	// deadline.
 	moves = PlanWave(testNow, leaving, testRate, streams, nil, AllRules())
-	require.Equal(t, "prefill to ", actions(moves)["dear"])
+	require.Equal(t, "prefill to ", actions(moves)["costly"])
 }
 
 func startOf(moves []Move, r identifier.RequestID) timekeeper.Time {
@@ -241,13 +240,13 @@
 	} {
 		b.Run(fmt.Sprintf("%d_servers_%d_streams", size.servers, size.streams), func(b *testing.B) {
 			leaving := make(map[identifier.VMID]timekeeper.Time)
-			var rooms []Headroom
+			var headroom []Headroom
 			for i := range size.servers {
 				vm := identifier.VMID(fmt.Sprintf("vm-%d", i))
 				if i < size.leaving {
 					leaving[vm] = testNow + 20_000
 				}
-				rooms = append(rooms, Headroom{
+				headroom = append(headroom, Headroom{
 					Server:   vm,
 					Zone:     identifier.Zone(fmt.Sprintf("z-%d", i*10/size.servers)),
 					Slots:    32,
@@ -262,7 +261,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				PlanWave(testNow, leaving, 1_000_000, streams, rooms, AllRules())
+				PlanWave(testNow, leaving, 1_000_000, streams, headroom, AllRules())
 			}
 		})
 	}
