--- a/internal/assessor/assessor_test.go
+++ b/internal/assessor/assessor_test.go
@@ -51,11 +51,11 @@
 	waiting := failing
 	waiting.Waiting = 1000
 	tests := []struct {
-		name          string
-		old           Sample
-		newVersion    []Sample
-		bad, trusted  bool
-		speaksAgainst string
+		name         string
+		old          Sample
+		newVersion   []Sample
+		bad, trusted bool
+		whyContains  string
 	}{
 		{
 			name:       "as good as the old one",
@@ -64,25 +64,25 @@
 			trusted:    true,
 		},
 		{
-			name:          "fails",
-			old:           good,
-			newVersion:    []Sample{failing, failing, failing},
-			bad:           true,
-			speaksAgainst: "failures",
+			name:        "fails",
+			old:         good,
+			newVersion:  []Sample{failing, failing, failing},
+			bad:         true,
+			whyContains: "failures",
 		},
 		{
-			name:          "begins late",
-			old:           good,
-			newVersion:    []Sample{slow, slow},
-			bad:           true,
-			speaksAgainst: "late first events",
+			name:        "late first event",
+			old:         good,
+			newVersion:  []Sample{slow, slow},
+			bad:         true,
+			whyContains: "late first events",
 		},
 		{
-			name:          "drags",
-			old:           good,
-			newVersion:    []Sample{slowStream, slowStream},
-			bad:           true,
-			speaksAgainst: "slow streams",
+			name:        "slow stream",
+			old:         good,
+			newVersion:  []Sample{slowStream, slowStream},
+			bad:         true,
+			whyContains: "slow streams",
 		},
 		{
 			name:       "both fail",
@@ -114,7 +114,7 @@
 			v := a.Verdict(len(test.newVersion))
 			require.Equal(t, test.bad, v.Bad, v.Why)
 			require.Equal(t, test.trusted, v.Trusted, v.Why)
-			require.Contains(t, v.Why, test.speaksAgainst)
+			require.Contains(t, v.Why, test.whyContains)
 		})
 	}
 }
--- a/internal/leaser/leaser_test.go
+++ b/internal/leaser/leaser_test.go
@@ -222,7 +222,7 @@
 	for _, p := range s.processes {
 		for f, until := range p.orderDeadlines {
 			if p != holder && f < fence && s.log.now.Before(until) {
-				s.violation = fmt.Sprintf("%s ends its wait before an order under fence %d leaves", holder.id, f)
+				s.violation = fmt.Sprintf("%s stops waiting before the last order under fence %d may be sent", holder.id, f)
 			}
 		}
 	}
--- a/internal/promoter/cluster_test.go
+++ b/internal/promoter/cluster_test.go
@@ -45,7 +45,7 @@
 type workload struct {
 	name    string
 	nodes   int
-	rate    float64 // requests a second
+	rate    float64 // requests per second
 	servers int
 	routes  []routeSpec
 	// sparse is set if too few requests are exposed to show each good version to be
--- a/internal/promoter/race_test.go
+++ b/internal/promoter/race_test.go
@@ -5,7 +5,7 @@
 // The race detector makes these simulations ten times as slow, and nothing here runs in
 // several goroutines, so only a part of them runs under it.
 const (
-	seedsOfAKind = 1
+	seedsPerKind = 1
 	stepEvery    = 6
-	limitsOfAll  = 1
+	testedLimits = 1
 )
