--- a/cmd/dotterelhollow/gateway.go
+++ b/cmd/dotterelhollow/gateway.go
@@ -123,12 +123,12 @@
 		Lister:         store,
 		Store:          store,
 		Rollouts:       store,
-		Duties:         cloud,
+		LeaderTasks:    cloud,
 		Peers:          peers,
 		CloseListeners: g.closeCallers,
-		Limits:         runner.Limits{ListEvery: listPause},
+		Limits:         runner.Limits{ListInterval: listPause},
 		// The second is read once, without a wait for a newer record.
-		PromptStreams: []identifier.LogStream{leaser.Stream, quarantiner.Stream},
+		LowLatencyStreams: []identifier.LogStream{leaser.Stream, quarantiner.Stream},
 	})
 	g.metrics = forwarder.NewMetrics()
 	g.forwarder = forwarder.New(forwarder.Config{
--- a/internal/answerer/answer.go
+++ b/internal/answerer/answer.go
@@ -59,12 +59,12 @@
 }
 
 // whole reports whether e is the end of a whole answer.
-func (e *End) whole() bool {
+func (e *End) complete() bool {
 	return e != nil && e.MovedTo == "" && e.Outcome == messenger.Done
 }
 
 // Place tells where the current attempt runs.
-type Place struct {
+type Placement struct {
 	Attempt identifier.AttemptNumber
 	Server  identifier.VMID
 	Stream  identifier.StreamName
@@ -78,31 +78,31 @@
 	spec messenger.RequestSpec
 	body Body
 
-	mu       sync.Mutex
-	changed  chan struct{} // closed and replaced at each change
-	place    Place
-	pieces   []Piece
-	digests  []Digest // of the pieces up to each
-	reply    *Reply
-	released identifier.Tokens
+	mu        sync.Mutex
+	changed   chan struct{} // closed and replaced at each change
+	placement Placement
+	pieces    []Piece
+	digests   []Digest // of the pieces up to each
+	reply     *Reply
+	released  identifier.Tokens
 	// replyOut tells that the reply is released.
-	replyOut bool
+	replyReleased bool
 	// held gates release on what a holder has acknowledged; paused stops it
 	// during a handover.
-	held       bool
-	paused     bool
-	doubted    bool // another node may have the request
-	acked      identifier.Tokens
-	replyAcked bool
-	verdict    *Verdict
-	end        *End
-	over       chan struct{} // closed at the end
-	movedTo    identifier.VMID
-	epoch      identifier.Epoch
-	size       identifier.Bytes
-	usage      *Usage        // nil once the answer is out of its store
-	seen       chan struct{} // closed once a reader has had the end
-	callers    int
+	ackRequired    bool
+	paused         bool
+	ownerUncertain bool // another node may have the request
+	acked          identifier.Tokens
+	replyAcked     bool
+	verdict        *Verdict
+	end            *End
+	done           chan struct{} // closed at the end
+	movedTo        identifier.VMID
+	epoch          identifier.Epoch
+	size           identifier.Bytes
+	usage          *Usage        // nil once the answer is out of its store
+	endRead        chan struct{} // closed once a reader has had the end
+	callers        int
 }
 
 // Config says what an Answer starts with.
@@ -111,9 +111,9 @@
 	Body Body
 	// Place is the last attempt known, and Pieces and Reply what it brought,
 	// where the answer comes from another node.
-	Place  Place
-	Pieces []Piece
-	Reply  *Reply
+	Placement Placement
+	Pieces    []Piece
+	Reply     *Reply
 	// Epoch is the owner's.
 	Epoch identifier.Epoch
 	// Accepted is set where another node has accepted the request.
@@ -123,17 +123,17 @@
 // New returns an answer with nothing held back.
 func New(c Config) *Answer {
 	a := &Answer{
-		spec:     c.Spec,
-		body:     c.Body,
-		changed:  make(chan struct{}),
-		place:    c.Place,
-		reply:    c.Reply,
-		released: identifier.Tokens(len(c.Pieces)),
-		replyOut: c.Reply != nil,
-		size:     c.Body.Size(),
-		seen:     make(chan struct{}),
-		over:     make(chan struct{}),
-		epoch:    c.Epoch,
+		spec:          c.Spec,
+		body:          c.Body,
+		changed:       make(chan struct{}),
+		placement:     c.Placement,
+		reply:         c.Reply,
+		released:      identifier.Tokens(len(c.Pieces)),
+		replyReleased: c.Reply != nil,
+		size:          c.Body.Size(),
+		endRead:       make(chan struct{}),
+		done:          make(chan struct{}),
+		epoch:         c.Epoch,
 	}
 	if c.Accepted {
 		a.verdict = &Verdict{Accepted: true}
@@ -204,25 +204,25 @@
 		return len(pieces) > 0 || end != nil
 	})
 	if err == nil && end != nil {
-		a.markSeen()
+		a.markEndRead()
 	}
 	return pieces, end, err
 }
 
 // Over returns a channel that is closed at the end, whether readers may have
 // it yet or not.
-func (a *Answer) Over() <-chan struct{} { return a.over }
+func (a *Answer) Done() <-chan struct{} { return a.done }
 
 // Seen returns a channel that is closed once a reader has had the end.
-func (a *Answer) Seen() <-chan struct{} { return a.seen }
+func (a *Answer) EndRead() <-chan struct{} { return a.endRead }
 
-func (a *Answer) markSeen() {
+func (a *Answer) markEndRead() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	select {
-	case <-a.seen:
+	case <-a.endRead:
 	default:
-		close(a.seen)
+		close(a.endRead)
 	}
 }
 
@@ -233,7 +233,7 @@
 	if a.end == nil || a.end.MovedTo != "" {
 		return a.end
 	}
-	if int(a.released) < len(a.pieces) || (a.reply != nil && !a.replyOut) {
+	if int(a.released) < len(a.pieces) || (a.reply != nil && !a.replyReleased) {
 		return nil
 	}
 	return a.end
--- a/internal/answerer/answer_test.go
+++ b/internal/answerer/answer_test.go
@@ -23,8 +23,8 @@
 	})
 }
 
-func place(n identifier.AttemptNumber) answerer.Place {
-	return answerer.Place{
+func place(n identifier.AttemptNumber) answerer.Placement {
+	return answerer.Placement{
 		Attempt: n,
 		Server:  "engine-1",
 	}
@@ -210,7 +210,7 @@
 	old, _, err := s.Add(newAnswer("r1"), keep)
 	require.NoError(t, err)
 	_, _, err = s.Add(newAnswer("r2"), keep)
-	var full *answerer.FullError
+	var full *answerer.StoreFullError
 	require.ErrorAs(t, err, &full, "a live answer never makes room")
 
 	old.Finish(answerer.End{Outcome: messenger.Done})
--- a/internal/answerer/digest.go
+++ b/internal/answerer/digest.go
@@ -29,10 +29,10 @@
 // Next returns the digest of the tokens of d and one more. It is a chain, so
 // that the bounds between tokens count and each token costs the same.
 func (d Digest) Next(text string) Digest {
-	var before [digestSize]byte
-	binary.BigEndian.PutUint64(before[:], uint64(d))
+	var previous [digestSize]byte
+	binary.BigEndian.PutUint64(previous[:], uint64(d))
 	sum := xxhash.New()
-	_, _ = sum.Write(before[:])
+	_, _ = sum.Write(previous[:])
 	_, _ = sum.WriteString(text)
 	return Digest(sum.Sum64())
 }
@@ -44,7 +44,7 @@
 func ParseDigest(text string) (Digest, error) {
 	value, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || len(text) != 2*digestSize {
-		return 0, &DigestError{Text: text}
+		return 0, &InvalidDigestError{Text: text}
 	}
 	return Digest(value), nil
 }
@@ -81,7 +81,7 @@
 
 func (a *Answer) check(n identifier.Tokens, want Digest) (bool, error) {
 	got, ok := a.digestAt(n)
-	whole := a.visibleEnd().whole()
+	whole := a.visibleEnd().complete()
 	if ok && got == want || !ok && !whole {
 		return ok, nil
 	}
--- a/internal/answerer/errors.go
+++ b/internal/answerer/errors.go
@@ -8,24 +8,24 @@
 )
 
 var (
-	_ error = (*ElsewhereError)(nil)
+	_ error = (*NotOwnerError)(nil)
 	_ error = (*UnknownRequestError)(nil)
-	_ error = (*FullError)(nil)
-	_ error = (*StoppedError)(nil)
+	_ error = (*StoreFullError)(nil)
+	_ error = (*NodeStoppingError)(nil)
 	_ error = (*KeyConflictError)(nil)
 	_ error = (*WaitError)(nil)
 	_ error = (*DivergedError)(nil)
-	_ error = (*DigestError)(nil)
+	_ error = (*InvalidDigestError)(nil)
 )
 
 // ElsewhereError reports that another node has the request.
-type ElsewhereError struct {
+type NotOwnerError struct {
 	Request identifier.RequestID
 	// Address is the caller address of the node that has it.
 	Address string
 }
 
-func (e *ElsewhereError) Error() string {
+func (e *NotOwnerError) Error() string {
 	return fmt.Sprintf("request %s is at %s", e.Request, e.Address)
 }
 
@@ -40,17 +40,17 @@
 
 // FullError reports that the node has no room for another request. Nothing
 // of the request has run.
-type FullError struct{ RetryAfter timekeeper.Duration }
+type StoreFullError struct{ RetryAfter timekeeper.Duration }
 
-func (e *FullError) Error() string {
+func (e *StoreFullError) Error() string {
 	return fmt.Sprintf("no room for another request, retry after %s", e.RetryAfter)
 }
 
 // StoppedError reports that the node is stopping. Nothing of the request has
 // run.
-type StoppedError struct{}
+type NodeStoppingError struct{}
 
-func (e *StoppedError) Error() string { return "the node is stopping" }
+func (e *NodeStoppingError) Error() string { return "the node is stopping" }
 
 // KeyConflictError reports an idempotency key that stands for another request
 // of the same client account. Nothing has run: giving the older request's
@@ -86,8 +86,8 @@
 }
 
 // DigestError reports a text that is no digest.
-type DigestError struct{ Text string }
+type InvalidDigestError struct{ Text string }
 
-func (e *DigestError) Error() string {
+func (e *InvalidDigestError) Error() string {
 	return fmt.Sprintf("%q is no digest of %d hexadecimal digits", e.Text, 2*digestSize)
 }
--- a/internal/answerer/store.go
+++ b/internal/answerer/store.go
@@ -29,11 +29,11 @@
 	usage Usage
 
 	mu      sync.Mutex
-	answers map[identifier.RequestID]*kept
+	answers map[identifier.RequestID]*storedAnswer
 }
 
 // kept is an answer in a store; endedAt is zero until a sweep saw its end.
-type kept struct {
+type storedAnswer struct {
 	answer  *Answer
 	endedAt timekeeper.Time
 }
@@ -51,7 +51,7 @@
 	return &Store{
 		limit:   c.Limit,
 		grace:   c.Grace,
-		answers: make(map[identifier.RequestID]*kept),
+		answers: make(map[identifier.RequestID]*storedAnswer),
 	}
 }
 
@@ -69,14 +69,14 @@
 // Add keeps a, unless the request has an answer already that keep wants to
 // stay: that one is returned with false. Ended answers make room, oldest
 // first; where there is none, the error is a *FullError.
-func (s *Store) Add(a *Answer, keep func(old *Answer) bool) (*Answer, bool, error) {
+func (s *Store) Add(a *Answer, keepOld func(old *Answer) bool) (*Answer, bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if old, ok := s.answers[a.Request()]; ok && keep(old.answer) {
+	if old, ok := s.answers[a.Request()]; ok && keepOld(old.answer) {
 		return old.answer, false, nil
 	}
 	if !s.makeRoom(a.Size()) {
-		return nil, false, &FullError{RetryAfter: timekeeper.Second}
+		return nil, false, &StoreFullError{RetryAfter: timekeeper.Second}
 	}
 	s.put(a)
 	return a, true, nil
@@ -92,8 +92,8 @@
 
 func (s *Store) put(a *Answer) {
 	s.remove(a.Request())
-	a.join(&s.usage)
-	s.answers[a.Request()] = &kept{answer: a}
+	a.setUsage(&s.usage)
+	s.answers[a.Request()] = &storedAnswer{answer: a}
 }
 
 // Remove drops the answer of a request.
@@ -118,7 +118,7 @@
 		return
 	}
 	delete(s.answers, r)
-	k.answer.join(nil)
+	k.answer.setUsage(nil)
 }
 
 // Sweep drops the ended answers whose grace time is over, and older ended
@@ -149,13 +149,13 @@
 	if s.usage.Bytes()+n <= s.limit {
 		return true
 	}
-	var ended []*kept
+	var ended []*storedAnswer
 	for _, k := range s.answers {
 		if k.endedAt != 0 {
 			ended = append(ended, k)
 		}
 	}
-	slices.SortFunc(ended, func(a, b *kept) int {
+	slices.SortFunc(ended, func(a, b *storedAnswer) int {
 		return cmp.Or(
 			cmp.Compare(a.endedAt, b.endedAt),
 			cmp.Compare(a.answer.Request(), b.answer.Request()),
@@ -181,7 +181,7 @@
 func (s *Store) Bytes() identifier.Bytes { return s.usage.Bytes() }
 
 // join moves a's bytes to the count of u, or out of any count.
-func (a *Answer) join(u *Usage) {
+func (a *Answer) setUsage(u *Usage) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.usage.add(-a.size)
--- a/internal/answerer/write.go
+++ b/internal/answerer/write.go
@@ -39,22 +39,22 @@
 // Begin makes the attempt at p the only one whose pieces are taken, and tells
 // how many tokens stand here already. It is refused for an attempt that is
 // not newer than the current one, or once the answer has ended.
-func (a *Answer) Begin(p Place) (identifier.Tokens, bool) {
+func (a *Answer) Begin(placement Placement) (identifier.Tokens, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if p.Attempt <= a.place.Attempt || a.end != nil {
+	if placement.Attempt <= a.placement.Attempt || a.end != nil {
 		return 0, false
 	}
-	a.place = p
+	a.placement = placement
 	a.notify()
 	return identifier.Tokens(len(a.pieces)), true
 }
 
 // Place returns where the current attempt runs.
-func (a *Answer) Place() Place {
+func (a *Answer) Placement() Placement {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.place
+	return a.placement
 }
 
 // Append adds a piece that attempt n brought, and reports whether it was
@@ -68,7 +68,7 @@
 func (a *Answer) Append(n identifier.AttemptNumber, index identifier.Tokens, text string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if n != a.place.Attempt || a.end != nil || index != identifier.Tokens(len(a.pieces))+1 {
+	if n != a.placement.Attempt || a.end != nil || index != identifier.Tokens(len(a.pieces))+1 {
 		return false
 	}
 	a.add(Piece{
@@ -85,7 +85,7 @@
 func (a *Answer) SetReply(n identifier.AttemptNumber, r Reply) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if n != a.place.Attempt || a.end != nil || a.reply != nil {
+	if n != a.placement.Attempt || a.end != nil || a.reply != nil {
 		return false
 	}
 	a.reply = &r
@@ -112,7 +112,7 @@
 // setEnd ends the answer. The caller holds a.mu.
 func (a *Answer) setEnd(e End) {
 	if a.end == nil {
-		close(a.over)
+		close(a.done)
 	}
 	a.end = &e
 	a.notify()
@@ -155,14 +155,14 @@
 func (a *Answer) Hold() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.held = true
+	a.ackRequired = true
 }
 
 // Unhold lets out all that stands here, and what comes later, at once.
 func (a *Answer) Unhold() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.held = false
+	a.ackRequired = false
 	a.release()
 	a.notify()
 }
@@ -177,10 +177,10 @@
 }
 
 // Doubt notes that another node may have the request.
-func (a *Answer) Doubt() {
+func (a *Answer) SetOwnerUncertain() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.doubted = true
+	a.ownerUncertain = true
 }
 
 // Unpause ends a Pause, unless the answer has not ended and another node may
@@ -188,7 +188,7 @@
 func (a *Answer) Unpause() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.doubted && a.end == nil {
+	if a.ownerUncertain && a.end == nil {
 		return false
 	}
 	a.paused = false
@@ -212,12 +212,12 @@
 func (a *Answer) release() {
 	switch {
 	case a.paused:
-	case a.held:
+	case a.ackRequired:
 		a.released = max(a.released, a.acked)
-		a.replyOut = a.replyOut || a.replyAcked
+		a.replyReleased = a.replyReleased || a.replyAcked
 	default:
 		a.released = identifier.Tokens(len(a.pieces))
-		a.replyOut = a.reply != nil
+		a.replyReleased = a.reply != nil
 	}
 }
 
@@ -251,14 +251,14 @@
 
 // Change is what an answer got since a Mark.
 type Change struct {
-	Place  Place
-	Pieces []Piece
-	Reply  *Reply
-	End    *End
+	Placement Placement
+	Pieces    []Piece
+	Reply     *Reply
+	End       *End
 }
 
 // Mark tells how much of an answer a holder has.
-type Mark struct {
+type Progress struct {
 	Attempt identifier.AttemptNumber
 	Pieces  identifier.Tokens
 	Reply   bool
@@ -267,29 +267,29 @@
 // Await is for the goroutine that pushes to a holder: it waits until the
 // answer has more than m, released or not, or has ended. Its error is a
 // *WaitError.
-func (a *Answer) Await(ctx context.Context, m Mark) (Change, error) {
+func (a *Answer) Await(ctx context.Context, since Progress) (Change, error) {
 	var c Change
 	err := a.wait(ctx, func() bool {
-		c = a.since(m)
-		return c.End != nil || c.Place.Attempt != m.Attempt || len(c.Pieces) > 0 || c.Reply != nil
+		c = a.since(since)
+		return c.End != nil || c.Placement.Attempt != since.Attempt || len(c.Pieces) > 0 || c.Reply != nil
 	})
 	return c, err
 }
 
 // Since returns what the answer got since m, without waiting.
-func (a *Answer) Since(m Mark) Change {
+func (a *Answer) Since(p Progress) Change {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.since(m)
+	return a.since(p)
 }
 
-func (a *Answer) since(m Mark) Change {
+func (a *Answer) since(p Progress) Change {
 	c := Change{
-		Place:  a.place,
-		Pieces: between(a.pieces, m.Pieces, identifier.Tokens(len(a.pieces))),
-		End:    a.end,
+		Placement: a.placement,
+		Pieces:    between(a.pieces, p.Pieces, identifier.Tokens(len(a.pieces))),
+		End:       a.end,
 	}
-	if !m.Reply {
+	if !p.Reply {
 		c.Reply = a.reply
 	}
 	return c
@@ -314,8 +314,8 @@
 		a.reply = c.Reply
 		a.grow(len(c.Reply.Body))
 	}
-	if c.Place.Attempt > a.place.Attempt {
-		a.place = c.Place
+	if c.Placement.Attempt > a.placement.Attempt {
+		a.placement = c.Placement
 	}
 	a.release()
 	a.notify()
@@ -350,7 +350,7 @@
 }
 
 // CallerCame counts one more caller and returns how many there are.
-func (a *Answer) CallerCame() int {
+func (a *Answer) AddCaller() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.callers++
@@ -358,7 +358,7 @@
 }
 
 // CallerLeft counts one caller less and returns how many there are.
-func (a *Answer) CallerLeft() int {
+func (a *Answer) RemoveCaller() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.callers--
--- a/internal/relayer/codec.go
+++ b/internal/relayer/codec.go
@@ -56,7 +56,7 @@
 	p := Push{
 		Spec:  messenger.RequestSpec{Request: identifier.RequestID(q.GetSpec().GetRequest())},
 		Epoch: identifier.Epoch(q.GetEpoch()),
-		Place: answerer.Place{
+		Place: answerer.Placement{
 			Attempt: identifier.AttemptNumber(q.GetPlace().GetAttempt()),
 			Server:  identifier.VMID(q.GetPlace().GetServer()),
 			Stream:  identifier.StreamName(q.GetPlace().GetStream()),
--- a/internal/relayer/relayer.go
+++ b/internal/relayer/relayer.go
@@ -59,7 +59,7 @@
 	Epoch identifier.Epoch
 	// Body is nil once the peer has it.
 	Body   *answerer.Body
-	Place  answerer.Place
+	Place  answerer.Placement
 	Pieces []answerer.Piece
 	Reply  *answerer.Reply
 }
--- a/internal/relayer/relayer_test.go
+++ b/internal/relayer/relayer_test.go
@@ -152,7 +152,7 @@
 		Spec:  spec(),
 		Epoch: 3,
 		Body:  &answerer.Body{Prompt: "draft \xff"},
-		Place: answerer.Place{
+		Place: answerer.Placement{
 			Attempt: 2,
 			Server:  "engine",
 			Stream:  "r1.2",
@@ -393,7 +393,7 @@
 	}{
 		{
 			name:     "the peer is stopping",
-			takeOver: func(context.Context) error { return &answerer.StoppedError{} },
+			takeOver: func(context.Context) error { return &answerer.NodeStoppingError{} },
 			want:     Rejected,
 		},
 		{
--- a/internal/runner/attach.go
+++ b/internal/runner/attach.go
@@ -43,7 +43,7 @@
 	}
 	at, found := r.locate(ctx, q, r.peerAddresses(ctx, request))
 	if found && !at.Copy {
-		return nil, &answerer.ElsewhereError{
+		return nil, &answerer.NotOwnerError{
 			Request: request,
 			Address: at.Address,
 		}
@@ -52,7 +52,7 @@
 		return r.awaitAdoption(ctx, request, account)
 	}
 	if found {
-		return nil, &answerer.ElsewhereError{
+		return nil, &answerer.NotOwnerError{
 			Request: request,
 			Address: at.Address,
 		}
@@ -66,7 +66,7 @@
 		return nil, &answerer.UnknownRequestError{Request: a.Request()}
 	}
 	if end, ended := a.Ended(); ended && end.MovedTo != "" {
-		return nil, &answerer.ElsewhereError{
+		return nil, &answerer.NotOwnerError{
 			Request: a.Request(),
 			Address: end.MovedTo,
 		}
@@ -98,7 +98,7 @@
 		return err
 	}
 	if !r.emit(ctx, messenger.RequestCancelled{Request: request}) {
-		return &answerer.StoppedError{}
+		return &answerer.NodeStoppingError{}
 	}
 	return nil
 }
--- a/internal/runner/attempt.go
+++ b/internal/runner/attempt.go
@@ -57,7 +57,7 @@
 		r.later(notSent(e))
 		return
 	}
-	from, ok := answer.Begin(answerer.Place{
+	from, ok := answer.Begin(answerer.Placement{
 		Attempt: e.Attempt,
 		Server:  e.Server,
 		Stream:  e.Stream,
--- a/internal/runner/backend.go
+++ b/internal/runner/backend.go
@@ -85,7 +85,7 @@
 		r.metrics.requests.Add(1)
 		if !r.emit(ctx, messenger.RequestReceived{Spec: answer.Spec()}) {
 			r.answers.Remove(answer.Request())
-			return nil, &answerer.StoppedError{}
+			return nil, &answerer.NodeStoppingError{}
 		}
 	}
 	r.attachCaller(ctx, answer)
@@ -191,11 +191,11 @@
 
 // attachCaller counts a caller in until ctx ends.
 func (r *Runner) attachCaller(ctx context.Context, a *answerer.Answer) {
-	if a.CallerCame() == 1 {
+	if a.AddCaller() == 1 {
 		r.emit(ctx, messenger.CallerAttached{Request: a.Request()})
 	}
 	context.AfterFunc(ctx, func() {
-		if a.CallerLeft() == 0 {
+		if a.RemoveCaller() == 0 {
 			r.emit(context.Background(), messenger.CallerDisconnected{Request: a.Request()})
 		}
 	})
--- a/internal/runner/backend_test.go
+++ b/internal/runner/backend_test.go
@@ -171,7 +171,7 @@
 			at, ok := known[address]
 			return at, ok, nil
 		}
-		var elsewhere *answerer.ElsewhereError
+		var elsewhere *answerer.NotOwnerError
 		_, err := f.Attach(t.Context(), "r1", "agency")
 		require.ErrorAs(t, err, &elsewhere)
 		require.Equal(t, "entry-2:caller", elsewhere.Address, "a copy is better than nothing")
@@ -200,7 +200,7 @@
 			return relayer.Location{Address: "entry-3:caller"}, true, nil
 		}
 		began := time.Now()
-		var elsewhere *answerer.ElsewhereError
+		var elsewhere *answerer.NotOwnerError
 		_, err := f.Attach(t.Context(), "r1", "agency")
 		require.ErrorAs(t, err, &elsewhere)
 		require.Equal(t, "entry-3:caller", elsewhere.Address)
--- a/internal/runner/copies.go
+++ b/internal/runner/copies.go
@@ -82,9 +82,9 @@
 		c.held[p.Spec.Request] = held
 	}
 	if !held.answer.Extend(answerer.Change{
-		Place:  p.Place,
-		Pieces: p.Pieces,
-		Reply:  p.Reply,
+		Placement: p.Place,
+		Pieces:    p.Pieces,
+		Reply:     p.Reply,
 	}) {
 		return relayer.HoldIncomplete
 	}
--- a/internal/runner/exchange.go
+++ b/internal/runner/exchange.go
@@ -137,7 +137,7 @@
 				return messenger.LeaderTaskFenced
 			}
 			e.Fence = number
-			return r.config.Duties.OrderServers(ctx, e)
+			return r.config.LeaderTasks.OrderServers(ctx, e)
 		}))
 	}, func() { r.later(messenger.ServersOrdered{Order: e.Order, Result: messenger.LeaderTaskUnknown}) })
 }
@@ -146,7 +146,7 @@
 func (r *Runner) reportUsage(e messenger.ReportUsage) {
 	r.inLane("usage", func(ctx context.Context) func() {
 		result := r.duty(ctx, e.NotAfter, func(ctx context.Context) messenger.LeaderTaskResult {
-			return r.config.Duties.ReportUsage(ctx, e)
+			return r.config.LeaderTasks.ReportUsage(ctx, e)
 		})
 		return r.report(messenger.UsageReported{
 			Window: e.Window,
--- a/internal/runner/follow.go
+++ b/internal/runner/follow.go
@@ -89,7 +89,7 @@
 		wait timekeeper.Duration
 	)
 	longest, slack := readWait, readSlack
-	prompt := slices.Contains(r.config.PromptStreams, s)
+	prompt := slices.Contains(r.config.LowLatencyStreams, s)
 	if prompt {
 		longest, slack = promptWait, promptSlack
 	}
--- a/internal/runner/follow_test.go
+++ b/internal/runner/follow_test.go
@@ -55,7 +55,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
 		f.reducer.streams = []identifier.LogStream{"leases"}
-		f.config.PromptStreams = f.reducer.streams
+		f.config.LowLatencyStreams = f.reducer.streams
 		ctx, cancel := context.WithCancel(t.Context())
 		go f.Run(ctx)
 		wait(t, 10*time.Millisecond)
--- a/internal/runner/hold.go
+++ b/internal/runner/hold.go
@@ -86,7 +86,7 @@
 // fast stream costs no more round trips than a slow one.
 func (r *Runner) pushAll(ctx context.Context, p *pusher) messenger.EventBody {
 	var (
-		mark    answerer.Mark
+		mark    answerer.Progress
 		whole   = true // push everything, the body included
 		behind  int
 		started bool
@@ -119,7 +119,7 @@
 				Holder:  p.effect.Holder,
 			}
 		case err == nil && answer == relayer.HoldIncomplete && behind == 0:
-			mark, whole = answerer.Mark{}, true
+			mark, whole = answerer.Progress{}, true
 			behind++
 			continue
 		case err != nil || answer != relayer.HoldStored:
@@ -150,13 +150,13 @@
 	return errors.As(err, &peer) && peer.Reach == relayer.Refused
 }
 
-func nothingNew(c answerer.Change, m answerer.Mark) bool {
-	return len(c.Pieces) == 0 && c.Reply == nil && c.Place.Attempt == m.Attempt
+func nothingNew(c answerer.Change, m answerer.Progress) bool {
+	return len(c.Pieces) == 0 && c.Reply == nil && c.Placement.Attempt == m.Attempt
 }
 
-func after(m answerer.Mark, c answerer.Change) answerer.Mark {
-	return answerer.Mark{
-		Attempt: c.Place.Attempt,
+func after(m answerer.Progress, c answerer.Change) answerer.Progress {
+	return answerer.Progress{
+		Attempt: c.Placement.Attempt,
 		Pieces:  m.Pieces + identifier.Tokens(len(c.Pieces)),
 		Reply:   m.Reply || c.Reply != nil,
 	}
@@ -167,7 +167,7 @@
 	push := relayer.Push{
 		Spec:   p.answer.Spec(),
 		Epoch:  p.answer.Epoch(),
-		Place:  c.Place,
+		Place:  c.Placement,
 		Pieces: c.Pieces,
 		Reply:  c.Reply,
 	}
@@ -253,7 +253,7 @@
 		}
 		p.answer.Unhold()
 		select {
-		case <-p.answer.Seen():
+		case <-p.answer.EndRead():
 		case <-patience.C:
 		case <-r.leaving:
 		case <-ctx.Done():
@@ -322,13 +322,13 @@
 	}
 	answer.RaiseEpoch(e.Epoch)
 	answer.Pause()
-	change := answer.Since(answerer.Mark{})
+	change := answer.Since(answerer.Progress{})
 	body := answer.Body()
 	push := relayer.Push{
 		Spec:  answer.Spec(),
 		Epoch: e.Epoch,
 		Body:  &body,
-		Place: answerer.Place{
+		Place: answerer.Placement{
 			Attempt: e.Attempt,
 			Server:  e.Server,
 			Stream:  e.Stream,
@@ -360,7 +360,7 @@
 	r.logger.Warn("handover failed", "request", e.Request, "successor", e.Successor, "error", err)
 	var peer *relayer.PeerError
 	if !errors.As(err, &peer) || !peer.NoEffect() {
-		answer.Doubt()
+		answer.SetOwnerUncertain()
 	}
 	notTaken := answer.Unpause()
 	r.later(messenger.HandoverFailed{
--- a/internal/runner/operate.go
+++ b/internal/runner/operate.go
@@ -21,7 +21,7 @@
 		r.later(change)
 	})
 	if !ok {
-		return messenger.ChangeVerdict{}, &answerer.StoppedError{}
+		return messenger.ChangeVerdict{}, &answerer.NodeStoppingError{}
 	}
 	select {
 	case v := <-verdict:
--- a/internal/runner/order_test.go
+++ b/internal/runner/order_test.go
@@ -23,7 +23,7 @@
 	lose    bool
 }
 
-var _ Duties = (*lateCloud)(nil)
+var _ LeaderTasks = (*lateCloud)(nil)
 
 func (c *lateCloud) ReportUsage(context.Context, messenger.ReportUsage) messenger.LeaderTaskResult {
 	return messenger.LeaderTaskDone
@@ -66,7 +66,7 @@
 func TestLateOrderDoesNotUndoANewerOne(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		cloud := &lateCloud{}
-		f.config.Duties = cloud
+		f.config.LeaderTasks = cloud
 		order := func(count int) messenger.OrderServers {
 			return messenger.OrderServers{
 				Order: messenger.ServerOrder{
--- a/internal/runner/outside.go
+++ b/internal/runner/outside.go
@@ -74,7 +74,7 @@
 // whole has to be read anew.
 type PublishedStore interface {
 	// Era returns the era of the store as far as an answer has told.
-	Era() identifier.StoreGeneration
+	Generation() identifier.StoreGeneration
 	// AllServers returns all entries, and the offset to go on from.
 	AllServers(ctx context.Context) ([]messenger.PublishedServer, identifier.Offset, error)
 	// ServersFrom returns the entries from an offset on, which may be none.
@@ -106,25 +106,25 @@
 	// last state of each service's roll-out.
 	ClaimRollouts(ctx context.Context, fence identifier.Fence) ([]messenger.Rollout, messenger.LeaderTaskResult)
 	// KeepRollout writes a state and tells the operators.
-	KeepRollout(ctx context.Context, e messenger.StoreRollout) messenger.LeaderTaskResult
+	StoreRollout(ctx context.Context, e messenger.StoreRollout) messenger.LeaderTaskResult
 }
 
 // Duties are the calls to the platform that one node at a time makes. They say
 // truthfully what became of each.
-type Duties interface {
+type LeaderTasks interface {
 	ReportUsage(ctx context.Context, e messenger.ReportUsage) messenger.LeaderTaskResult
 	OrderServers(ctx context.Context, e messenger.OrderServers) messenger.LeaderTaskResult
 }
 
 // ExpiredError reports that records which were to be read next are gone.
-type ExpiredError struct {
-	First identifier.Offset
+type RecordsExpiredError struct {
+	FirstAvailable identifier.Offset
 }
 
-var _ error = (*ExpiredError)(nil)
+var _ error = (*RecordsExpiredError)(nil)
 
-func (e *ExpiredError) Error() string {
-	return fmt.Sprintf("records before offset %d have expired", e.First)
+func (e *RecordsExpiredError) Error() string {
+	return fmt.Sprintf("records before offset %d have expired", e.FirstAvailable)
 }
 
 // Engines speaks to model engines.
--- a/internal/runner/peer.go
+++ b/internal/runner/peer.go
@@ -44,7 +44,7 @@
 	if !ok {
 		return relayer.HoldOwned
 	}
-	place := kept.Place()
+	place := kept.Placement()
 	held := messenger.CopyHeld{
 		Spec:      kept.Spec(),
 		Epoch:     kept.Epoch(),
@@ -100,13 +100,13 @@
 // lost.
 func (r *Runner) TakeOver(ctx context.Context, from identifier.VMID, p relayer.Push) error {
 	answer := answerer.New(answerer.Config{
-		Spec:     p.Spec,
-		Body:     *p.Body,
-		Epoch:    p.Epoch,
-		Place:    p.Place,
-		Pieces:   p.Pieces,
-		Reply:    p.Reply,
-		Accepted: true,
+		Spec:      p.Spec,
+		Body:      *p.Body,
+		Epoch:     p.Epoch,
+		Placement: p.Place,
+		Pieces:    p.Pieces,
+		Reply:     p.Reply,
+		Accepted:  true,
 	})
 	answer, added, err := r.answers.Add(answer, func(old *answerer.Answer) bool {
 		_, moved := old.MovedTo()
@@ -136,12 +136,12 @@
 		if added {
 			r.answers.Remove(p.Spec.Request)
 		}
-		return &answerer.StoppedError{}
+		return &answerer.NodeStoppingError{}
 	}
 	select {
 	case <-safe:
 		return nil
-	case <-answer.Over():
+	case <-answer.Done():
 		return nil
 	case <-ctx.Done():
 		return &answerer.WaitError{
@@ -187,7 +187,7 @@
 	ctx, done := context.WithTimeout(ctx, q.Wait.Std())
 	defer done()
 	select {
-	case <-a.Over():
+	case <-a.Done():
 	case <-ctx.Done():
 		return relayer.Ending{State: relayer.EndingRunning}
 	}
--- a/internal/runner/poll.go
+++ b/internal/runner/poll.go
@@ -53,7 +53,7 @@
 		}
 		pause.reset()
 		r.emit(ctx, read)
-		sleep(ctx, r.config.Limits.ListEvery.Std())
+		sleep(ctx, r.config.Limits.ListInterval.Std())
 	}
 }
 
--- a/internal/runner/published.go
+++ b/internal/runner/published.go
@@ -93,7 +93,7 @@
 		}
 		event, end, err := records.read(ctx, next, next == 0)
 		r.noteEra(ctx)
-		var expired *ExpiredError
+		var expired *RecordsExpiredError
 		switch {
 		case errors.As(err, &expired):
 			next = 0
@@ -169,7 +169,7 @@
 	if r.config.Store == nil {
 		return
 	}
-	era := r.config.Store.Era()
+	era := r.config.Store.Generation()
 	r.era.mu.Lock()
 	defer r.era.mu.Unlock()
 	switch {
--- a/internal/runner/rollout.go
+++ b/internal/runner/rollout.go
@@ -28,7 +28,7 @@
 func (r *Runner) keepRollout(e messenger.StoreRollout) {
 	r.inLane(rolloutLane, func(ctx context.Context) func() {
 		result := r.duty(ctx, e.NotAfter, func(ctx context.Context) messenger.LeaderTaskResult {
-			return r.config.Rollouts.KeepRollout(ctx, e)
+			return r.config.Rollouts.StoreRollout(ctx, e)
 		})
 		return r.report(messenger.RolloutStored{
 			Service: e.Rollout.Order.Service,
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -44,15 +44,15 @@
 	// the platform; nil where it serves none.
 	Store PublishedStore
 	// Rollouts keeps the states of roll-outs; nil where there are none.
-	Rollouts RolloutStore
-	Duties   Duties
+	Rollouts    RolloutStore
+	LeaderTasks LeaderTasks
 	// CloseListeners closes the ports gracefully: it returns once the
 	// handlers of open connections have ended, or with its context.
 	CloseListeners func(ctx context.Context)
 
 	// PromptStreams are streams of the log on which records come every second
 	// and are acted on within seconds.
-	PromptStreams []identifier.LogStream
+	LowLatencyStreams []identifier.LogStream
 
 	Limits Limits
 }
@@ -66,7 +66,7 @@
 	// StopMargin is what a planned stop may take beyond its deadline.
 	StopMargin timekeeper.Duration
 	// ListEvery is the spacing of reads of the VM list.
-	ListEvery timekeeper.Duration
+	ListInterval timekeeper.Duration
 }
 
 const (
@@ -89,7 +89,7 @@
 	l.CopyBytes = cmp.Or(l.CopyBytes, defaultCopyBytes)
 	l.EndedGrace = cmp.Or(l.EndedGrace, defaultEndedGrace)
 	l.StopMargin = cmp.Or(l.StopMargin, defaultStopMargin)
-	l.ListEvery = cmp.Or(l.ListEvery, defaultListEvery)
+	l.ListInterval = cmp.Or(l.ListInterval, defaultListEvery)
 	return l
 }
 
--- a/internal/server/answer_test.go
+++ b/internal/server/answer_test.go
@@ -135,7 +135,7 @@
 func TestReattachElsewhere(t *testing.T) {
 	b := &fakeBackend{
 		attach: func(request identifier.RequestID) (*answerer.Answer, error) {
-			return nil, &answerer.ElsewhereError{
+			return nil, &answerer.NotOwnerError{
 				Request: request,
 				Address: "127.0.0.9:7001",
 			}
--- a/internal/server/bound_test.go
+++ b/internal/server/bound_test.go
@@ -257,8 +257,8 @@
 
 // alone reports whether no caller is attached to a.
 func alone(a *answerer.Answer) bool {
-	defer a.CallerLeft()
-	return a.CallerCame() == 1
+	defer a.RemoveCaller()
+	return a.AddCaller() == 1
 }
 
 // A caller opens a stream and never reads. The node's write blocks once the
--- a/internal/server/caller.go
+++ b/internal/server/caller.go
@@ -206,10 +206,10 @@
 // writeError answers a request that the node could not take or find.
 func (s *Server) writeError(ctx iris.Context, err error) {
 	var (
-		elsewhere *answerer.ElsewhereError
+		elsewhere *answerer.NotOwnerError
 		unknown   *answerer.UnknownRequestError
-		full      *answerer.FullError
-		stopped   *answerer.StoppedError
+		full      *answerer.StoreFullError
+		stopped   *answerer.NodeStoppingError
 	)
 	switch {
 	case errors.As(err, &elsewhere):
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -109,8 +109,8 @@
 	if !ok || a.Account() != account {
 		return nil, &answerer.UnknownRequestError{Request: request}
 	}
-	a.CallerCame()
-	context.AfterFunc(ctx, func() { a.CallerLeft() })
+	a.AddCaller()
+	context.AfterFunc(ctx, func() { a.RemoveCaller() })
 	return a, nil
 }
 
@@ -152,7 +152,7 @@
 		},
 		Accepted: true,
 	})
-	a.Begin(answerer.Place{Attempt: 1})
+	a.Begin(answerer.Placement{Attempt: 1})
 	for i, word := range words {
 		a.Append(1, identifier.Tokens(i+1), word)
 	}
