--- a/internal/detector/detector_test.go
+++ b/internal/detector/detector_test.go
@@ -17,9 +17,9 @@
 	check := func(name string, want bool, interval timekeeper.Duration, kinds ...Kind) {
 		t.Helper()
 		s, now := New(Config{Rules: AllRules()}), testNow
-		for _, k := range kinds {
+		for _, kind := range kinds {
 			now = now.Add(interval)
-			s.Observe(now, "a", Observation{Kind: k})
+			s.Observe(now, "a", Observation{Kind: kind})
 		}
 		require.Equal(t, want, s.Suspect(now, "a"), name)
 		require.False(t, s.Suspect(now, "b"), name)
--- a/internal/gossiper/change.go
+++ b/internal/gossiper/change.go
@@ -61,7 +61,7 @@
 	Sender identifier.VMID
 }
 
-func (e *SenderMismatchError) Error() string { return "message names sender " + string(e.Sender) }
+func (e *SenderMismatchError) Error() string { return "message claims to be from " + string(e.Sender) }
 
 // ColumnLengthError is the cause of a DecodeError if parallel columns of a
 // message differ in length.
--- a/internal/gossiper/cluster_test.go
+++ b/internal/gossiper/cluster_test.go
@@ -14,7 +14,7 @@
 )
 
 // seedOfTests makes all runs deterministic.
-const seedOfTests = 7
+const testSeed = 7
 
 // start is the initial time of the simulated networks.
 const start timekeeper.Time = 1_000_000
@@ -97,7 +97,7 @@
 	c := &cluster{
 		t:       t,
 		now:     start,
-		rng:     rand.New(rand.NewPCG(seedOfTests, 0)),
+		rng:     rand.New(rand.NewPCG(testSeed, 0)),
 		byVM:    map[identifier.VMID]*Members{},
 		byAddr:  map[string]identifier.VMID{},
 		stopped: map[identifier.VMID]bool{},
--- a/internal/gossiper/failure_test.go
+++ b/internal/gossiper/failure_test.go
@@ -268,8 +268,8 @@
 	list := listOf(4, 2)
 	list[4].Leaving = true
 	m.MergeList(c.now, c.now, list)
-	for _, left := range []timekeeper.Duration{60, 20, 40} {
-		m.MarkReclaimed(c.now, engineVM(0), c.now.Add(left*timekeeper.Second))
+	for _, remaining := range []timekeeper.Duration{60, 20, 40} {
+		m.MarkReclaimed(c.now, engineVM(0), c.now.Add(remaining*timekeeper.Second))
 	}
 	want := c.now.Add(20 * timekeeper.Second)
 	c.run(2 * timekeeper.Second)
@@ -284,7 +284,7 @@
 func TestLeavingIsPermanent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(configOf(0)), New(configOf(1))
-		rng := rand.New(rand.NewPCG(seedOfTests, 2))
+		rng := rand.New(rand.NewPCG(testSeed, 2))
 		leaving := map[identifier.VMID]bool{}
 		var messages []Message
 		now := start
@@ -341,7 +341,7 @@
 	m := New(configOf(0))
 	m.MergeList(start, start, listOf(1, 1))
 	m.MarkLeaving(start, engineVM(0), start.Add(timekeeper.Minute))
-	rng := rand.New(rand.NewPCG(seedOfTests, 3))
+	rng := rand.New(rand.NewPCG(testSeed, 3))
 	later := start.Add(3 * timekeeper.Hour)
 	m.Tick(later, rng)
 	require.Equal(t, 1, m.marks.len(), "the list has not been read since the deadline")
@@ -358,7 +358,7 @@
 
 	other := New(configOf(1))
 	other.MergeList(start, start, []messenger.VMState{listOf(1, 0)[0]})
-	messages, _ := other.Tick(start, rand.New(rand.NewPCG(seedOfTests, 4)))
+	messages, _ := other.Tick(start, rand.New(rand.NewPCG(testSeed, 4)))
 	var senderError *SenderMismatchError
 	_, err = m.Receive(start, entryVM(2), messages[0].Data)
 	require.ErrorAs(t, err, &senderError)
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -7,16 +7,16 @@
 // as soon as the counter advances. Each node decides this for itself, so an
 // isolated node cannot convince others that their peers are dead.
 //
-// Leaving is permanent: a mark that a VM is leaving is never removed while
-// the VM may exist. Marks are sent at the next Tick, before all other data,
-// and each receiver forwards them at its own next Tick.
+// Leaving is permanent: a mark that a VM is leaving is never revoked. Marks
+// are sent at the next Tick, before all other data, and each receiver
+// forwards them at its own next Tick.
 //
 // A message has a byte budget. It is filled, in order of priority, with
 // leaving marks, heartbeats that are nearly overdue, changed heartbeats,
-// changed statuses, and then a slice of the complete state, which repairs
-// losses in rotation. Nodes are identified by short keys; a receiver that
-// does not know a key requests the node's record. A node that has just
-// started, or was suspended, requests the complete state from a peer.
+// changed statuses, and then a random slice of the complete state, which
+// repairs losses. Nodes are identified by short keys; a receiver that does
+// not know a key requests the node's record. A node that has just started, or
+// was suspended, requests the complete state from a peer.
 //
 // The state is pure: time and randomness are arguments, and messages are
 // returned instead of sent. It is not safe for concurrent use.
@@ -229,9 +229,9 @@
 // multiple of the mean interval between two heartbeats of one peer. The
 // interval grows with the cluster once a message cannot hold all heartbeats.
 func (m *Members) relayAllowance() timekeeper.Duration {
-	room := max(1, (m.config.ByteBudget-senderSize)*heartbeatPercent/100/(keySize+heartbeatSize))
-	peers := max(room, m.nodes.len()-1)
-	return relayIntervals * m.config.Period * timekeeper.Duration(peers) / timekeeper.Duration(room*m.config.Fanout)
+	perMessage := max(1, (m.config.ByteBudget-senderSize)*heartbeatPercent/100/(keySize+heartbeatSize))
+	peers := max(perMessage, m.nodes.len()-1)
+	return relayIntervals * m.config.Period * timekeeper.Duration(peers) / timekeeper.Duration(perMessage*m.config.Fanout)
 }
 
 func (m *Members) suspectAfter() timekeeper.Duration {
--- a/internal/gossiper/mark.go
+++ b/internal/gossiper/mark.go
@@ -39,29 +39,29 @@
 	sends     int
 }
 
-func (k *mark) covers(i identifier.Incarnation) bool { return i <= k.through }
+func (mk *mark) covers(i identifier.Incarnation) bool { return i <= mk.through }
 
 // expired reports whether the VM must have been removed by now.
-func (k *mark) expired(now timekeeper.Time) bool {
-	return !k.estimated && now.After(k.deadline.Add(removalGrace))
+func (mk *mark) expired(now timekeeper.Time) bool {
+	return !mk.estimated && now.After(mk.deadline.Add(removalGrace))
 }
 
 // merge merges another mark of the VM and reports whether the result has to
 // be forwarded.
-func (k *mark) merge(other mark) bool {
+func (mk *mark) merge(other mark) bool {
 	changed := false
-	if other.through > k.through {
-		k.through = other.through
+	if other.through > mk.through {
+		mk.through = other.through
 		changed = true
 	}
 	switch {
-	case k.estimated && !other.estimated:
-		k.deadline = other.deadline
-		k.estimated = false
+	case mk.estimated && !other.estimated:
+		mk.deadline = other.deadline
+		mk.estimated = false
 		return true
-	case k.estimated == other.estimated && other.deadline.Before(k.deadline):
-		changed = changed || k.deadline.Sub(other.deadline) > deadlineTolerance
-		k.deadline = other.deadline
+	case mk.estimated == other.estimated && other.deadline.Before(mk.deadline):
+		changed = changed || mk.deadline.Sub(other.deadline) > deadlineTolerance
+		mk.deadline = other.deadline
 	}
 	return changed
 }
@@ -94,14 +94,14 @@
 	})...)
 }
 
-func (m *Members) addMark(now timekeeper.Time, k mark) []Change {
-	known := m.marks.get(k.vm)
+func (m *Members) addMark(now timekeeper.Time, mk mark) []Change {
+	known := m.marks.get(mk.vm)
 	switch {
 	case known == nil:
 		m.evictMark()
-		known = &k
-		m.marks.put(k.vm, known)
-	case !known.merge(k):
+		known = &mk
+		m.marks.put(mk.vm, known)
+	case !known.merge(mk):
 		return nil
 	}
 	known.sends = 0
@@ -110,16 +110,16 @@
 }
 
 // applyMark applies a new or changed mark to its VM.
-func (m *Members) applyMark(now timekeeper.Time, k *mark) []Change {
-	if s := m.servers.get(k.vm); s != nil {
-		s.markLeaving(k)
+func (m *Members) applyMark(now timekeeper.Time, mk *mark) []Change {
+	if s := m.servers.get(mk.vm); s != nil {
+		s.markLeaving(mk)
 		return []Change{s.change(ServerLeaving)}
 	}
-	r := m.nodes.get(k.vm)
-	if r == nil || !k.covers(r.Incarnation) || r.State == Dead {
+	r := m.nodes.get(mk.vm)
+	if r == nil || !mk.covers(r.Incarnation) || r.State == Dead {
 		return nil
 	}
-	r.LeaveBy = k.deadline
+	r.LeaveBy = mk.deadline
 	r.State = Leaving
 	m.version++
 	return []Change{r.change(NodeLeaving)}
@@ -132,9 +132,9 @@
 	}
 	marks := m.marks.values()
 	earliest := marks[0]
-	for _, k := range marks[1:] {
-		if k.deadline.Before(earliest.deadline) {
-			earliest = k
+	for _, mk := range marks[1:] {
+		if mk.deadline.Before(earliest.deadline) {
+			earliest = mk
 		}
 	}
 	m.marks.remove(earliest.vm)
@@ -145,13 +145,13 @@
 // longer known. The list must have been read since the deadline: a mark stays
 // while the list is unavailable or still shows the VM.
 func (m *Members) removeExpiredMarks(now timekeeper.Time) {
-	for _, k := range m.marks.values() {
-		if now.Sub(k.deadline) < markRetention || m.listAsOf.Before(k.deadline) {
+	for _, mk := range m.marks.values() {
+		if now.Sub(mk.deadline) < markRetention || m.listAsOf.Before(mk.deadline) {
 			continue
 		}
-		r := m.nodes.get(k.vm)
-		if m.servers.get(k.vm) == nil && m.seeds.get(k.vm) == nil && (r == nil || r.State == Dead) {
-			m.marks.remove(k.vm)
+		r := m.nodes.get(mk.vm)
+		if m.servers.get(mk.vm) == nil && m.seeds.get(mk.vm) == nil && (r == nil || r.State == Dead) {
+			m.marks.remove(mk.vm)
 		}
 	}
 }
--- a/internal/gossiper/node.go
+++ b/internal/gossiper/node.go
@@ -94,7 +94,8 @@
 func (m *Members) Version() uint64 { return m.version }
 
 // Count returns the number of members seen within a time span, including this
-// node. Some that are dead by now may only be unreachable.
+// node. It includes members that are dead by now, as they may only be
+// unreachable.
 func (m *Members) Count(now timekeeper.Time, within timekeeper.Duration) int {
 	n := 0
 	for _, r := range m.nodes.values() {
--- a/internal/gossiper/pack.go
+++ b/internal/gossiper/pack.go
@@ -71,8 +71,8 @@
 
 func (p *packer) encode() []byte { return marshal(p.message) }
 
-func (p *packer) addMark(now timekeeper.Time, k *mark) bool {
-	e := encodeMark(now, k)
+func (p *packer) addMark(now timekeeper.Time, mk *mark) bool {
+	e := encodeMark(now, mk)
 	if !p.reserve(proto.Size(e) + fieldOverhead) {
 		return false
 	}
@@ -123,20 +123,20 @@
 // packMarks adds the leaving marks that have not been forwarded often enough.
 func (m *Members) packMarks(p *packer, now timekeeper.Time) {
 	var pending []*mark
-	for _, k := range m.marks.values() {
-		if k.sends < m.repeats() {
-			pending = append(pending, k)
+	for _, mk := range m.marks.values() {
+		if mk.sends < m.repeats() {
+			pending = append(pending, mk)
 		}
 	}
 	slices.SortStableFunc(pending, func(a, b *mark) int { return cmp.Compare(a.sends, b.sends) })
-	for _, k := range pending {
-		if !p.addMark(now, k) {
+	for _, mk := range pending {
+		if !p.addMark(now, mk) {
 			break
 		}
-		k.sends++
+		mk.sends++
 	}
 	// The first rounds of a mark are sent without waiting for the period.
-	m.urgent = slices.ContainsFunc(pending, func(k *mark) bool { return k.sends < m.urgentRepeats() })
+	m.urgent = slices.ContainsFunc(pending, func(mk *mark) bool { return mk.sends < m.urgentRepeats() })
 }
 
 // packLate adds the nodes whose heartbeat is nearly overdue. A receiver that
@@ -252,16 +252,16 @@
 
 // encodeMark encodes the deadline as the remaining time, because the clocks
 // of two VMs differ.
-func encodeMark(now timekeeper.Time, k *mark) *pb.Mark {
-	through := uint64(k.through)
-	if k.through == everyIncarnation {
+func encodeMark(now timekeeper.Time, mk *mark) *pb.Mark {
+	through := uint64(mk.through)
+	if mk.through == everyIncarnation {
 		through = 0
 	}
 	return &pb.Mark{
-		Vm:          string(k.vm),
+		Vm:          string(mk.vm),
 		Through:     through,
-		RemainingMs: int64(k.deadline.Sub(now)),
-		Estimated:   k.estimated,
+		RemainingMs: int64(mk.deadline.Sub(now)),
+		Estimated:   mk.estimated,
 	}
 }
 
--- a/internal/gossiper/receive.go
+++ b/internal/gossiper/receive.go
@@ -51,8 +51,8 @@
 	if err := proto.Unmarshal(data, message); err != nil {
 		return nil, err
 	}
-	if named := identifier.VMID(message.GetSender().GetVm()); named != from {
-		return nil, &SenderMismatchError{Sender: named}
+	if sender := identifier.VMID(message.GetSender().GetVm()); sender != from {
+		return nil, &SenderMismatchError{Sender: sender}
 	}
 	if err := sameLength(message.GetAliveKeys(), message.GetAliveHeartbeats()); err != nil {
 		return nil, err
@@ -127,19 +127,19 @@
 }
 
 func decodeMark(now timekeeper.Time, e *pb.Mark) mark {
-	k := mark{
+	mk := mark{
 		vm:        identifier.VMID(e.GetVm()),
 		through:   identifier.Incarnation(e.GetThrough()),
 		deadline:  timekeeper.Never,
 		estimated: e.GetEstimated(),
 	}
-	if k.through == 0 {
-		k.through = everyIncarnation
+	if mk.through == 0 {
+		mk.through = everyIncarnation
 	}
-	if left := timekeeper.Duration(e.GetRemainingMs()); left < farFuture {
-		k.deadline = now.Add(left)
+	if remaining := timekeeper.Duration(e.GetRemainingMs()); remaining < farFuture {
+		mk.deadline = now.Add(remaining)
 	}
-	return k
+	return mk
 }
 
 func decodeStatus(e *pb.News) Status {
--- a/internal/gossiper/reply.go
+++ b/internal/gossiper/reply.go
@@ -55,7 +55,7 @@
 // the key.
 func (m *Members) requestRecord(now timekeeper.Time, peer identifier.VMID, key uint64) {
 	m.unknownKeys++
-	if at, ok := m.requestedKeys[key]; ok && now.Sub(at) < recordRetryInterval {
+	if requestedAt, ok := m.requestedKeys[key]; ok && now.Sub(requestedAt) < recordRetryInterval {
 		return
 	}
 	rep := m.replyTo(peer)
--- a/internal/gossiper/server.go
+++ b/internal/gossiper/server.go
@@ -118,8 +118,8 @@
 
 // mergeListed merges a backend server from a list as of an instant.
 func (m *Members) mergeListed(now, asOf timekeeper.Time, vm messenger.VMState) []Change {
-	k := m.marks.get(vm.VM)
-	if k != nil && k.expired(now) {
+	mk := m.marks.get(vm.VM)
+	if mk != nil && mk.expired(now) {
 		return nil
 	}
 	s := m.servers.get(vm.VM)
@@ -134,8 +134,8 @@
 	s.LeaveBy = timekeeper.Never
 	s.asOf = asOf
 	s.missedLists = 0
-	if k != nil && m.guard.permanentMarks {
-		s.markLeaving(k)
+	if mk != nil && m.guard.permanentMarks {
+		s.markLeaving(mk)
 	}
 	var changes []Change
 	if joined {
@@ -165,8 +165,8 @@
 // is unavailable.
 func (m *Members) removeExpired(now timekeeper.Time) []Change {
 	var changes []Change
-	for _, k := range m.marks.values() {
-		if s := m.servers.get(k.vm); s != nil && k.expired(now) {
+	for _, mk := range m.marks.values() {
+		if s := m.servers.get(mk.vm); s != nil && mk.expired(now) {
 			changes = append(changes, m.removeServer(s))
 		}
 	}
@@ -192,9 +192,9 @@
 	return nil
 }
 
-func (s *serverRecord) markLeaving(k *mark) {
+func (s *serverRecord) markLeaving(mk *mark) {
 	s.Leaving = true
-	s.LeaveBy = k.deadline
+	s.LeaveBy = mk.deadline
 }
 
 func (s *serverRecord) change(k ChangeKind) Change {
--- a/internal/gossiper/size_test.go
+++ b/internal/gossiper/size_test.go
@@ -65,11 +65,11 @@
 			t.Logf("%d bytes/s and %.1f messages/s per node, oldest heartbeat %v, suspect after %v",
 				perSecond, float64(c.sent)/seconds/float64(size.nodes), oldest, c.members[0].suspectAfter())
 			require.Less(t, perSecond, maxBytesPerSecond)
-			late := 0
+			changeCount := 0
 			for _, changes := range c.changes {
-				late += len(changes)
+				changeCount += len(changes)
 			}
-			require.Zero(t, late, "no node may become suspect")
+			require.Zero(t, changeCount, "no node may become suspect")
 
 			c.loss = 0.3
 			longest := longestSpread(c, 5)
@@ -93,7 +93,7 @@
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("%d_nodes", size.nodes), func(b *testing.B) {
 			m := newCluster(b, size.nodes, size.servers).members[0]
-			rng := rand.New(rand.NewPCG(seedOfTests, 1))
+			rng := rand.New(rand.NewPCG(testSeed, 1))
 			now := m.lastNow
 			sent, bytes := 0, 0
 			for b.Loop() {
--- a/internal/gossiper/tick.go
+++ b/internal/gossiper/tick.go
@@ -193,12 +193,12 @@
 	address string
 }
 
-// targets returns the peers of one round. A regular round uses partners, an
-// urgent one all live peers, as a notice must reach all nodes within a few
-// rounds. If there are too few, entry VMs of the list are used and then the
-// configured seeds. One more message is sent to a listed VM that is not
-// alive, so that two parts of a cluster that consider each other dead can
-// reconnect.
+// targets returns the peers of one round, chosen at random: for a regular
+// round from the partners, for an urgent one from all live peers, as a notice
+// must reach all nodes within a few rounds. If there are too few, entry VMs
+// of the list are used and then the configured seeds. One more message is
+// sent to a listed VM that is not alive, so that two parts of a cluster that
+// consider each other dead can reconnect.
 func (m *Members) targets(rng *rand.Rand, urgent bool) []target {
 	live, unreachable := m.partition()
 	if !urgent {
--- a/internal/messenger/rollout.go
+++ b/internal/messenger/rollout.go
@@ -78,13 +78,13 @@
 	Answers int
 	Failed  int
 	// FirstEventTimes is a histogram of the times to the first byte or event,
-	// relative to the prediction for the work at servers of the old version.
+	// relative to the prediction for servers of the old version.
 	// EventIntervals is a histogram of the times between the events of
 	// streams. Package assessor defines the buckets.
 	FirstEventTimes []int
 	EventIntervals  []int
 	// Running is the number of requests in flight, and Waiting the number of
-	// those whose answer has not begun. Both may decrease.
+	// those whose answer has not begun.
 	Running int
 	Waiting int
 }
--- a/internal/relayer/codec.go
+++ b/internal/relayer/codec.go
@@ -109,8 +109,8 @@
 		MaxTokens:    identifier.Tokens(e.GetMaxTokens()),
 		Content:      identifier.ContentHash(e.GetContent()),
 	}
-	if left := timekeeper.Duration(e.GetRemainingMs()); left < farFuture {
-		s.Deadline = now.Add(left)
+	if remaining := timekeeper.Duration(e.GetRemainingMs()); remaining < farFuture {
+		s.Deadline = now.Add(remaining)
 	}
 	for _, hash := range e.GetPrefix() {
 		s.Prefix = append(s.Prefix, identifier.PrefixHash(hash))
--- a/internal/relayer/relayer_test.go
+++ b/internal/relayer/relayer_test.go
@@ -176,9 +176,9 @@
 	want.Spec.Deadline = serverNow + 30_000
 	require.Equal(t, want, p.push)
 
-	later := first
-	later.Body = nil
-	_, err = client.Hold(t.Context(), address, later)
+	update := first
+	update.Body = nil
+	_, err = client.Hold(t.Context(), address, update)
 	require.NoError(t, err)
 	require.Equal(t, messenger.RequestSpec{Request: "r1"}, p.push.Spec, "the peer already has the spec")
 }
