--- a/internal/provisioner/order.go
+++ b/internal/provisioner/order.go
@@ -13,22 +13,22 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// planOrders orders the engines of a pool to run the models wanted of them.
-func (p *Provisioner) planOrders(in Input, name identifier.PoolName, state *pool, tenure commander.Lease) []messenger.Effect {
-	spec := in.Catalog.Pools[name]
-	if spec.Kind != catalog.ModelService {
+// planOrders orders the engines of a pool to run the models of its services.
+func (p *Provisioner) planOrders(in Input, name identifier.PoolName, state *poolState, lease commander.Lease) []messenger.Effect {
+	poolConfig := in.Catalog.Pools[name]
+	if poolConfig.Kind != catalog.ModelService {
 		return nil
 	}
 	orders := state.commander.Plan(in.Now, commander.Input{
-		Pool:    spec,
-		Lease:   tenure,
+		Pool:    poolConfig,
+		Lease:   lease,
 		Servers: commanderServers(in, name),
 	})
 	var out []messenger.Effect
 	for _, o := range orders {
-		o.Ticket = p.ticketFor(ticket{
+		o.Ticket = p.newTicket(pendingEffect{
 			pool:  name,
-			fence: tenure.Fence,
+			fence: lease.Fence,
 		})
 		out = append(out, o, messenger.TimelineEntry{
 			Kind:   "order_given",
@@ -39,18 +39,18 @@
 	return out
 }
 
-// OrderEnded tells the commander what became of an order.
+// OrderEnded reports the result of an order to the commander.
 func (p *Provisioner) OrderEnded(now timekeeper.Time, e messenger.OrderEnded) []messenger.Effect {
-	t, known := p.take(e.Ticket)
+	t, known := p.takePending(e.Ticket)
 	if !known {
 		return nil
 	}
-	p.pool(t.pool).commander.OrderEnded(now, e.Server, t.fence, e.OK, e.Stale)
+	p.stateOf(t.pool).commander.OrderEnded(now, e.Server, t.fence, e.OK, e.Stale)
 	return nil
 }
 
-// commanderServers says which model is wanted of each server: the pool's
-// models in turn, by the order of the servers' ids.
+// commanderServers assigns a model to each server: the pool's models in turn,
+// in the order of the servers' ids.
 func commanderServers(in Input, name identifier.PoolName) []commander.Server {
 	models := modelsOf(in.Catalog, name)
 	if len(models) == 0 {
@@ -75,15 +75,15 @@
 	}
 }
 
-// modelsOf returns the models that the services of a pool ask for, sorted.
+// modelsOf returns the sorted models of a pool's services.
 func modelsOf(c *catalog.Catalog, pool identifier.PoolName) []identifier.ModelName {
-	set := map[identifier.ModelName]bool{}
+	models := map[identifier.ModelName]bool{}
 	for _, s := range c.Services {
 		if s.Pool == pool && s.Model != "" {
-			set[s.Model] = true
+			models[s.Model] = true
 		}
 	}
-	return sortedKeys(set)
+	return sortedKeys(models)
 }
 
 func poolNames(c *catalog.Catalog) []identifier.PoolName { return sortedKeys(c.Pools) }
--- a/internal/provisioner/provisioner.go
+++ b/internal/provisioner/provisioner.go
@@ -1,11 +1,11 @@
-// Package provisioner runs the lease of each pool of backend servers. The node
-// that holds a pool's lease buys and releases its VMs, by the plans of package
-// scaler, and orders its engines to run the wanted models, by the plans of
-// package commander. All other nodes only follow the leases in the log.
+// Package provisioner runs the lease of each pool of backend servers. The node that
+// holds a pool's lease buys and releases its VMs as planned by package scaler, and
+// orders its engines to run models as planned by package commander. All other nodes
+// only follow the leases in the log.
 //
-// Every purchase, release and order carries the instant past which the lease
-// no longer covers it. The runner reads its clock right before the effect
-// leaves: a process that was paused in between finds its lease lapsed.
+// Every purchase, release and order carries the time after which the lease no
+// longer covers it. The runner checks it immediately before carrying out the
+// effect, because the process may have been paused until the lease expired.
 package provisioner
 
 import (
@@ -24,66 +24,69 @@
 )
 
 const (
-	// planEvery is the spacing of the plans of one pool.
-	planEvery = 1 * timekeeper.Second
-	// defaultLoadTime is how long a new VM takes to load its weights.
+	// planInterval is the interval between plans of one pool.
+	planInterval = 1 * timekeeper.Second
+	// defaultLoadTime is the time a new VM takes to load its weights, if it is
+	// not configured.
 	defaultLoadTime = 60 * timekeeper.Second
-	// purchaseTime is the longest time that a purchase takes to show on the
-	// list. A new holder waits it out before it trusts the list.
-	purchaseTime = 15 * timekeeper.Second
-	// maxTickets bounds the purchases and orders whose end is awaited.
+	// maxPurchaseDelay is the maximum time until a purchase appears on the
+	// list. A new holder waits for it before it relies on the list.
+	maxPurchaseDelay = 15 * timekeeper.Second
+	// maxTickets is the maximum number of purchases and orders whose results
+	// are awaited.
 	maxTickets = 1024
 )
 
-// Config says which process the provisioner works for.
+// Config identifies the process and sets its timing.
 type Config struct {
 	Self        identifier.VMID
 	Incarnation identifier.Incarnation
-	// Retention is the least time for which the log keeps a record.
+	// Retention is the minimum time for which the log keeps a record.
 	Retention timekeeper.Duration
-	// LoadTime is how long a new VM takes until it serves.
+	// LoadTime is the time from a VM's purchase until it serves.
 	LoadTime timekeeper.Duration
 }
 
 // Provisioner is the state of all pools' leases on one node.
 type Provisioner struct {
-	config  Config
-	leases  *leaser.Table
-	pools   map[identifier.PoolName]*pool
-	tickets map[identifier.Ticket]ticket
-	next    identifier.Ticket
-	// listAsOf is the instant of the newest list read.
+	config     Config
+	leases     *leaser.Table
+	states     map[identifier.PoolName]*poolState
+	pending    map[identifier.Ticket]pendingEffect
+	lastTicket identifier.Ticket
+	// listAsOf is the time of the most recent list read.
 	listAsOf timekeeper.Time
 	stopped  bool
 }
 
-// pool is what this node does for one pool when it holds the lease.
-type pool struct {
-	scaler    *scaler.Scaler
-	commander *commander.Commander
-	nextPlan  timekeeper.Time
-	arrivals  int
+// poolState is the planning state of one pool.
+type poolState struct {
+	scaler       *scaler.Scaler
+	commander    *commander.Commander
+	nextPlan     timekeeper.Time
+	lastArrivals int
 }
 
-// ticket ties the end of an effect to the plan that wanted it.
-type ticket struct {
+// pendingEffect associates the result of an effect with the plan that requested
+// it.
+type pendingEffect struct {
 	pool  identifier.PoolName
 	token string
 	fence identifier.Fence
 }
 
-// Input is what the provisioner reads of the rest of the state.
+// Input is the state outside the provisioner that Tick reads.
 type Input struct {
 	Now     timekeeper.Time
 	Catalog *catalog.Catalog
 	Members *gossiper.Members
 	Loads   map[identifier.VMID]messenger.ServerLoad
-	// Demand tells what this node's callers ask of a pool.
+	// Demand returns the demand of this node's callers for a pool.
 	Demand func(identifier.PoolName) Demand
 	Rand   *rand.Rand
 }
 
-// Demand is what this node's callers ask of a pool.
+// Demand is the demand of this node's callers for a pool.
 type Demand struct {
 	// InFlight is the number of requests in flight, Interactive the number of
 	// these that are interactive, and Arrivals the number received since the
@@ -93,7 +96,7 @@
 	Arrivals    int
 }
 
-// New returns a provisioner that holds nothing.
+// New returns a provisioner that holds no lease.
 func New(c Config) *Provisioner {
 	if c.LoadTime == 0 {
 		c.LoadTime = defaultLoadTime
@@ -105,32 +108,33 @@
 			Incarnation: c.Incarnation,
 			Retention:   c.Retention,
 		}),
-		pools:   map[identifier.PoolName]*pool{},
-		tickets: map[identifier.Ticket]ticket{},
+		states:  map[identifier.PoolName]*poolState{},
+		pending: map[identifier.Ticket]pendingEffect{},
 	}
 }
 
-// LogRead folds a read of the stream of leases.
+// LogRead applies records read from the lease stream.
 func (p *Provisioner) LogRead(now timekeeper.Time, e messenger.LogRead) {
 	p.leases.ApplyRecords(now, e)
 }
 
-// SetRetention takes up the retention of the log that the configuration says.
+// SetRetention sets the log's retention time from the configuration.
 func (p *Provisioner) SetRetention(d timekeeper.Duration) { p.leases.SetRetention(d) }
 
-// ListRead notes how old the platform's list is.
+// ListRead records the time of the platform's list.
 func (p *Provisioner) ListRead(asOf timekeeper.Time) {
 	p.listAsOf = max(p.listAsOf, asOf)
 }
 
-// Stop gives all leases up: this node is leaving, and another need not wait
-// for their terms to end.
+// Stop releases all leases when this node is leaving, so that other nodes need
+// not wait for them to expire.
 func (p *Provisioner) Stop() {
 	p.stopped = true
 	p.leases.ReleaseAll()
 }
 
-// Tick renews leases and, for the pools whose lease it holds, plans.
+// Tick renews the leases, and plans for the pools whose lease this process
+// holds.
 func (p *Provisioner) Tick(in Input) []messenger.Effect {
 	var out []messenger.Effect
 	if in.Catalog != nil && !p.stopped {
@@ -148,34 +152,34 @@
 }
 
 func (p *Provisioner) tickPool(in Input, name identifier.PoolName) []messenger.Effect {
-	lease := leaseOf(name)
-	p.leases.Want(in.Now, lease)
-	fence, notAfter, held := p.leases.Held(lease, in.Now)
-	state := p.pool(name)
+	leaseName := leaseNameOf(name)
+	p.leases.Want(in.Now, leaseName)
+	fence, notAfter, held := p.leases.Held(leaseName, in.Now)
+	state := p.stateOf(name)
 	if in.Now.Before(state.nextPlan) {
 		return nil
 	}
-	state.nextPlan = in.Now.Add(planEvery)
+	state.nextPlan = in.Now.Add(planInterval)
 	if !held {
-		// The next holder may be this node: it has to know the demand and
-		// the reclaims that there were.
+		// This node may become the next holder and then needs the demand and
+		// the past reclaims.
 		state.scaler.Observe(in.Now, p.scalerInput(in, name, state, commander.Lease{}))
 		return nil
 	}
-	tenure := commander.Lease{
+	lease := commander.Lease{
 		Held:      true,
 		Fence:     fence,
 		NotAfter:  notAfter,
-		SafeAfter: p.leases.SafeAfter(lease),
+		SafeAfter: p.leases.SafeAfter(leaseName),
 	}
-	out := p.planVMs(in, name, state, tenure)
-	return append(out, p.planOrders(in, name, state, tenure)...)
+	out := p.planVMs(in, name, state, lease)
+	return append(out, p.planOrders(in, name, state, lease)...)
 }
 
-func (p *Provisioner) pool(name identifier.PoolName) *pool {
-	state, known := p.pools[name]
+func (p *Provisioner) stateOf(name identifier.PoolName) *poolState {
+	state, known := p.states[name]
 	if !known {
-		state = &pool{
+		state = &poolState{
 			scaler: scaler.New(scaler.Config{
 				Pool:     name,
 				Rules:    scaler.AllRules(),
@@ -183,34 +187,35 @@
 			}),
 			commander: commander.New(commander.Config{}),
 		}
-		p.pools[name] = state
+		p.states[name] = state
 	}
 	return state
 }
 
-// leaseOf names the lease of a pool.
-func leaseOf(name identifier.PoolName) leaser.Name {
+// leaseNameOf returns the name of a pool's lease.
+func leaseNameOf(name identifier.PoolName) leaser.Name {
 	return leaser.Name("pool/" + string(name))
 }
 
-// ticketFor remembers what an effect was for. When too many are awaited the
-// end of the effect is not: the plans repeat what they still want.
-func (p *Provisioner) ticketFor(t ticket) identifier.Ticket {
-	p.next++
-	if len(p.tickets) >= maxTickets {
-		delete(p.tickets, slices.Min(slices.Collect(maps.Keys(p.tickets))))
+// newTicket records a pending effect. If there are too many, the oldest is
+// dropped and its result will be ignored: the plans repeat what they still
+// need.
+func (p *Provisioner) newTicket(t pendingEffect) identifier.Ticket {
+	p.lastTicket++
+	if len(p.pending) >= maxTickets {
+		delete(p.pending, slices.Min(slices.Collect(maps.Keys(p.pending))))
 	}
-	p.tickets[p.next] = t
-	return p.next
+	p.pending[p.lastTicket] = t
+	return p.lastTicket
 }
 
-func (p *Provisioner) take(id identifier.Ticket) (ticket, bool) {
-	t, known := p.tickets[id]
-	delete(p.tickets, id)
+func (p *Provisioner) takePending(id identifier.Ticket) (pendingEffect, bool) {
+	t, known := p.pending[id]
+	delete(p.pending, id)
 	return t, known
 }
 
-// LeaseView is a pool's lease as this node sees it.
+// LeaseView is the state of a pool's lease as known to this node.
 type LeaseView struct {
 	Pool   identifier.PoolName
 	Holder identifier.VMID
@@ -219,20 +224,20 @@
 	HeldHere bool
 }
 
-// View returns the leases that the node follows, by pool.
+// View returns the leases known to this node, ordered by pool.
 func (p *Provisioner) View(now timekeeper.Time) []LeaseView {
 	var out []LeaseView
-	for _, name := range sortedKeys(p.pools) {
-		holder, fence, known := p.leases.Holder(leaseOf(name))
+	for _, name := range sortedKeys(p.states) {
+		holder, fence, known := p.leases.Holder(leaseNameOf(name))
 		if !known {
 			continue
 		}
-		_, _, own := p.leases.Held(leaseOf(name), now)
+		_, _, heldHere := p.leases.Held(leaseNameOf(name), now)
 		out = append(out, LeaseView{
 			Pool:     name,
 			Holder:   holder,
 			Fence:    fence,
-			HeldHere: own,
+			HeldHere: heldHere,
 		})
 	}
 	return out
--- a/internal/provisioner/provisioner_test.go
+++ b/internal/provisioner/provisioner_test.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	start   = timekeeper.Time(1_000_000)
-	reading = identifier.PoolName("reading")
-	every   = 100 * timekeeper.Millisecond
+	start        = timekeeper.Time(1_000_000)
+	readingPool  = identifier.PoolName("reading")
+	tickInterval = 100 * timekeeper.Millisecond
 )
 
 // fixture is a provisioner that follows a log of leases. Its pool has one
-// engine, with another model than the one wanted, and needs two more.
+// engine, which runs a model that is not wanted, and needs two more.
 type fixture struct {
 	p       *Provisioner
 	in      Input
 	records []messenger.Record
-	// cut keeps the log from the provisioner.
-	cut bool
-	// asked counts the questions for the demand.
-	asked int
+	// logUnavailable stops the provisioner from reading the log.
+	logUnavailable bool
+	// demandCalls counts the calls of Input.Demand.
+	demandCalls int
 }
 
 func newFixture(self identifier.VMID) *fixture {
@@ -50,8 +50,8 @@
 			},
 		},
 		Demand: func(identifier.PoolName) Demand {
-			f.asked++
-			return Demand{Arrivals: f.asked}
+			f.demandCalls++
+			return Demand{Arrivals: f.demandCalls}
 		},
 		Rand: rand.New(rand.NewPCG(1, 1)),
 	}
@@ -61,7 +61,7 @@
 			Zone:   "a",
 			Class:  "engine",
 			Market: catalog.OnDemand,
-			Pool:   reading,
+			Pool:   readingPool,
 		},
 	})
 	f.p.ListRead(start)
@@ -74,13 +74,13 @@
 			"tag": {
 				Name:  "tag",
 				Kind:  catalog.ModelService,
-				Pool:  reading,
+				Pool:  readingPool,
 				Model: "reader",
 			},
 		},
 		Pools: map[identifier.PoolName]catalog.Pool{
-			reading: {
-				Name:        reading,
+			readingPool: {
+				Name:        readingPool,
 				Kind:        catalog.ModelService,
 				Class:       "engine",
 				ChecksFence: true,
@@ -104,11 +104,11 @@
 	}
 }
 
-// run lets time pass, with each append read back at once, and returns the
+// run ticks for the duration d, reads back each append at once, and returns the
 // purchases, releases and orders.
 func (f *fixture) run(d timekeeper.Duration) []messenger.Effect {
 	var out []messenger.Effect
-	for end := f.in.Now.Add(d); f.in.Now.Before(end); f.in.Now = f.in.Now.Add(every) {
+	for end := f.in.Now.Add(d); f.in.Now.Before(end); f.in.Now = f.in.Now.Add(tickInterval) {
 		f.read()
 		for _, e := range f.p.Tick(f.in) {
 			switch e := e.(type) {
@@ -131,7 +131,7 @@
 }
 
 func (f *fixture) read() {
-	if f.cut {
+	if f.logUnavailable {
 		return
 	}
 	f.p.LogRead(f.in.Now, messenger.LogRead{
@@ -152,10 +152,9 @@
 	return n
 }
 
-// Two nodes that both took themselves for the holder would buy the same VMs
-// twice and order engines to and fro. A node that never had the lease, whose
-// lease lapsed while the log is out, or that is leaving, does nothing.
-func TestOnlyTheHolderActs(t *testing.T) {
+// A node that does not hold the lease must not act: two holders would buy the
+// same VMs twice and give engines conflicting orders.
+func TestOnlyHolderActs(t *testing.T) {
 	tests := []struct {
 		name    string
 		prepare func(*fixture)
@@ -167,11 +166,11 @@
 			acts:    true,
 		},
 		{
-			name:    "log not read yet",
-			prepare: func(f *fixture) { f.cut = true },
+			name:    "log not yet read",
+			prepare: func(f *fixture) { f.logUnavailable = true },
 		},
 		{
-			name: "another holds it",
+			name: "held by another node",
 			prepare: func(f *fixture) {
 				other := newFixture("n2")
 				other.run(5 * timekeeper.Second)
@@ -180,10 +179,10 @@
 			},
 		},
 		{
-			name: "lapsed while the log is out",
+			name: "lease expired while the log is unavailable",
 			prepare: func(f *fixture) {
 				f.run(5 * timekeeper.Second)
-				f.cut = true
+				f.logUnavailable = true
 				f.run(leaser.DefaultTTL)
 			},
 		},
@@ -210,18 +209,17 @@
 	}
 }
 
-// The process may be paused between a plan and its effect. Each effect names
-// the instant past which the lease does not cover it, and none is past it
-// when it is planned.
-func TestEffectsCarryTheEndOfTheLease(t *testing.T) {
+// The process may be paused between a plan and its effect, so each effect
+// carries the end of the lease, which has not passed when it is planned.
+func TestEffectsCarryLeaseEnd(t *testing.T) {
 	f := newFixture("n1")
 	f.run(4 * timekeeper.Second)
-	f.cut = true
-	seen := 0
+	f.logUnavailable = true
+	effects := 0
 	for range 200 {
 		at := f.in.Now
-		for _, e := range f.run(every) {
-			seen++
+		for _, e := range f.run(tickInterval) {
+			effects++
 			switch e := e.(type) {
 			case messenger.BuyVM:
 				require.Greater(t, e.NotAfter, at)
@@ -231,12 +229,12 @@
 			}
 		}
 	}
-	require.Positive(t, seen)
+	require.Positive(t, effects)
 }
 
-// A node that leaves gives its leases up, so that another need not wait for
-// the end of the term.
-func TestStopReleases(t *testing.T) {
+// A node that leaves releases its leases, so that other nodes need not wait for
+// them to expire.
+func TestStopReleasesLeases(t *testing.T) {
 	f := newFixture("n1")
 	f.run(5 * timekeeper.Second)
 	require.True(t, f.p.View(f.in.Now)[0].HeldHere)
@@ -247,28 +245,27 @@
 	require.Empty(t, f.p.View(f.in.Now), "the release was read back")
 }
 
-// The holder dies and this node takes the lease. It has watched the demand all
-// the time: its first plan counts what came since the last look, and not all
-// that ever came.
-func TestWatchWithoutTheLease(t *testing.T) {
+// A node without the lease observes the demand, so that its first plan as
+// holder counts only the arrivals since the last tick.
+func TestObserveWithoutLease(t *testing.T) {
 	f := newFixture("n1")
-	f.cut = true
+	f.logUnavailable = true
 	f.run(3 * timekeeper.Second)
-	require.Equal(t, 3, f.asked, "once for each planEvery")
-	require.Equal(t, f.asked, f.p.pool(reading).arrivals)
+	require.Equal(t, 3, f.demandCalls, "once for each planEvery")
+	require.Equal(t, f.demandCalls, f.p.stateOf(readingPool).lastArrivals)
 }
 
-// The ends of purchases are lost for good. The node remembers a bounded number
-// of them; the end of a forgotten or an ended one changes nothing.
+// The number of pending effects is bounded; results of dropped or finished ones
+// are ignored.
 func TestTicketsAreBounded(t *testing.T) {
 	p := New(Config{Self: "n1"})
-	const more = 10
-	for range maxTickets + more {
-		p.ticketFor(ticket{pool: reading})
+	const extra = 10
+	for range maxTickets + extra {
+		p.newTicket(pendingEffect{pool: readingPool})
 	}
-	require.Len(t, p.tickets, maxTickets)
-	require.Empty(t, p.BuyEnded(start, messenger.BuyEnded{Ticket: more}))
-	last := messenger.BuyEnded{Ticket: maxTickets + more}
+	require.Len(t, p.pending, maxTickets)
+	require.Empty(t, p.BuyEnded(start, messenger.BuyEnded{Ticket: extra}))
+	last := messenger.BuyEnded{Ticket: maxTickets + extra}
 	require.NotEmpty(t, p.BuyEnded(start, last))
 	require.Empty(t, p.BuyEnded(start, last))
 }
--- a/internal/provisioner/purchase.go
+++ b/internal/provisioner/purchase.go
@@ -10,45 +10,45 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// planVMs buys and releases VMs of a pool.
-func (p *Provisioner) planVMs(in Input, name identifier.PoolName, state *pool, tenure commander.Lease) []messenger.Effect {
-	actions := state.scaler.Plan(in.Now, p.scalerInput(in, name, state, tenure), in.Rand)
+// planVMs plans the purchases and releases of a pool.
+func (p *Provisioner) planVMs(in Input, name identifier.PoolName, state *poolState, lease commander.Lease) []messenger.Effect {
+	actions := state.scaler.Plan(in.Now, p.scalerInput(in, name, state, lease), in.Rand)
 	var out []messenger.Effect
 	for _, a := range actions {
-		out = append(out, p.carryOut(name, a, tenure)...)
+		out = append(out, p.effectsOf(name, a, lease)...)
 	}
 	return out
 }
 
-func (p *Provisioner) scalerInput(in Input, name identifier.PoolName, state *pool, tenure commander.Lease) scaler.Input {
+func (p *Provisioner) scalerInput(in Input, name identifier.PoolName, state *poolState, lease commander.Lease) scaler.Input {
 	return scaler.Input{
 		Catalog:   in.Catalog,
-		Fence:     tenure.Fence,
-		SafeAfter: tenure.SafeAfter.Add(purchaseTime),
+		Fence:     lease.Fence,
+		SafeAfter: lease.SafeAfter.Add(maxPurchaseDelay),
 		ListAsOf:  p.listAsOf,
 		Servers:   scalerServers(in, name),
 		Demand:    p.demand(in, name, state),
 	}
 }
 
-func (p *Provisioner) carryOut(name identifier.PoolName, a scaler.Action, tenure commander.Lease) []messenger.Effect {
+func (p *Provisioner) effectsOf(name identifier.PoolName, a scaler.Action, lease commander.Lease) []messenger.Effect {
 	if a.Kind == scaler.Release {
 		return []messenger.Effect{
 			messenger.ReleaseVM{
 				VM:       a.VM,
-				NotAfter: tenure.NotAfter,
+				NotAfter: lease.NotAfter,
 			},
 			messenger.TimelineEntry{
 				Kind:   "vm_released",
 				VM:     a.VM,
-				Detail: fmt.Sprintf("pool=%s fence=%d", name, tenure.Fence),
+				Detail: fmt.Sprintf("pool=%s fence=%d", name, lease.Fence),
 			},
 		}
 	}
-	id := p.ticketFor(ticket{
+	id := p.newTicket(pendingEffect{
 		pool:  name,
 		token: a.ClientToken,
-		fence: tenure.Fence,
+		fence: lease.Fence,
 	})
 	return []messenger.Effect{
 		messenger.BuyVM{
@@ -58,7 +58,7 @@
 			Zone:        a.Zone,
 			Market:      a.Market,
 			Pool:        name,
-			NotAfter:    tenure.NotAfter,
+			NotAfter:    lease.NotAfter,
 		},
 		messenger.TimelineEntry{
 			Kind:   "vm_wanted",
@@ -68,13 +68,13 @@
 	}
 }
 
-// BuyEnded tells the scaler what became of a purchase.
+// BuyEnded reports the result of a purchase to the scaler.
 func (p *Provisioner) BuyEnded(now timekeeper.Time, e messenger.BuyEnded) []messenger.Effect {
-	t, known := p.take(e.Ticket)
+	t, known := p.takePending(e.Ticket)
 	if !known {
 		return nil
 	}
-	p.pool(t.pool).scaler.PurchaseEnded(now, t.token, scaler.PurchaseResult{
+	p.stateOf(t.pool).scaler.PurchaseEnded(now, t.token, scaler.PurchaseResult{
 		VM:        e.VM,
 		Refused:   e.Refused,
 		Ambiguous: e.Ambiguous,
@@ -88,7 +88,7 @@
 	}
 }
 
-// scalerServers describes a pool's servers to the scaler.
+// scalerServers returns a pool's servers for the scaler.
 func scalerServers(in Input, name identifier.PoolName) []scaler.Server {
 	var out []scaler.Server
 	for _, s := range in.Members.Servers(name) {
@@ -97,26 +97,26 @@
 	return out
 }
 
-// demand estimates what all nodes ask of a pool. The servers' reports cover
-// all nodes' requests; what is interactive among them, and how many arrive, is
-// taken from this node's own and scaled up, since callers spread over nodes.
-func (p *Provisioner) demand(in Input, name identifier.PoolName, state *pool) scaler.Demand {
-	own := in.Demand(name)
-	busy := 0
+// demand estimates the demand of all nodes for a pool. The servers' reports
+// cover the requests of all nodes; the interactive fraction and the arrivals
+// are extrapolated from this node, since callers are spread over the nodes.
+func (p *Provisioner) demand(in Input, name identifier.PoolName, state *poolState) scaler.Demand {
+	local := in.Demand(name)
+	inFlight := 0
 	for _, s := range in.Members.Servers(name) {
 		load := in.Loads[s.VM]
-		busy += load.Running + load.Waiting
+		inFlight += load.Running + load.Waiting
 	}
-	busy = max(busy, own.InFlight)
+	inFlight = max(inFlight, local.InFlight)
 	interactive := 0.0
-	if own.InFlight > 0 {
-		interactive = float64(busy) * float64(own.Interactive) / float64(own.InFlight)
+	if local.InFlight > 0 {
+		interactive = float64(inFlight) * float64(local.Interactive) / float64(local.InFlight)
 	}
-	arrived := own.Arrivals - state.arrivals
-	state.arrivals = own.Arrivals
+	newArrivals := local.Arrivals - state.lastArrivals
+	state.lastArrivals = local.Arrivals
 	return scaler.Demand{
-		InFlight:    float64(busy),
+		InFlight:    float64(inFlight),
 		Interactive: interactive,
-		Arrivals:    arrived * max(1, len(in.Members.Nodes())),
+		Arrivals:    newArrivals * max(1, len(in.Members.Nodes())),
 	}
 }
