--- a/internal/reducer/gateway.go
+++ b/internal/reducer/gateway.go
@@ -36,7 +36,8 @@
 	// over all nodes, and extraRetriesPerNode the number that each node adds. They
 	// allow a node with few requests, or one that has just started, to resume broken
 	// streams. A total of 40 and two per node is tolerated, so the budget may be used
-	// twice, as after a loss of all nodes.
+	// twice, as after a loss of all nodes, and a third time if each node gets about two
+	// requests per second.
 	extraRetries        = 12
 	extraRetriesPerNode = 1
 	retryWindow         = 10 * timekeeper.Second
