--- a/docs/operations_test.go
+++ b/docs/operations_test.go
@@ -318,4 +318,4 @@
 
 func (*oneAttempt) Ended(messenger.ExchangeEnded) {}
 
-func (*oneAttempt) LimitHeard(context.Context, messenger.ServerLimitReceived) {}
+func (*oneAttempt) LimitReceived(context.Context, messenger.ServerLimitReceived) {}
--- a/internal/accountant/accountant.go
+++ b/internal/accountant/accountant.go
@@ -51,7 +51,7 @@
 	// Window is the length of a window.
 	Window timekeeper.Duration
 	// Late is how long after its end a report still counts.
-	Late timekeeper.Duration
+	MaxReportDelay timekeeper.Duration
 }
 
 // counts is requests by account.
@@ -120,7 +120,7 @@
 }
 
 // Began counts a request that began to run now.
-func (a *Accountant) Began(now timekeeper.Time, account identifier.AccountID) {
+func (a *Accountant) RequestBegan(now timekeeper.Time, account identifier.AccountID) {
 	if a.config.Window <= 0 {
 		return
 	}
@@ -149,7 +149,7 @@
 }
 
 // Own returns this node's counts of the last windows, for its peers.
-func (a *Accountant) Own(now timekeeper.Time) []messenger.UsageCount {
+func (a *Accountant) OwnCounts(now timekeeper.Time) []messenger.UsageCount {
 	if a.config.Window <= 0 {
 		return nil
 	}
@@ -168,7 +168,7 @@
 
 // PeerCounts takes in the counts of a peer's process. Counts only grow, so of two
 // messages that crossed each other the larger count is the newer.
-func (a *Accountant) PeerCounts(vm identifier.VMID, i identifier.Incarnation, reported []messenger.UsageCount) {
+func (a *Accountant) MergePeerCounts(vm identifier.VMID, i identifier.Incarnation, reported []messenger.UsageCount) {
 	p := process{
 		vm:          vm,
 		incarnation: i,
@@ -210,7 +210,7 @@
 
 // Absorb takes in records of the usage stream, in log order. A window that was
 // just agreed on is due at once.
-func (a *Accountant) Absorb(now timekeeper.Time, read messenger.LogRead) {
+func (a *Accountant) ApplyRecords(now timekeeper.Time, read messenger.LogRead) {
 	if a.began == 0 {
 		a.began = now
 	}
@@ -251,14 +251,14 @@
 
 // Rewrite returns the records that the log lost and this node knows, to be appended again.
 // Each node that knows them does so, not the holder alone: it may have started just now.
-func (a *Accountant) Rewrite(now timekeeper.Time) []messenger.Effect {
-	if a.restored == 0 || now.Sub(a.restored) > a.config.Late {
+func (a *Accountant) RewriteLostRecords(now timekeeper.Time) []messenger.Effect {
+	if a.restored == 0 || now.Sub(a.restored) > a.config.MaxReportDelay {
 		return nil
 	}
 	var out []messenger.Effect
 	for _, w := range slices.Sorted(maps.Keys(a.agreed)) {
 		sent, ok := a.sent[w]
-		if a.written[w] || ok && now.Sub(sent) < againAfter || now.Sub(a.end(w)) > a.config.Late {
+		if a.written[w] || ok && now.Sub(sent) < againAfter || now.Sub(a.end(w)) > a.config.MaxReportDelay {
 			continue
 		}
 		a.sent[w] = now
@@ -289,7 +289,7 @@
 // due returns what a window needs now, or nil.
 func (a *Accountant) due(now timekeeper.Time, w identifier.UsageWindow, fence identifier.Fence, notAfter timekeeper.Time) messenger.Effect {
 	since := now.Sub(a.end(w))
-	if a.done[w] || since < settleTime || since > a.config.Late {
+	if a.done[w] || since < settleTime || since > a.config.MaxReportDelay {
 		return nil
 	}
 	if sent, ok := a.sent[w]; ok && now.Sub(sent) < againAfter {
@@ -333,7 +333,7 @@
 }
 
 // Reported takes in the end of a report.
-func (a *Accountant) Reported(w identifier.UsageWindow, result messenger.LeaderTaskResult) {
+func (a *Accountant) ReportEnded(w identifier.UsageWindow, result messenger.LeaderTaskResult) {
 	if result == messenger.LeaderTaskDone || result == messenger.LeaderTaskRefused {
 		a.done[w] = true
 	}
--- a/internal/accountant/accountant_test.go
+++ b/internal/accountant/accountant_test.go
@@ -20,8 +20,8 @@
 
 func newAccountant() *accountant.Accountant {
 	return accountant.New(accountant.Config{
-		Window: window,
-		Late:   10 * timekeeper.Second,
+		Window:         window,
+		MaxReportDelay: 10 * timekeeper.Second,
 	})
 }
 
@@ -38,7 +38,7 @@
 		}
 	}
 	for _, r := range readers {
-		r.Absorb(0, read)
+		r.ApplyRecords(0, read)
 	}
 }
 
@@ -58,9 +58,9 @@
 // the log has first, whatever it appended itself.
 func TestTwoHoldersReportTheSame(t *testing.T) {
 	one, two := newAccountant(), newAccountant()
-	one.Began(begins, "agency")
-	two.Began(begins, "agency")
-	two.Began(begins+1, "agency")
+	one.RequestBegan(begins, "agency")
+	two.RequestBegan(begins, "agency")
+	two.RequestBegan(begins+1, "agency")
 	late := begins.Add(window + 2000)
 	appends := append(holderTick(one, late), holderTick(two, late)...)
 	require.Len(t, appends, 2)
@@ -76,7 +76,7 @@
 // tell their counts, after its time, or again once it is done.
 func TestWhenAWindowIsDue(t *testing.T) {
 	a := newAccountant()
-	a.Began(begins, "agency")
+	a.RequestBegan(begins, "agency")
 	end := begins.Add(window)
 	require.Empty(t, holderTick(a, end.Add(1900)))
 	appends := holderTick(a, end.Add(2000))
@@ -88,11 +88,11 @@
 	require.Len(t, reports(holderTick(a, end.Add(3200))), 1)
 	require.Empty(t, holderTick(a, end.Add(3300)))
 	require.Len(t, reports(holderTick(a, end.Add(4300))), 1, "no answer came")
-	a.Reported(first, messenger.LeaderTaskDone)
+	a.ReportEnded(first, messenger.LeaderTaskDone)
 	require.Empty(t, holderTick(a, end.Add(9000)))
 
 	late := newAccountant()
-	late.Began(begins, "agency")
+	late.RequestBegan(begins, "agency")
 	require.Empty(t, holderTick(late, end.Add(10_100)))
 }
 
@@ -100,9 +100,9 @@
 // one VM. Each request counts once.
 func TestPeersCounts(t *testing.T) {
 	a := newAccountant()
-	a.Began(begins, "agency")
+	a.RequestBegan(begins, "agency")
 	told := func(i identifier.Incarnation, n int) {
-		a.PeerCounts("entry-2", i, []messenger.UsageCount{
+		a.MergePeerCounts("entry-2", i, []messenger.UsageCount{
 			{
 				Window:  first,
 				Account: "agency",
@@ -123,8 +123,8 @@
 // A node tells its peers of the present window and those not yet reported.
 func TestOwn(t *testing.T) {
 	a := newAccountant()
-	a.Began(begins, "agency")
-	a.Began(begins.Add(window), "portal")
+	a.RequestBegan(begins, "agency")
+	a.RequestBegan(begins.Add(window), "portal")
 	require.Equal(t, []messenger.UsageCount{
 		{
 			Window:  first,
@@ -136,12 +136,12 @@
 			Account: "portal",
 			Count:   1,
 		},
-	}, a.Own(begins.Add(window)))
-	require.Empty(t, a.Own(begins.Add(10*window)))
+	}, a.OwnCounts(begins.Add(window)))
+	require.Empty(t, a.OwnCounts(begins.Add(10*window)))
 }
 
 func TestUnreadableRecordIsCounted(t *testing.T) {
 	a := newAccountant()
-	a.Absorb(0, messenger.LogRead{Records: []messenger.Record{{Data: []byte("{")}}})
+	a.ApplyRecords(0, messenger.LogRead{Records: []messenger.Record{{Data: []byte("{")}}})
 	require.Equal(t, 1, a.Ignored())
 }
--- a/internal/adapter/adapter.go
+++ b/internal/adapter/adapter.go
@@ -10,10 +10,10 @@
 //   - RateLimitedError: the platform took nothing.
 //   - UnavailableError: the platform could not be reached at all, or a call
 //     without effect failed.
-//   - BrokenError, SilentError: the connection ended early or lost its voice;
+//   - ConnectionError, ResponseTimeoutError: the connection ended early or lost its voice;
 //     the call may have run.
 //   - AmbiguousError: the platform may have taken the effect.
-//   - FailedError: the server ran it and says that it failed.
+//   - ServerFailedError: the server ran it and says that it failed.
 //   - StaleFenceError, UnknownStreamError, BuyRefusedError: as named.
 //
 // Each call sends its request at most once. net/http repeats a request by
@@ -40,7 +40,7 @@
 // The bounds of a client that its Config does not set.
 const (
 	DefaultDialTimeout = timekeeper.Second
-	DefaultTimeout     = 3 * timekeeper.Second
+	DefaultCallTimeout = 3 * timekeeper.Second
 	// maxReply bounds an answer that is read whole.
 	maxReply = 32 << 20
 	// maxIdle is enough for one long poll on each stream of the log.
@@ -50,38 +50,38 @@
 )
 
 // Bounds are the time limits of a client.
-type Bounds struct {
+type Timeouts struct {
 	// Dial bounds opening a connection.
 	Dial timekeeper.Duration
 	// Call bounds a whole call, the wait of a long poll not counted.
 	Call timekeeper.Duration
 }
 
-func (b Bounds) withDefaults() Bounds {
+func (b Timeouts) withDefaults() Timeouts {
 	b.Dial = cmp.Or(b.Dial, DefaultDialTimeout)
-	b.Call = cmp.Or(b.Call, DefaultTimeout)
+	b.Call = cmp.Or(b.Call, DefaultCallTimeout)
 	return b
 }
 
 // client sends requests over one transport.
 type client struct {
-	bounds Bounds
+	bounds Timeouts
 	http   http.Client
 }
 
 // newClient returns a client that reuses connections.
-func newClient(b Bounds) *client {
+func newClient(b Timeouts) *client {
 	return newClientWith(b, false)
 }
 
 // newFreshClient returns a client that opens a connection for every request:
 // a pooled one may have gone silent for good, and net/http may send a request
 // twice when a pooled connection closes under it.
-func newFreshClient(b Bounds) *client {
+func newFreshClient(b Timeouts) *client {
 	return newClientWith(b, true)
 }
 
-func newClientWith(b Bounds, fresh bool) *client {
+func newClientWith(b Timeouts, fresh bool) *client {
 	b = b.withDefaults()
 	dialer := &net.Dialer{Timeout: b.Dial.Std()}
 	return &client{
@@ -114,7 +114,7 @@
 func (c call) url() string { return "http://" + c.address + c.path }
 
 // do sends the request. Its error is a *NotSentError when no byte of it can
-// have left, else a *BrokenError.
+// have left, else a *ConnectionError.
 func (c *client) do(ctx context.Context, wanted call) (*http.Response, error) {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -144,7 +144,7 @@
 			Cause:   err,
 		}
 	default:
-		return nil, &BrokenError{
+		return nil, &ConnectionError{
 			Address: wanted.address,
 			Cause:   cause(ctx, err),
 		}
@@ -173,7 +173,7 @@
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(nil, response.Body, maxReply))
 	if err != nil {
-		return &BrokenError{
+		return &ConnectionError{
 			Address: wanted.address,
 			Cause:   cause(ctx, err),
 		}
@@ -182,7 +182,7 @@
 		return nil
 	}
 	if err := json.Unmarshal(body, reply); err != nil {
-		return &BrokenError{
+		return &ConnectionError{
 			Address: wanted.address,
 			Cause:   fmt.Errorf("decode answer: %w", err),
 		}
--- a/internal/adapter/client_test.go
+++ b/internal/adapter/client_test.go
@@ -40,12 +40,12 @@
 	}{
 		{
 			name:     "fresh",
-			client:   newFreshClient(Bounds{}),
+			client:   newFreshClient(Timeouts{}),
 			requests: 2,
 		},
 		{
 			name:     "control: pooled",
-			client:   newClient(Bounds{}),
+			client:   newClient(Timeouts{}),
 			requests: 3,
 		},
 	}
--- a/internal/adapter/cloud.go
+++ b/internal/adapter/cloud.go
@@ -25,7 +25,7 @@
 func NewLister(c PlatformConfig) *Lister {
 	return &Lister{
 		config: c,
-		client: newClient(c.Bounds),
+		client: newClient(c.Timeouts),
 	}
 }
 
@@ -150,7 +150,7 @@
 func NewWeights(c PlatformConfig) *Weights {
 	return &Weights{
 		config: c,
-		client: newFreshClient(c.Bounds),
+		client: newFreshClient(c.Timeouts),
 	}
 }
 
--- a/internal/adapter/encoder/server.go
+++ b/internal/adapter/encoder/server.go
@@ -77,9 +77,9 @@
 // CacheEvent tells that the engine now holds a prefix block, or dropped it.
 // A hole in the sequence tells that events were lost.
 type CacheEvent struct {
-	Seq  uint64                `json:"seq"`
-	Hash identifier.PrefixHash `json:"hash"`
-	Gone bool                  `json:"gone"`
+	Seq     uint64                `json:"seq"`
+	Hash    identifier.PrefixHash `json:"hash"`
+	Evicted bool                  `json:"gone"`
 }
 
 // OrderRequest is the body of POST /orders.
--- a/internal/adapter/engine.go
+++ b/internal/adapter/engine.go
@@ -16,7 +16,7 @@
 
 // ServerConfig configures the clients of backend servers.
 type ServerConfig struct {
-	Bounds Bounds
+	Timeouts Timeouts
 	// Clock dates load reports.
 	Clock timekeeper.Clock
 }
@@ -40,8 +40,8 @@
 func NewEngine(c ServerConfig) *Engine {
 	return &Engine{
 		config:  c,
-		streams: newFreshClient(c.Bounds),
-		polls:   newClient(c.Bounds),
+		streams: newFreshClient(c.Timeouts),
+		polls:   newClient(c.Timeouts),
 	}
 }
 
@@ -52,7 +52,7 @@
 }
 
 // Start says which stream to start.
-type Start struct {
+type StartRequest struct {
 	Stream       identifier.StreamName
 	Model        identifier.ModelName
 	Prompt       string
@@ -61,7 +61,7 @@
 	// Given is the answer so far, one text a token; the stream goes on after
 	// it. The engine reads prompt and Given anew, but for what its caches
 	// hold, imported KV copies of the same prompt included.
-	Given []string
+	AnswerSoFar []string
 	// MaxTokens bounds the whole answer, Given included.
 	MaxTokens identifier.Tokens
 	Priority  catalog.Priority
@@ -85,17 +85,17 @@
 }
 
 // Start starts a stream and reads it to its end. A nil error means that the
-// answer is whole. Its errors are *NotSentError, *RefusedError, *BrokenError,
-// *SilentError, *FailedError, *OutOfStepError and those of the sink.
-func (e *Engine) Start(ctx context.Context, address string, s Start, p Patience, sink Sink) error {
+// answer is whole. Its errors are *NotSentError, *RefusedError, *ConnectionError,
+// *ResponseTimeoutError, *ServerFailedError, *TokenSequenceError and those of the sink.
+func (e *Engine) Start(ctx context.Context, address string, s StartRequest, p ResponseTimeouts, sink Sink) error {
 	wanted, err := postJSON(address, "/generate", encoder.GenerateRequest{
 		Stream:       s.Stream,
 		Model:        s.Model,
 		Prompt:       s.Prompt,
 		PromptTokens: s.PromptTokens,
 		Prefix:       s.Prefix,
-		From:         identifier.Tokens(len(s.Given)),
-		Given:        s.Given,
+		From:         identifier.Tokens(len(s.AnswerSoFar)),
+		Given:        s.AnswerSoFar,
 		MaxTokens:    s.MaxTokens,
 		Priority:     int(s.Priority),
 		DeadlineMS:   int64(s.Remaining),
@@ -105,7 +105,7 @@
 	}
 	return e.follow(ctx, wanted, reading{
 		stream:   s.Stream,
-		last:     identifier.Tokens(len(s.Given)),
+		last:     identifier.Tokens(len(s.AnswerSoFar)),
 		patience: p,
 		sink:     sink,
 	})
@@ -114,7 +114,7 @@
 // Resume reads a stream that the engine already runs, from after the given
 // token index to its end. Its errors are those of Start and
 // *UnknownStreamError.
-func (e *Engine) Resume(ctx context.Context, address string, stream identifier.StreamName, from identifier.Tokens, p Patience, sink Sink) error {
+func (e *Engine) Resume(ctx context.Context, address string, stream identifier.StreamName, from identifier.Tokens, p ResponseTimeouts, sink Sink) error {
 	err := e.follow(ctx, call{
 		method:  http.MethodGet,
 		address: address,
@@ -160,8 +160,8 @@
 
 // CacheEvents is what became of an engine's prefix cache.
 type CacheEvents struct {
-	Held []identifier.PrefixHash
-	Gone []identifier.PrefixHash
+	Cached  []identifier.PrefixHash
+	Evicted []identifier.PrefixHash
 	// Gap tells that events were lost before or between these.
 	Gap bool
 	// Last is the sequence number to ask from next time.
@@ -191,17 +191,17 @@
 		folded.Last = event.Seq
 		switch {
 		case final[event.Hash] != i:
-		case event.Gone:
-			folded.Gone = append(folded.Gone, event.Hash)
+		case event.Evicted:
+			folded.Evicted = append(folded.Evicted, event.Hash)
 		default:
-			folded.Held = append(folded.Held, event.Hash)
+			folded.Cached = append(folded.Cached, event.Hash)
 		}
 	}
 	return folded
 }
 
 // Order gives an engine an order. Its errors are *StaleFenceError,
-// *NotSentError, *FailedError, *BrokenError. Only ctx bounds it, because a
+// *NotSentError, *ServerFailedError, *ConnectionError. Only ctx bounds it, because a
 // load may take long. The caller checks its lease right before.
 func (e *Engine) Order(ctx context.Context, address string, o messenger.Order) error {
 	wanted, err := postJSON(address, "/orders", encoder.OrderRequest{
@@ -227,7 +227,7 @@
 func streamPath(s identifier.StreamName) string { return "/streams/" + url.PathEscape(string(s)) }
 
 func unknownStream(err error, address string, stream identifier.StreamName) error {
-	var failed *FailedError
+	var failed *ServerFailedError
 	if errors.As(err, &failed) && failed.Status == http.StatusNotFound {
 		return &UnknownStreamError{
 			Address: address,
--- a/internal/adapter/engine_test.go
+++ b/internal/adapter/engine_test.go
@@ -18,9 +18,9 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-var patience = adapter.Patience{
-	First: 5000,
-	Next:  5000,
+var patience = adapter.ResponseTimeouts{
+	FirstByte: 5000,
+	NextByte:  5000,
 }
 
 func TestStreamIsWhole(t *testing.T) {
@@ -58,8 +58,8 @@
 	e, address := startEngine(t, engine.Config{})
 	client := adapter.NewEngine(adapter.ServerConfig{})
 	s := start("a.2", 50)
-	s.Given = standin.Tokens(s.Prompt, 20)
-	sink := recorder{tokens: s.Given}
+	s.AnswerSoFar = standin.Tokens(s.Prompt, 20)
+	sink := recorder{tokens: s.AnswerSoFar}
 	require.NoError(t, client.Start(context.Background(), address, s, patience, &sink))
 	require.Equal(t, standin.Answer(s.Prompt, 50), sink.text())
 	require.Positive(t, e.Ledger().TokensRecomputed)
@@ -72,8 +72,8 @@
 	_, address := startEngine(t, engine.Config{})
 	client := adapter.NewEngine(adapter.ServerConfig{})
 	s := start("a.2", 50)
-	s.Given = standin.Tokens("another manuscript", 20)
-	sink := recorder{tokens: s.Given}
+	s.AnswerSoFar = standin.Tokens("another manuscript", 20)
+	sink := recorder{tokens: s.AnswerSoFar}
 	require.NoError(t, client.Start(context.Background(), address, s, patience, &sink))
 	require.NotEqual(t, standin.Tokens(s.Prompt, 50)[20:], sink.tokens[20:])
 }
@@ -99,7 +99,7 @@
 	}
 	require.ErrorIs(t, client.Start(ctx, from, s, patience, &sink), &stopError{})
 	require.True(t, moved)
-	s.Stream, s.Given, s.MaxTokens = "a.2", sink.tokens, 30
+	s.Stream, s.AnswerSoFar, s.MaxTokens = "a.2", sink.tokens, 30
 	sink.on = nil
 	require.NoError(t, client.Start(ctx, toAddress, s, patience, &sink))
 	require.Equal(t, standin.Answer(s.Prompt, 30), sink.text())
@@ -125,9 +125,9 @@
 		}
 		return nil
 	}
-	short := adapter.Patience{
-		First: 5000,
-		Next:  200,
+	short := adapter.ResponseTimeouts{
+		FirstByte: 5000,
+		NextByte:  200,
 	}
 	err := client.Start(context.Background(), address, s, short, &sink)
 	require.Equal(t, messenger.AttemptTimedOut, adapter.Result(err))
@@ -143,7 +143,7 @@
 	e, address := startEngine(t, engine.Config{})
 	e.SetFaults(func(f *engine.Faults) { f.Freeze = true })
 	client := adapter.NewEngine(adapter.ServerConfig{})
-	short := adapter.Patience{First: 500}
+	short := adapter.ResponseTimeouts{FirstByte: 500}
 	err := client.Start(context.Background(), address, start("a.1", 5), short, &recorder{})
 	require.Equal(t, messenger.AttemptTimedOut, adapter.Result(err))
 }
@@ -247,7 +247,7 @@
 			var sink recorder
 			err := client.Start(context.Background(), server.Listener.Addr().String(), start("a.1", 9), patience, &sink)
 			require.Equal(t, c.want, sink.tokens)
-			var outOfStep *adapter.OutOfStepError
+			var outOfStep *adapter.TokenSequenceError
 			require.Equal(t, !c.whole, err != nil)
 			require.Equal(t, !c.whole, errorsAs(err, &outOfStep))
 		})
@@ -268,9 +268,9 @@
 	}))
 	defer server.Close()
 	client := adapter.NewEngine(adapter.ServerConfig{})
-	long := adapter.Patience{
-		First: timekeeper.Hour,
-		Next:  timekeeper.Hour,
+	long := adapter.ResponseTimeouts{
+		FirstByte: timekeeper.Hour,
+		NextByte:  timekeeper.Hour,
 	}
 	var sink recorder
 	err := client.Start(t.Context(), server.Listener.Addr().String(), start("a.1", 9), long, &sink)
--- a/internal/adapter/errors.go
+++ b/internal/adapter/errors.go
@@ -14,11 +14,11 @@
 var (
 	_ error = (*NotSentError)(nil)
 	_ error = (*RefusedError)(nil)
-	_ error = (*BrokenError)(nil)
-	_ error = (*SilentError)(nil)
+	_ error = (*ConnectionError)(nil)
+	_ error = (*ResponseTimeoutError)(nil)
 	_ error = (*StatusError)(nil)
-	_ error = (*FailedError)(nil)
-	_ error = (*OutOfStepError)(nil)
+	_ error = (*ServerFailedError)(nil)
+	_ error = (*TokenSequenceError)(nil)
 	_ error = (*UnknownStreamError)(nil)
 	_ error = (*StaleFenceError)(nil)
 	_ error = (*AmbiguousError)(nil)
@@ -51,27 +51,27 @@
 	return fmt.Sprintf("refused by %s: %s", e.Address, e.Text)
 }
 
-// BrokenError reports that the connection ended before the answer was whole.
+// ConnectionError reports that the connection ended before the answer was whole.
 // The request may have run.
-type BrokenError struct {
+type ConnectionError struct {
 	Address string
 	Cause   error
 }
 
-func (e *BrokenError) Error() string {
+func (e *ConnectionError) Error() string {
 	return fmt.Sprintf("connection to %s broke: %v", e.Address, e.Cause)
 }
 
-func (e *BrokenError) Unwrap() error { return e.Cause }
+func (e *ConnectionError) Unwrap() error { return e.Cause }
 
-// SilentError reports that nothing arrived for longer than the caller's
+// ResponseTimeoutError reports that nothing arrived for longer than the caller's
 // patience, while the connection stayed open. The request may have run.
-type SilentError struct {
+type ResponseTimeoutError struct {
 	Address string
 	After   timekeeper.Duration
 }
 
-func (e *SilentError) Error() string {
+func (e *ResponseTimeoutError) Error() string {
 	return fmt.Sprintf("%s silent for %v", e.Address, e.After)
 }
 
@@ -95,9 +95,9 @@
 	return e.Header.Get(encoder.OutcomeHeader) == encoder.OutcomeNotRun
 }
 
-// FailedError reports that the server ran the request, or took it up, and says
+// ServerFailedError reports that the server ran the request, or took it up, and says
 // that it failed.
-type FailedError struct {
+type ServerFailedError struct {
 	Address string
 	Status  int
 	Header  http.Header
@@ -105,18 +105,18 @@
 	Text    string
 }
 
-func (e *FailedError) Error() string {
+func (e *ServerFailedError) Error() string {
 	return fmt.Sprintf("%s failed with %d: %s", e.Address, e.Status, e.Text)
 }
 
-// OutOfStepError reports that a stream skipped a token.
-type OutOfStepError struct {
+// TokenSequenceError reports that a stream skipped a token.
+type TokenSequenceError struct {
 	Stream identifier.StreamName
 	Want   identifier.Tokens
 	Got    identifier.Tokens
 }
 
-func (e *OutOfStepError) Error() string {
+func (e *TokenSequenceError) Error() string {
 	return fmt.Sprintf("stream %s gave token %d in place of %d", e.Stream, e.Got, e.Want)
 }
 
@@ -176,8 +176,8 @@
 	var (
 		notSent *NotSentError
 		refused *RefusedError
-		silent  *SilentError
-		failed  *FailedError
+		silent  *ResponseTimeoutError
+		failed  *ServerFailedError
 	)
 	switch {
 	case err == nil:
@@ -222,7 +222,7 @@
 			RetryAfter: status.RetryAfter,
 		}
 	}
-	return &FailedError{
+	return &ServerFailedError{
 		Address: status.Address,
 		Status:  status.Status,
 		Header:  status.Header,
--- a/internal/adapter/plain.go
+++ b/internal/adapter/plain.go
@@ -25,8 +25,8 @@
 func NewPlain(c ServerConfig) *Plain {
 	return &Plain{
 		config: c,
-		calls:  newFreshClient(c.Bounds),
-		polls:  newClient(c.Bounds),
+		calls:  newFreshClient(c.Timeouts),
+		polls:  newClient(c.Timeouts),
 	}
 }
 
@@ -56,9 +56,9 @@
 }
 
 // Call makes one call and reads the whole answer. Statuses below 500 are
-// answers. Its errors are *NotSentError, *RefusedError, *BrokenError,
-// *SilentError and *FailedError.
-func (p *Plain) Call(ctx context.Context, address string, c PlainCall, patience Patience) (PlainReply, error) {
+// answers. Its errors are *NotSentError, *RefusedError, *ConnectionError,
+// *ResponseTimeoutError and *ServerFailedError.
+func (p *Plain) Call(ctx context.Context, address string, c PlainCall, patience ResponseTimeouts) (PlainReply, error) {
 	ctx, w := newWatch(ctx, address, patience)
 	defer w.stop()
 	response, err := p.calls.do(ctx, call{
@@ -83,7 +83,7 @@
 		address: address,
 	})
 	if err != nil {
-		return PlainReply{}, silence(ctx, &BrokenError{
+		return PlainReply{}, silence(ctx, &ConnectionError{
 			Address: address,
 			Cause:   cause(ctx, err),
 		})
--- a/internal/adapter/plain_test.go
+++ b/internal/adapter/plain_test.go
@@ -76,7 +76,7 @@
 			p, address := startResponder(t)
 			p.SetFaults(func(f *responder.Faults) { *f = c.faults })
 			client := adapter.NewPlain(adapter.ServerConfig{})
-			short := adapter.Patience{First: 1000}
+			short := adapter.ResponseTimeouts{FirstByte: 1000}
 			_, err := client.Call(context.Background(), address, rejection(), short)
 			require.Equal(t, c.result, adapter.Result(err), "%v", err)
 			require.Equal(t, c.runs, p.Ledger().Runs["r1"])
--- a/internal/adapter/platform.go
+++ b/internal/adapter/platform.go
@@ -5,8 +5,8 @@
 // PlatformConfig configures the clients of the platform.
 type PlatformConfig struct {
 	// Address is the platform's host:port.
-	Address string
-	Bounds  Bounds
+	Address  string
+	Timeouts Timeouts
 	// Clock dates what the platform reports by age or by time left.
 	Clock timekeeper.Clock
 }
@@ -29,8 +29,8 @@
 func newPlatformClient(c PlatformConfig) platformClient {
 	return platformClient{
 		config:  c,
-		readers: newClient(c.Bounds),
-		writers: newFreshClient(c.Bounds),
+		readers: newClient(c.Timeouts),
+		writers: newFreshClient(c.Timeouts),
 	}
 }
 
--- a/internal/adapter/stream.go
+++ b/internal/adapter/stream.go
@@ -22,7 +22,7 @@
 type reading struct {
 	stream   identifier.StreamName
 	last     identifier.Tokens // the last token taken
-	patience Patience
+	patience ResponseTimeouts
 	sink     Sink
 }
 
@@ -51,7 +51,7 @@
 	for {
 		event, err := nextEvent(events)
 		if err != nil {
-			return silence(ctx, &BrokenError{
+			return silence(ctx, &ConnectionError{
 				Address: wanted.address,
 				Cause:   cause(ctx, err),
 			})
@@ -64,11 +64,11 @@
 	}
 }
 
-// silence returns the *SilentError for which the watch ended the context,
+// silence returns the *ResponseTimeoutError for which the watch ended the context,
 // where that is why the call failed. A call that never left stays not sent.
 func silence(ctx context.Context, err error) error {
-	var broken *BrokenError
-	var silent *SilentError
+	var broken *ConnectionError
+	var silent *ResponseTimeoutError
 	if errors.As(err, &broken) && errors.As(context.Cause(ctx), &silent) {
 		return silent
 	}
@@ -143,7 +143,7 @@
 	case got < want:
 		return nil
 	case got > want:
-		return &OutOfStepError{
+		return &TokenSequenceError{
 			Stream: r.stream,
 			Want:   want,
 			Got:    got,
@@ -163,7 +163,7 @@
 		return protocolError(address, "end: "+err.Error())
 	}
 	if end.Tokens != r.last {
-		return &OutOfStepError{
+		return &TokenSequenceError{
 			Stream: r.stream,
 			Want:   r.last + 1,
 			Got:    end.Tokens + 1,
@@ -184,14 +184,14 @@
 			RetryAfter: retryAfter(http.Header{}, problem),
 		}
 	}
-	return &BrokenError{
+	return &ConnectionError{
 		Address: address,
 		Cause:   &ProtocolError{Text: "stream ended: " + problem.Error},
 	}
 }
 
 func protocolError(address, text string) error {
-	return &BrokenError{
+	return &ConnectionError{
 		Address: address,
 		Cause:   &ProtocolError{Text: text},
 	}
--- a/internal/adapter/testing_test.go
+++ b/internal/adapter/testing_test.go
@@ -82,8 +82,8 @@
 func (r *recorder) text() string { return strings.Join(r.tokens, "") }
 
 // start is a request for an answer of n tokens.
-func start(name identifier.StreamName, n identifier.Tokens) adapter.Start {
-	return adapter.Start{
+func start(name identifier.StreamName, n identifier.Tokens) adapter.StartRequest {
+	return adapter.StartRequest{
 		Stream:    name,
 		Model:     "report",
 		Prompt:    "the manuscript " + string(name),
--- a/internal/adapter/patience.go
+++ b/internal/adapter/timeouts.go
@@ -8,12 +8,12 @@
 )
 
 // Patience bounds how long a connection may stay silent. Zero is no bound.
-type Patience struct {
+type ResponseTimeouts struct {
 	// First bounds the wait for the first byte of the answer, dialing and
 	// queueing included.
-	First timekeeper.Duration
+	FirstByte timekeeper.Duration
 	// Next bounds the wait between bytes.
-	Next timekeeper.Duration
+	NextByte timekeeper.Duration
 }
 
 // watch ends a call whose connection has lost its voice. An open connection
@@ -25,19 +25,19 @@
 	next   timekeeper.Duration
 }
 
-// newWatch returns a context that ends with a *SilentError when a bound of p
+// newWatch returns a context that ends with a *ResponseTimeoutError when a bound of p
 // passes without a call of heard.
-func newWatch(ctx context.Context, address string, p Patience) (context.Context, *watch) {
+func newWatch(ctx context.Context, address string, p ResponseTimeouts) (context.Context, *watch) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	w := &watch{
 		cancel: cancel,
-		next:   p.Next,
+		next:   p.NextByte,
 	}
-	if p.First > 0 {
-		w.timer = time.AfterFunc(p.First.Std(), func() {
-			cancel(&SilentError{
+	if p.FirstByte > 0 {
+		w.timer = time.AfterFunc(p.FirstByte.Std(), func() {
+			cancel(&ResponseTimeoutError{
 				Address: address,
-				After:   p.First,
+				After:   p.FirstByte,
 			})
 		})
 	}
@@ -54,7 +54,7 @@
 		return
 	}
 	w.timer = time.AfterFunc(w.next.Std(), func() {
-		w.cancel(&SilentError{
+		w.cancel(&ResponseTimeoutError{
 			Address: address,
 			After:   w.next,
 		})
--- a/internal/claimer/benchmark_test.go
+++ b/internal/claimer/benchmark_test.go
@@ -16,7 +16,7 @@
 	read := log.read(0, math.MaxInt)
 	b.ReportAllocs()
 	for b.Loop() {
-		newTestTable("vm-a").Absorb(1, read)
+		newTestTable("vm-a").ApplyRecords(1, read)
 	}
 }
 
@@ -32,7 +32,7 @@
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		table := newTestTable("vm-a")
-		table.Absorb(1, read)
+		table.ApplyRecords(1, read)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		runtime.KeepAlive(table)
--- a/internal/claimer/claimer.go
+++ b/internal/claimer/claimer.go
@@ -53,9 +53,9 @@
 	// Retention is the least time for which the log keeps a record.
 	Retention timekeeper.Duration
 	// DecideWithin is how long a claim may wait before Waiting lists it.
-	DecideWithin timekeeper.Duration
+	DecisionTimeout timekeeper.Duration
 	// AppendEvery is the spacing of repeated appends of releases.
-	AppendEvery timekeeper.Duration
+	AppendInterval timekeeper.Duration
 }
 
 // maxWindow is the longest window of a key. The rest of the retention is room
@@ -64,11 +64,11 @@
 
 // Default sizes and times.
 const (
-	DefaultPartitions   = 4
-	DefaultMaxEntries   = 50_000
-	DefaultMaxBodyBytes = identifier.Bytes(64 << 20)
-	DefaultDecideWithin = 2 * timekeeper.Second
-	DefaultAppendEvery  = 2 * timekeeper.Second
+	DefaultPartitions      = 4
+	DefaultMaxEntries      = 50_000
+	DefaultMaxBodyBytes    = identifier.Bytes(64 << 20)
+	DefaultDecisionTimeout = 2 * timekeeper.Second
+	DefaultAppendInterval  = 2 * timekeeper.Second
 )
 
 func (c Config) withDefaults() Config {
@@ -81,11 +81,11 @@
 	if c.MaxBodyBytes == 0 {
 		c.MaxBodyBytes = DefaultMaxBodyBytes
 	}
-	if c.DecideWithin == 0 {
-		c.DecideWithin = DefaultDecideWithin
+	if c.DecisionTimeout == 0 {
+		c.DecisionTimeout = DefaultDecisionTimeout
 	}
-	if c.AppendEvery == 0 {
-		c.AppendEvery = DefaultAppendEvery
+	if c.AppendInterval == 0 {
+		c.AppendInterval = DefaultAppendInterval
 	}
 	return c
 }
@@ -101,7 +101,7 @@
 	Appended timekeeper.Time
 	// Until is the log's time at which the key is forgotten, unless it is
 	// claimed again.
-	Until timekeeper.Time
+	ExpiresAt timekeeper.Time
 	// Released tells that the winner gave the key up without sending, and
 	// ReleasedAt where the log says so.
 	Released   bool
@@ -289,7 +289,7 @@
 }
 
 // Unavailable notes that a stream could not be read. Absorb takes it back.
-func (t *Table) Unavailable(now timekeeper.Time, name identifier.LogStream) {
+func (t *Table) ReadFailed(now timekeeper.Time, name identifier.LogStream) {
 	if s, ok := t.streams[name]; ok {
 		s.failingSince = min(s.failingSince, now)
 	}
@@ -297,7 +297,7 @@
 
 // Out reports whether a stream has not been readable for a while. A claim
 // begun now would wait in vain, and its caller with it.
-func (t *Table) Out(now timekeeper.Time, name identifier.LogStream) bool {
+func (t *Table) LogUnavailable(now timekeeper.Time, name identifier.LogStream) bool {
 	s, ok := t.streams[name]
 	return ok && (s.unreadable(now) || s.unplaceable(now))
 }
@@ -334,7 +334,7 @@
 
 // Absorb folds a read of the log into the table and returns the decisions on
 // this node's claims that it brings.
-func (t *Table) Absorb(now timekeeper.Time, read messenger.LogRead) []Decision {
+func (t *Table) ApplyRecords(now timekeeper.Time, read messenger.LogRead) []Decision {
 	s, ok := t.streams[read.Stream]
 	if !ok {
 		return nil
@@ -394,7 +394,7 @@
 func (t *Table) forget(s *stream) {
 	for len(s.expiry) > 0 {
 		e := s.expiry[0]
-		if s.now.Before(e.Until.Add(forgetAfter)) {
+		if s.now.Before(e.ExpiresAt.Add(forgetAfter)) {
 			return
 		}
 		heap.Pop(&s.expiry)
--- a/internal/claimer/claimer_test.go
+++ b/internal/claimer/claimer_test.go
@@ -30,11 +30,11 @@
 }
 
 func (b *bench) read(table *Table) []Decision {
-	return table.Absorb(b.log.now, b.log.read(0, math.MaxInt))
+	return table.ApplyRecords(b.log.now, b.log.read(0, math.MaxInt))
 }
 
 func (b *bench) appends(table *Table) int {
-	all := table.Appends(b.log.now)
+	all := table.PendingAppends(b.log.now)
 	for _, a := range all {
 		b.log.append(a.Data)
 	}
@@ -129,7 +129,7 @@
 	b.log.append(record{Kind: clockKind}.encode())
 	b.log.now += timekeeper.Time(testRetention)
 	b.log.append(data)
-	require.Equal(t, []identifier.RequestID{"r"}, a.Waiting(b.log.now))
+	require.Equal(t, []identifier.RequestID{"r"}, a.Overdue(b.log.now))
 	require.Equal(t, []Decision{{
 		Request:   "r",
 		Unsettled: true,
@@ -189,20 +189,20 @@
 	for i := range 10 {
 		log.append(foreignClaim(i))
 	}
-	a.Absorb(log.now, log.read(0, math.MaxInt))
+	a.ApplyRecords(log.now, log.read(0, math.MaxInt))
 	require.Equal(t, 9, a.Len())
 	require.Equal(t, 1, a.Counts().Overflowed)
 	_, _, err := a.Begin(log.now, "r", "account", "key", "n", testWindow)
-	var full *FullError
+	var full *TableFullError
 	require.ErrorAs(t, err, &full)
 	log.now = log.now.Add(testWindow + forgetAfter)
-	for _, r := range a.Appends(log.now) {
+	for _, r := range a.PendingAppends(log.now) {
 		log.append(r.Data)
 	}
-	a.Absorb(log.now, log.read(0, math.MaxInt))
+	a.ApplyRecords(log.now, log.read(0, math.MaxInt))
 	require.Zero(t, a.Len())
 	_, _, err = a.Begin(log.now, "r", "account", "key", "n", testRetention)
-	var window *WindowError
+	var window *WindowTooLongError
 	require.ErrorAs(t, err, &window)
 	a.SetRetention(testRetention / 4)
 	_, _, err = a.Begin(log.now, "r", "account", "key", "n", testRetention/2)
@@ -258,13 +258,13 @@
 		_, _, err := a.Begin(b.log.now, r, "account", "key", identifier.Nonce(r), testWindow)
 		return err
 	}
-	a.Unavailable(b.log.now, partition(0))
+	a.ReadFailed(b.log.now, partition(0))
 	require.NoError(t, begin("r1"))
 	b.log.now += timekeeper.Time(outAfter)
-	a.Unavailable(b.log.now, partition(0))
-	var out *LogOutError
+	a.ReadFailed(b.log.now, partition(0))
+	var out *LogUnavailableError
 	require.ErrorAs(t, begin("r2"), &out)
-	require.True(t, a.Out(b.log.now, partition(0)))
+	require.True(t, a.LogUnavailable(b.log.now, partition(0)))
 	b.read(a)
 	require.NoError(t, begin("r3"))
 }
@@ -278,7 +278,7 @@
 	b.read(a)
 	out := func(after timekeeper.Duration) bool {
 		b.log.now = b.log.now.Add(after)
-		return a.Out(b.log.now, partition(0))
+		return a.LogUnavailable(b.log.now, partition(0))
 	}
 	fail := func() { a.AppendEnded(b.log.now, partition(0), false) }
 	fail()
--- a/internal/claimer/entry.go
+++ b/internal/claimer/entry.go
@@ -27,14 +27,14 @@
 func newEntry(now timekeeper.Time, s identifier.LogStream, at messenger.Record, r record) *entry {
 	return &entry{
 		Entry: Entry{
-			Account:  r.Account,
-			Key:      r.Key,
-			Request:  r.Request,
-			Winner:   r.Claimant,
-			Nonce:    r.Nonce,
-			Offset:   at.Offset,
-			Appended: at.Appended,
-			Until:    at.Appended.Add(r.Window),
+			Account:   r.Account,
+			Key:       r.Key,
+			Request:   r.Request,
+			Winner:    r.Claimant,
+			Nonce:     r.Nonce,
+			Offset:    at.Offset,
+			Appended:  at.Appended,
+			ExpiresAt: at.Appended.Add(r.Window),
 		},
 		stream: s,
 		read:   now,
@@ -44,8 +44,8 @@
 
 // extend prolongs the hold on the key by a later claim of it.
 func (e *entry) extend(now timekeeper.Time, at messenger.Record, r record) {
-	if until := at.Appended.Add(r.Window); until.After(e.Until) {
-		e.Until = until
+	if until := at.Appended.Add(r.Window); until.After(e.ExpiresAt) {
+		e.ExpiresAt = until
 		e.read = now
 		e.window = r.Window
 	}
@@ -59,7 +59,7 @@
 }
 
 // holdsAt reports whether the key is still held at an append time.
-func (e *entry) holdsAt(t timekeeper.Time) bool { return t.Before(e.Until) }
+func (e *entry) holdsAt(t timekeeper.Time) bool { return t.Before(e.ExpiresAt) }
 
 // expiryHeap orders entries by the time at which they end, soonest first.
 type expiryHeap []*entry
@@ -68,7 +68,7 @@
 
 func (h expiryHeap) Len() int { return len(h) }
 
-func (h expiryHeap) Less(i, j int) bool { return h[i].Until.Before(h[j].Until) }
+func (h expiryHeap) Less(i, j int) bool { return h[i].ExpiresAt.Before(h[j].ExpiresAt) }
 
 func (h expiryHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
--- a/internal/claimer/fold.go
+++ b/internal/claimer/fold.go
@@ -88,7 +88,7 @@
 		// seem to be the first and run again. Until its window has passed,
 		// no claim of this node on the stream is won.
 		t.counts.Overflowed++
-		s.blindUntil = max(s.blindUntil, e.Until)
+		s.blindUntil = max(s.blindUntil, e.ExpiresAt)
 		return
 	}
 	t.entries[e.key()] = e
--- a/internal/claimer/own.go
+++ b/internal/claimer/own.go
@@ -52,23 +52,23 @@
 
 // Begin starts a claim of a key and returns the record to append. The nonce
 // is fresh. An earlier claim for the same request that still waits is given
-// up. Its error is a *FullError, a *WindowError or a
-// *LogOutError.
+// up. Its error is a *TableFullError, a *WindowTooLongError or a
+// *LogUnavailableError.
 func (t *Table) Begin(now timekeeper.Time, request identifier.RequestID, account identifier.AccountID,
 	k identifier.IdempotencyKey, nonce identifier.Nonce, window timekeeper.Duration) (identifier.LogStream, []byte, error) {
 	if window > t.config.maxWindow() {
-		return "", nil, &WindowError{
+		return "", nil, &WindowTooLongError{
 			Window:    window,
 			Retention: t.config.Retention,
 		}
 	}
-	if stream := Stream(account, k, t.config.Partitions); t.Out(now, stream) {
-		return "", nil, &LogOutError{Stream: stream}
+	if stream := Stream(account, k, t.config.Partitions); t.LogUnavailable(now, stream) {
+		return "", nil, &LogUnavailableError{Stream: stream}
 	}
 	t.sweep(now)
 	if t.Full() {
 		t.counts.Refused++
-		return "", nil, &FullError{MaxEntries: t.config.MaxEntries}
+		return "", nil, &TableFullError{MaxEntries: t.config.MaxEntries}
 	}
 	t.Drop(request)
 	c := &claim{
@@ -96,7 +96,7 @@
 
 // Again returns the record of a waiting claim once more, with the same nonce,
 // after an append that failed or was not answered.
-func (t *Table) Again(request identifier.RequestID) (Append, bool) {
+func (t *Table) RepeatAppend(request identifier.RequestID) (Append, bool) {
 	c, ok := t.active[request]
 	if !ok || c.state != waiting {
 		return Append{}, false
@@ -177,10 +177,10 @@
 
 // Waiting lists the requests whose claims are overdue, oldest first. The
 // caller appends them Again, or Drops them.
-func (t *Table) Waiting(now timekeeper.Time) []identifier.RequestID {
+func (t *Table) Overdue(now timekeeper.Time) []identifier.RequestID {
 	var out []identifier.RequestID
 	for _, c := range t.own {
-		if c.state == waiting && now.Sub(c.began) >= t.config.DecideWithin {
+		if c.state == waiting && now.Sub(c.began) >= t.config.DecisionTimeout {
 			out = append(out, c.request)
 		}
 	}
@@ -190,11 +190,11 @@
 // Appends returns the records that the table itself wants appended now:
 // releases of given-up claims that hold their keys, claims that waited for
 // such a release, and clock records while a full table waits to forget.
-func (t *Table) Appends(now timekeeper.Time) []Append {
+func (t *Table) PendingAppends(now timekeeper.Time) []Append {
 	t.sweep(now)
 	var out []Append
 	for _, c := range t.own {
-		if c.sent != 0 && now.Sub(c.sent) < t.config.AppendEvery {
+		if c.sent != 0 && now.Sub(c.sent) < t.config.AppendInterval {
 			continue
 		}
 		if data, ok := t.wanted(c); ok {
@@ -242,7 +242,7 @@
 	var out []Append
 	for _, name := range t.Streams() {
 		s := t.streams[name]
-		if len(s.expiry) == 0 || now.Sub(s.clockSent) < t.config.AppendEvery {
+		if len(s.expiry) == 0 || now.Sub(s.clockSent) < t.config.AppendInterval {
 			continue
 		}
 		oldest := s.expiry[0]
--- a/internal/claimer/property_test.go
+++ b/internal/claimer/property_test.go
@@ -106,7 +106,7 @@
 	case 9:
 		s.giveUp(n)
 	case 10:
-		for _, a := range n.table.Appends(s.log.now) {
+		for _, a := range n.table.PendingAppends(s.log.now) {
 			s.flying = append(s.flying, a.Data)
 		}
 	case 11:
@@ -165,7 +165,7 @@
 
 func (s *simulation) read(n *node, limit int) {
 	read := s.log.read(n.from, limit)
-	decisions := n.table.Absorb(s.log.now, read)
+	decisions := n.table.ApplyRecords(s.log.now, read)
 	if len(read.Records) > 0 {
 		n.from = read.Records[len(read.Records)-1].Offset + 1
 	}
--- a/internal/claimer/record.go
+++ b/internal/claimer/record.go
@@ -94,32 +94,32 @@
 
 // FullError refuses a claim because the table has no room for it: forgetting
 // a live claim instead would let its key run again.
-type FullError struct{ MaxEntries int }
+type TableFullError struct{ MaxEntries int }
 
-func (e *FullError) Error() string {
+func (e *TableFullError) Error() string {
 	return fmt.Sprintf("claims table is full at %d entries", e.MaxEntries)
 }
 
 // LogOutError refuses a claim because the log can't be read.
-type LogOutError struct{ Stream identifier.LogStream }
+type LogUnavailableError struct{ Stream identifier.LogStream }
 
-func (e *LogOutError) Error() string {
+func (e *LogUnavailableError) Error() string {
 	return fmt.Sprintf("log stream %s can't be read", e.Stream)
 }
 
 // WindowError refuses a claim whose key would have to be remembered for about
 // as long as the log keeps records, or longer.
-type WindowError struct {
+type WindowTooLongError struct {
 	Window    timekeeper.Duration
 	Retention timekeeper.Duration
 }
 
-func (e *WindowError) Error() string {
+func (e *WindowTooLongError) Error() string {
 	return fmt.Sprintf("key window %v does not fit the log's retention of %v", e.Window, e.Retention)
 }
 
 var (
-	_ error = (*FullError)(nil)
-	_ error = (*LogOutError)(nil)
-	_ error = (*WindowError)(nil)
+	_ error = (*TableFullError)(nil)
+	_ error = (*LogUnavailableError)(nil)
+	_ error = (*WindowTooLongError)(nil)
 )
--- a/internal/conductor/claim.go
+++ b/internal/conductor/claim.go
@@ -71,13 +71,13 @@
 // retryClaim appends an unanswered claim again and refuses the request if the
 // claim has timed out.
 func (c *Conductor) retryClaim(env *Env, r *request) []messenger.Effect {
-	if !env.Now.Before(r.claim.expiresAt) || env.Claims.Out(env.Now, r.claim.stream) {
+	if !env.Now.Before(r.claim.expiresAt) || env.Claims.LogUnavailable(env.Now, r.claim.stream) {
 		return c.refuse(env, r, notRun(messenger.ReasonLogUnavailable, retryAfterLogUnavailable))
 	}
 	if env.Now.Before(r.claim.nextAppendAt) {
 		return nil
 	}
-	pending, ok := env.Claims.Again(r.spec.Request)
+	pending, ok := env.Claims.RepeatAppend(r.spec.Request)
 	if !ok {
 		return nil
 	}
--- a/internal/conductor/harness_test.go
+++ b/internal/conductor/harness_test.go
@@ -196,7 +196,7 @@
 			Data:     d,
 		})
 	}
-	return f.c.ClaimsDecided(f.env, f.env.Claims.Absorb(f.env.Now, read))
+	return f.c.ClaimsDecided(f.env, f.env.Claims.ApplyRecords(f.env.Now, read))
 }
 
 // spec returns a request for a service. It has a key if it is not idempotent.
--- a/internal/conductor/refuse_test.go
+++ b/internal/conductor/refuse_test.go
@@ -87,7 +87,7 @@
 		{
 			name: "log unavailable before the claim",
 			end: func(f *fixture) []messenger.Effect {
-				f.env.Claims.Unavailable(f.env.Now, "claims-0")
+				f.env.Claims.ReadFailed(f.env.Now, "claims-0")
 				f.env.Now = f.env.Now.Add(timekeeper.Second)
 				return f.receive("booking")
 			},
--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -156,7 +156,7 @@
 	if reply.Limit.Stated {
 		x.forwarder.config.Metrics.limited()
 	}
-	x.forwarder.config.Decider.LimitHeard(ctx, messenger.ServerLimitReceived{
+	x.forwarder.config.Decider.LimitReceived(ctx, messenger.ServerLimitReceived{
 		Server: s.Server,
 		Sent:   sent,
 		Limit:  reply.Limit,
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -64,14 +64,14 @@
 	Began(ctx context.Context, e messenger.ExchangeBegan)
 	AttemptEnded(ctx context.Context, e messenger.ExchangeAttemptEnded) messenger.Effect
 	Ended(e messenger.ExchangeEnded)
-	LimitHeard(ctx context.Context, e messenger.ServerLimitReceived)
+	LimitReceived(ctx context.Context, e messenger.ServerLimitReceived)
 }
 
 // Head is what a request says of itself.
 type Head struct {
 	Request      identifier.RequestID
 	Key          string
-	Patience     timekeeper.Duration
+	TimeLimit    timekeeper.Duration
 	PromptTokens identifier.Tokens
 	MaxTokens    identifier.Tokens
 	Prefix       []messenger.PromptPart
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -98,7 +98,7 @@
 	return s.send(e.Exchange)
 }
 
-func (s *script) LimitHeard(_ context.Context, e messenger.ServerLimitReceived) {
+func (s *script) LimitReceived(_ context.Context, e messenger.ServerLimitReceived) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits = append(s.limits, e)
--- a/internal/forwarder/request.go
+++ b/internal/forwarder/request.go
@@ -103,7 +103,7 @@
 		Path:         pathOf(x.r),
 		Key:          x.head.Key,
 		Received:     x.received,
-		TimeLimit:    x.head.Patience,
+		TimeLimit:    x.head.TimeLimit,
 		PromptTokens: x.head.PromptTokens,
 		MaxTokens:    x.head.MaxTokens,
 		Prefix:       x.head.Prefix,
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -77,18 +77,18 @@
 // streamError names what ended a stream before its end.
 func streamError(err error) error {
 	if err == nil || errors.Is(err, io.EOF) {
-		return &TornEventError{}
+		return &TruncatedStreamError{}
 	}
 	return err
 }
 
-var _ error = (*TornEventError)(nil)
+var _ error = (*TruncatedStreamError)(nil)
 
 // TornEventError reports a stream that ended within an event, or before the
 // first one.
-type TornEventError struct{}
+type TruncatedStreamError struct{}
 
-func (e *TornEventError) Error() string { return "the stream ended within an event" }
+func (e *TruncatedStreamError) Error() string { return "the stream ended within an event" }
 
 // wholeEvents returns the length of the events in b that are whole. An event
 // ends with an empty line.
--- a/internal/gauger/claim.go
+++ b/internal/gauger/claim.go
@@ -115,7 +115,7 @@
 func absorbed(n int, reads []messenger.LogRead) *claimer.Table {
 	table := observer(n)
 	for _, read := range reads {
-		table.Absorb(fleetStart, read)
+		table.ApplyRecords(fleetStart, read)
 	}
 	return table
 }
--- a/internal/reducer/following_test.go
+++ b/internal/reducer/following_test.go
@@ -97,7 +97,7 @@
 	c := newCluster(61)
 	c.run(6 * timekeeper.Second)
 	g := c.nodes["entry-60"].gateway
-	g.usage.Began(c.now, "agency")
+	g.usage.RequestBegan(c.now, "agency")
 	env := c.nodes["entry-60"].env(c.now)
 	candidates := c.nodes["entry-60"].ranking.First(string(leaderLease), leaderNodes)
 	sent := 0
--- a/internal/reducer/gateway.go
+++ b/internal/reducer/gateway.go
@@ -225,7 +225,7 @@
 		}),
 		usage: accountant.New(accountant.Config{
 			Window: c.Gateway.UsageWindow,
-			Late:   c.Gateway.UsageLate,
+			MaxReportDelay:   c.Gateway.UsageLate,
 		}),
 		sizes: sizer.New(),
 		versions: promoter.New(promoter.Config{
@@ -322,7 +322,7 @@
 		Versions:        g.versions,
 		OrdersAsOf:      g.configConfirmedAt,
 		Rand:            r.rand,
-		OnBegan:         func(a identifier.AccountID) { g.usage.Began(env.Now, a) },
+		OnBegan:         func(a identifier.AccountID) { g.usage.RequestBegan(env.Now, a) },
 		Limits:          g.serverLimits,
 		Permits:         g.permits,
 		PermitAllocator: func(server identifier.VMID) *dispatcher.Allocator { return r.permitAllocator(env, server) },
--- a/internal/reducer/leader.go
+++ b/internal/reducer/leader.go
@@ -28,7 +28,7 @@
 		return r.quarantineRead(env, e)
 	case accountant.Stream:
 		unreadable := g.usage.Ignored()
-		g.usage.Absorb(env.Now, e)
+		g.usage.ApplyRecords(env.Now, e)
 		out := r.tickUsage(env)
 		if n := g.usage.Ignored() - unreadable; n > 0 {
 			out = append(out, messenger.TimelineEntry{
@@ -96,7 +96,7 @@
 	if !g.config.LeaderTasks {
 		return nil
 	}
-	out := g.usage.Rewrite(env.Now)
+	out := g.usage.RewriteLostRecords(env.Now)
 	fence, notAfter, held := g.leases.Held(leaderLease, env.Now)
 	if !held {
 		return out
@@ -172,7 +172,7 @@
 
 func (r *Reducer) usageReported(e messenger.UsageReported) []messenger.Effect {
 	g := r.gateway
-	g.usage.Reported(e.Window, e.Result)
+	g.usage.ReportEnded(e.Window, e.Result)
 	r.releaseIfFenced(e.Result)
 	return []messenger.Effect{
 		messenger.TimelineEntry{
--- a/internal/reducer/platformlog.go
+++ b/internal/reducer/platformlog.go
@@ -65,7 +65,7 @@
 	case quarantiner.Stream:
 		return r.quarantineRead(env, e)
 	}
-	return r.requests.ClaimsDecided(env, r.claims.Absorb(env.Now, e))
+	return r.requests.ClaimsDecided(env, r.claims.ApplyRecords(env.Now, e))
 }
 
 func (r *Reducer) configRead(env *conductor.Env, e messenger.LogRead) []messenger.Effect {
@@ -130,7 +130,7 @@
 	if e.Stream == configStream && r.timers.configUnavailableSince == timekeeper.Never {
 		r.timers.configUnavailableSince = env.Now
 	}
-	r.claims.Unavailable(env.Now, e.Stream)
+	r.claims.ReadFailed(env.Now, e.Stream)
 	return nil
 }
 
--- a/internal/reducer/share.go
+++ b/internal/reducer/share.go
@@ -38,7 +38,7 @@
 	if s.RequestsAllServers {
 		g.serversRequested[e.From] = true
 	}
-	g.usage.PeerCounts(e.From, s.Incarnation, s.Usage)
+	g.usage.MergePeerCounts(e.From, s.Incarnation, s.Usage)
 	g.versions.Merge(env.Now, s.Rollouts)
 	if s.Scope == messenger.ScopeOwn {
 		g.versions.MergePeerCounts(env.Now, e.From, s.Incarnation, s)
@@ -191,7 +191,7 @@
 	running, demand := g.exchanges.OwnLoad(now)
 	s := g.baseUpdate(now)
 	s.InFlight = running
-	s.Usage = g.usage.Own(now)
+	s.Usage = g.usage.OwnCounts(now)
 	s.Versions = g.versions.Counts()
 	s.Demand = demand
 	return s
--- a/internal/reducer/tick.go
+++ b/internal/reducer/tick.go
@@ -106,7 +106,7 @@
 // tickClaims appends the records that the table of claims has to append.
 func (r *Reducer) tickClaims(env *conductor.Env) []messenger.Effect {
 	var out []messenger.Effect
-	for _, a := range r.claims.Appends(env.Now) {
+	for _, a := range r.claims.PendingAppends(env.Now) {
 		out = append(out, messenger.AppendRecord{
 			Stream: a.Stream,
 			Data:   a.Data,
--- a/internal/runner/attempt.go
+++ b/internal/runner/attempt.go
@@ -199,10 +199,10 @@
 // patience bounds silence. A connection that something between the two ends
 // has lost track of stays open and silent for good; the bound ends it from
 // this side, and the reducer tries a new one.
-func (a *attempt) patience() adapter.Patience {
-	return adapter.Patience{
-		First: a.effect.FirstEventTimeout,
-		Next:  a.effect.NextEventTimeout,
+func (a *attempt) patience() adapter.ResponseTimeouts {
+	return adapter.ResponseTimeouts{
+		FirstByte: a.effect.FirstEventTimeout,
+		NextByte:  a.effect.NextEventTimeout,
 	}
 }
 
@@ -270,9 +270,9 @@
 
 // start says what to generate. The tokens that stand already go along: an
 // engine that imported the KV cache knows them, any other reads them anew.
-func (a *attempt) start() adapter.Start {
+func (a *attempt) start() adapter.StartRequest {
 	spec := a.answer.Spec()
-	s := adapter.Start{
+	s := adapter.StartRequest{
 		Stream:       a.effect.Stream,
 		Model:        a.service.Model,
 		Prompt:       a.answer.Body().Prompt,
@@ -283,7 +283,7 @@
 		Remaining:    a.remaining(),
 	}
 	for _, p := range a.answer.Pieces(0)[:a.from] {
-		s.Given = append(s.Given, p.Text)
+		s.AnswerSoFar = append(s.AnswerSoFar, p.Text)
 	}
 	return s
 }
--- a/internal/runner/exchange.go
+++ b/internal/runner/exchange.go
@@ -36,7 +36,7 @@
 func (r *Runner) Ended(e messenger.ExchangeEnded) { r.emit(context.Background(), e) }
 
 // LimitHeard implements forwarder.Decider.
-func (r *Runner) LimitHeard(ctx context.Context, e messenger.ServerLimitReceived) {
+func (r *Runner) LimitReceived(ctx context.Context, e messenger.ServerLimitReceived) {
 	r.emit(context.WithoutCancel(ctx), e)
 }
 
--- a/internal/runner/fake_test.go
+++ b/internal/runner/fake_test.go
@@ -185,7 +185,7 @@
 	orders int
 }
 
-func (e *fakeEngines) Start(ctx context.Context, _ string, s adapter.Start, _ adapter.Patience, sink adapter.Sink) error {
+func (e *fakeEngines) Start(ctx context.Context, _ string, s adapter.StartRequest, _ adapter.ResponseTimeouts, sink adapter.Sink) error {
 	return e.run(ctx, s.Stream, sink)
 }
 
--- a/internal/runner/outside.go
+++ b/internal/runner/outside.go
@@ -129,10 +129,10 @@
 
 // Engines speaks to model engines.
 type Engines interface {
-	Start(ctx context.Context, address string, s adapter.Start, p adapter.Patience, sink adapter.Sink) error
+	Start(ctx context.Context, address string, s adapter.StartRequest, p adapter.ResponseTimeouts, sink adapter.Sink) error
 	Resume(
 		ctx context.Context, address string, stream identifier.StreamName, from identifier.Tokens,
-		p adapter.Patience, sink adapter.Sink,
+		p adapter.ResponseTimeouts, sink adapter.Sink,
 	) error
 	Cancel(ctx context.Context, address string, stream identifier.StreamName) error
 	MoveKV(ctx context.Context, address string, stream identifier.StreamName, toAddress string) error
@@ -143,7 +143,7 @@
 
 // PlainServers speaks to plain servers.
 type PlainServers interface {
-	Call(ctx context.Context, address string, c adapter.PlainCall, p adapter.Patience) (adapter.PlainReply, error)
+	Call(ctx context.Context, address string, c adapter.PlainCall, p adapter.ResponseTimeouts) (adapter.PlainReply, error)
 	Load(ctx context.Context, address string) (messenger.ServerLoad, error)
 }
 
--- a/internal/runner/poll.go
+++ b/internal/runner/poll.go
@@ -134,8 +134,8 @@
 	r.cursors[vm] = page.Last
 	r.later(messenger.CacheReported{
 		Server:  vm,
-		Cached:  page.Held,
-		Evicted: page.Gone,
+		Cached:  page.Cached,
+		Evicted: page.Evicted,
 		Gap:     page.Gap,
 	})
 }
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -77,7 +77,7 @@
 		CacheEvent: encoder.CacheEvent{
 			Seq:  c.seq,
 			Hash: h,
-			Gone: gone,
+			Evicted: gone,
 		},
 		at: now,
 	})
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -102,7 +102,7 @@
 	events := c.since(2, 200, 0)
 	require.Len(t, events, 2)
 	require.Equal(t, identifier.PrefixHash(2), events[1].Hash, "a later block goes before an earlier one")
-	require.True(t, events[1].Gone)
+	require.True(t, events[1].Evicted)
 	require.Len(t, c.since(0, 200, 2), 2)
 }
 
