--- a/internal/reducer/gateway.go
+++ b/internal/reducer/gateway.go
@@ -224,8 +224,8 @@
 			Zone: c.Zone,
 		}),
 		usage: accountant.New(accountant.Config{
-			Window: c.Gateway.UsageWindow,
-			MaxReportDelay:   c.Gateway.UsageLate,
+			Window:         c.Gateway.UsageWindow,
+			MaxReportDelay: c.Gateway.UsageLate,
 		}),
 		sizes: sizer.New(),
 		versions: promoter.New(promoter.Config{
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -75,8 +75,8 @@
 	c.seq++
 	c.events = append(c.events, cacheEvent{
 		CacheEvent: encoder.CacheEvent{
-			Seq:  c.seq,
-			Hash: h,
+			Seq:     c.seq,
+			Hash:    h,
 			Evicted: gone,
 		},
 		at: now,
