--- a/internal/conductor/claim.go
+++ b/internal/conductor/claim.go
@@ -19,7 +19,7 @@
 	claimAppendInterval = 400 * timekeeper.Millisecond
 )
 
-// claimState is the claim of a non-idempotent request with a key.
+// claimState is the state of the claim of a non-idempotent request.
 type claimState struct {
 	nonce        identifier.Nonce
 	stream       identifier.LogStream
--- a/internal/conductor/finish.go
+++ b/internal/conductor/finish.go
@@ -15,7 +15,7 @@
 	retryAfter timekeeper.Duration
 }
 
-// finish ends an accepted request.
+// finish ends an accepted request, settles its claim and releases its answer.
 func (c *Conductor) finish(env *Env, r *request, e requestResult) []messenger.Effect {
 	out := []messenger.Effect{
 		messenger.Finish{
