--- a/internal/answerer/answer.go
+++ b/internal/answerer/answer.go
@@ -9,14 +9,14 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Piece is one token of an answer. Indexes count from 1.
+// Piece is one token of an answer. Indexes start at 1.
 type Piece struct {
 	Index identifier.Tokens
 	Text  string
 }
 
-// Body is what the caller sent: Prompt for a model service, the rest for a
-// plain one.
+// Body is the content of the caller's request. A model service uses Prompt, a
+// plain service the other fields.
 type Body struct {
 	Prompt      string
 	Method      string
@@ -25,26 +25,26 @@
 	Content     []byte
 }
 
-// Size returns the number of bytes that b keeps in memory.
+// Size returns the memory that b uses, in bytes.
 func (b Body) Size() identifier.Bytes {
 	return identifier.Bytes(len(b.Prompt) + len(b.Method) + len(b.Path) + len(b.ContentType) + len(b.Content))
 }
 
-// Reply is the whole answer of a plain service.
+// Reply is the complete HTTP response of a plain service.
 type Reply struct {
 	Status int
 	Header map[string]string
 	Body   []byte
 }
 
-// Verdict tells whether a request was accepted.
+// Verdict is the decision whether a request is accepted.
 type Verdict struct {
 	Accepted bool
-	// Refusal is set where Accepted is false.
+	// Refusal is set if Accepted is false.
 	Refusal messenger.Refusal
 }
 
-// End is the end of an answer.
+// End describes how an answer ended.
 type End struct {
 	Outcome    messenger.Outcome
 	Reason     messenger.Reason
@@ -53,24 +53,26 @@
 	Status int
 	Header map[string]string
 	Body   []byte
-	// MovedTo is the caller address of the node that has the request now; it
-	// is empty where the request ended here.
+	// MovedTo is the caller address of the node that now owns the request. It
+	// is empty if the request ended on this node.
 	MovedTo string
 }
 
-// whole reports whether e is the end of a whole answer.
+// complete reports whether e is the end of a complete answer.
 func (e *End) complete() bool {
 	return e != nil && e.MovedTo == "" && e.Outcome == messenger.Done
 }
 
-// Place tells where the current attempt runs.
+// Placement identifies an attempt and the backend server and stream that it
+// runs on.
 type Placement struct {
 	Attempt identifier.AttemptNumber
 	Server  identifier.VMID
 	Stream  identifier.StreamName
 }
 
-// pieceOverhead is the memory of a piece besides its text, its digest included.
+// pieceOverhead is the memory that a piece uses in addition to its text,
+// including its digest.
 const pieceOverhead = 24 + digestSize
 
 // Answer is one request's answer. It is safe for concurrent use.
@@ -78,49 +80,48 @@
 	spec messenger.RequestSpec
 	body Body
 
-	mu        sync.Mutex
-	changed   chan struct{} // closed and replaced at each change
-	placement Placement
-	pieces    []Piece
-	digests   []Digest // of the pieces up to each
-	reply     *Reply
-	released  identifier.Tokens
-	// replyOut tells that the reply is released.
+	mu            sync.Mutex
+	changed       chan struct{} // closed and replaced at each change
+	placement     Placement
+	pieces        []Piece
+	digests       []Digest // digests[i] covers pieces[:i+1]
+	reply         *Reply
+	released      identifier.Tokens
 	replyReleased bool
-	// held gates release on what a holder has acknowledged; paused stops it
-	// during a handover.
+	// If ackRequired is set, only what the holder has acknowledged is released.
+	// If paused is set, nothing is released (during a handover).
 	ackRequired    bool
 	paused         bool
-	ownerUncertain bool // another node may have the request
+	ownerUncertain bool // another node may own the request
 	acked          identifier.Tokens
 	replyAcked     bool
 	verdict        *Verdict
 	end            *End
-	done           chan struct{} // closed at the end
+	done           chan struct{} // closed when the answer ends
 	movedTo        identifier.VMID
 	epoch          identifier.Epoch
 	size           identifier.Bytes
-	usage          *Usage        // nil once the answer is out of its store
-	endRead        chan struct{} // closed once a reader has had the end
+	usage          *Usage        // nil if the answer is in no store
+	endRead        chan struct{} // closed once a reader has received the end
 	callers        int
 }
 
-// Config says what an Answer starts with.
+// Config holds the initial state of an Answer.
 type Config struct {
 	Spec messenger.RequestSpec
 	Body Body
-	// Place is the last attempt known, and Pieces and Reply what it brought,
-	// where the answer comes from another node.
+	// Placement is the latest known attempt of an answer that comes from
+	// another node. Pieces and Reply are its content so far.
 	Placement Placement
 	Pieces    []Piece
 	Reply     *Reply
-	// Epoch is the owner's.
+	// Epoch is the epoch of the owner.
 	Epoch identifier.Epoch
-	// Accepted is set where another node has accepted the request.
+	// Accepted is set if another node has already accepted the request.
 	Accepted bool
 }
 
-// New returns an answer with nothing held back.
+// New returns an answer whose content is released without waiting for a holder.
 func New(c Config) *Answer {
 	a := &Answer{
 		spec:          c.Spec,
@@ -147,22 +148,22 @@
 	return a
 }
 
-// Request returns the request's id.
+// Request returns the request's ID.
 func (a *Answer) Request() identifier.RequestID { return a.spec.Request }
 
 // Account returns the client account that the answer belongs to.
 func (a *Answer) Account() identifier.AccountID { return a.spec.Account }
 
-// Service returns the service that was asked.
+// Service returns the requested service.
 func (a *Answer) Service() identifier.ServiceName { return a.spec.Service }
 
-// Spec returns what was asked for.
+// Spec returns the specification of the request.
 func (a *Answer) Spec() messenger.RequestSpec { return a.spec }
 
-// Body returns what the caller sent.
+// Body returns the content of the caller's request.
 func (a *Answer) Body() Body { return a.body }
 
-// Verdict waits until the request is accepted or refused. Its error is a
+// Verdict waits until the request is accepted or refused. The error is a
 // *WaitError.
 func (a *Answer) Verdict(ctx context.Context) (Verdict, error) {
 	var v Verdict
@@ -171,7 +172,7 @@
 		case a.verdict != nil:
 			v = *a.verdict
 		case a.end != nil:
-			// Moved or ended before it was accepted: Read tells the rest.
+			// Moved or ended before it was accepted: Read returns the end.
 			v = Verdict{Accepted: true}
 		default:
 			return false
@@ -181,18 +182,18 @@
 	return v, err
 }
 
-// Refused reports whether the request ended without having been accepted:
-// this node has sent it to no backend server.
+// Refused reports whether the request was refused, in which case this node has
+// sent it to no backend server.
 func (a *Answer) Refused() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.verdict != nil && !a.verdict.Accepted
 }
 
-// Read waits until pieces beyond after are released, or the answer has ended,
-// and returns both where both are there. The end comes only together with or
-// after the last piece. The pieces are the caller's to keep, not to change.
-// Its error is a *WaitError.
+// Read waits until pieces with an index above after are released or the answer
+// has ended, and returns what is available of both. The end is never returned
+// before the last piece. The caller must not modify the pieces. The error is a
+// *WaitError.
 func (a *Answer) Read(ctx context.Context, after identifier.Tokens) ([]Piece, *End, error) {
 	var (
 		pieces []Piece
@@ -209,11 +210,11 @@
 	return pieces, end, err
 }
 
-// Over returns a channel that is closed at the end, whether readers may have
-// it yet or not.
+// Done returns a channel that is closed when the answer ends, even if readers
+// may not receive the end yet.
 func (a *Answer) Done() <-chan struct{} { return a.done }
 
-// Seen returns a channel that is closed once a reader has had the end.
+// EndRead returns a channel that is closed once a reader has received the end.
 func (a *Answer) EndRead() <-chan struct{} { return a.endRead }
 
 func (a *Answer) markEndRead() {
@@ -226,9 +227,9 @@
 	}
 }
 
-// visibleEnd returns the end once readers may have it: when all that came
-// before it is released, and at once when the answer goes on elsewhere. The
-// caller holds a.mu.
+// visibleEnd returns the end if readers may receive it: once all content before
+// it is released, or at once if the request moved to another node. The caller
+// must hold a.mu.
 func (a *Answer) visibleEnd() *End {
 	if a.end == nil || a.end.MovedTo != "" {
 		return a.end
@@ -239,7 +240,8 @@
 	return a.end
 }
 
-// wait blocks until done, which runs with a.mu held, returns true.
+// wait blocks until done returns true or ctx ends. It calls done with a.mu
+// held.
 func (a *Answer) wait(ctx context.Context, done func() bool) error {
 	for {
 		a.mu.Lock()
@@ -259,13 +261,13 @@
 	}
 }
 
-// notify wakes all waiters. The caller holds a.mu.
+// notify wakes all waiters. The caller must hold a.mu.
 func (a *Answer) notify() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// between returns the pieces with indexes in (after, upTo].
+// between returns the pieces with an index in (after, upTo].
 func between(pieces []Piece, after, upTo identifier.Tokens) []Piece {
 	after = max(after, 0)
 	upTo = min(upTo, identifier.Tokens(len(pieces)))
--- a/internal/answerer/answer_test.go
+++ b/internal/answerer/answer_test.go
@@ -23,7 +23,7 @@
 	})
 }
 
-func place(n identifier.AttemptNumber) answerer.Placement {
+func placementOf(n identifier.AttemptNumber) answerer.Placement {
 	return answerer.Placement{
 		Attempt: n,
 		Server:  "engine-1",
@@ -33,7 +33,7 @@
 func ExampleAnswer_Read() {
 	a := newAnswer("r1")
 	a.Accept()
-	a.Begin(place(1))
+	a.Begin(placementOf(1))
 	a.Append(1, 1, "The ")
 	a.Append(1, 2, "end.")
 	a.Finish(answerer.End{Outcome: messenger.Done})
@@ -42,25 +42,24 @@
 	// Output: [{2 end.}] done <nil>
 }
 
-// The caller would see tokens of two attempts mixed in one answer. Attempt 1
-// goes silent, attempt 2 continues on another engine, then the connection of
-// attempt 1 speaks again. Only the current attempt's next piece is taken.
+// Guards against an answer that mixes tokens of two attempts, if a stalled
+// attempt sends again after its successor began.
 func TestPiecesOfStaleAttemptAreDropped(t *testing.T) {
 	a := newAnswer("r1")
-	_, ok := a.Begin(place(1))
+	_, ok := a.Begin(placementOf(1))
 	require.True(t, ok)
 	require.True(t, a.Append(1, 1, "a"))
-	have, ok := a.Begin(place(2))
+	have, ok := a.Begin(placementOf(2))
 	require.True(t, ok)
 	require.EqualValues(t, 1, have)
 
 	require.False(t, a.Append(1, 2, "late"), "stale attempt")
-	require.False(t, a.Append(2, 1, "again"), "token that stands already")
-	require.False(t, a.Append(2, 3, "hole"), "token beyond the next")
+	require.False(t, a.Append(2, 1, "again"), "duplicate token")
+	require.False(t, a.Append(2, 3, "hole"), "token after a gap")
 	require.True(t, a.Append(2, 2, "b"))
 	require.False(t, a.SetReply(1, answerer.Reply{Status: 200}))
 
-	_, ok = a.Begin(place(1))
+	_, ok = a.Begin(placementOf(1))
 	require.False(t, ok, "an older attempt never becomes current again")
 	pieces, _, err := a.Read(t.Context(), 0)
 	require.NoError(t, err)
@@ -73,24 +72,22 @@
 	}}, pieces)
 }
 
-// The caller would have a token that no survivor has. The node pushes tokens
-// to a holder; until the holder acknowledges one, no caller reads it, and the
-// end stays behind the last token.
-func TestHeldAnswerGivesOnlyWhatTheHolderHas(t *testing.T) {
+// Guards against callers reading a token, or the end, before the holder has it.
+func TestHeldAnswerReleasesOnlyAcknowledged(t *testing.T) {
 	a := newAnswer("r1")
 	a.Hold()
-	a.Begin(place(1))
+	a.Begin(placementOf(1))
 	a.Append(1, 1, "a")
 	a.Append(1, 2, "b")
 	a.Finish(answerer.End{Outcome: messenger.Done})
-	requireNothing(t, a, 0)
+	requireBlocked(t, a, 0)
 
 	a.Release(1, false)
 	pieces, end, err := a.Read(t.Context(), 0)
 	require.NoError(t, err)
 	require.Len(t, pieces, 1)
 	require.Nil(t, end)
-	requireNothing(t, a, 1)
+	requireBlocked(t, a, 1)
 
 	a.Release(2, false)
 	pieces, end, err = a.Read(t.Context(), 1)
@@ -99,40 +96,38 @@
 	require.Equal(t, messenger.Done, end.Outcome)
 }
 
-func requireNothing(t *testing.T, a *answerer.Answer, after identifier.Tokens) {
+func requireBlocked(t *testing.T, a *answerer.Answer, after identifier.Tokens) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
-	cancel() // Read looks before it waits.
+	cancel() // Read checks for content before it waits.
 	_, _, err := a.Read(ctx, after)
 	var wait *answerer.WaitError
 	require.ErrorAs(t, err, &wait)
 }
 
-func TestHeldReplyWaitsForTheHolder(t *testing.T) {
+func TestHeldReplyWaitsForAcknowledgement(t *testing.T) {
 	a := newAnswer("r1")
 	a.Hold()
-	a.Begin(place(1))
+	a.Begin(placementOf(1))
 	require.True(t, a.SetReply(1, answerer.Reply{Status: 201}))
 	a.Finish(answerer.End{Outcome: messenger.Done})
-	requireNothing(t, a, 0)
+	requireBlocked(t, a, 0)
 	a.Release(0, true)
 	_, end, err := a.Read(t.Context(), 0)
 	require.NoError(t, err)
 	require.Equal(t, 201, end.Status)
 }
 
-// The caller would read a token that the successor then generates differently.
-// A handover takes its snapshot, the old stream goes on, then the handover
-// ends: with a redirect nothing beyond the snapshot was read; without one all
-// of it comes out, acknowledgements of the meantime included.
-func TestPauseKeepsBackWhatCameAfterTheSnapshot(t *testing.T) {
+// Guards against callers reading tokens beyond a handover's snapshot, which the
+// successor may generate differently.
+func TestPauseWithholdsPiecesAfterSnapshot(t *testing.T) {
 	a := newAnswer("r1")
 	a.Hold()
-	a.Begin(place(1))
+	a.Begin(placementOf(1))
 	a.Pause()
 	a.Append(1, 1, "a")
 	a.Release(1, false)
-	requireNothing(t, a, 0)
+	requireBlocked(t, a, 0)
 	a.Unpause()
 	pieces, _, err := a.Read(t.Context(), 0)
 	require.NoError(t, err)
@@ -147,7 +142,7 @@
 	require.Equal(t, "127.0.0.1:80", end.MovedTo)
 }
 
-func TestExtendRefusesAHole(t *testing.T) {
+func TestExtendRejectsGap(t *testing.T) {
 	a := newAnswer("r1")
 	require.True(t, a.Extend(answerer.Change{Pieces: []answerer.Piece{{
 		Index: 1,
@@ -179,7 +174,7 @@
 	require.Equal(t, messenger.ReasonOverload, v.Refusal.Reason)
 }
 
-func TestStoreKeepsEndedAnswersForTheGraceTime(t *testing.T) {
+func TestStoreKeepsEndedAnswersForGraceTime(t *testing.T) {
 	s := answerer.NewStore(answerer.StoreConfig{
 		Limit: 1000,
 		Grace: timekeeper.Minute,
@@ -201,7 +196,7 @@
 	require.Zero(t, s.Bytes())
 }
 
-func TestStoreRefusesBeyondItsBytes(t *testing.T) {
+func TestStoreRejectsBeyondLimit(t *testing.T) {
 	s := answerer.NewStore(answerer.StoreConfig{
 		Limit: 10,
 		Grace: timekeeper.Minute,
@@ -211,12 +206,12 @@
 	require.NoError(t, err)
 	_, _, err = s.Add(newAnswer("r2"), keep)
 	var full *answerer.StoreFullError
-	require.ErrorAs(t, err, &full, "a live answer never makes room")
+	require.ErrorAs(t, err, &full, "a live answer is not evicted")
 
 	old.Finish(answerer.End{Outcome: messenger.Done})
 	s.Sweep(1)
 	_, _, err = s.Add(newAnswer("r2"), keep)
-	require.NoError(t, err, "an ended one does")
+	require.NoError(t, err, "an ended answer is evicted")
 	_, ok := s.Get("r1")
 	require.False(t, ok)
 }
--- a/internal/answerer/digest.go
+++ b/internal/answerer/digest.go
@@ -11,23 +11,23 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// Digest sums up the first tokens of an answer: equal digests at one index
-// mean equal tokens up to it. That of no token is zero.
+// Digest is a hash of the first tokens of an answer: equal digests at one index
+// mean equal tokens up to it. The digest of no tokens is zero.
 //
-// Engines sample, so two continuations of one prompt differ. An owner that
-// was cut off from its peers and the node that adopted its request may each
-// have one. A caller that moved between the two by index alone would read the
-// start of the one and the rest of the other, a splice that looks whole. The
-// digest at the index shows whether two answers agree so far.
+// Engines sample, so two continuations of one prompt differ. If an owner is
+// partitioned from its peers, it and the node that adopted the request may each
+// have one. A caller that switched nodes by index alone would read the start of
+// one answer and the rest of the other. Comparing the digests at that index
+// detects this.
 type Digest uint64
 
 var _ fmt.Stringer = Digest(0)
 
-// digestSize is the length of a Digest in bytes.
+// digestSize is the size of a Digest in bytes.
 const digestSize = 8
 
-// Next returns the digest of the tokens of d and one more. It is a chain, so
-// that the bounds between tokens count and each token costs the same.
+// Next returns the digest of the tokens of d followed by text. Chaining makes
+// token boundaries significant and the cost of each token constant.
 func (d Digest) Next(text string) Digest {
 	var previous [digestSize]byte
 	binary.BigEndian.PutUint64(previous[:], uint64(d))
@@ -40,7 +40,7 @@
 // String returns d as 16 hexadecimal digits.
 func (d Digest) String() string { return fmt.Sprintf("%016x", uint64(d)) }
 
-// ParseDigest reads what String returns. Its error is a *DigestError.
+// ParseDigest parses the format of String. The error is an *InvalidDigestError.
 func ParseDigest(text string) (Digest, error) {
 	value, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || len(text) != 2*digestSize {
@@ -49,8 +49,8 @@
 	return Digest(value), nil
 }
 
-// digestAt returns the digest of the first n tokens, if that many stand here.
-// The caller holds a.mu.
+// digestAt returns the digest of the first n tokens, if the answer has that
+// many. The caller must hold a.mu.
 func (a *Answer) digestAt(n identifier.Tokens) (Digest, bool) {
 	switch {
 	case n <= 0:
@@ -61,7 +61,7 @@
 	return a.digests[n-1], true
 }
 
-// Digest returns the digest of the first n tokens, if that many stand here,
+// Digest returns the digest of the first n tokens, if the answer has that many,
 // released or not.
 func (a *Answer) Digest(n identifier.Tokens) (Digest, bool) {
 	a.mu.Lock()
@@ -69,10 +69,10 @@
 	return a.digestAt(n)
 }
 
-// Check compares the answer with what a caller has of it, n tokens with the
-// given digest, and reports whether that many stand here already. Its error is
-// a *DivergedError where the two differ, which is also so of an answer that
-// came to its whole end before n tokens.
+// Check compares the first n tokens with a caller's digest of them and reports
+// whether the comparison is final. It returns false if the answer does not have
+// n tokens yet. The error is a *DivergedError if the two differ or the answer
+// is complete with fewer than n tokens.
 func (a *Answer) Check(n identifier.Tokens, want Digest) (bool, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -91,8 +91,8 @@
 	}
 }
 
-// AwaitCheck waits until Check can tell, or the answer has ended without that
-// many tokens. Its error is a *DivergedError or a *WaitError.
+// AwaitCheck waits until Check is final or the answer has ended. The error is a
+// *DivergedError or a *WaitError.
 func (a *Answer) AwaitCheck(ctx context.Context, n identifier.Tokens, want Digest) error {
 	var diverged error
 	err := a.wait(ctx, func() bool {
--- a/internal/answerer/errors.go
+++ b/internal/answerer/errors.go
@@ -18,50 +18,50 @@
 	_ error = (*InvalidDigestError)(nil)
 )
 
-// ElsewhereError reports that another node has the request.
+// NotOwnerError reports that another node owns the request.
 type NotOwnerError struct {
 	Request identifier.RequestID
-	// Address is the caller address of the node that has it.
+	// Address is the caller address of the owner.
 	Address string
 }
 
 func (e *NotOwnerError) Error() string {
-	return fmt.Sprintf("request %s is at %s", e.Request, e.Address)
+	return fmt.Sprintf("request %s is owned by the node at %s", e.Request, e.Address)
 }
 
 // UnknownRequestError reports a request that no reachable node has, or that
-// belongs to another client account; the two are not told apart, so that no
-// account learns of another's requests.
+// belongs to another client account. The two are indistinguishable, so that
+// accounts cannot probe for each other's requests.
 type UnknownRequestError struct{ Request identifier.RequestID }
 
 func (e *UnknownRequestError) Error() string {
-	return fmt.Sprintf("request %s is not known", e.Request)
+	return fmt.Sprintf("request %s is unknown", e.Request)
 }
 
-// FullError reports that the node has no room for another request. Nothing
-// of the request has run.
+// StoreFullError reports that the node has no memory for another request. No
+// part of the request has run.
 type StoreFullError struct{ RetryAfter timekeeper.Duration }
 
 func (e *StoreFullError) Error() string {
-	return fmt.Sprintf("no room for another request, retry after %s", e.RetryAfter)
+	return fmt.Sprintf("answer store is full, retry after %s", e.RetryAfter)
 }
 
-// StoppedError reports that the node is stopping. Nothing of the request has
-// run.
+// NodeStoppingError reports that the node is stopping. No part of the request
+// has run.
 type NodeStoppingError struct{}
 
-func (e *NodeStoppingError) Error() string { return "the node is stopping" }
+func (e *NodeStoppingError) Error() string { return "node is stopping" }
 
-// KeyConflictError reports an idempotency key that stands for another request
-// of the same client account. Nothing has run: giving the older request's
-// answer to a caller that asked something else would cross answers.
+// KeyConflictError reports an idempotency key that the same client account has
+// already used for a different request. No part of the new request has run, and
+// it must not receive the answer to the older one.
 type KeyConflictError struct{ Key identifier.IdempotencyKey }
 
 func (e *KeyConflictError) Error() string {
-	return fmt.Sprintf("idempotency key %q stands for another request", e.Key)
+	return fmt.Sprintf("idempotency key %q was already used for a different request", e.Key)
 }
 
-// WaitError reports a wait that its context ended.
+// WaitError reports a wait whose context ended.
 type WaitError struct {
 	Request identifier.RequestID
 	Cause   error
@@ -73,21 +73,21 @@
 
 func (e *WaitError) Unwrap() error { return e.Cause }
 
-// DivergedError reports an answer that differs from what its caller has of
-// it. Nothing of it may go to that caller.
+// DivergedError reports an answer that differs from the tokens that its caller
+// already has. The caller must not receive any of it.
 type DivergedError struct {
 	Request identifier.RequestID
-	// Index is the last token that the caller has.
+	// Index is the number of tokens that the caller has.
 	Index identifier.Tokens
 }
 
 func (e *DivergedError) Error() string {
-	return fmt.Sprintf("the answer to request %s differs from the caller's up to token %d", e.Request, e.Index)
+	return fmt.Sprintf("answer to request %s differs from the caller's within the first %d tokens", e.Request, e.Index)
 }
 
-// DigestError reports a text that is no digest.
+// InvalidDigestError reports a text that is not a digest.
 type InvalidDigestError struct{ Text string }
 
 func (e *InvalidDigestError) Error() string {
-	return fmt.Sprintf("%q is no digest of %d hexadecimal digits", e.Text, 2*digestSize)
+	return fmt.Sprintf("%q is not a digest of %d hexadecimal digits", e.Text, 2*digestSize)
 }
--- a/internal/answerer/store.go
+++ b/internal/answerer/store.go
@@ -10,10 +10,10 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Usage counts the bytes that the answers of a store keep.
+// Usage counts the bytes that the answers of a store use.
 type Usage struct{ bytes atomic.Int64 }
 
-// Bytes returns the count.
+// Bytes returns the current number of bytes.
 func (u *Usage) Bytes() identifier.Bytes { return identifier.Bytes(u.bytes.Load()) }
 
 func (u *Usage) add(n identifier.Bytes) {
@@ -22,7 +22,7 @@
 	}
 }
 
-// Store keeps answers by request. It is safe for concurrent use.
+// Store maps requests to answers. It is safe for concurrent use.
 type Store struct {
 	limit identifier.Bytes
 	grace timekeeper.Duration
@@ -32,17 +32,18 @@
 	answers map[identifier.RequestID]*storedAnswer
 }
 
-// kept is an answer in a store; endedAt is zero until a sweep saw its end.
+// storedAnswer is an answer in a store. endedAt is zero until a sweep finds
+// that the answer has ended.
 type storedAnswer struct {
 	answer  *Answer
 	endedAt timekeeper.Time
 }
 
-// StoreConfig bounds a store.
+// StoreConfig holds the limits of a store.
 type StoreConfig struct {
-	// Limit bounds the bytes of all answers. Add refuses beyond it.
+	// Limit bounds the total size of the answers. Add fails beyond it.
 	Limit identifier.Bytes
-	// Grace is how long an ended answer stays for callers that reattach.
+	// Grace is the time that an ended answer is kept for callers that reattach.
 	Grace timekeeper.Duration
 }
 
@@ -55,7 +56,7 @@
 	}
 }
 
-// Get returns the answer of a request, if it is kept.
+// Get returns the answer of a request, if the store has it.
 func (s *Store) Get(r identifier.RequestID) (*Answer, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,9 +67,10 @@
 	return k.answer, true
 }
 
-// Add keeps a, unless the request has an answer already that keep wants to
-// stay: that one is returned with false. Ended answers make room, oldest
-// first; where there is none, the error is a *FullError.
+// Add stores a. If the request already has an answer for which keepOld returns
+// true, Add returns that one and false instead. Ended answers are evicted to
+// make room, oldest first; if that is not enough, the error is a
+// *StoreFullError.
 func (s *Store) Add(a *Answer, keepOld func(old *Answer) bool) (*Answer, bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,8 +84,8 @@
 	return a, true, nil
 }
 
-// Put keeps a in any case, in place of an older answer of the same request:
-// it is of a request that this node has to finish.
+// Put stores a regardless of the limit, and replaces an older answer of the
+// same request. It is for requests that this node must finish.
 func (s *Store) Put(a *Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,14 +98,14 @@
 	s.answers[a.Request()] = &storedAnswer{answer: a}
 }
 
-// Remove drops the answer of a request.
+// Remove removes the answer of a request.
 func (s *Store) Remove(r identifier.RequestID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.remove(r)
 }
 
-// Discard drops a, unless the request has another answer by now.
+// Discard removes a, unless the request has another answer by now.
 func (s *Store) Discard(a *Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,8 +123,9 @@
 	k.answer.setUsage(nil)
 }
 
-// Sweep drops the ended answers whose grace time is over, and older ended
-// ones while the store is over its limit. It returns how many it dropped.
+// Sweep removes the ended answers whose grace time has passed, and further
+// ended ones, oldest first, while the store is above its limit. It returns the
+// number of removed answers.
 func (s *Store) Sweep(now timekeeper.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,9 +145,9 @@
 	return before - len(s.answers)
 }
 
-// makeRoom drops ended answers, oldest first, until n more bytes fit, and
-// reports whether they do. An ended answer that a caller is still reading
-// stays whole for that caller; only the store lets go of it.
+// makeRoom evicts ended answers, oldest first, until n more bytes fit, and
+// reports whether they do. A caller that is reading an evicted answer can still
+// read it to its end.
 func (s *Store) makeRoom(n identifier.Bytes) bool {
 	if s.usage.Bytes()+n <= s.limit {
 		return true
@@ -170,17 +173,18 @@
 	return s.usage.Bytes()+n <= s.limit
 }
 
-// Len returns the number of answers kept.
+// Len returns the number of answers.
 func (s *Store) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.answers)
 }
 
-// Bytes returns the bytes that all answers keep.
+// Bytes returns the total size of the answers.
 func (s *Store) Bytes() identifier.Bytes { return s.usage.Bytes() }
 
-// join moves a's bytes to the count of u, or out of any count.
+// setUsage moves the size of a from its current usage counter to u, which may
+// be nil.
 func (a *Answer) setUsage(u *Usage) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/answerer/write.go
+++ b/internal/answerer/write.go
@@ -7,7 +7,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// Accept tells readers that the request was accepted.
+// Accept reports to readers that the request was accepted.
 func (a *Answer) Accept() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -18,7 +18,8 @@
 	a.notify()
 }
 
-// Refuse gives readers the final answer of a request that was not accepted.
+// Refuse ends the answer with a refusal, unless the request was already
+// accepted or refused.
 func (a *Answer) Refuse(r messenger.Refusal) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -36,9 +37,10 @@
 	})
 }
 
-// Begin makes the attempt at p the only one whose pieces are taken, and tells
-// how many tokens stand here already. It is refused for an attempt that is
-// not newer than the current one, or once the answer has ended.
+// Begin makes the given attempt the current one, so that pieces of all others
+// are rejected, and returns the number of tokens that the answer already has.
+// It returns false if the attempt is not newer than the current one or the
+// answer has ended.
 func (a *Answer) Begin(placement Placement) (identifier.Tokens, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -50,21 +52,20 @@
 	return identifier.Tokens(len(a.pieces)), true
 }
 
-// Place returns where the current attempt runs.
+// Placement returns the placement of the current attempt.
 func (a *Answer) Placement() Placement {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.placement
 }
 
-// Append adds a piece that attempt n brought, and reports whether it was
-// taken.
+// Append adds a piece received by attempt n and reports whether it was
+// accepted.
 //
-// Both checks guard the caller against crossed answers: an older attempt that
-// went silent may speak again after its successor began, and its late pieces
-// would repeat or mix into the answer. The attempt number drops all that is
-// not the current attempt's; the index drops what stands here already and
-// refuses to leave a hole.
+// Both checks prevent tokens of two attempts from being mixed: a stalled older
+// attempt may send again after its successor began. The attempt number rejects
+// pieces of any attempt but the current one, and the index rejects duplicates
+// and gaps.
 func (a *Answer) Append(n identifier.AttemptNumber, index identifier.Tokens, text string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -80,8 +81,8 @@
 	return true
 }
 
-// SetReply takes the whole answer of a plain service from attempt n, and
-// reports whether it was taken.
+// SetReply sets the response of a plain service received by attempt n and
+// reports whether it was accepted.
 func (a *Answer) SetReply(n identifier.AttemptNumber, r Reply) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -95,8 +96,8 @@
 	return true
 }
 
-// Finish ends the answer. The reply of a plain service goes out with it. Only
-// the first end counts.
+// Finish ends the answer with e, to which it adds the reply of a plain service.
+// Later calls have no effect.
 func (a *Answer) Finish(e End) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -109,7 +110,7 @@
 	a.setEnd(e)
 }
 
-// setEnd ends the answer. The caller holds a.mu.
+// setEnd ends the answer. The caller must hold a.mu.
 func (a *Answer) setEnd(e End) {
 	if a.end == nil {
 		close(a.done)
@@ -118,8 +119,8 @@
 	a.notify()
 }
 
-// Redirect tells readers that node to, at its caller address, has the request
-// now. It also replaces an end that no reader may have yet.
+// Redirect reports to readers that node to, at the given caller address, now
+// owns the request. It replaces an end that is not yet visible to readers.
 func (a *Answer) Redirect(to identifier.VMID, address string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -130,14 +131,14 @@
 	a.setEnd(End{MovedTo: address})
 }
 
-// MovedTo returns the node that has the request now, if it is another.
+// MovedTo returns the node that now owns the request, if it has moved.
 func (a *Answer) MovedTo() (identifier.VMID, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.movedTo, a.end != nil && a.end.MovedTo != ""
 }
 
-// RaiseEpoch sets the epoch of the answer's owner. It never goes down.
+// RaiseEpoch raises the epoch of the answer's owner to e. It never lowers it.
 func (a *Answer) RaiseEpoch(e identifier.Epoch) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -151,14 +152,15 @@
 	return a.epoch
 }
 
-// Hold holds back what comes from now on until Release lets it out.
+// Hold withholds all further content from readers until Release is called for
+// it.
 func (a *Answer) Hold() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ackRequired = true
 }
 
-// Unhold lets out all that stands here, and what comes later, at once.
+// Unhold releases all content, and further content as it arrives.
 func (a *Answer) Unhold() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -167,24 +169,24 @@
 	a.notify()
 }
 
-// Pause lets nothing more out until Unpause. A handover takes its snapshot
-// under it: a caller that got a token beyond the snapshot could get a
-// successor's different continuation after it.
+// Pause stops all releases until Unpause. It must precede the snapshot of a
+// handover: a caller that read a token beyond the snapshot could then read the
+// successor's different continuation.
 func (a *Answer) Pause() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.paused = true
 }
 
-// Doubt notes that another node may have the request.
+// SetOwnerUncertain records that another node may own the request.
 func (a *Answer) SetOwnerUncertain() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ownerUncertain = true
 }
 
-// Unpause ends a Pause, unless the answer has not ended and another node may
-// have the request. It reports whether the pause is over.
+// Unpause ends a Pause and returns true. If another node may own the request
+// and the answer has not ended, it returns false and the pause stays.
 func (a *Answer) Unpause() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -197,8 +199,8 @@
 	return true
 }
 
-// Release lets out the pieces up to index upTo, and the reply if reply is
-// set, because the holder has them.
+// Release releases the pieces up to index upTo, and the reply if reply is set.
+// It is called when the holder has acknowledged them.
 func (a *Answer) Release(upTo identifier.Tokens, reply bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -208,7 +210,7 @@
 	a.notify()
 }
 
-// release lets out what may go out. The caller holds a.mu.
+// release releases all content that may be released. The caller must hold a.mu.
 func (a *Answer) release() {
 	switch {
 	case a.paused:
@@ -221,7 +223,7 @@
 	}
 }
 
-// add puts p behind what stands here. The caller holds a.mu.
+// add appends p and its digest. The caller must hold a.mu.
 func (a *Answer) add(p Piece) {
 	last, _ := a.digestAt(identifier.Tokens(len(a.digests)))
 	a.pieces = append(a.pieces, p)
@@ -229,27 +231,27 @@
 	a.grow(len(p.Text) + pieceOverhead)
 }
 
-// grow counts n more bytes. The caller holds a.mu.
+// grow adds n to the size in bytes. The caller must hold a.mu.
 func (a *Answer) grow(n int) {
 	a.size += identifier.Bytes(n)
 	a.usage.add(identifier.Bytes(n))
 }
 
-// Delivered returns how many tokens stand here, released or not.
+// Delivered returns the number of tokens of the answer, released or not.
 func (a *Answer) Delivered() identifier.Tokens {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return identifier.Tokens(len(a.pieces))
 }
 
-// Pieces returns the pieces beyond after, released or not.
+// Pieces returns the pieces with an index above after, released or not.
 func (a *Answer) Pieces(after identifier.Tokens) []Piece {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return between(a.pieces, after, identifier.Tokens(len(a.pieces)))
 }
 
-// Change is what an answer got since a Mark.
+// Change is the content added to an answer since a Progress.
 type Change struct {
 	Placement Placement
 	Pieces    []Piece
@@ -257,16 +259,15 @@
 	End       *End
 }
 
-// Mark tells how much of an answer a holder has.
+// Progress is the part of an answer that a holder has.
 type Progress struct {
 	Attempt identifier.AttemptNumber
 	Pieces  identifier.Tokens
 	Reply   bool
 }
 
-// Await is for the goroutine that pushes to a holder: it waits until the
-// answer has more than m, released or not, or has ended. Its error is a
-// *WaitError.
+// Await waits until the answer has content beyond since, released or not, or
+// has ended. The error is a *WaitError.
 func (a *Answer) Await(ctx context.Context, since Progress) (Change, error) {
 	var c Change
 	err := a.wait(ctx, func() bool {
@@ -276,7 +277,7 @@
 	return c, err
 }
 
-// Since returns what the answer got since m, without waiting.
+// Since returns the content beyond p without waiting.
 func (a *Answer) Since(p Progress) Change {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -295,8 +296,8 @@
 	return c
 }
 
-// Extend adds what the owner of a copy pushed, and reports whether it joins
-// what stands here without a hole.
+// Extend adds content that the owner of a copy pushed. It returns false if
+// pieces are missing in between.
 func (a *Answer) Extend(c Change) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -322,7 +323,7 @@
 	return true
 }
 
-// Reply returns the reply of a plain service, if it is there.
+// Reply returns the response of a plain service, if it has arrived.
 func (a *Answer) Reply() (Reply, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -332,7 +333,7 @@
 	return *a.reply, true
 }
 
-// Ended returns the end, whether readers may have it yet or not.
+// Ended returns the end, even if it is not yet visible to readers.
 func (a *Answer) Ended() (End, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -342,14 +343,14 @@
 	return *a.end, true
 }
 
-// Size returns the number of bytes that the answer keeps in memory.
+// Size returns the memory that the answer uses, in bytes.
 func (a *Answer) Size() identifier.Bytes {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.size
 }
 
-// CallerCame counts one more caller and returns how many there are.
+// AddCaller increments the number of attached callers and returns it.
 func (a *Answer) AddCaller() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -357,7 +358,7 @@
 	return a.callers
 }
 
-// CallerLeft counts one caller less and returns how many there are.
+// RemoveCaller decrements the number of attached callers and returns it.
 func (a *Answer) RemoveCaller() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
