--- a/internal/runner/addresses.go
+++ b/internal/runner/addresses.go
@@ -13,41 +13,41 @@
 )
 
 const (
-	// homeNodes is how many nodes share the callers of one client account.
-	// They stand in as many zones as there are, so that the loss of one zone
-	// leaves the others.
-	homeNodes = 3
-	// wholeListNodes is the size of a fleet up to which callers get all nodes:
-	// a list that short costs nothing, and with it a caller can reach whatever
-	// node is left.
-	wholeListNodes = 12
-	// shardNodes is how many nodes callers get in a larger fleet. The nodes
-	// behind the first homeNodes are for when those are gone.
-	shardNodes = 2 * homeNodes
+	// affinityNodes is the number of nodes that share the callers of one client
+	// account. They are spread over as many zones as possible, so that the loss
+	// of a zone leaves some.
+	affinityNodes = 3
+	// fullListNodes is the largest number of nodes at which callers receive all
+	// of them. A list that short is cheap and lets callers reach any remaining
+	// node.
+	fullListNodes = 12
+	// shardNodes is the number of nodes that callers receive in a larger
+	// deployment. Those after the first affinityNodes are fallbacks.
+	shardNodes = 2 * affinityNodes
 )
 
-// Addresses returns the nodes to use for the callers of an account, best
-// first. The service makes no difference, since each node serves all.
+// Addresses returns the nodes for the callers of an account, best first. It
+// ignores the service, since each node serves all of them.
 func (r *Runner) Addresses(account identifier.AccountID, _ identifier.ServiceName) ([]server.NodeAddress, timekeeper.Duration) {
 	var nodes []gossiper.Node
-	r.ask(context.Background(), func() {
+	r.runInLoop(context.Background(), func() {
 		nodes = r.config.Reducer.Addresses(r.clock.Now(), account)
 	})
 	return nodeAddresses(shardOf(nodes, rand.Shuffle)), reducer.AddressMaxAge
 }
 
-// shardOf returns the part of an account's nodes, best first, that its callers
-// get. All nodes agree on the first homeNodes, so that an account's limits are
-// used up at these few. Their order is drawn anew for each list: callers keep
-// it for a while, and one order would send all callers of a large account to
-// one node.
+// shardOf returns the prefix of an account's ranked nodes that its callers
+// receive. All nodes agree on the first affinityNodes, so that an account's
+// limits are consumed on few nodes. Their order is shuffled for each list:
+// callers cache the list, and a fixed order would send all callers of a large
+// account to one node.
 func shardOf(nodes []gossiper.Node, shuffle func(n int, swap func(i, j int))) []gossiper.Node {
-	if len(nodes) > wholeListNodes {
+	if len(nodes) > fullListNodes {
 		nodes = nodes[:shardNodes]
 	}
 	nodes = slices.Clone(nodes)
-	homes := nodes[:min(homeNodes, len(nodes))]
-	shuffle(len(homes), func(i, j int) { homes[i], homes[j] = homes[j], homes[i] })
+	affinity := nodes[:min(affinityNodes, len(nodes))]
+	shuffle(len(affinity), func(i, j int) { affinity[i], affinity[j] = affinity[j], affinity[i] })
 	return nodes
 }
 
--- a/internal/runner/addresses_test.go
+++ b/internal/runner/addresses_test.go
@@ -13,8 +13,8 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// fleet returns nodes that stand in four zones in turn.
-func fleet(size int) []gossiper.Node {
+// zonedNodes returns nodes distributed round-robin over four zones.
+func zonedNodes(size int) []gossiper.Node {
 	var out []gossiper.Node
 	for i := range size {
 		out = append(out, gossiper.Node{
@@ -26,8 +26,8 @@
 	return out
 }
 
-// listFor returns what the callers of an account get in a fleet.
-func listFor(account identifier.AccountID, nodes []gossiper.Node) []gossiper.Node {
+// addressesFor returns the nodes that the callers of an account receive.
+func addressesFor(account identifier.AccountID, nodes []gossiper.Node) []gossiper.Node {
 	return shardOf(placer.Shard(account, nodes, len(nodes)), rand.Shuffle)
 }
 
@@ -40,50 +40,49 @@
 	return out
 }
 
-// Callers of many accounts ask for addresses, at different nodes. Each account
-// has its few home nodes, the same at every node that is asked and in three
-// zones; over the accounts these are spread over all nodes; and over an
-// account's callers the first one is spread over its home nodes.
+// Guards against uneven load: all nodes must agree on an account's nodes, which
+// span three zones; accounts must be spread over all nodes, and an account's
+// callers over its nodes.
 func TestAddressesAreSpread(t *testing.T) {
 	const accounts = 400
 	for size, listed := range map[int]int{6: 6, 9: 9, 12: 12, 13: shardNodes, 40: shardNodes} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
-			nodes := fleet(size)
+			nodes := zonedNodes(size)
 			homes := make(map[identifier.VMID]int)
 			for i := range accounts {
 				account := identifier.AccountID(fmt.Sprintf("account-%d", i))
-				list := listFor(account, nodes)
+				list := addressesFor(account, nodes)
 				require.Len(t, list, listed)
 				zones := make(map[identifier.Zone]bool)
-				for _, n := range list[:homeNodes] {
+				for _, n := range list[:affinityNodes] {
 					zones[n.Zone] = true
 					homes[n.VM]++
 				}
-				require.Len(t, zones, homeNodes)
+				require.Len(t, zones, affinityNodes)
 				other := slices.Clone(nodes)
 				slices.Reverse(other)
-				require.Equal(t, vms(list[:homeNodes]), vms(listFor(account, other)[:homeNodes]))
+				require.Equal(t, vms(list[:affinityNodes]), vms(addressesFor(account, other)[:affinityNodes]))
 			}
-			mean := accounts * homeNodes / size
+			mean := accounts * affinityNodes / size
 			for _, n := range nodes {
 				require.InDelta(t, mean, homes[n.VM], 0.6*float64(mean), n.VM)
 			}
 			first := make(map[identifier.VMID]int)
 			for range accounts {
-				first[listFor("account-1", nodes)[0].VM]++
+				first[addressesFor("account-1", nodes)[0].VM]++
 			}
-			require.Len(t, first, homeNodes)
+			require.Len(t, first, affinityNodes)
 			for vm, callers := range first {
-				require.Greater(t, callers, accounts/(2*homeNodes), vm)
+				require.Greater(t, callers, accounts/(2*affinityNodes), vm)
 			}
 		})
 	}
 }
 
-// The control of the drawn order: without it, all callers of an account begin
-// at one node.
-func TestAddressesInOneOrder(t *testing.T) {
-	nodes := fleet(9)
+// The counterpart of TestAddressesAreSpread: without shuffling, all callers of
+// an account start at the same node.
+func TestUnshuffledAddressesShareOneFirstNode(t *testing.T) {
+	nodes := zonedNodes(9)
 	first := make(map[identifier.VMID]bool)
 	for range 100 {
 		list := shardOf(placer.Shard("account-1", nodes, len(nodes)), func(int, func(i, j int)) {})
@@ -92,11 +91,11 @@
 	require.Len(t, first, 1)
 }
 
-// A whole zone is leaving, and a node elsewhere is suspected. No caller may
-// get these, whatever its account: it would keep the address for seconds.
-func TestAddressesLeaveOutNodesThatGo(t *testing.T) {
+// Guards against callers receiving leaving, suspected or dead nodes, whose
+// addresses they would cache for seconds.
+func TestAddressesExcludeUnavailableNodes(t *testing.T) {
 	for _, size := range []int{9, 20} {
-		nodes := fleet(size)
+		nodes := zonedNodes(size)
 		for i := range nodes {
 			switch {
 			case nodes[i].Zone == "zone-0":
@@ -108,7 +107,7 @@
 			}
 		}
 		for i := range 100 {
-			list := listFor(identifier.AccountID(fmt.Sprintf("account-%d", i)), nodes)
+			list := addressesFor(identifier.AccountID(fmt.Sprintf("account-%d", i)), nodes)
 			require.NotEmpty(t, list)
 			for _, n := range list {
 				require.Equal(t, gossiper.Alive, n.State, n.VM)
--- a/internal/runner/append.go
+++ b/internal/runner/append.go
@@ -15,38 +15,37 @@
 )
 
 const (
-	// appendQueue bounds the records that wait, batchRecords and batchBytes
-	// what goes into one call.
-	appendQueue  = 4096
-	batchRecords = 512
-	batchBytes   = 1 << 20
-	// appendTimeout bounds one call.
+	// maxQueuedAppends bounds the queued records, maxBatchRecords and
+	// maxBatchBytes the content of one call.
+	maxQueuedAppends = 4096
+	maxBatchRecords  = 512
+	maxBatchBytes    = 1 << 20
+	// appendTimeout is the timeout of one call.
 	appendTimeout = 2 * time.Second
-	// throttleLimit is how long a batch that the log's rate limit refuses is
-	// tried again before its records count as failed.
-	throttleLimit = 5 * time.Second
-	throttleFirst = 20 * time.Millisecond
-	throttleMost  = 1 * time.Second
-	// outcomeAppends is how often the record of an outcome is appended: it
-	// has no one who asks for it again.
-	outcomeAppends = 5
+	// throttleTimeout is the time for which a batch that the log's rate limit
+	// rejects is retried before its records count as failed.
+	throttleTimeout    = 5 * time.Second
+	minThrottleBackoff = 20 * time.Millisecond
+	maxThrottleBackoff = 1 * time.Second
+	// maxOutcomeAppends bounds the appends of an outcome's record, which no one
+	// else would retry.
+	maxOutcomeAppends = 5
 )
 
-// pendingAppend is a record that waits for its turn.
+// pendingAppend is a queued record.
 type pendingAppend struct {
 	record adapter.Record
 	ticket identifier.Ticket
-	// tries counts the appends left; a record with more than one goes back
-	// into the queue when it failed, and nobody is told of its end.
-	tries int
+	// triesLeft counts the remaining appends. A record with more than one is
+	// requeued after a failure, and its success is not reported.
+	triesLeft int
 }
 
-// appender batches appends to the log: all that wait go into one call, and at
-// most one call is under way, because all nodes share a few hundred appends a
-// second.
+// appender appends queued records to the log in batches. It makes one call at a
+// time, because all nodes share a limit of a few hundred appends a second.
 type appender struct {
 	log     PlatformLog
-	rng     *rand.Rand // for the appender's task only
+	rng     *rand.Rand // used only by the appender's task
 	metrics *Metrics
 	wake    chan struct{}
 
@@ -63,11 +62,11 @@
 	}
 }
 
-// add queues a record, or returns false where the queue is full.
+// add queues a record. It returns false if the queue is full.
 func (a *appender) add(p pendingAppend) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if len(a.queue) >= appendQueue {
+	if len(a.queue) >= maxQueuedAppends {
 		return false
 	}
 	a.queue = append(a.queue, p)
@@ -78,14 +77,14 @@
 	return true
 }
 
-// next returns the next batch, which may be empty.
+// next removes and returns the next batch, which may be empty.
 func (a *appender) next() []pendingAppend {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	n, size := 0, 0
-	for n < len(a.queue) && n < batchRecords {
+	for n < len(a.queue) && n < maxBatchRecords {
 		size += len(a.queue[n].record.Data)
-		if n > 0 && size > batchBytes {
+		if n > 0 && size > maxBatchBytes {
 			break
 		}
 		n++
@@ -95,7 +94,8 @@
 	return batch
 }
 
-// run appends batches until ctx ends, and tells ended of each.
+// run appends batches until ctx ends and calls ended for each record whose
+// result must be reported.
 func (a *appender) run(ctx context.Context, ended func(p pendingAppend, ok bool)) {
 	for {
 		batch := a.next()
@@ -112,30 +112,31 @@
 			return
 		}
 		for _, p := range batch {
-			a.settle(p, ok, ended)
+			a.reportOrRequeue(p, ok, ended)
 		}
 	}
 }
 
-// settle reports the end of a record, or queues it again.
-func (a *appender) settle(p pendingAppend, ok bool, ended func(pendingAppend, bool)) {
-	if p.tries <= 1 {
+// reportOrRequeue reports the result of a record's append or queues the record
+// again.
+func (a *appender) reportOrRequeue(p pendingAppend, ok bool, ended func(pendingAppend, bool)) {
+	if p.triesLeft <= 1 {
 		ended(p, ok)
 		return
 	}
 	if ok {
 		return
 	}
-	p.tries--
+	p.triesLeft--
 	if !a.add(p) {
 		ended(p, false)
 	}
 }
 
-// append makes one call, again and again while the log's rate limit refuses
-// it: then nothing was appended, so that trying again is safe. Any other
-// failure may hide an append that took effect; only reading the log back
-// settles that, so it is not tried again here.
+// append appends one batch and retries while the log's rate limit rejects it,
+// in which case nothing was appended. After any other error the append may have
+// taken effect. Only reading the log back can establish that, so such an append
+// is not retried here.
 func (a *appender) append(ctx context.Context, batch []pendingAppend) bool {
 	records := make([]adapter.Record, 0, len(batch))
 	for _, p := range batch {
@@ -143,7 +144,7 @@
 	}
 	a.metrics.appends.Add(1)
 	a.metrics.appendedRecords.Add(int64(len(records)))
-	pause, patience := throttleFirst, time.Now().Add(throttleLimit)
+	delay, deadline := minThrottleBackoff, time.Now().Add(throttleTimeout)
 	for {
 		err := a.appendOnce(ctx, records)
 		var throttled *adapter.RateLimitedError
@@ -151,12 +152,12 @@
 			return err == nil
 		}
 		a.metrics.throttledAppends.Add(1)
-		wait := max(throttled.RetryAfter.Std(), pause)
-		wait += time.Duration(a.rng.Int64N(int64(pause)))
-		if time.Now().Add(wait).After(patience) || !sleep(ctx, wait) {
+		wait := max(throttled.RetryAfter.Std(), delay)
+		wait += time.Duration(a.rng.Int64N(int64(delay)))
+		if time.Now().Add(wait).After(deadline) || !sleep(ctx, wait) {
 			return false
 		}
-		pause = min(2*pause, throttleMost)
+		delay = min(2*delay, maxThrottleBackoff)
 	}
 }
 
@@ -167,7 +168,7 @@
 	return err
 }
 
-// sleep waits for d, or returns false when ctx ends first.
+// sleep waits for d. It returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -179,18 +180,18 @@
 	}
 }
 
-// appendRecord queues a record that the reducer awaits the end of.
+// appendRecord queues a record whose result is reported to the reducer.
 func (r *Runner) appendRecord(e messenger.AppendRecord) {
 	p := pendingAppend{
 		record: adapter.Record{
 			Stream: e.Stream,
 			Data:   e.Data,
 		},
-		ticket: e.Ticket,
-		tries:  1,
+		ticket:    e.Ticket,
+		triesLeft: 1,
 	}
 	if !r.appends.add(p) {
-		r.later(appendEnded(p, false))
+		r.enqueue(appendEnded(p, false))
 	}
 }
 
@@ -202,8 +203,8 @@
 	}
 }
 
-// appendOutcome queues the record of a claimed request's end, with the reply
-// of a plain service in it.
+// appendOutcome queues the outcome record of a claimed request, which includes
+// the reply of a plain service.
 func (r *Runner) appendOutcome(e messenger.AppendOutcome) {
 	var reply answerer.Reply
 	r.withAnswer(e.Request, func(a *answerer.Answer) { reply, _ = a.Reply() })
@@ -214,11 +215,10 @@
 				e.Account, e.Key, e.Request, e.Nonce, e.Outcome, reply.Status, reply.Body,
 			),
 		},
-		tries: outcomeAppends,
+		triesLeft: maxOutcomeAppends,
 	})
 }
 
-// startAppender starts the task that appends.
 func (r *Runner) startAppender() {
 	r.tasks.start(func(ctx context.Context) func() {
 		r.appends.run(ctx, func(p pendingAppend, ok bool) {
--- a/internal/runner/attach.go
+++ b/internal/runner/attach.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	// adoptPatience is how long a caller that came to the holder of a copy is
-	// kept waiting while the owner's death is established; adoptCheck is the
-	// spacing of looks.
-	adoptPatience = 15 * time.Second
-	adoptCheck    = 50 * time.Millisecond
+	// adoptionTimeout is the time for which a caller waits at the holder of a
+	// copy until the holder adopts the request. adoptionCheckInterval is the
+	// time between checks.
+	adoptionTimeout       = 15 * time.Second
+	adoptionCheckInterval = 50 * time.Millisecond
 )
 
-// Attach returns the answer of a request that an account sent earlier.
+// Attach attaches the caller to the answer of a request that its account sent
+// earlier.
 func (r *Runner) Attach(
 	ctx context.Context, request identifier.RequestID, account identifier.AccountID,
 ) (*answerer.Answer, error) {
@@ -30,12 +31,13 @@
 	return a, nil
 }
 
-// find returns this node's own answer, or tells where the request is.
+// find returns the answer of a request that this node owns. If another node has
+// the request, the error is an *answerer.NotOwnerError.
 func (r *Runner) find(
 	ctx context.Context, request identifier.RequestID, account identifier.AccountID,
 ) (*answerer.Answer, error) {
 	if a, ok := r.answers.Get(request); ok {
-		return own(a, account)
+		return localAnswer(a, account)
 	}
 	q := relayer.Query{
 		Request: request,
@@ -60,8 +62,9 @@
 	return nil, &answerer.UnknownRequestError{Request: request}
 }
 
-// own returns the answer if it is the account's and still here.
-func own(a *answerer.Answer, account identifier.AccountID) (*answerer.Answer, error) {
+// localAnswer returns a if it belongs to the account and has not moved to
+// another node.
+func localAnswer(a *answerer.Answer, account identifier.AccountID) (*answerer.Answer, error) {
 	if a.Account() != account {
 		return nil, &answerer.UnknownRequestError{Request: a.Request()}
 	}
@@ -74,16 +77,16 @@
 	return a, nil
 }
 
-// awaitAdoption keeps a caller waiting whose request's owner is silent and
-// whose copy is here: this node is about to adopt it, or the owner comes back.
+// awaitAdoption waits for an answer whose copy this node holds and whose owner
+// does not respond, until this node adopts the request or drops the copy.
 func (r *Runner) awaitAdoption(
 	ctx context.Context, request identifier.RequestID, account identifier.AccountID,
 ) (*answerer.Answer, error) {
-	ctx, done := context.WithTimeout(ctx, adoptPatience)
+	ctx, done := context.WithTimeout(ctx, adoptionTimeout)
 	defer done()
-	for sleep(ctx, adoptCheck) {
+	for sleep(ctx, adoptionCheckInterval) {
 		if a, ok := r.answers.Get(request); ok {
-			return own(a, account)
+			return localAnswer(a, account)
 		}
 		if _, _, ok := r.copies.get(request); !ok {
 			break
@@ -92,7 +95,7 @@
 	return nil, &answerer.UnknownRequestError{Request: request}
 }
 
-// Cancel gives a request up.
+// Cancel cancels a request of an account.
 func (r *Runner) Cancel(ctx context.Context, request identifier.RequestID, account identifier.AccountID) error {
 	if _, err := r.find(ctx, request, account); err != nil {
 		return err
--- a/internal/runner/attempt.go
+++ b/internal/runner/attempt.go
@@ -16,45 +16,46 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Progress is reported every progressTokens tokens, and at a token that comes
-// progressEvery or more after the last report.
+// Progress is reported for the first token, then every progressTokens tokens or
+// at the first token after progressInterval.
 const (
-	progressTokens = 16
-	progressEvery  = 250 * time.Millisecond
+	progressTokens   = 16
+	progressInterval = 250 * time.Millisecond
 )
 
-// attempt is one attempt of a request, run by a task of its own.
+// attempt is one attempt of a request. It runs in its own task.
 type attempt struct {
-	runner  *Runner
-	answer  *answerer.Answer
-	service catalog.Service
-	effect  messenger.SendAttempt
-	from    identifier.Tokens // that stood here when it began
-	cancel  context.CancelFunc
+	runner      *Runner
+	answer      *answerer.Answer
+	service     catalog.Service
+	effect      messenger.SendAttempt
+	alreadyHave identifier.Tokens // tokens of the answer before this attempt
+	cancel      context.CancelFunc
 }
 
-// stoppedError ends an attempt that the reducer has no more use for.
-type stoppedError struct{}
+// attemptStoppedError ends an attempt that is no longer the current one.
+type attemptStoppedError struct{}
 
-func (e *stoppedError) Error() string { return "the attempt was stopped" }
+func (e *attemptStoppedError) Error() string { return "the attempt was stopped" }
 
-// tooLongError reports a stream that brought more tokens than were asked for.
-type tooLongError struct{ Max identifier.Tokens }
+// tooManyTokensError reports a stream that exceeds the requested number of
+// tokens.
+type tooManyTokensError struct{ Max identifier.Tokens }
 
-func (e *tooLongError) Error() string { return fmt.Sprintf("more than %d tokens", e.Max) }
+func (e *tooManyTokensError) Error() string { return fmt.Sprintf("stream exceeds %d tokens", e.Max) }
 
 var (
-	_ error = (*stoppedError)(nil)
-	_ error = (*tooLongError)(nil)
+	_ error = (*attemptStoppedError)(nil)
+	_ error = (*tooManyTokensError)(nil)
 )
 
-// sendAttempt makes the attempt the answer's current one and starts it. From
-// here on, pieces of older attempts are not taken any more.
+// sendAttempt starts an attempt and makes it the answer's current one, so that
+// pieces of older attempts are rejected from now on.
 func (r *Runner) sendAttempt(e messenger.SendAttempt) {
 	r.endAttempt(e.Request)
 	answer, ok := r.answers.Get(e.Request)
 	if !ok {
-		r.later(notSent(e))
+		r.enqueue(notSent(e))
 		return
 	}
 	from, ok := answer.Begin(answerer.Placement{
@@ -63,23 +64,23 @@
 		Stream:  e.Stream,
 	})
 	if !ok {
-		r.later(notSent(e))
+		r.enqueue(notSent(e))
 		return
 	}
-	r.metrics.started(e, answer.Spec(), from)
+	r.metrics.countAttempt(e, answer.Spec(), from)
 	ctx, cancel := context.WithCancel(r.tasks.ctx)
 	a := &attempt{
-		runner:  r,
-		answer:  answer,
-		service: r.serviceOf(answer.Spec()),
-		effect:  e,
-		from:    from,
-		cancel:  cancel,
+		runner:      r,
+		answer:      answer,
+		service:     r.serviceOf(answer.Spec()),
+		effect:      e,
+		alreadyHave: from,
+		cancel:      cancel,
 	}
 	r.attempts[e.Request] = a
 	r.tasks.start(func(context.Context) func() {
 		a.run(ctx)
-		return func() { r.forgetAttempt(a) }
+		return func() { r.removeAttempt(a) }
 	})
 }
 
@@ -100,12 +101,13 @@
 	return c.Services[spec.Service]
 }
 
-// stopAttempt ends the task of an attempt, and on demand the server's stream.
+// stopAttempt stops the task of an attempt and, if requested, cancels the
+// engine's stream.
 func (r *Runner) stopAttempt(e messenger.StopAttempt) {
 	if a := r.attempts[e.Request]; a != nil && a.effect.Attempt == e.Attempt {
 		r.endAttempt(e.Request)
 	}
-	if !e.Cancel || e.Stream == "" || !r.isModel(e.Request) {
+	if !e.Cancel || e.Stream == "" || !r.isModelRequest(e.Request) {
 		return
 	}
 	r.inLane("cancel/"+e.Address, func(ctx context.Context) func() {
@@ -118,17 +120,17 @@
 	}, nil)
 }
 
-// cancelTimeout bounds telling an engine to drop a stream. Where that fails
-// the engine computes tokens that nobody reads, until the request's deadline.
+// cancelTimeout is the timeout of cancelling an engine's stream. If that fails,
+// the engine generates unused tokens until the request's deadline.
 const cancelTimeout = 1 * time.Second
 
-func (r *Runner) isModel(request identifier.RequestID) bool {
+func (r *Runner) isModelRequest(request identifier.RequestID) bool {
 	a, ok := r.answers.Get(request)
 	return ok && r.serviceOf(a.Spec()).Kind == catalog.ModelService
 }
 
-// endAttempt ends the task of the request's attempt, if one runs. It reports
-// nothing any more.
+// endAttempt cancels the task of the request's attempt, if one runs. The task
+// then reports no result.
 func (r *Runner) endAttempt(request identifier.RequestID) {
 	if a := r.attempts[request]; a != nil {
 		a.cancel()
@@ -136,7 +138,7 @@
 	}
 }
 
-func (r *Runner) forgetAttempt(a *attempt) {
+func (r *Runner) removeAttempt(a *attempt) {
 	a.cancel()
 	if r.attempts[a.effect.Request] == a {
 		delete(r.attempts, a.effect.Request)
@@ -153,19 +155,19 @@
 	a.end(ctx, err)
 }
 
-// end reports the end of the attempt, unless the reducer itself ended it.
+// end reports the result of the attempt, unless the attempt was stopped.
 func (a *attempt) end(ctx context.Context, err error) {
-	var stopped *stoppedError
+	var stopped *attemptStoppedError
 	if errors.As(err, &stopped) || ctx.Err() != nil {
 		return
 	}
-	result := resultOf(err)
+	result := attemptResult(err)
 	if err != nil {
 		a.runner.logger.Debug("attempt ended early",
 			"request", a.effect.Request, "attempt", a.effect.Attempt,
 			"server", a.effect.Server, "result", result, "error", err)
 	}
-	a.runner.metrics.attemptEnded(result)
+	a.runner.metrics.countAttemptEnd(result)
 	a.runner.emit(ctx, messenger.AttemptEnded{
 		Request:     a.effect.Request,
 		Attempt:     a.effect.Attempt,
@@ -176,8 +178,8 @@
 	})
 }
 
-// serverEnded reports whether the server's process is gone. A connection that broke
-// does not say so by itself.
+// serverEnded reports whether the server's process has ended. A broken
+// connection alone does not show that.
 func (a *attempt) serverEnded(ctx context.Context, result messenger.AttemptResult, err error) bool {
 	switch result {
 	case messenger.AttemptNotSent:
@@ -188,25 +190,26 @@
 	return false
 }
 
-func resultOf(err error) messenger.AttemptResult {
-	var tooLong *tooLongError
+func attemptResult(err error) messenger.AttemptResult {
+	var tooLong *tooManyTokensError
 	if errors.As(err, &tooLong) {
 		return messenger.AttemptFailed
 	}
 	return adapter.Result(err)
 }
 
-// patience bounds silence. A connection that something between the two ends
-// has lost track of stays open and silent for good; the bound ends it from
-// this side, and the reducer tries a new one.
-func (a *attempt) patience() adapter.ResponseTimeouts {
+// timeouts returns the limits on the time between events. A connection that a
+// middlebox has dropped stays open but delivers nothing; the timeout closes it
+// so that the reducer can start another attempt.
+func (a *attempt) timeouts() adapter.ResponseTimeouts {
 	return adapter.ResponseTimeouts{
 		FirstByte: a.effect.FirstEventTimeout,
 		NextByte:  a.effect.NextEventTimeout,
 	}
 }
 
-// remaining is the time to the deadline; zero is none.
+// remaining returns the time to the deadline, at least a millisecond, or zero
+// if there is no deadline.
 func (a *attempt) remaining() timekeeper.Duration {
 	if a.effect.Deadline == timekeeper.Never {
 		return 0
@@ -214,7 +217,7 @@
 	return max(a.effect.Deadline.Sub(a.runner.clock.Now()), timekeeper.Millisecond)
 }
 
-// call makes the one call of a plain attempt.
+// call sends the request to the plain server and sets its reply.
 func (a *attempt) call(ctx context.Context) error {
 	body := a.answer.Body()
 	reply, err := a.runner.config.PlainServers.Call(ctx, a.effect.Address, adapter.PlainCall{
@@ -224,23 +227,24 @@
 		ContentType: body.ContentType,
 		Body:        body.Content,
 		Remaining:   a.remaining(),
-	}, a.patience())
+	}, a.timeouts())
 	if err != nil {
 		return err
 	}
-	taken := a.answer.SetReply(a.effect.Attempt, answerer.Reply{
+	accepted := a.answer.SetReply(a.effect.Attempt, answerer.Reply{
 		Status: reply.Status,
 		Header: replyHeader(reply.Header),
 		Body:   reply.Body,
 	})
-	if !taken {
+	if !accepted {
 		a.runner.metrics.stalePieces.Add(1)
-		return &stoppedError{}
+		return &attemptStoppedError{}
 	}
 	return nil
 }
 
-// passedHeaders are the headers of a plain server that its caller gets.
+// passedHeaders are the response headers of a plain server that are passed on
+// to the caller.
 var passedHeaders = []string{"Content-Type", "Content-Language", "ETag", "Last-Modified", "Location"}
 
 func replyHeader(h http.Header) map[string]string {
@@ -253,24 +257,25 @@
 	return passed
 }
 
-// stream reads a model attempt to its end, in the attempt's mode.
+// stream starts or resumes the model stream and reads it to its end.
 func (a *attempt) stream(ctx context.Context) error {
 	sink := &sink{
 		ctx:        ctx,
 		attempt:    a,
-		reported:   a.from,
+		reported:   a.alreadyHave,
 		reportedAt: time.Now(),
 	}
 	engines := a.runner.config.Engines
 	if a.effect.Mode == messenger.StartResume {
-		return engines.Resume(ctx, a.effect.Address, a.effect.Stream, a.from, a.patience(), sink)
+		return engines.Resume(ctx, a.effect.Address, a.effect.Stream, a.alreadyHave, a.timeouts(), sink)
 	}
-	return engines.Start(ctx, a.effect.Address, a.start(), a.patience(), sink)
+	return engines.Start(ctx, a.effect.Address, a.startRequest(), a.timeouts(), sink)
 }
 
-// start says what to generate. The tokens that stand already go along: an
-// engine that imported the KV cache knows them, any other reads them anew.
-func (a *attempt) start() adapter.StartRequest {
+// startRequest returns the parameters of a new stream. They include the tokens
+// that the answer already has. An engine that imported the KV cache does not
+// recompute them; any other engine does.
+func (a *attempt) startRequest() adapter.StartRequest {
 	spec := a.answer.Spec()
 	s := adapter.StartRequest{
 		Stream:       a.effect.Stream,
@@ -282,13 +287,13 @@
 		Priority:     a.effect.Priority,
 		Remaining:    a.remaining(),
 	}
-	for _, p := range a.answer.Pieces(0)[:a.from] {
+	for _, p := range a.answer.Pieces(0)[:a.alreadyHave] {
 		s.AnswerSoFar = append(s.AnswerSoFar, p.Text)
 	}
 	return s
 }
 
-// sink copies the tokens of an attempt to the answer and reports progress.
+// sink appends the tokens of an attempt to the answer and reports progress.
 type sink struct {
 	ctx        context.Context
 	attempt    *attempt
@@ -298,7 +303,7 @@
 
 var _ adapter.Sink = (*sink)(nil)
 
-// Started reports that the engine took the attempt.
+// Started reports that the engine accepted the attempt.
 func (s *sink) Started() {
 	s.attempt.runner.emit(s.ctx, messenger.AttemptStarted{
 		Request: s.attempt.effect.Request,
@@ -306,19 +311,20 @@
 	})
 }
 
-// Token adds a token to the answer. It ends the reading when the answer does
-// not take it: then another attempt is the current one, or the answer is over.
+// Token adds a token to the answer. It returns an error, which ends the stream,
+// if the answer rejects the token because another attempt is current or the
+// answer has ended.
 func (s *sink) Token(t adapter.Token) error {
 	a := s.attempt
 	if limit := a.answer.Spec().MaxTokens; limit > 0 && t.Index > limit {
-		return &tooLongError{Max: limit}
+		return &tooManyTokensError{Max: limit}
 	}
 	if !a.answer.Append(a.effect.Attempt, t.Index, t.Text) {
 		a.runner.metrics.stalePieces.Add(1)
-		return &stoppedError{}
+		return &attemptStoppedError{}
 	}
-	first := s.reported == a.from
-	if !first && t.Index-s.reported < progressTokens && time.Since(s.reportedAt) < progressEvery {
+	first := s.reported == a.alreadyHave
+	if !first && t.Index-s.reported < progressTokens && time.Since(s.reportedAt) < progressInterval {
 		return nil
 	}
 	s.reported = t.Index
--- a/internal/runner/attempt_test.go
+++ b/internal/runner/attempt_test.go
@@ -16,38 +16,37 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// The caller would read tokens of two attempts mixed. Attempt 1 hangs in its
-// engine's connection and does not notice that it was stopped; attempt 2 takes
-// its place; then the old connection speaks again. Its tokens are dropped, its
-// reading ends, and the reducer hears nothing of it.
-func TestLateTokensOfAnOldAttemptAreDropped(t *testing.T) {
+// Guards against an answer that mixes tokens of two attempts, if the connection
+// of a stopped attempt ignores its context and delivers tokens after the next
+// attempt began.
+func TestLateTokensOfStaleAttemptAreRejected(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		old := make(chan adapter.Sink, 1)
 		late := make(chan error)
 		f.engines.run = func(_ context.Context, s identifier.StreamName, sink adapter.Sink) error {
 			sink.Started()
 			if s == identifier.Stream("", 2) || len(old) > 0 {
-				return say(sink, 2, "b", "c")
+				return sendTokens(sink, 2, "b", "c")
 			}
-			err := say(sink, 1, "a")
+			err := sendTokens(sink, 1, "a")
 			old <- sink
-			<-late // A connection that ignores its context.
+			<-late // The connection ignores its context.
 			return err
 		}
 		a := f.submit()
-		f.do(messenger.Accept{Request: a.Request()}, attemptOf(a, 1))
+		f.runEffects(messenger.Accept{Request: a.Request()}, attemptOf(a, 1))
 		second := attemptOf(a, 2)
 		second.Mode = messenger.StartPrefill
-		f.do(second)
-		require.Error(t, say(<-old, 2, "late"))
+		f.runEffects(second)
+		require.Error(t, sendTokens(<-old, 2, "late"))
 		close(late)
 		synctest.Wait()
 
-		f.do(messenger.Finish{
+		f.runEffects(messenger.Finish{
 			Request: a.Request(),
 			Outcome: messenger.Done,
 		})
-		text, end := visible(t, a)
+		text, end := readable(t, a)
 		require.Equal(t, "abc", text)
 		require.Equal(t, messenger.Done, end.Outcome)
 		ended := eventsOf[messenger.AttemptEnded](f.reducer)
@@ -58,11 +57,10 @@
 	})
 }
 
-// The caller would wait for good. The engine's connection stays open and goes
-// silent after a few tokens, while new connections work. The attempt ends as
-// silent within the bound, and the resume over a new connection brings the
-// rest: the whole answer, in order.
-func TestSilentStreamEndsAndResumes(t *testing.T) {
+// Guards against a caller that waits forever if the engine's connection stays
+// open but delivers nothing. The attempt must time out and the resumed stream
+// complete the answer.
+func TestStalledStreamTimesOutAndResumes(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	service := engine.New(engine.Config{
@@ -109,7 +107,7 @@
 		return nil
 	}
 	go f.Run(ctx)
-	a, err := f.Submit(ctx, report("key-1"))
+	a, err := f.Submit(ctx, submission("key-1"))
 	require.NoError(t, err)
 	var (
 		text string
@@ -134,19 +132,19 @@
 	<-f.stopped
 }
 
-// The stream brings more than was asked for, which would grow the node's
-// memory without bound: the attempt ends as failed.
-func TestEndlessStreamIsCutOff(t *testing.T) {
+// Guards against unbounded memory use by a stream that exceeds the requested
+// number of tokens.
+func TestStreamBeyondMaxTokensFails(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		f.engines.run = func(_ context.Context, _ identifier.StreamName, sink adapter.Sink) error {
 			for i := identifier.Tokens(1); ; i++ {
-				if err := say(sink, i, "x"); err != nil {
+				if err := sendTokens(sink, i, "x"); err != nil {
 					return err
 				}
 			}
 		}
 		a := f.submit()
-		f.do(attemptOf(a, 1))
+		f.runEffects(attemptOf(a, 1))
 		ended := eventsOf[messenger.AttemptEnded](f.reducer)
 		require.Len(t, ended, 1)
 		require.Equal(t, messenger.AttemptFailed, ended[0].Result)
--- a/internal/runner/backend.go
+++ b/internal/runner/backend.go
@@ -23,8 +23,8 @@
 
 var _ server.Backend = (*Runner)(nil)
 
-// Configured reports whether the node has a configuration with an account. A
-// node that has just started has an empty one.
+// Configured reports whether the configuration has an account. That of a node
+// that has just started is empty.
 func (r *Runner) Configured() bool {
 	c := r.catalog.Load()
 	return c != nil && len(c.Accounts) > 0
@@ -45,7 +45,7 @@
 	return "", false
 }
 
-// AuthenticateOperator reports whether key is the operators' key.
+// AuthenticateOperator reports whether key is an operator's key.
 func (r *Runner) AuthenticateOperator(key string) bool {
 	hash := []byte(keyHash(key))
 	known := 0
@@ -70,15 +70,15 @@
 	return s, ok
 }
 
-// Submit takes a request in, or attaches to the answer that its key already
-// has. The caller counts as gone when ctx ends.
+// Submit accepts a request for processing, or attaches to the existing answer
+// for its key. The caller counts as disconnected when ctx ends.
 func (r *Runner) Submit(ctx context.Context, s server.Submission) (*answerer.Answer, error) {
-	fresh := r.newAnswer(s)
-	answer, added, err := r.answers.Add(fresh, worthKeeping)
+	created := r.newAnswer(s)
+	answer, added, err := r.answers.Add(created, reusable)
 	if err != nil {
 		return nil, err
 	}
-	if !added && !sameRequest(answer, fresh) {
+	if !added && !sameRequest(answer, created) {
 		return nil, &answerer.KeyConflictError{Key: s.Key}
 	}
 	if added {
@@ -92,16 +92,14 @@
 	return answer, nil
 }
 
-// worthKeeping reports whether a repeated request gets the old answer. It
-// runs anew where nothing has run, or where running again does no harm and
-// may bring the answer that the first run did not.
+// reusable reports whether a repeated request receives the old answer. It runs
+// again if nothing has run, or if it is idempotent and did not succeed.
 //
-// A keyed request that must not run twice may be refused as unknown, because
-// another node may have its key, with a time to come back. Kept, that refusal
-// would be all that the caller hears until it is forgotten, long after the log
-// is back. Whether the key may run is for the claims in the log to decide, at
-// this node as at any other.
-func worthKeeping(old *answerer.Answer) bool {
+// A non-idempotent request with a key may be refused with outcome unknown and a
+// retry delay, because another node may have claimed the key. Such a refusal
+// must not be reused: the claims in the log decide on a retry, and the caller
+// would otherwise be refused long after the log is available again.
+func reusable(old *answerer.Answer) bool {
 	end, ended := old.Ended()
 	switch {
 	case !ended || end.MovedTo != "" || end.Outcome == messenger.Done:
@@ -150,17 +148,17 @@
 			PromptTokens: encoder.PromptTokens(s.Prompt),
 			MaxTokens:    maxTokens,
 			Prefix:       encoder.Prefix(s.Prompt),
-			Content:      contentOf(s),
+			Content:      contentHash(s),
 		},
 		Body: body,
 	})
 }
 
-// contentOf stands for what a submission asks, whatever its key.
-func contentOf(s server.Submission) identifier.ContentHash {
+// contentHash hashes the content of a submission, excluding its key.
+func contentHash(s server.Submission) identifier.ContentHash {
 	d := xxhash.New()
 	for _, part := range []string{string(s.Service), s.Method, s.Path, s.Prompt} {
-		// Neither write fails.
+		// Writes to the hash do not fail.
 		_, _ = d.WriteString(part)
 		_, _ = d.Write([]byte{0})
 	}
@@ -168,8 +166,8 @@
 	return identifier.ContentHash(d.Sum64())
 }
 
-// requestID derives the id from the account and the key, so that every node
-// names a repeated request the same, or makes up a new one.
+// requestID derives the ID from the account and the key, so that all nodes use
+// the same ID for a repeated request. Without a key the ID is a new ULID.
 func requestID(s server.Submission) identifier.RequestID {
 	if s.Key == "" {
 		return identifier.RequestID(ulid.Make().String())
@@ -177,8 +175,8 @@
 	return identifier.RequestID(fmt.Sprintf("k%016x%016x", keySum(1, s), keySum(2, s)))
 }
 
-// keySum hashes the account and the key, with the account's length first so
-// that no two pairs run together.
+// keySum hashes the account and the key. The length of the account comes first,
+// so that distinct pairs have distinct encodings.
 func keySum(half uint64, s server.Submission) uint64 {
 	d := xxhash.NewWithSeed(half)
 	var length [8]byte
@@ -189,7 +187,7 @@
 	return d.Sum64()
 }
 
-// attachCaller counts a caller in until ctx ends.
+// attachCaller counts the caller as attached until ctx ends.
 func (r *Runner) attachCaller(ctx context.Context, a *answerer.Answer) {
 	if a.AddCaller() == 1 {
 		r.emit(ctx, messenger.CallerAttached{Request: a.Request()})
@@ -201,5 +199,5 @@
 	})
 }
 
-// Metrics returns what the Runner counts.
+// Metrics returns the counters of the Runner.
 func (r *Runner) Metrics() *Metrics { return r.metrics }
--- a/internal/runner/backend_test.go
+++ b/internal/runner/backend_test.go
@@ -51,7 +51,7 @@
 			outcome: messenger.NotRun,
 		},
 		{
-			name:    "unknown, and safe to repeat",
+			name:    "unknown, idempotent",
 			outcome: messenger.Unknown,
 		},
 	}
@@ -62,7 +62,7 @@
 				if test.outcome != "" {
 					first.Finish(answerer.End{Outcome: test.outcome})
 				}
-				again, err := f.Submit(t.Context(), report("key-1"))
+				again, err := f.Submit(t.Context(), submission("key-1"))
 				require.NoError(t, err)
 				require.Equal(t, first.Request(), again.Request())
 				require.Equal(t, test.same, first == again)
@@ -74,11 +74,9 @@
 	}
 }
 
-// With the log out a mail is refused as unknown, with a time to come back. The
-// caller repeats its key at the same node, as told, and the claims decide anew:
-// kept, the refusal would be all that it hears, long after the log is back. A
-// mail that was accepted, or that lost its claim, is not tried again.
-func TestRepeatedKeyOfARefusedMail(t *testing.T) {
+// Guards against a retriable refusal being returned for every retry of its key.
+// A request that was accepted, or that lost its claim, must not run again.
+func TestRepeatedKeyOfNonIdempotentRequest(t *testing.T) {
 	refusal := messenger.Refusal{
 		Reason:     messenger.ReasonLogUnavailable,
 		Outcome:    messenger.Unknown,
@@ -90,11 +88,11 @@
 		same bool
 	}{
 		{
-			name: "refused with a time to come back",
+			name: "retriable refusal",
 			end:  func(a *answerer.Answer) { a.Refuse(refusal) },
 		},
 		{
-			name: "refused for good",
+			name: "final refusal",
 			end: func(a *answerer.Answer) {
 				a.Refuse(messenger.Refusal{
 					Reason:  messenger.ReasonDuplicate,
@@ -104,7 +102,7 @@
 			same: true,
 		},
 		{
-			name: "accepted, and broken off",
+			name: "accepted, then failed",
 			end: func(a *answerer.Answer) {
 				a.Accept()
 				a.Finish(answerer.End{
@@ -139,12 +137,12 @@
 	}
 }
 
-// A caller would read the answer to another request: its key stands for one
-// with other words. It is refused; under another account the key is free.
-func TestKeyOfAnotherRequest(t *testing.T) {
+// Guards against a caller receiving the answer to a different request with the
+// same key, and against sharing of keys between accounts.
+func TestKeyConflict(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		first := f.submit()
-		other := report("key-1")
+		other := submission("key-1")
 		other.Prompt = "another manuscript"
 		_, err := f.Submit(t.Context(), other)
 		var conflict *answerer.KeyConflictError
@@ -160,7 +158,7 @@
 	})
 }
 
-func TestAttachElsewhere(t *testing.T) {
+func TestAttachAtAnotherNode(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		f.reducer.nodes = nodes("entry-1", "entry-2", "entry-3")
 		known := map[string]relayer.Location{"entry-2:peer": {
@@ -174,11 +172,11 @@
 		var elsewhere *answerer.NotOwnerError
 		_, err := f.Attach(t.Context(), "r1", "agency")
 		require.ErrorAs(t, err, &elsewhere)
-		require.Equal(t, "entry-2:caller", elsewhere.Address, "a copy is better than nothing")
+		require.Equal(t, "entry-2:caller", elsewhere.Address, "the holder of a copy if no owner is found")
 		known["entry-3:peer"] = relayer.Location{Address: "entry-3:caller"}
 		_, err = f.Attach(t.Context(), "r1", "agency")
 		require.ErrorAs(t, err, &elsewhere)
-		require.Equal(t, "entry-3:caller", elsewhere.Address, "the owner is better than a copy")
+		require.Equal(t, "entry-3:caller", elsewhere.Address, "the owner rather than a holder")
 		clear(known)
 		var unknown *answerer.UnknownRequestError
 		_, err = f.Attach(t.Context(), "r1", "agency")
@@ -186,10 +184,9 @@
 	})
 }
 
-// A caller comes to a node that does not have its request. One peer is frozen,
-// another one is the owner. The caller is sent there at once, and is not kept
-// until the frozen peer has been given up.
-func TestOwnerIsFoundBesideAFrozenPeer(t *testing.T) {
+// Guards against an unresponsive peer delaying the search for a request's
+// owner.
+func TestOwnerIsFoundDespiteUnresponsivePeer(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		f.reducer.nodes = nodes("entry-1", "entry-2", "entry-3")
 		f.peers.locate = func(ctx context.Context, address string) (relayer.Location, bool, error) {
@@ -208,10 +205,9 @@
 	})
 }
 
-// The caller's node died and it comes to the holder before that one has
-// noticed. It is kept waiting, not told that the request is unknown; once the
-// node has adopted the request, the caller reads on.
-func TestAttachAtTheHolderWaitsForTheAdoption(t *testing.T) {
+// Guards against an unknown-request error at a holder that has not yet detected
+// the owner's death. The caller must wait for the adoption.
+func TestAttachAtHolderWaitsForAdoption(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		f.StoreCopy(t.Context(), "entry-2", push(1))
 		attached := make(chan *answerer.Answer, 1)
@@ -223,7 +219,7 @@
 		}()
 		sleep(t.Context(), 3*time.Second)
 		require.Empty(t, attached)
-		f.do(messenger.Adopt{
+		f.runEffects(messenger.Adopt{
 			Request: "r1",
 			Epoch:   9,
 		})
@@ -235,8 +231,8 @@
 	})
 }
 
-// A caller counts until its context ends; the reducer hears of the first that
-// comes and the last that leaves.
+// Each caller counts until its context ends. Only the first attach and the last
+// disconnect are reported to the reducer.
 func TestCallersAreCounted(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		a := f.submit()
@@ -249,7 +245,7 @@
 		require.Empty(t, eventsOf[messenger.CallerDisconnected](f.reducer))
 
 		ctx, leave = context.WithCancel(t.Context())
-		_, err = f.Submit(ctx, report("key-2"))
+		_, err = f.Submit(ctx, submission("key-2"))
 		require.NoError(t, err)
 		leave()
 		synctest.Wait()
@@ -257,9 +253,10 @@
 	})
 }
 
-// Two nodes got the same key and this one lost the claim. Its caller gets the
-// winner's answer, and where that is not to be had "unknown", never "not run".
-func TestAnswerOfALostClaim(t *testing.T) {
+// Guards against a caller that lost its claim being told that the request did
+// not run. It must receive the winner's outcome, or "unknown" if that is
+// unavailable.
+func TestLostClaimReturnsWinnersOutcome(t *testing.T) {
 	reply := &answerer.Reply{
 		Status: 201,
 		Body:   []byte("sent"),
@@ -298,7 +295,7 @@
 			status: 201,
 		},
 		{
-			name: "winner silent",
+			name: "winner does not respond",
 			outcome: func() (relayer.Ending, error) {
 				return relayer.Ending{}, &relayer.PeerError{}
 			},
@@ -307,7 +304,7 @@
 		{
 			name: "still running at the deadline",
 			outcome: func() (relayer.Ending, error) {
-				sleep(context.Background(), outcomeWait.Std())
+				sleep(context.Background(), outcomeQueryWait.Std())
 				return relayer.Ending{State: relayer.EndingRunning}, nil
 			},
 			want: messenger.Unknown,
@@ -319,7 +316,7 @@
 				f.reducer.nodes = nodes("entry-1", "entry-2")
 				f.peers.outcome = test.outcome
 				a := f.submit()
-				f.do(messenger.AnswerFrom{
+				f.runEffects(messenger.AnswerFrom{
 					Request:  a.Request(),
 					Winner:   "entry-2",
 					Recorded: test.recorded,
@@ -345,7 +342,7 @@
 	require.False(t, f.AuthenticateOperator("secret"))
 }
 
-func TestMetricsAreJSON(t *testing.T) {
+func TestMetricsAreValidJSON(t *testing.T) {
 	f := newFixture(t)
 	var values map[string]any
 	require.NoError(t, json.Unmarshal([]byte(f.Metrics().Var().String()), &values))
--- a/internal/runner/claimed.go
+++ b/internal/runner/claimed.go
@@ -11,38 +11,40 @@
 )
 
 const (
-	// outcomeWait is how long one question for the winner's outcome waits.
-	outcomeWait = 5 * timekeeper.Second
-	// outcomeTries is how many questions in a row may go unanswered before
-	// the winner is taken for gone.
-	outcomeTries = 3
+	// outcomeQueryWait is the longest time that one query waits at the winner
+	// for the outcome.
+	outcomeQueryWait = 5 * timekeeper.Second
+	// maxOutcomeFailures is the number of consecutive failed queries after
+	// which the outcome counts as unknown.
+	maxOutcomeFailures = 3
 )
 
-// answerFrom answers the caller of a request that lost its claim. Only the
-// winner runs it, so whatever cannot be had from the winner is unknown.
-func (r *Runner) answerFrom(e messenger.AnswerFrom) {
+// answerFromWinner answers the caller of a request that lost its claim. Only
+// the winner runs the request, so an outcome that the winner cannot supply is
+// unknown.
+func (r *Runner) answerFromWinner(e messenger.AnswerFrom) {
 	answer, ok := r.answers.Get(e.Request)
 	if !ok {
 		return
 	}
-	if e.Recorded != nil && recordedWhole(e.Recorded) {
-		r.answerWith(answer, recordedEnding(e.Recorded))
+	if e.Recorded != nil && recordComplete(e.Recorded) {
+		r.deliverEnding(answer, recordedEnding(e.Recorded))
 		return
 	}
 	node, known := r.config.Reducer.Node(e.Winner)
 	if !known || e.Winner == r.config.Self {
-		r.answerWith(answer, relayer.Ending{State: relayer.EndingUnknown})
+		r.deliverEnding(answer, relayer.Ending{State: relayer.EndingUnknown})
 		return
 	}
 	r.tasks.start(func(ctx context.Context) func() {
-		found := r.askWinner(ctx, node.PeerAddress, answer)
-		return func() { r.answerWith(answer, found) }
+		ending := r.awaitWinner(ctx, node.PeerAddress, answer)
+		return func() { r.deliverEnding(answer, ending) }
 	})
 }
 
-// recordedWhole reports whether the log's record has all of the answer: the
-// tokens of a model service and large replies are not in it.
-func recordedWhole(o *messenger.RecordedOutcome) bool {
+// recordComplete reports whether the log's record contains the complete answer.
+// It omits the tokens of a model service and large replies.
+func recordComplete(o *messenger.RecordedOutcome) bool {
 	return o.Outcome != messenger.Done || (o.Status != 0 && !o.BodyOmitted)
 }
 
@@ -60,17 +62,17 @@
 	return e
 }
 
-// askWinner asks the winner's node until it knows the end, the request's
-// deadline comes, or the node does not answer.
-func (r *Runner) askWinner(ctx context.Context, address string, a *answerer.Answer) relayer.Ending {
+// awaitWinner queries the winner until the outcome is known, the deadline
+// passes, or the winner does not respond.
+func (r *Runner) awaitWinner(ctx context.Context, address string, a *answerer.Answer) relayer.Ending {
 	unanswered := 0
-	for unanswered < outcomeTries {
-		left := a.Spec().Deadline.Sub(r.clock.Now())
-		if left <= 0 || ctx.Err() != nil {
+	for unanswered < maxOutcomeFailures {
+		remaining := a.Spec().Deadline.Sub(r.clock.Now())
+		if remaining <= 0 || ctx.Err() != nil {
 			break
 		}
-		wait := min(left, outcomeWait)
-		ending, err := r.askOutcome(ctx, address, relayer.Query{
+		wait := min(remaining, outcomeQueryWait)
+		ending, err := r.requestOutcome(ctx, address, relayer.Query{
 			Request: a.Request(),
 			Account: a.Account(),
 			Wait:    wait,
@@ -87,18 +89,18 @@
 	return relayer.Ending{State: relayer.EndingUnknown}
 }
 
-func (r *Runner) askOutcome(ctx context.Context, address string, q relayer.Query) (relayer.Ending, error) {
+func (r *Runner) requestOutcome(ctx context.Context, address string, q relayer.Query) (relayer.Ending, error) {
 	ctx, done := context.WithTimeout(ctx, q.Wait.Std()+time.Second)
 	defer done()
 	return r.config.Peers.Outcome(ctx, address, q)
 }
 
-// answerWith gives the caller the winner's end.
-func (r *Runner) answerWith(a *answerer.Answer, e relayer.Ending) {
+// deliverEnding ends the answer with the winner's outcome.
+func (r *Runner) deliverEnding(a *answerer.Answer, e relayer.Ending) {
 	if e.State != relayer.EndingKnown {
 		e.Outcome = messenger.Unknown
 	}
-	r.metrics.outcome(e.Outcome)
+	r.metrics.countOutcome(e.Outcome)
 	if e.Outcome == messenger.Unknown || e.Outcome == messenger.NotRun {
 		a.Refuse(messenger.Refusal{
 			Reason:  messenger.ReasonDuplicate,
--- a/internal/runner/confirm.go
+++ b/internal/runner/confirm.go
@@ -6,19 +6,20 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// confirms are the handovers of peers that wait until the reducer says that
-// the request is safe here. It is safe for concurrent use.
-type confirms struct {
+// confirmations holds the handovers from peers that wait until the reducer
+// confirms that the request is stored safely. It is safe for concurrent use.
+type confirmations struct {
 	mu      sync.Mutex
 	waiting map[identifier.RequestID]map[chan struct{}]bool
 }
 
-func newConfirms() *confirms {
-	return &confirms{waiting: make(map[identifier.RequestID]map[chan struct{}]bool)}
+func newConfirmations() *confirmations {
+	return &confirmations{waiting: make(map[identifier.RequestID]map[chan struct{}]bool)}
 }
 
-// await returns a channel that confirm closes, and what ends the wait.
-func (c *confirms) await(r identifier.RequestID) (safe <-chan struct{}, forget func()) {
+// await returns a channel that confirm closes, and a function that ends the
+// wait.
+func (c *confirmations) await(r identifier.RequestID) (safe <-chan struct{}, forget func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ch := make(chan struct{})
@@ -36,7 +37,7 @@
 	}
 }
 
-func (c *confirms) confirm(r identifier.RequestID) {
+func (c *confirmations) confirm(r identifier.RequestID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for ch := range c.waiting[r] {
--- a/internal/runner/copies.go
+++ b/internal/runner/copies.go
@@ -11,26 +11,26 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// copyGrace is how long a copy outlives its request's deadline. An owner that
-// died after the end of a request, or an Unhold that got lost, would else
-// leave the copy here for good.
+// copyGrace is the time that a copy is kept beyond its request's deadline. It
+// removes copies whose owner died after the request ended, or whose Unhold was
+// lost.
 const copyGrace = 1 * timekeeper.Minute
 
-// maxCopies bounds the copies. It is below the reducer's own bound, which
-// would drop a copy that its owner was already told is kept.
+// maxCopies bounds the number of copies. It is below the reducer's own bound,
+// which would drop a copy that was already acknowledged to its owner.
 const maxCopies = 1024
 
-// copies keeps what peers pushed here of their long requests, within a bound
-// on bytes. It is safe for concurrent use.
+// copies stores the copies of long requests that peers push to this node,
+// within a memory limit. It is safe for concurrent use.
 type copies struct {
 	limit identifier.Bytes
 
-	mu    sync.Mutex
-	held  map[identifier.RequestID]*heldCopy
-	bytes identifier.Bytes
+	mu        sync.Mutex
+	byRequest map[identifier.RequestID]*storedCopy
+	bytes     identifier.Bytes
 }
 
-type heldCopy struct {
+type storedCopy struct {
 	owner  identifier.VMID
 	answer *answerer.Answer
 	size   identifier.Bytes
@@ -38,39 +38,40 @@
 
 func newCopies(limit identifier.Bytes) *copies {
 	return &copies{
-		limit: limit,
-		held:  make(map[identifier.RequestID]*heldCopy),
+		limit:     limit,
+		byRequest: make(map[identifier.RequestID]*storedCopy),
 	}
 }
 
-// later reports whether owner a of a request comes after owner b.
-func later(epochA identifier.Epoch, a identifier.VMID, epochB identifier.Epoch, b identifier.VMID) bool {
+// laterOwner reports whether owner a with epochA supersedes owner b with
+// epochB.
+func laterOwner(epochA identifier.Epoch, a identifier.VMID, epochB identifier.Epoch, b identifier.VMID) bool {
 	if epochA != epochB {
 		return epochA > epochB
 	}
 	return a < b
 }
 
-// keep adds a push to the copy of its request. A push with the body makes a
-// new copy; one without must join what is here. The push of an owner that
-// another has come after is refused.
-func (c *copies) keep(owner identifier.VMID, p relayer.Push) relayer.HoldAnswer {
+// store adds a push to the copy of its request. A push with the body replaces
+// the copy; one without must continue the existing copy. A push from a
+// superseded owner is rejected.
+func (c *copies) store(owner identifier.VMID, p relayer.Push) relayer.HoldAnswer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	held := c.held[p.Spec.Request]
+	held := c.byRequest[p.Spec.Request]
 	size := pushSize(p)
-	if held != nil && held.owner != owner && later(held.answer.Epoch(), held.owner, p.Epoch, owner) {
+	if held != nil && held.owner != owner && laterOwner(held.answer.Epoch(), held.owner, p.Epoch, owner) {
 		return relayer.HoldOwned
 	}
 	if p.Body == nil && (held == nil || held.owner != owner) {
 		return relayer.HoldIncomplete
 	}
-	if c.bytes+size > c.limit || held == nil && len(c.held) >= maxCopies {
+	if c.bytes+size > c.limit || held == nil && len(c.byRequest) >= maxCopies {
 		return relayer.HoldFull
 	}
 	if p.Body != nil {
 		c.remove(p.Spec.Request)
-		held = &heldCopy{
+		held = &storedCopy{
 			owner: owner,
 			answer: answerer.New(answerer.Config{
 				Spec:     p.Spec,
@@ -79,7 +80,7 @@
 				Accepted: true,
 			}),
 		}
-		c.held[p.Spec.Request] = held
+		c.byRequest[p.Spec.Request] = held
 	}
 	if !held.answer.Extend(answerer.Change{
 		Placement: p.Place,
@@ -113,7 +114,7 @@
 func (c *copies) get(r identifier.RequestID) (*answerer.Answer, identifier.VMID, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	held, ok := c.held[r]
+	held, ok := c.byRequest[r]
 	if !ok {
 		return nil, "", false
 	}
@@ -124,7 +125,7 @@
 func (c *copies) take(r identifier.RequestID) (*answerer.Answer, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	held, ok := c.held[r]
+	held, ok := c.byRequest[r]
 	if !ok {
 		return nil, false
 	}
@@ -139,13 +140,13 @@
 	c.remove(r)
 }
 
-// dropFrom removes the copy of a request if it is owner's, and reports
-// whether it was. The request may have passed on to another owner that holds
-// here too: the word of the earlier owner must not drop the later one's copy.
-func (c *copies) dropFrom(owner identifier.VMID, r identifier.RequestID) bool {
+// dropIfOwner removes the copy of a request if it belongs to owner, and reports
+// whether it did. After the request moved to another owner with the same
+// holder, a late message of the earlier owner must not drop the newer copy.
+func (c *copies) dropIfOwner(owner identifier.VMID, r identifier.RequestID) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	held, ok := c.held[r]
+	held, ok := c.byRequest[r]
 	if !ok || held.owner != owner {
 		return false
 	}
@@ -154,20 +155,21 @@
 }
 
 func (c *copies) remove(r identifier.RequestID) {
-	held, ok := c.held[r]
+	held, ok := c.byRequest[r]
 	if !ok {
 		return
 	}
 	c.bytes -= held.size
-	delete(c.held, r)
+	delete(c.byRequest, r)
 }
 
-// sweep removes the copies whose deadline is long past and returns them.
+// sweep removes the copies whose deadline passed more than copyGrace ago and
+// returns their requests.
 func (c *copies) sweep(now timekeeper.Time) []identifier.RequestID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var dropped []identifier.RequestID
-	for r, held := range c.held {
+	for r, held := range c.byRequest {
 		if now.After(held.answer.Spec().Deadline.Add(copyGrace)) {
 			dropped = append(dropped, r)
 			c.remove(r)
@@ -177,9 +179,9 @@
 	return dropped
 }
 
-// size returns the number of copies and their bytes.
-func (c *copies) size() (int, identifier.Bytes) {
+// totals returns the number of copies and their total size.
+func (c *copies) totals() (int, identifier.Bytes) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.held), c.bytes
+	return len(c.byRequest), c.bytes
 }
--- a/internal/runner/effect.go
+++ b/internal/runner/effect.go
@@ -8,18 +8,18 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// carryOut does what an effect says, or starts the task that does it.
-func (r *Runner) carryOut(effect messenger.Effect) {
+// execute executes an effect or starts the task that does.
+func (r *Runner) execute(effect messenger.Effect) {
 	switch e := effect.(type) {
 	case messenger.Refuse:
-		r.metrics.refused(e.Refusal)
+		r.metrics.countRefusal(e.Refusal)
 		r.withAnswer(e.Request, func(a *answerer.Answer) { a.Refuse(e.Refusal) })
 	case messenger.Accept:
 		r.withAnswer(e.Request, (*answerer.Answer).Accept)
 	case messenger.Finish:
 		r.finish(e)
 	case messenger.AnswerFrom:
-		r.answerFrom(e)
+		r.answerFromWinner(e)
 	case messenger.Redirect:
 		r.redirect(e)
 	case messenger.SendAttempt:
@@ -39,7 +39,7 @@
 	case messenger.HandOver:
 		r.handOver(e)
 	case messenger.ConfirmHandover:
-		r.confirms.confirm(e.Request)
+		r.handoverConfirmations.confirm(e.Request)
 	case messenger.Adopt:
 		r.adopt(e)
 	case messenger.Forget:
@@ -55,21 +55,21 @@
 	case messenger.ReleaseVM:
 		r.releaseVM(e)
 	case messenger.RefuseExchange:
-		r.decided(e.Exchange, e)
+		r.deliverDecision(e.Exchange, e)
 	case messenger.SendExchange:
-		r.decided(e.Exchange, e)
+		r.deliverDecision(e.Exchange, e)
 	case messenger.EndExchange:
-		r.decided(e.Exchange, e)
+		r.deliverDecision(e.Exchange, e)
 	case messenger.RequestLimit:
-		r.askLimit(e)
+		r.requestLimit(e)
 	case messenger.AnswerLimit:
-		r.limitAsks.answer(e.Ticket, e.Answer)
+		r.limitRequests.answer(e.Ticket, e.Answer)
 	case messenger.RequestPermit:
-		r.askPermit(e)
+		r.requestPermit(e)
 	case messenger.AnswerPermit:
-		r.permitAsks.answer(e.Ticket, e.Answer)
+		r.permitRequests.answer(e.Ticket, e.Answer)
 	case messenger.SendStateUpdate:
-		r.sendShare(e)
+		r.sendStateUpdate(e)
 	case messenger.OrderServers:
 		r.orderServers(e)
 	case messenger.ReportUsage:
@@ -77,13 +77,13 @@
 	case messenger.ClaimRollouts:
 		r.claimRollouts(e)
 	case messenger.StoreRollout:
-		r.keepRollout(e)
+		r.storeRollout(e)
 	case messenger.ReplyOperator:
 		r.replyOperator(e)
 	case messenger.FetchConfiguration:
 		r.fetchConfiguration(e)
 	case messenger.TimelineEntry:
-		r.note(e)
+		r.recordEntry(e)
 	case messenger.Exit:
 		r.exit()
 	default:
@@ -97,10 +97,10 @@
 	}
 }
 
-// finish ends an answer. A handover that is still under way has lost its
-// race: what stands here is the whole answer, so it may go out.
+// finish ends an answer. If a handover is still in progress, the answer is
+// already complete here and may be released.
 func (r *Runner) finish(e messenger.Finish) {
-	r.metrics.outcome(e.Outcome)
+	r.metrics.countOutcome(e.Outcome)
 	r.withAnswer(e.Request, func(a *answerer.Answer) {
 		a.Finish(answerer.End{
 			Outcome:    e.Outcome,
@@ -123,8 +123,8 @@
 	r.endHold(e.Request)
 }
 
-// forget drops what is kept of a request. An ended answer stays for its grace
-// time, because a caller may still come for it.
+// forget drops the state of a request. An ended answer stays for its grace
+// time, because a caller may still attach.
 func (r *Runner) forget(e messenger.Forget) {
 	r.copies.drop(e.Request)
 	a, ok := r.answers.Get(e.Request)
@@ -140,7 +140,7 @@
 	r.endHold(e.Request)
 }
 
-// adopt makes the copy of a dead owner's request this node's own.
+// adopt makes this node the owner of a request whose copy it holds.
 func (r *Runner) adopt(e messenger.Adopt) {
 	a, ok := r.copies.take(e.Request)
 	if !ok {
@@ -152,13 +152,13 @@
 	r.answers.Put(a)
 }
 
-// note puts an event on the time line and writes it to the log. Those about other
-// VMs come by hundreds when many nodes start, or a zone goes, and are summed up
-// then; what this node decides is not.
-func (r *Runner) note(e messenger.TimelineEntry) {
+// recordEntry records a timeline entry and logs it. Entries about other VMs
+// come in bursts when many nodes start or a zone fails, so these are summarized
+// in the log. Entries about requests and about this node are not.
+func (r *Runner) recordEntry(e messenger.TimelineEntry) {
 	entry := r.config.Historian.Record(e)
-	ofOthers := e.Request == "" && e.VM != r.config.Self
-	if ofOthers && !r.summaries.Admit(r.clock.Now(), e.Kind, e.VM) {
+	aboutOtherVM := e.Request == "" && e.VM != r.config.Self
+	if aboutOtherVM && !r.summaries.Admit(r.clock.Now(), e.Kind, e.VM) {
 		return
 	}
 	r.logger.Info(string(e.Kind),
@@ -170,8 +170,8 @@
 	)
 }
 
-// writeSums writes what was summed up.
-func (r *Runner) writeSums(now timekeeper.Time) {
+// logSummaries logs the summaries that are due.
+func (r *Runner) logSummaries(now timekeeper.Time) {
 	for _, sum := range r.summaries.Due(now) {
 		r.logger.Info("events_summed",
 			"kind", sum.Kind,
@@ -190,21 +190,21 @@
 		return
 	}
 	delete(r.proposals, e.Ticket)
-	waiting <- e.Verdict // It has room for one, and gets only one.
+	waiting <- e.Verdict // The channel has a buffer of one and receives one value.
 }
 
-// inLane runs work in the lane of key; where that is full, lost runs instead.
-func (r *Runner) inLane(key string, work job, lost func()) {
+// inLane runs work in the lane of key, or onFull if the lane is full.
+func (r *Runner) inLane(key string, work job, onFull func()) {
 	if r.lanes.push(key, work) {
 		return
 	}
 	r.metrics.droppedEffects.Add(1)
-	if lost != nil {
-		lost()
+	if onFull != nil {
+		onFull()
 	}
 }
 
-// report returns the end of a job that tells the reducer body.
+// report returns a function that enqueues body.
 func (r *Runner) report(body messenger.EventBody) func() {
-	return func() { r.later(body) }
+	return func() { r.enqueue(body) }
 }
--- a/internal/runner/exchange.go
+++ b/internal/runner/exchange.go
@@ -10,9 +10,9 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// What follows is called by the goroutines that serve callers of opaque
+// The methods below are called by the goroutines that serve callers of opaque
 // exchanges. Each event is applied in the loop, and the effect that answers it
-// goes back to the one that waits.
+// is returned to the waiting goroutine.
 
 var _ forwarder.Decider = (*Runner)(nil)
 
@@ -21,8 +21,8 @@
 	return r.decide(ctx, spec.Exchange, messenger.ExchangeReceived{Spec: spec})
 }
 
-// AttemptEnded implements forwarder.Decider. It waits for the decision also
-// where the caller has left, so that the loop knows of the end.
+// AttemptEnded implements forwarder.Decider. It waits for the decision even if
+// the caller has disconnected, so that the reducer receives the result.
 func (r *Runner) AttemptEnded(ctx context.Context, e messenger.ExchangeAttemptEnded) messenger.Effect {
 	return r.decide(context.WithoutCancel(ctx), e.Exchange, e)
 }
@@ -35,16 +35,17 @@
 // Ended implements forwarder.Decider.
 func (r *Runner) Ended(e messenger.ExchangeEnded) { r.emit(context.Background(), e) }
 
-// LimitHeard implements forwarder.Decider.
+// LimitReceived implements forwarder.Decider.
 func (r *Runner) LimitReceived(ctx context.Context, e messenger.ServerLimitReceived) {
 	r.emit(context.WithoutCancel(ctx), e)
 }
 
-// decide applies an event and returns the effect that answers it, or nil where
-// the node or ctx ended first. The answer may take a call to a peer.
+// decide applies an event and returns the effect that answers it, or nil if ctx
+// ends before the loop accepts the event or the node stops. The decision may
+// require a call to a peer.
 func (r *Runner) decide(ctx context.Context, id identifier.ExchangeID, body messenger.EventBody) messenger.Effect {
 	answer := make(chan messenger.Effect, 1)
-	applied := r.ask(ctx, func() {
+	applied := r.runInLoop(ctx, func() {
 		r.exchanges[id] = answer
 		r.step(body)
 	})
@@ -59,32 +60,32 @@
 	}
 }
 
-// decided hands an effect to the goroutine that waits for it.
-func (r *Runner) decided(id identifier.ExchangeID, effect messenger.Effect) {
+// deliverDecision sends an effect to the goroutine that waits for it.
+func (r *Runner) deliverDecision(id identifier.ExchangeID, effect messenger.Effect) {
 	waiting, ok := r.exchanges[id]
 	if !ok {
-		r.logger.Error("decision on an exchange that nobody waits for", "exchange", id)
+		r.logger.Error("decision for an exchange without a waiting caller", "exchange", id)
 		return
 	}
 	delete(r.exchanges, id)
-	waiting <- effect // It has room for one, and gets only one.
+	waiting <- effect // The channel has a buffer of one and receives one value.
 }
 
-// Ready reports whether callers may be sent to this node.
+// Ready reports whether this node accepts callers of opaque exchanges.
 func (r *Runner) Ready(ctx context.Context) bool {
 	ready := false
-	r.ask(ctx, func() { ready = r.config.Reducer.Ready() })
+	r.runInLoop(ctx, func() { ready = r.config.Reducer.Ready() })
 	return ready
 }
 
-// ReadyNodes returns the nodes that callers may be sent to.
+// ReadyNodes returns the nodes that accept callers of opaque exchanges.
 func (r *Runner) ReadyNodes(ctx context.Context) []gossiper.Node {
 	var nodes []gossiper.Node
-	r.ask(ctx, func() { nodes = r.config.Reducer.ReadyNodes() })
+	r.runInLoop(ctx, func() { nodes = r.config.Reducer.ReadyNodes() })
 	return nodes
 }
 
-// MaxBody returns the configuration's bound of a request's body, or zero.
+// MaxBody returns the configured limit on the size of a request body, or zero.
 func (r *Runner) MaxBody() identifier.Bytes {
 	c := r.catalog.Load()
 	if c == nil || c.Routing == nil {
@@ -93,20 +94,20 @@
 	return c.Routing.MaxBody
 }
 
-// ReceiveShare implements relayer.Peer. What is dropped where the loop is
-// behind comes again with the peer's next share.
+// ReceiveStateUpdate implements relayer.Peer. If the event queue is full, the
+// update is dropped; the peer's next update supersedes it.
 func (r *Runner) ReceiveStateUpdate(from identifier.VMID, s messenger.StateUpdate) {
-	r.offer(messenger.StateUpdateReceived{
+	r.tryEmit(messenger.StateUpdateReceived{
 		From:   from,
 		Update: s,
 	})
 }
 
-// sendShare tells a peer what this node knows. A share that waits for an
-// earlier one is dropped: the next says all that it says.
-func (r *Runner) sendShare(e messenger.SendStateUpdate) {
+// sendStateUpdate sends this node's state to a peer. If too many updates are
+// queued, it drops the new one; a later update contains the same state.
+func (r *Runner) sendStateUpdate(e messenger.SendStateUpdate) {
 	key := "share/" + string(e.Peer)
-	if r.lanes.waiting(key) >= gossipQueue {
+	if r.lanes.waiting(key) >= maxQueuedGossip {
 		r.metrics.droppedEffects.Add(1)
 		return
 	}
@@ -120,9 +121,10 @@
 	}, nil)
 }
 
-// orderServers gives an order, if the lease still covers it when it leaves.
+// orderServers sends an order for servers if the lease still covers it.
 func (r *Runner) orderServers(e messenger.OrderServers) {
-	// One lane for what the cloud checks one fence of.
+	// The cloud checks one fence per service and zone, so each pair has its own
+	// lane.
 	key := "order/" + string(e.Order.Service) + "/" + string(e.Order.Zone)
 	result := func(d messenger.LeaderTaskResult) func() {
 		return r.report(messenger.ServersOrdered{
@@ -131,7 +133,7 @@
 		})
 	}
 	r.inLane(key, func(ctx context.Context) func() {
-		return result(r.duty(ctx, e.NotAfter, func(ctx context.Context) messenger.LeaderTaskResult {
+		return result(r.underLease(ctx, e.NotAfter, func(ctx context.Context) messenger.LeaderTaskResult {
 			number, ok := r.orders.Next(e.Fence)
 			if !ok {
 				return messenger.LeaderTaskFenced
@@ -139,13 +141,13 @@
 			e.Fence = number
 			return r.config.LeaderTasks.OrderServers(ctx, e)
 		}))
-	}, func() { r.later(messenger.ServersOrdered{Order: e.Order, Result: messenger.LeaderTaskUnknown}) })
+	}, func() { r.enqueue(messenger.ServersOrdered{Order: e.Order, Result: messenger.LeaderTaskUnknown}) })
 }
 
-// reportUsage reports a window, if the lease still covers it.
+// reportUsage reports a usage window if the lease still covers it.
 func (r *Runner) reportUsage(e messenger.ReportUsage) {
 	r.inLane("usage", func(ctx context.Context) func() {
-		result := r.duty(ctx, e.NotAfter, func(ctx context.Context) messenger.LeaderTaskResult {
+		result := r.underLease(ctx, e.NotAfter, func(ctx context.Context) messenger.LeaderTaskResult {
 			return r.config.LeaderTasks.ReportUsage(ctx, e)
 		})
 		return r.report(messenger.UsageReported{
@@ -155,18 +157,18 @@
 	}, nil)
 }
 
-// dutyTimeout bounds a call to the platform's cloud, which answers in some
-// milliseconds.
-const dutyTimeout = 1 * timekeeper.Second
+// leaderTaskTimeout bounds a call to the platform's cloud, which usually
+// answers within milliseconds.
+const leaderTaskTimeout = 1 * timekeeper.Second
 
-// duty makes a call under a lease. The clock is read right before the call
-// leaves: a process that was frozen in between finds its lease lapsed, and does
-// not act beside the new holder.
-func (r *Runner) duty(ctx context.Context, notAfter timekeeper.Time, call func(context.Context) messenger.LeaderTaskResult) messenger.LeaderTaskResult {
+// underLease makes a call if the lease has not expired. It checks the clock
+// right before the call: if the process was paused, the lease may have passed
+// to another node, and both must not act.
+func (r *Runner) underLease(ctx context.Context, notAfter timekeeper.Time, call func(context.Context) messenger.LeaderTaskResult) messenger.LeaderTaskResult {
 	if !r.clock.Now().Before(notAfter) {
 		return messenger.LeaderTaskUnknown
 	}
-	ctx, done := context.WithTimeout(ctx, dutyTimeout.Std())
+	ctx, done := context.WithTimeout(ctx, leaderTaskTimeout.Std())
 	defer done()
 	return call(ctx)
 }
--- a/internal/runner/fake_test.go
+++ b/internal/runner/fake_test.go
@@ -29,12 +29,12 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// bubbleClock follows the clock of the test's bubble.
+// bubbleClock reads the fake clock of a synctest bubble.
 type bubbleClock struct{}
 
 func (bubbleClock) Now() timekeeper.Time { return timekeeper.FromStd(time.Now()) }
 
-// fakeReducer notes the events and answers each with what on says.
+// fakeReducer records events and returns the effects that on returns for them.
 type fakeReducer struct {
 	mu      sync.Mutex
 	events  []messenger.EventBody
@@ -112,7 +112,7 @@
 	return gossiper.Node{}, false
 }
 
-// eventsOf returns the events of type E so far.
+// eventsOf returns the recorded events of type E.
 func eventsOf[E messenger.EventBody](f *fakeReducer) []E {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -125,15 +125,16 @@
 	return found
 }
 
-// fakeLog refuses or loses appends as told, and has nothing to read.
+// fakeLog rejects or loses appends as the append hook specifies, and has no
+// records to read.
 type fakeLog struct {
 	mu      sync.Mutex
 	batches [][]adapter.Record
 	append  func(n int) error
-	// out makes reads fail, and mute makes them hang as on a connection that
-	// went silent.
-	out  atomic.Bool
-	mute atomic.Bool
+	// If unavailable is set, reads fail. If hanging is set, they block until
+	// their context ends.
+	unavailable atomic.Bool
+	hanging     atomic.Bool
 }
 
 func (l *fakeLog) Append(_ context.Context, records []adapter.Record) ([]identifier.Offset, error) {
@@ -149,17 +150,17 @@
 func (l *fakeLog) Read(
 	ctx context.Context, _ identifier.LogStream, _ identifier.Offset, _ int, wait timekeeper.Duration,
 ) (messenger.LogRead, error) {
-	if l.out.Load() {
+	if l.unavailable.Load() {
 		return messenger.LogRead{}, &adapter.UnavailableError{}
 	}
-	if l.mute.Load() {
+	if l.hanging.Load() {
 		<-ctx.Done()
 	}
 	sleep(ctx, wait.Std())
 	return messenger.LogRead{End: true}, ctx.Err()
 }
 
-// fakeCloud sells nothing and lists nothing.
+// fakeCloud lists no VMs and counts purchases.
 type fakeCloud struct{ bought int }
 
 func (c *fakeCloud) List(context.Context) (messenger.ListRead, error) {
@@ -178,7 +179,7 @@
 
 func (c *fakeCloud) Release(context.Context, identifier.VMID) error { return nil }
 
-// fakeEngines hands each stream to run, which plays the engine.
+// fakeEngines passes each stream to run, which simulates the engine.
 type fakeEngines struct {
 	Engines
 	run    func(ctx context.Context, stream identifier.StreamName, sink adapter.Sink) error
@@ -194,7 +195,7 @@
 	return nil
 }
 
-// fakePeers answers each call as its hook says.
+// fakePeers calls a hook for each method.
 type fakePeers struct {
 	Peers
 	mu       sync.Mutex
@@ -230,15 +231,15 @@
 	return nil
 }
 
-// pushed returns the pushes so far.
+// pushed returns the pushes received so far.
 func (p *fakePeers) pushed() []relayer.Push {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.pushes)
 }
 
-// unheld returns how often the holder was told to drop a copy.
-func (p *fakePeers) unheld() int {
+// countUnholds returns the number of successful Unhold calls.
+func (p *fakePeers) countUnholds() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.unholds
@@ -258,7 +259,7 @@
 	return p.outcome()
 }
 
-// fixture is a Runner between fakes.
+// fixture is a Runner with fake dependencies.
 type fixture struct {
 	*Runner
 	t       *testing.T
@@ -269,7 +270,7 @@
 	peers   *fakePeers
 }
 
-// inBubble runs test with a running Runner, in a bubble of its own time.
+// inBubble calls test with a running Runner, in a synctest bubble.
 func inBubble(t *testing.T, test func(t *testing.T, f *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -310,27 +311,28 @@
 	return f
 }
 
-// do carries out effects in the loop and waits until nothing moves any more.
-func (f *fixture) do(effects ...messenger.Effect) {
+// runEffects executes effects in the loop and waits until all goroutines are
+// blocked.
+func (f *fixture) runEffects(effects ...messenger.Effect) {
 	f.t.Helper()
-	require.True(f.t, f.ask(f.t.Context(), func() {
+	require.True(f.t, f.runInLoop(f.t.Context(), func() {
 		for _, e := range effects {
-			f.carryOut(e)
+			f.execute(e)
 		}
 	}))
 	synctest.Wait()
 }
 
-// submit sends a report and returns its answer.
+// submit submits a request and returns its answer.
 func (f *fixture) submit() *answerer.Answer {
 	f.t.Helper()
-	a, err := f.Submit(f.t.Context(), report("key-1"))
+	a, err := f.Submit(f.t.Context(), submission("key-1"))
 	require.NoError(f.t, err)
 	synctest.Wait()
 	return a
 }
 
-func report(key identifier.IdempotencyKey) server.Submission {
+func submission(key identifier.IdempotencyKey) server.Submission {
 	return server.Submission{
 		Account: "agency",
 		Service: "report",
@@ -367,8 +369,9 @@
 	}
 }
 
-// visible returns what a reader gets now, without waiting.
-func visible(t *testing.T, a *answerer.Answer) (string, *answerer.End) {
+// readable returns the content and the end that a reader can read without
+// waiting.
+func readable(t *testing.T, a *answerer.Answer) (string, *answerer.End) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -383,8 +386,8 @@
 	return text, end
 }
 
-// say gives a sink tokens from an index on.
-func say(sink adapter.Sink, from identifier.Tokens, texts ...string) error {
+// sendTokens sends tokens to a sink, with indexes from from on.
+func sendTokens(sink adapter.Sink, from identifier.Tokens, texts ...string) error {
 	for i, text := range texts {
 		err := sink.Token(adapter.Token{
 			Index: from + identifier.Tokens(i),
--- a/internal/runner/follow.go
+++ b/internal/runner/follow.go
@@ -13,26 +13,25 @@
 )
 
 const (
-	// readLimit bounds the records of one read, readWait how long the log
-	// keeps a read waiting for the next record.
-	readLimit = 1000
-	readWait  = 5 * timekeeper.Second
-	// readSlack is what a read may take beyond its wait.
-	readSlack = 2 * time.Second
-	// promptWait and promptSlack are the same for streams on which something
-	// happens every second. A read that the log, or a connection that went
-	// silent, keeps waiting in vain ends within two seconds, so that a lease of
-	// three seconds that is renewed every second outlives it. With the longer
-	// times the lease was lost for 2.4 s, and all accounts were refused.
-	promptWait  = 1200 * timekeeper.Millisecond
-	promptSlack = 800 * time.Millisecond
-	// retryFirst and retryMost bound the pause after a failure; half of each
-	// pause is random, so that nodes do not come back all at once.
-	retryFirst = 100 * time.Millisecond
-	retryMost  = 2 * time.Second
+	// maxReadRecords bounds the records of one read. readWait is the longest
+	// time that the log holds a read open for the next record.
+	maxReadRecords = 1000
+	readWait       = 5 * timekeeper.Second
+	// readMargin is the time that a read may take beyond its wait.
+	readMargin = 2 * time.Second
+	// lowLatencyWait and lowLatencyMargin replace readWait and readMargin for
+	// streams that receive records every second. A hanging read then ends
+	// within two seconds, before a lease expires that lasts three seconds and
+	// is renewed every second.
+	lowLatencyWait   = 1200 * timekeeper.Millisecond
+	lowLatencyMargin = 800 * time.Millisecond
+	// minRetryBackoff and maxRetryBackoff bound the backoff after a failure.
+	// Half of each pause is random, so that nodes do not retry simultaneously.
+	minRetryBackoff = 100 * time.Millisecond
+	maxRetryBackoff = 2 * time.Second
 )
 
-// backoff spaces tries that fail.
+// backoff is an exponential backoff with jitter.
 type backoff struct {
 	rng  *rand.Rand
 	next time.Duration
@@ -41,28 +40,28 @@
 func newBackoff(rng *rand.Rand) *backoff {
 	return &backoff{
 		rng:  rng,
-		next: retryFirst,
+		next: minRetryBackoff,
 	}
 }
 
-// reset begins anew after a success.
-func (b *backoff) reset() { b.next = retryFirst }
+// reset resets the backoff after a success.
+func (b *backoff) reset() { b.next = minRetryBackoff }
 
-// wait pauses, longer each time, or returns false when ctx ends first.
+// wait pauses and doubles the next pause. It returns false if ctx ends first.
 func (b *backoff) wait(ctx context.Context) bool {
 	d := b.next/2 + time.Duration(b.rng.Int64N(int64(b.next/2)))
-	b.next = min(2*b.next, retryMost)
+	b.next = min(2*b.next, maxRetryBackoff)
 	return sleep(ctx, d)
 }
 
-// startTailers starts a task for each stream that the reducer follows, and
-// pauses those of streams that it no longer does.
+// startTailers starts a task for each stream that the reducer follows and
+// pauses the tasks of streams that it no longer follows.
 func (r *Runner) startTailers() {
-	wanted := r.config.Reducer.Streams()
+	followed := r.config.Reducer.Streams()
 	for s, following := range r.tailers {
-		following.Store(slices.Contains(wanted, s))
+		following.Store(slices.Contains(followed, s))
 	}
-	for _, s := range wanted {
+	for _, s := range followed {
 		if r.tailers[s] != nil {
 			continue
 		}
@@ -77,59 +76,60 @@
 	}
 }
 
-// follow reads a stream of the log from its beginning on, for good.
+// follow reads a stream of the log from its beginning until ctx ends.
 //
 // The first read, and the first after a failure, does not wait for the next
-// record. A stream on which nothing happens would keep it for the whole wait,
-// and the node would meanwhile refuse requests as if the log were still out,
-// or not know that records expired before it could read them.
-func (r *Runner) follow(ctx context.Context, s identifier.LogStream, following *atomic.Bool, pause *backoff) {
+// record. On an idle stream it would otherwise return only after the whole
+// wait. Until then the node would refuse requests as if the log were still
+// unavailable, and would not detect that records had expired.
+func (r *Runner) follow(ctx context.Context, s identifier.LogStream, following *atomic.Bool, retry *backoff) {
 	var (
 		from identifier.Offset
 		wait timekeeper.Duration
 	)
-	longest, slack := readWait, readSlack
-	prompt := slices.Contains(r.config.LowLatencyStreams, s)
-	if prompt {
-		longest, slack = promptWait, promptSlack
+	maxWait, margin := readWait, readMargin
+	lowLatency := slices.Contains(r.config.LowLatencyStreams, s)
+	if lowLatency {
+		maxWait, margin = lowLatencyWait, lowLatencyMargin
 	}
 	for ctx.Err() == nil {
 		if !following.Load() {
 			wait = 0
-			sleep(ctx, idleCheck)
+			sleep(ctx, idleCheckInterval)
 			continue
 		}
-		read, err := r.readLog(ctx, s, from, wait, slack)
+		read, err := r.readLog(ctx, s, from, wait, margin)
 		if err != nil {
 			wait = 0
 			r.emit(ctx, messenger.LogUnavailable{Stream: s})
-			pause.wait(ctx)
+			retry.wait(ctx)
 			continue
 		}
-		pause.reset()
+		retry.reset()
 		switch n := len(read.Records); {
 		case read.Next != 0:
 			from = read.Next
 		case n > 0:
 			from = read.Records[n-1].Offset + 1
 		}
-		r.noteEra(ctx)
-		first := wait == 0
-		wait = longest
+		r.checkGeneration(ctx)
+		immediate := wait == 0
+		wait = maxWait
 		read.Stream = s
 		r.emit(ctx, read)
-		if first && prompt {
-			// Where one read was all that the reducer wanted, the next would be a
-			// call to the store for nothing at each of the nodes.
-			sleep(ctx, idleCheck)
+		if immediate && lowLatency {
+			// The reducer may stop following the stream after this read.
+			// Pausing here avoids an unnecessary call to the store from each
+			// node.
+			sleep(ctx, idleCheckInterval)
 		}
 	}
 }
 
 func (r *Runner) readLog(
-	ctx context.Context, s identifier.LogStream, from identifier.Offset, wait timekeeper.Duration, slack time.Duration,
+	ctx context.Context, s identifier.LogStream, from identifier.Offset, wait timekeeper.Duration, margin time.Duration,
 ) (messenger.LogRead, error) {
-	ctx, done := context.WithTimeout(ctx, wait.Std()+slack)
+	ctx, done := context.WithTimeout(ctx, wait.Std()+margin)
 	defer done()
-	return r.config.Log.Read(ctx, s, from, readLimit, wait)
+	return r.config.Log.Read(ctx, s, from, maxReadRecords, wait)
 }
--- a/internal/runner/follow_test.go
+++ b/internal/runner/follow_test.go
@@ -12,12 +12,10 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// The log is out and comes back, and nobody appends anything. The node must
-// learn so from its next read, within the pause between reads that fail: until
-// it does, it refuses each rejection email. A read that waits for the next
-// record would tell only after its wait. So would the first read of a node
-// that has just started.
-func TestQuietStreamIsReadAtOnce(t *testing.T) {
+// Guards against a node that detects the return of the log, or at its start the
+// state of an idle stream, only after the wait of a long poll. Until then it
+// refuses requests that need the log.
+func TestFirstReadOfIdleStreamDoesNotWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
 		f.reducer.streams = []identifier.LogStream{"claims-0"}
@@ -29,50 +27,47 @@
 		}
 		require.Equal(t, 1, reads(), "the first read does not wait")
 
-		f.log.out.Store(true)
-		wait(t, readWait.Std()+time.Second) // The read under way ends.
+		f.log.unavailable.Store(true)
+		passTime(t, readWait.Std()+time.Second) // The pending read ends.
 		require.NotEmpty(t, eventsOf[messenger.LogUnavailable](f.reducer))
 		before := reads()
-		wait(t, time.Minute)
-		require.Equal(t, before, reads(), "nothing can be read")
+		passTime(t, time.Minute)
+		require.Equal(t, before, reads(), "reads fail")
 
-		f.log.out.Store(false)
-		wait(t, retryMost)
+		f.log.unavailable.Store(false)
+		passTime(t, maxRetryBackoff)
 		require.Equal(t, before+1, reads())
-		wait(t, readWait.Std()-retryMost-time.Second)
-		require.Equal(t, before+1, reads(), "from then on reads wait")
+		passTime(t, readWait.Std()-maxRetryBackoff-time.Second)
+		require.Equal(t, before+1, reads(), "later reads wait")
 		cancel()
 		<-f.stopped
 	})
 }
 
-// The connection on which a node reads the stream of leases goes silent, right
-// after a renewal was read. The node appends its next renewal a second later,
-// but does not read it back while the read hangs. It must read again before its
-// lease of three seconds lapses; with the wait of other streams it lost the
-// lease, and nobody granted accounts their limits until it had it again.
-func TestSilentReadOfPromptStreamEnds(t *testing.T) {
+// Guards against the loss of a lease while a read of the lease stream hangs:
+// the node must read its renewal before the lease of three seconds expires.
+func TestHangingReadOfLowLatencyStreamTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
 		f.reducer.streams = []identifier.LogStream{"leases"}
 		f.config.LowLatencyStreams = f.reducer.streams
 		ctx, cancel := context.WithCancel(t.Context())
 		go f.Run(ctx)
-		wait(t, 10*time.Millisecond)
-		f.log.mute.Store(true)
-		wait(t, promptWait.Std())
-		f.log.mute.Store(false)
+		passTime(t, 10*time.Millisecond)
+		f.log.hanging.Store(true)
+		passTime(t, lowLatencyWait.Std())
+		f.log.hanging.Store(false)
 		before := len(eventsOf[messenger.LogRead](f.reducer))
 		const leaseLeft = 2500 * time.Millisecond
-		wait(t, leaseLeft)
+		passTime(t, leaseLeft)
 		require.Greater(t, len(eventsOf[messenger.LogRead](f.reducer)), before)
 		cancel()
 		<-f.stopped
 	})
 }
 
-// wait lets the bubble's time pass.
-func wait(t *testing.T, d time.Duration) {
+// passTime advances the fake clock by d.
+func passTime(t *testing.T, d time.Duration) {
 	t.Helper()
 	sleep(t.Context(), d)
 }
--- a/internal/runner/grant.go
+++ b/internal/runner/grant.go
@@ -8,18 +8,19 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// grantTimeout bounds a question to the node that grants limits or permits: two ways
-// within a region, and room for a node that is slow for a moment.
+// grantTimeout is the timeout of a request to the node that grants limits and
+// permits. It allows a round trip within a region and a brief stall.
 const grantTimeout = 150 * timekeeper.Millisecond
 
-// questions are the peers that wait for an answer of the loop, to which they belong.
-type questions[A any] struct {
+// pendingRequests holds the requests of peers that await a decision. It is
+// accessed only by the loop.
+type pendingRequests[A any] struct {
 	last    identifier.Ticket
 	waiting map[identifier.Ticket]chan A
 }
 
-// add notes a peer that waits, and returns its ticket.
-func (q *questions[A]) add(answer chan A) identifier.Ticket {
+// add registers the channel for an answer and returns its ticket.
+func (q *pendingRequests[A]) add(answer chan A) identifier.Ticket {
 	if q.waiting == nil {
 		q.waiting = map[identifier.Ticket]chan A{}
 	}
@@ -28,15 +29,16 @@
 	return q.last
 }
 
-// answer hands a peer its answer. The channel has room for one, and gets only one.
-func (q *questions[A]) answer(t identifier.Ticket, a A) {
+// answer sends the answer for a ticket. The channel has a buffer of one and
+// receives one value.
+func (q *pendingRequests[A]) answer(t identifier.Ticket, a A) {
 	q.waiting[t] <- a
 	delete(q.waiting, t)
 }
 
-// askLimit asks a peer for a part of an account's limit. The caller waits for
-// the answer, so it does not share a lane with others.
-func (r *Runner) askLimit(e messenger.RequestLimit) {
+// requestLimit requests a part of an account's limit from a peer. A caller
+// waits for the result, so the request is not queued in a lane.
+func (r *Runner) requestLimit(e messenger.RequestLimit) {
 	r.tasks.start(func(ctx context.Context) func() {
 		ctx, done := context.WithTimeout(ctx, grantTimeout.Std())
 		defer done()
@@ -47,8 +49,9 @@
 	})
 }
 
-// askPermit asks a peer for a permit to send a request. It shares no lane either.
-func (r *Runner) askPermit(e messenger.RequestPermit) {
+// requestPermit requests a permit to send to a server from a peer. It is not
+// queued in a lane either.
+func (r *Runner) requestPermit(e messenger.RequestPermit) {
 	r.tasks.start(func(ctx context.Context) func() {
 		ctx, done := context.WithTimeout(ctx, grantTimeout.Std())
 		defer done()
@@ -62,9 +65,9 @@
 // GrantLimit implements relayer.Peer.
 func (r *Runner) GrantLimit(ctx context.Context, account identifier.AccountID, tokens identifier.Tokens) messenger.LimitAnswered {
 	answer := make(chan messenger.LimitAnswered, 1)
-	applied := r.ask(ctx, func() {
+	applied := r.runInLoop(ctx, func() {
 		r.step(messenger.LimitRequested{
-			Ticket:  r.limitAsks.add(answer),
+			Ticket:  r.limitRequests.add(answer),
 			Account: account,
 			Tokens:  tokens,
 		})
@@ -78,9 +81,9 @@
 // GrantPermit implements relayer.Peer.
 func (r *Runner) GrantPermit(ctx context.Context, limits []messenger.ServerLimit) messenger.PermitAnswered {
 	answer := make(chan messenger.PermitAnswered, 1)
-	applied := r.ask(ctx, func() {
+	applied := r.runInLoop(ctx, func() {
 		r.step(messenger.PermitRequested{
-			Ticket: r.permitAsks.add(answer),
+			Ticket: r.permitRequests.add(answer),
 			Limits: limits,
 		})
 	})
--- a/internal/runner/hold.go
+++ b/internal/runner/hold.go
@@ -12,38 +12,39 @@
 )
 
 const (
-	// pushTimeout bounds one push to a holder. A push is tried twice, because
-	// a kept connection may be dead while a new one works.
+	// pushTimeout is the timeout of one push to a holder. A push is tried
+	// twice, because a reused connection may be broken.
 	pushTimeout = 800 * time.Millisecond
 	pushTries   = 2
-	// handoverTimeout bounds one handover: the successor answers once a holder
-	// of its own has the copy.
+	// handoverTimeout is the timeout of one handover. The successor answers
+	// after a holder of its own has the copy.
 	handoverTimeout = 2500 * time.Millisecond
-	// unseenTime is how long a holder keeps the copy of an answer that has
-	// ended but that no caller has read to its end.
-	unseenTime = 30 * time.Second
+	// unreadTimeout is the longest time that a holder keeps the copy of an
+	// ended answer that no caller has read to its end.
+	unreadTimeout = 30 * time.Second
 )
 
 // pusher pushes the answer of one request to its holder.
 type pusher struct {
 	effect messenger.Hold
 	answer *answerer.Answer
-	// before ends when the holder has been told to drop an earlier copy.
-	before <-chan struct{}
-	cancel context.CancelFunc
-	ended  chan struct{} // closed when the task has ended
-	failed bool
+	// earlierUnhold is closed when an earlier copy at the same holder has been
+	// dropped. It is nil if there is none.
+	earlierUnhold <-chan struct{}
+	cancel        context.CancelFunc
+	ended         chan struct{} // closed when the push task has ended
+	failed        bool
 }
 
-// hold starts pushing to a holder. Callers get nothing more from here on but
-// what the holder has acknowledged.
+// hold starts pushing to a holder. From now on callers receive only what the
+// holder has acknowledged.
 func (r *Runner) hold(e messenger.Hold) {
-	if old := r.holds[e.Request]; old != nil {
-		old.cancel()
+	if previous := r.holds[e.Request]; previous != nil {
+		previous.cancel()
 	}
 	answer, ok := r.answers.Get(e.Request)
 	if !ok {
-		r.later(messenger.HoldFailed{
+		r.enqueue(messenger.HoldFailed{
 			Request: e.Request,
 			Holder:  e.Holder,
 		})
@@ -55,7 +56,7 @@
 	p := &pusher{
 		effect: e,
 		answer: answer,
-		before: r.unholds[copyAt{
+		earlierUnhold: r.pendingUnholds[copyKey{
 			request: e.Request,
 			holder:  e.Holder,
 		}],
@@ -70,46 +71,46 @@
 	})
 }
 
-// pushEnded tells the reducer of a push that failed.
+// pushEnded reports a failed push to the reducer.
 func (r *Runner) pushEnded(p *pusher, body messenger.EventBody) {
 	p.cancel()
 	p.failed = body != nil
 	if body != nil && r.holds[p.effect.Request] == p {
-		r.later(body)
+		r.enqueue(body)
 	}
 }
 
-// pushAll pushes until all of an ended answer is pushed. It returns what the
-// reducer has to know of its end, or nil.
+// pushAll pushes the answer until all of it is pushed and it has ended. It
+// returns the event to report to the reducer, or nil.
 //
-// Each push takes all that came while the one before was under way, so that a
-// fast stream costs no more round trips than a slow one.
+// Each push contains everything that arrived during the previous one, so that
+// the number of round trips does not depend on the token rate.
 func (r *Runner) pushAll(ctx context.Context, p *pusher) messenger.EventBody {
 	var (
-		mark    answerer.Progress
-		whole   = true // push everything, the body included
-		behind  int
+		acked   answerer.Progress
+		full    = true // push everything, including the body
+		resyncs int
 		started bool
 	)
-	if p.before != nil {
+	if p.earlierUnhold != nil {
 		select {
-		case <-p.before:
+		case <-p.earlierUnhold:
 		case <-ctx.Done():
 			return nil
 		}
 	}
 	for {
-		change := p.answer.Since(mark)
-		if !whole {
+		change := p.answer.Since(acked)
+		if !full {
 			var err error
-			if change, err = p.answer.Await(ctx, mark); err != nil {
+			if change, err = p.answer.Await(ctx, acked); err != nil {
 				return nil
 			}
-			if nothingNew(change, mark) {
+			if unchanged(change, acked) {
 				return nil
 			}
 		}
-		answer, err := r.push(ctx, p, change, whole)
+		answer, err := r.push(ctx, p, change, full)
 		switch {
 		case ctx.Err() != nil:
 			return nil
@@ -118,9 +119,9 @@
 				Request: p.effect.Request,
 				Holder:  p.effect.Holder,
 			}
-		case err == nil && answer == relayer.HoldIncomplete && behind == 0:
-			mark, whole = answerer.Progress{}, true
-			behind++
+		case err == nil && answer == relayer.HoldIncomplete && resyncs == 0:
+			acked, full = answerer.Progress{}, true
+			resyncs++
 			continue
 		case err != nil || answer != relayer.HoldStored:
 			r.logger.Debug("push to holder failed", "request", p.effect.Request,
@@ -128,12 +129,12 @@
 			return messenger.HoldFailed{
 				Request:     p.effect.Request,
 				Holder:      p.effect.Holder,
-				HolderEnded: refused(err),
+				HolderEnded: connectionRefused(err),
 			}
 		}
-		whole, behind = false, 0
-		mark = after(mark, change)
-		p.answer.Release(mark.Pieces, mark.Reply)
+		full, resyncs = false, 0
+		acked = advance(acked, change)
+		p.answer.Release(acked.Pieces, acked.Reply)
 		if !started {
 			started = true
 			r.emit(ctx, messenger.HoldAcked{
@@ -144,17 +145,17 @@
 	}
 }
 
-// refused reports whether nothing listens at the peer's address.
-func refused(err error) bool {
+// connectionRefused reports whether no process listens at the peer's address.
+func connectionRefused(err error) bool {
 	var peer *relayer.PeerError
 	return errors.As(err, &peer) && peer.Reach == relayer.Refused
 }
 
-func nothingNew(c answerer.Change, m answerer.Progress) bool {
+func unchanged(c answerer.Change, m answerer.Progress) bool {
 	return len(c.Pieces) == 0 && c.Reply == nil && c.Placement.Attempt == m.Attempt
 }
 
-func after(m answerer.Progress, c answerer.Change) answerer.Progress {
+func advance(m answerer.Progress, c answerer.Change) answerer.Progress {
 	return answerer.Progress{
 		Attempt: c.Placement.Attempt,
 		Pieces:  m.Pieces + identifier.Tokens(len(c.Pieces)),
@@ -162,8 +163,8 @@
 	}
 }
 
-// push makes one push, with a second try.
-func (r *Runner) push(ctx context.Context, p *pusher, c answerer.Change, whole bool) (relayer.HoldAnswer, error) {
+// push sends one push and retries it after an error.
+func (r *Runner) push(ctx context.Context, p *pusher, c answerer.Change, full bool) (relayer.HoldAnswer, error) {
 	push := relayer.Push{
 		Spec:   p.answer.Spec(),
 		Epoch:  p.answer.Epoch(),
@@ -171,7 +172,7 @@
 		Pieces: c.Pieces,
 		Reply:  c.Reply,
 	}
-	if whole {
+	if full {
 		body := p.answer.Body()
 		push.Body = &body
 	}
@@ -195,38 +196,38 @@
 	return r.config.Peers.Hold(ctx, address, p)
 }
 
-// unhold ends delivery through a holder. Without a holder it lets the answer
-// go out unprotected; with one, the answer stays as it is until the next Hold,
-// unless it has ended.
+// unhold stops pushing to a holder. If e names no holder, it releases the
+// answer without protection. Otherwise nothing more is released until the next
+// Hold, unless the answer has ended.
 //
-// Where it has just ended, its last tokens may be neither with the holder nor
-// with a caller. The holder gets them first and keeps its copy until a caller
-// has read the end: else the death of this node in between would cost the
-// caller the rest of an accepted answer. A non-idempotent request gets no such
-// grace, because a holder that takes over its copy must not run it again.
+// The last tokens of an answer that has just ended may not have reached the
+// holder or a caller yet. The holder receives them first and keeps its copy
+// until a caller has read the end, since the caller would otherwise lose the
+// rest of the answer if this node died now. A non-idempotent request has no
+// such grace, because a holder that adopted it must not run it again.
 func (r *Runner) unhold(e messenger.Unhold) {
 	p := r.holds[e.Request]
 	delete(r.holds, e.Request)
 	answer, ok := r.answers.Get(e.Request)
-	if ok && p != nil && !p.failed && lingers(answer) {
-		r.farewell(p, e)
+	if ok && p != nil && !p.failed && copyNeededUntilRead(answer) {
+		r.unholdAfterRead(p, e)
 		return
 	}
 	if p != nil {
 		p.cancel()
 	}
-	if ok && (e.Holder == "" || over(answer)) {
+	if ok && (e.Holder == "" || hasEnded(answer)) {
 		answer.Unhold()
 	}
 	r.dropCopy(e)
 }
 
-func over(a *answerer.Answer) bool {
+func hasEnded(a *answerer.Answer) bool {
 	_, ended := a.Ended()
 	return ended
 }
 
-// endHold ends the pushing of a request that another node has now.
+// endHold stops pushing a request that another node now owns.
 func (r *Runner) endHold(request identifier.RequestID) {
 	if p := r.holds[request]; p != nil {
 		p.cancel()
@@ -234,72 +235,72 @@
 	}
 }
 
-func lingers(a *answerer.Answer) bool {
+func copyNeededUntilRead(a *answerer.Answer) bool {
 	end, ended := a.Ended()
 	return ended && end.MovedTo == "" && end.Outcome == messenger.Done && a.Spec().Idempotent
 }
 
-// farewell waits for a caller to read the end before the holder drops its
-// copy.
-func (r *Runner) farewell(p *pusher, e messenger.Unhold) {
-	r.farewells++
+// unholdAfterRead drops the holder's copy after a caller has read the end.
+func (r *Runner) unholdAfterRead(p *pusher, e messenger.Unhold) {
+	r.finalMessages++
 	r.tasks.start(func(ctx context.Context) func() {
-		patience := time.NewTimer(unseenTime)
-		defer patience.Stop()
+		timer := time.NewTimer(unreadTimeout)
+		defer timer.Stop()
 		select {
 		case <-p.ended:
-		case <-patience.C:
+		case <-timer.C:
 		case <-ctx.Done():
 		}
 		p.answer.Unhold()
 		select {
 		case <-p.answer.EndRead():
-		case <-patience.C:
-		case <-r.leaving:
+		case <-timer.C:
+		case <-r.listenersClosed:
 		case <-ctx.Done():
 		}
-		r.tellUnhold(ctx, e)
+		r.sendUnhold(ctx, e)
 		return func() {
 			p.cancel()
-			r.farewells--
-			r.finishIfAlone()
+			r.finalMessages--
+			r.finishIfIdle()
 		}
 	})
 }
 
-// copyAt names a copy that a holder has.
-type copyAt struct {
+// copyKey identifies a copy at a holder.
+type copyKey struct {
 	request identifier.RequestID
 	holder  identifier.VMID
 }
 
-// dropCopy tells a holder to drop its copy. A later push of the same request
-// to the same holder waits for it, or the word could drop the new copy.
+// dropCopy requests that a holder drop its copy. A later push of the same
+// request to the same holder waits for this, since the message could otherwise
+// drop the new copy.
 func (r *Runner) dropCopy(e messenger.Unhold) {
 	if e.Holder == "" {
 		return
 	}
-	at := copyAt{
+	key := copyKey{
 		request: e.Request,
 		holder:  e.Holder,
 	}
-	told := make(chan struct{})
-	r.unholds[at] = told
+	sent := make(chan struct{})
+	r.pendingUnholds[key] = sent
 	ended := func() {
-		close(told)
-		if r.unholds[at] == told {
-			delete(r.unholds, at)
+		close(sent)
+		if r.pendingUnholds[key] == sent {
+			delete(r.pendingUnholds, key)
 		}
 	}
 	r.inLane("unhold/"+string(e.Holder), func(ctx context.Context) func() {
-		r.tellUnhold(ctx, e)
+		r.sendUnhold(ctx, e)
 		return ended
 	}, ended)
 }
 
-// tellUnhold tries a few times: where the word is lost, the holder keeps the
-// copy until the request's deadline.
-func (r *Runner) tellUnhold(ctx context.Context, e messenger.Unhold) {
+// sendUnhold sends the request to drop a copy and retries it. If all tries
+// fail, the holder keeps the copy until after the request's deadline.
+func (r *Runner) sendUnhold(ctx context.Context, e messenger.Unhold) {
 	for range pushTries {
 		ctx, done := context.WithTimeout(ctx, pushTimeout)
 		err := r.config.Peers.Unhold(ctx, e.Address, e.Request)
@@ -310,11 +311,11 @@
 	}
 }
 
-// handOver gives a request to a successor.
+// handOver hands a request over to a successor.
 func (r *Runner) handOver(e messenger.HandOver) {
 	answer, ok := r.answers.Get(e.Request)
 	if !ok {
-		r.later(messenger.HandoverFailed{
+		r.enqueue(messenger.HandoverFailed{
 			Request:   e.Request,
 			Successor: e.Successor,
 		})
@@ -340,18 +341,18 @@
 		ctx, done := context.WithTimeout(ctx, handoverTimeout)
 		defer done()
 		err := r.config.Peers.HandOver(ctx, e.Address, push)
-		return func() { r.handedOver(e, answer, err) }
+		return func() { r.handoverEnded(e, answer, err) }
 	})
 }
 
-// handedOver tells the reducer of the end of a handover. Only where the
-// successor surely has not taken the request, this time or an earlier one, may
-// the answer go out from here again: a caller must not read two continuations
-// of one answer.
-func (r *Runner) handedOver(e messenger.HandOver, answer *answerer.Answer, err error) {
+// handoverEnded reports the result of a handover to the reducer. After a
+// failure the answer is released again only if no successor, of this or an
+// earlier handover, can own the request. Otherwise a caller could read two
+// continuations of one answer.
+func (r *Runner) handoverEnded(e messenger.HandOver, answer *answerer.Answer, err error) {
 	if err == nil {
 		r.metrics.handedOver.Add(1)
-		r.later(messenger.HandoverAcked{
+		r.enqueue(messenger.HandoverAcked{
 			Request:   e.Request,
 			Successor: e.Successor,
 		})
@@ -363,7 +364,7 @@
 		answer.SetOwnerUncertain()
 	}
 	notTaken := answer.Unpause()
-	r.later(messenger.HandoverFailed{
+	r.enqueue(messenger.HandoverFailed{
 		Request:   e.Request,
 		Successor: e.Successor,
 		NotTaken:  notTaken,
--- a/internal/runner/hold_test.go
+++ b/internal/runner/hold_test.go
@@ -17,10 +17,11 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// engineSaying makes the engine say tokens and then wait for its end.
-func engineSaying(texts ...string) func(context.Context, identifier.StreamName, adapter.Sink) error {
+// engineSending simulates an engine that sends tokens and then blocks until the
+// context ends.
+func engineSending(texts ...string) func(context.Context, identifier.StreamName, adapter.Sink) error {
 	return func(ctx context.Context, _ identifier.StreamName, sink adapter.Sink) error {
-		if err := say(sink, 1, texts...); err != nil {
+		if err := sendTokens(sink, 1, texts...); err != nil {
 			return err
 		}
 		<-ctx.Done()
@@ -28,10 +29,9 @@
 	}
 }
 
-// The caller would have tokens that no survivor of this node has. The holder
-// takes its time over each push; until it acknowledges, no token goes out. All
-// tokens that came meanwhile go out with the next push together.
-func TestCallersGetOnlyWhatTheHolderAcknowledged(t *testing.T) {
+// Guards against callers reading tokens that the holder has not acknowledged.
+// Tokens that arrive during a push must be batched in the next one.
+func TestCallersReadOnlyAcknowledgedTokens(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		acks := make(chan struct{})
 		ack := func() {
@@ -43,24 +43,24 @@
 			return relayer.HoldStored, nil
 		}
 		speak := make(chan string)
-		f.engines.run = engineRepeating(speak)
+		f.engines.run = engineRelaying(speak)
 		a := f.submit()
-		f.do(holdOf(a))
+		f.runEffects(holdOf(a))
 		require.Empty(t, eventsOf[messenger.HoldAcked](f.reducer))
 		ack()
 		require.Len(t, eventsOf[messenger.HoldAcked](f.reducer), 1)
-		f.do(messenger.Accept{Request: a.Request()}, attemptOf(a, 1))
-		ack() // The push of the attempt's place.
+		f.runEffects(messenger.Accept{Request: a.Request()}, attemptOf(a, 1))
+		ack() // The push of the attempt's placement.
 
 		for _, word := range []string{"a", "b", "c"} {
 			speak <- word
 			synctest.Wait()
-			requireVisible(t, a, "")
+			requireReadable(t, a, "")
 		}
 		ack()
-		requireVisible(t, a, "a")
+		requireReadable(t, a, "a")
 		ack()
-		requireVisible(t, a, "abc")
+		requireReadable(t, a, "abc")
 
 		pushes := f.peers.pushed()
 		require.Len(t, pushes, 4)
@@ -71,13 +71,14 @@
 	})
 }
 
-// engineRepeating makes the engine say the words of a channel.
-func engineRepeating(words <-chan string) func(context.Context, identifier.StreamName, adapter.Sink) error {
+// engineRelaying simulates an engine that sends the words of a channel as
+// tokens.
+func engineRelaying(words <-chan string) func(context.Context, identifier.StreamName, adapter.Sink) error {
 	return func(ctx context.Context, _ identifier.StreamName, sink adapter.Sink) error {
 		for i := identifier.Tokens(1); ; i++ {
 			select {
 			case word := <-words:
-				if err := say(sink, i, word); err != nil {
+				if err := sendTokens(sink, i, word); err != nil {
 					return err
 				}
 			case <-ctx.Done():
@@ -87,16 +88,16 @@
 	}
 }
 
-func requireVisible(t *testing.T, a *answerer.Answer, want string) {
+func requireReadable(t *testing.T, a *answerer.Answer, want string) {
 	t.Helper()
-	text, _ := visible(t, a)
+	text, _ := readable(t, a)
 	require.Equal(t, want, text)
 }
 
-// Two nodes would answer one caller. This node was paused, and its holder took
-// it for dead and owns the request now; its next push is refused, the reducer
-// yields, and the caller is sent to the holder with nothing more from here.
-func TestPushToAHolderThatTookOver(t *testing.T) {
+// Guards against two nodes answering one caller, if the holder adopted the
+// request while this node was paused. After the rejected push the caller must
+// be redirected.
+func TestPushToHolderThatOwnsRequest(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		f.reducer.nodes = nodes("entry-1", "entry-2")
 		f.peers.hold = func(_ context.Context, p relayer.Push) (relayer.HoldAnswer, error) {
@@ -105,24 +106,24 @@
 			}
 			return relayer.HoldStored, nil
 		}
-		f.engines.run = engineSaying("a")
+		f.engines.run = engineSending("a")
 		a := f.submit()
-		f.do(holdOf(a), messenger.Accept{Request: a.Request()})
-		f.do(attemptOf(a, 1))
+		f.runEffects(holdOf(a), messenger.Accept{Request: a.Request()})
+		f.runEffects(attemptOf(a, 1))
 		require.Len(t, eventsOf[messenger.HoldRefused](f.reducer), 1)
-		f.do(messenger.Redirect{
+		f.runEffects(messenger.Redirect{
 			Request: a.Request(),
 			To:      "entry-2",
 		})
-		text, end := visible(t, a)
+		text, end := readable(t, a)
 		require.Empty(t, text)
 		require.Equal(t, "entry-2:caller", end.MovedTo)
 	})
 }
 
-// The holder is gone: nothing more goes out until the next Hold or Unhold, and
-// the next holder gets everything, the body included.
-func TestHolderLostAndReplaced(t *testing.T) {
+// Guards against the release of unprotected tokens after the holder failed. The
+// next holder must receive the complete answer, including the body.
+func TestHolderIsReplacedAfterFailure(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		gone := true
 		f.peers.hold = func(context.Context, relayer.Push) (relayer.HoldAnswer, error) {
@@ -131,27 +132,26 @@
 			}
 			return relayer.HoldStored, nil
 		}
-		f.engines.run = engineSaying("a")
+		f.engines.run = engineSending("a")
 		a := f.submit()
-		f.do(holdOf(a), messenger.Accept{Request: a.Request()}, attemptOf(a, 1))
+		f.runEffects(holdOf(a), messenger.Accept{Request: a.Request()}, attemptOf(a, 1))
 		failed := eventsOf[messenger.HoldFailed](f.reducer)
 		require.Len(t, failed, 1)
 		require.True(t, failed[0].HolderEnded)
-		f.do(unholdOf(a))
-		text, _ := visible(t, a)
-		require.Empty(t, text, "an Unhold that names its holder lets nothing out")
+		f.runEffects(unholdOf(a))
+		text, _ := readable(t, a)
+		require.Empty(t, text, "an Unhold that names a holder releases nothing")
 
 		gone = false
-		f.do(holdOf(a))
-		text, _ = visible(t, a)
+		f.runEffects(holdOf(a))
+		text, _ = readable(t, a)
 		require.Equal(t, "a", text)
 	})
 }
 
-// The node would die between the end of an answer and the caller's reading it,
-// and the rest would be lost. The holder keeps its copy until the caller has
-// read the end. A non-idempotent request gets no such grace.
-func TestHolderKeepsTheCopyUntilTheEndIsRead(t *testing.T) {
+// Guards against the loss of an answer's last tokens if the node dies before
+// the caller has read them. A non-idempotent request has no such protection.
+func TestHolderKeepsCopyUntilEndIsRead(t *testing.T) {
 	for _, idempotent := range []bool{true, false} {
 		inBubble(t, func(t *testing.T, f *fixture) {
 			a := answerer.New(answerer.Config{Spec: messenger.RequestSpec{
@@ -159,23 +159,23 @@
 				Idempotent: idempotent,
 			}})
 			f.answers.Put(a)
-			f.do(holdOf(a), messenger.Accept{Request: "r1"})
-			f.do(messenger.Finish{
+			f.runEffects(holdOf(a), messenger.Accept{Request: "r1"})
+			f.runEffects(messenger.Finish{
 				Request: "r1",
 				Outcome: messenger.Done,
 			}, unholdOf(a))
-			require.Equal(t, !idempotent, f.peers.unheld() == 1)
-			_, end := visible(t, a)
+			require.Equal(t, !idempotent, f.peers.countUnholds() == 1)
+			_, end := readable(t, a)
 			require.NotNil(t, end)
 			synctest.Wait()
-			require.Equal(t, 1, f.peers.unheld())
+			require.Equal(t, 1, f.peers.countUnholds())
 		})
 	}
 }
 
-// The holder would drop the copy that it was just given. The word to drop the
-// old copy is slow; a new Hold to the same holder waits for it.
-func TestHoldWaitsForAnEarlierUnhold(t *testing.T) {
+// Guards against a delayed Unhold that drops the copy of a newer Hold at the
+// same holder.
+func TestHoldWaitsForEarlierUnhold(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		told := make(chan struct{})
 		f.peers.unhold = func(context.Context) error {
@@ -183,8 +183,8 @@
 			return nil
 		}
 		a := f.submit()
-		f.do(holdOf(a))
-		f.do(unholdOf(a), holdOf(a))
+		f.runEffects(holdOf(a))
+		f.runEffects(unholdOf(a), holdOf(a))
 		require.Len(t, f.peers.pushed(), 1)
 		close(told)
 		synctest.Wait()
@@ -192,10 +192,10 @@
 	})
 }
 
-// A handover's answer is lost: the successor may have the request. The answer
-// stays paused, also when a later try surely failed, until the request is
-// known to be with the successor, or its end comes here.
-func TestDoubtfulHandoverKeepsTheAnswerPaused(t *testing.T) {
+// Guards against callers reading two continuations, if a successor may own the
+// request after a failed handover. The answer must stay paused even if a later
+// try certainly failed, until the request ends here.
+func TestAmbiguousHandoverKeepsAnswerPaused(t *testing.T) {
 	lost := &relayer.PeerError{Reach: relayer.Ambiguous}
 	refused := &relayer.PeerError{Reach: relayer.NotReached}
 	tests := []struct {
@@ -223,22 +223,22 @@
 				a := f.submit()
 				for n, err := range test.tries {
 					f.peers.handOver = func(context.Context) error { return err }
-					f.do(messenger.HandOver{Request: a.Request()})
+					f.runEffects(messenger.HandOver{Request: a.Request()})
 					if n == 0 {
-						f.engines.run = engineSaying("a")
-						f.do(attemptOf(a, 1))
+						f.engines.run = engineSending("a")
+						f.runEffects(attemptOf(a, 1))
 					}
 				}
-				text, _ := visible(t, a)
+				text, _ := readable(t, a)
 				require.Equal(t, test.out, text)
 				failed := eventsOf[messenger.HandoverFailed](f.reducer)
 				require.Equal(t, test.out != "", failed[len(failed)-1].NotTaken)
 
-				f.do(messenger.Finish{
+				f.runEffects(messenger.Finish{
 					Request: a.Request(),
 					Outcome: messenger.Done,
 				})
-				text, _ = visible(t, a)
+				text, _ = readable(t, a)
 				require.Equal(t, "a", text)
 			})
 		})
@@ -257,10 +257,10 @@
 	}
 }
 
-// The successor dies right after it said yes, and nobody has the request. It
-// says yes only once the reducer confirms that the request is safe; a second
-// message for the same request, whose first answer was lost, waits likewise.
-func TestTakeOverWaitsForTheConfirmation(t *testing.T) {
+// Guards against the loss of a request whose successor acknowledges the
+// handover and then dies. Every call must wait for the reducer's confirmation,
+// including a repeated one.
+func TestTakeOverWaitsForConfirmation(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		ends := make(chan error, 2)
 		for range 2 {
@@ -269,22 +269,20 @@
 		synctest.Wait()
 		require.Len(t, eventsOf[messenger.RequestHandedOver](f.reducer), 2)
 		require.Empty(t, ends)
-		f.do(messenger.ConfirmHandover{Request: "r1"})
+		f.runEffects(messenger.ConfirmHandover{Request: "r1"})
 		require.NoError(t, <-ends)
 		require.NoError(t, <-ends)
 
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		require.Error(t, f.TakeOver(ctx, "entry-2", push(1)), "no confirmation, no yes")
+		require.Error(t, f.TakeOver(ctx, "entry-2", push(1)), "no confirmation")
 	})
 }
 
-// A node refuses a long request for the moment. The caller takes the same key to
-// a second node, which accepts it and asks the first one to hold the copy, or
-// hands the request over to it. The refusal must not stand in the way: the
-// first node would send the caller round in a circle, or drop the request that
-// it has just said yes to. A caller that asks here finds the request.
-func TestRefusalDoesNotStandAgainstAnOwner(t *testing.T) {
+// Guards against a refusal at this node that takes precedence over the node
+// that later accepted the same request: callers would be redirected in a loop,
+// or a handed-over request would be lost.
+func TestRefusalYieldsToOwner(t *testing.T) {
 	refuse := func(f *fixture) {
 		a := answerer.New(answerer.Config{Spec: push(5).Spec})
 		a.Refuse(messenger.Refusal{
@@ -303,7 +301,7 @@
 				Account: "agency",
 			})
 			require.True(t, ok)
-			require.True(t, at.Copy, "it is not here, its copy is")
+			require.True(t, at.Copy, "only the copy is here")
 		})
 	})
 	t.Run("handover", func(t *testing.T) {
@@ -313,13 +311,13 @@
 			go func() { ended <- f.TakeOver(t.Context(), "entry-2", push(1)) }()
 			synctest.Wait()
 			require.Len(t, eventsOf[messenger.RequestHandedOver](f.reducer), 1)
-			f.do(messenger.ConfirmHandover{Request: "r1"})
+			f.runEffects(messenger.ConfirmHandover{Request: "r1"})
 			require.NoError(t, <-ended)
 		})
 	})
 }
 
-func TestWhoOutranksWhom(t *testing.T) {
+func TestOutranks(t *testing.T) {
 	tests := []struct {
 		name  string
 		own   func(a *answerer.Answer)
@@ -352,7 +350,7 @@
 			want:  relayer.HoldStored,
 		},
 		{
-			name: "whole answer here",
+			name: "complete answer here",
 			own: func(a *answerer.Answer) {
 				a.Finish(answerer.End{Outcome: messenger.Done})
 			},
@@ -368,7 +366,7 @@
 			want:  relayer.HoldStored,
 		},
 		{
-			name:  "moved elsewhere",
+			name:  "moved to another node",
 			own:   func(a *answerer.Answer) { a.Redirect("entry-3", "x") },
 			from:  "entry-2",
 			epoch: 4,
@@ -394,8 +392,8 @@
 	}
 }
 
-// A copy is whole or refused: an increment without what came before it, or one
-// from another owner, makes the owner push everything; too much is refused.
+// A push that leaves a gap, or comes from another owner without the body,
+// requests a full push. A push beyond the memory limit is rejected.
 func TestCopies(t *testing.T) {
 	c := newCopies(100)
 	whole := push(1)
@@ -407,36 +405,35 @@
 			Text:  "a",
 		}},
 	}
-	require.Equal(t, relayer.HoldIncomplete, c.keep("entry-2", part))
-	require.Equal(t, relayer.HoldStored, c.keep("entry-2", whole))
-	require.Equal(t, relayer.HoldStored, c.keep("entry-2", part))
+	require.Equal(t, relayer.HoldIncomplete, c.store("entry-2", part))
+	require.Equal(t, relayer.HoldStored, c.store("entry-2", whole))
+	require.Equal(t, relayer.HoldStored, c.store("entry-2", part))
 	part.Pieces[0].Index = 3
-	require.Equal(t, relayer.HoldIncomplete, c.keep("entry-2", part))
-	require.Equal(t, relayer.HoldOwned, c.keep("entry-3", part), "entry-2 comes first at the same epoch")
+	require.Equal(t, relayer.HoldIncomplete, c.store("entry-2", part))
+	require.Equal(t, relayer.HoldOwned, c.store("entry-3", part), "entry-2 precedes at the same epoch")
 	part.Pieces[0].Text = string(make([]byte, 200))
-	require.Equal(t, relayer.HoldFull, c.keep("entry-2", part))
+	require.Equal(t, relayer.HoldFull, c.store("entry-2", part))
 
-	require.Equal(t, relayer.HoldStored, c.keep("entry-3", push(2)))
-	require.False(t, c.dropFrom("entry-2", "r1"), "the word of the owner before")
-	require.True(t, c.dropFrom("entry-3", "r1"))
-	n, bytes := c.size()
+	require.Equal(t, relayer.HoldStored, c.store("entry-3", push(2)))
+	require.False(t, c.dropIfOwner("entry-2", "r1"), "message from the previous owner")
+	require.True(t, c.dropIfOwner("entry-3", "r1"))
+	n, bytes := c.totals()
 	require.Zero(t, n)
 	require.Zero(t, bytes)
 }
 
-// An owner offers one copy more than this node keeps. It has to hear so, to
-// look for another holder; a copy that was acknowledged and then dropped would
-// leave an accepted request unprotected.
-func TestCopiesAreCounted(t *testing.T) {
+// Guards against acknowledging a copy that would then be dropped. Beyond the
+// limit the push must be rejected, so that the owner selects another holder.
+func TestNumberOfCopiesIsBounded(t *testing.T) {
 	c := newCopies(1 << 30)
 	offer := func(n int) relayer.HoldAnswer {
 		p := push(1)
 		p.Spec.Request = identifier.RequestID(fmt.Sprint("r", n))
-		return c.keep("entry-2", p)
+		return c.store("entry-2", p)
 	}
 	for n := range maxCopies {
 		require.Equal(t, relayer.HoldStored, offer(n))
 	}
 	require.Equal(t, relayer.HoldFull, offer(maxCopies))
-	require.Equal(t, relayer.HoldStored, offer(0), "a copy that is kept is renewed")
+	require.Equal(t, relayer.HoldStored, offer(0), "an existing copy is replaced")
 }
--- a/internal/runner/lane.go
+++ b/internal/runner/lane.go
@@ -2,19 +2,20 @@
 
 import "context"
 
-// job is one piece of work in a lane. Its end runs in the loop.
+// job is a unit of work in a lane. The function that it returns runs in the
+// loop.
 type job func(ctx context.Context) func()
 
-// lanes runs jobs that must not overtake one another: those with one key run
-// one at a time and in order. Queues and the number of lanes that run at once
-// are bounded. Only the loop uses it.
+// lanes runs jobs with the same key one at a time and in order. The queue of
+// each lane and the number of concurrently running lanes are bounded. It is
+// accessed only by the loop.
 type lanes struct {
-	tasks *tasks
-	limit int // of lanes that run at once
-	depth int // of the queue of a lane
-	byKey map[string]*lane
-	ready []*lane
-	busy  int
+	tasks   *tasks
+	limit   int // on concurrently running lanes
+	depth   int // limit on the queue of a lane
+	byKey   map[string]*lane
+	ready   []*lane
+	running int
 }
 
 type lane struct {
@@ -32,7 +33,7 @@
 	}
 }
 
-// push adds a job to the lane of key, or returns false when that is full.
+// push adds a job to the lane of key. It returns false if the lane is full.
 func (l *lanes) push(key string, j job) bool {
 	ln := l.byKey[key]
 	if ln == nil {
@@ -48,7 +49,7 @@
 	return true
 }
 
-// waiting returns the number of jobs of key that have not begun.
+// waiting returns the number of jobs of key that have not started.
 func (l *lanes) waiting(key string) int {
 	if ln := l.byKey[key]; ln != nil {
 		return len(ln.queue)
@@ -56,7 +57,7 @@
 	return 0
 }
 
-// idle reports whether no job of key waits or runs.
+// idle reports whether key has no queued or running job.
 func (l *lanes) idle(key string) bool { return l.byKey[key] == nil }
 
 func (l *lanes) activate(ln *lane) {
@@ -67,7 +68,7 @@
 }
 
 func (l *lanes) dispatch() {
-	for l.busy < l.limit && len(l.ready) > 0 {
+	for l.running < l.limit && len(l.ready) > 0 {
 		ln := l.ready[0]
 		l.ready = l.ready[1:]
 		l.run(ln)
@@ -77,7 +78,7 @@
 func (l *lanes) run(ln *lane) {
 	j := ln.queue[0]
 	ln.queue = ln.queue[1:]
-	l.busy++
+	l.running++
 	l.tasks.start(func(ctx context.Context) func() {
 		after := j(ctx)
 		return func() {
@@ -90,7 +91,7 @@
 }
 
 func (l *lanes) finished(ln *lane) {
-	l.busy--
+	l.running--
 	ln.active = false
 	if len(ln.queue) > 0 {
 		l.activate(ln)
--- a/internal/runner/locate.go
+++ b/internal/runner/locate.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// locateParallel bounds the peers asked at a time where a request is,
-	// locateMost those asked at all, and locateTimeout the whole search.
-	locateParallel = 4
-	locateMost     = 16
-	locateTimeout  = 2 * time.Second
+	// maxLocateParallel bounds the concurrent queries of one search,
+	// maxLocatePeers the total number of queried peers. locateTimeout is the
+	// timeout of the search.
+	maxLocateParallel = 4
+	maxLocatePeers    = 16
+	locateTimeout     = 2 * time.Second
 )
 
 // peerAddresses returns the peer addresses of the nodes that may have a
-// request, likeliest first.
+// request, most likely first.
 func (r *Runner) peerAddresses(ctx context.Context, request identifier.RequestID) []string {
 	var addresses []string
-	r.ask(ctx, func() {
+	r.runInLoop(ctx, func() {
 		for _, n := range placer.Candidates(request, r.config.Reducer.Nodes()) {
-			if n.VM != r.config.Self && len(addresses) < locateMost {
+			if n.VM != r.config.Self && len(addresses) < maxLocatePeers {
 				addresses = append(addresses, n.PeerAddress)
 			}
 		}
@@ -31,55 +32,55 @@
 	return addresses
 }
 
-// sighting is what one peer says of a request's place.
-type sighting struct {
-	at    relayer.Location
-	found bool
+// locateResult is one peer's answer.
+type locateResult struct {
+	location relayer.Location
+	found    bool
 }
 
-// better reports whether s tells more than other: an owner is better than a
-// holder of a copy, and a holder better than nothing.
-func (s sighting) better(other sighting) bool {
-	return s.found && (!other.found || other.at.Copy && !s.at.Copy)
+// betterThan reports whether s is preferable to other: an owner is preferable
+// to a holder of a copy, and either to no answer.
+func (s locateResult) betterThan(other locateResult) bool {
+	return s.found && (!other.found || other.location.Copy && !s.location.Copy)
 }
 
-// owner reports whether s names the owner, so that nobody else need be asked.
-func (s sighting) owner() bool { return s.found && !s.at.Copy }
+// namesOwner reports whether s names the owner, which ends the search.
+func (s locateResult) namesOwner() bool { return s.found && !s.location.Copy }
 
-// locate asks peers where a request is, at most locateParallel at a time, and
-// returns the first owner named; else the first holder of a copy.
+// locate queries peers for a request, at most maxLocateParallel at a time. It
+// returns the first owner found, or else the first holder of a copy.
 func (r *Runner) locate(ctx context.Context, q relayer.Query, addresses []string) (relayer.Location, bool) {
 	ctx, cancel := context.WithTimeout(ctx, locateTimeout)
 	defer cancel()
-	var best sighting
-	ends := make(chan sighting)
-	asking := 0
-	for asking > 0 || len(addresses) > 0 {
-		if asking < locateParallel && len(addresses) > 0 {
+	var best locateResult
+	results := make(chan locateResult)
+	inFlight := 0
+	for inFlight > 0 || len(addresses) > 0 {
+		if inFlight < maxLocateParallel && len(addresses) > 0 {
 			address := addresses[0]
 			addresses = addresses[1:]
-			asking++
-			go func() { ends <- r.askPeer(ctx, address, q) }()
+			inFlight++
+			go func() { results <- r.locateAt(ctx, address, q) }()
 			continue
 		}
-		s := <-ends
-		asking--
-		if s.better(best) {
+		s := <-results
+		inFlight--
+		if s.betterThan(best) {
 			best = s
 		}
-		if best.owner() {
+		if best.namesOwner() {
 			addresses = nil
 			cancel()
 		}
 	}
-	return best.at, best.found
+	return best.location, best.found
 }
 
-// askPeer asks one peer where a request is.
-func (r *Runner) askPeer(ctx context.Context, address string, q relayer.Query) sighting {
+// locateAt queries one peer.
+func (r *Runner) locateAt(ctx context.Context, address string, q relayer.Query) locateResult {
 	at, found, err := r.config.Peers.Locate(ctx, address, q)
-	return sighting{
-		at:    at,
-		found: found && err == nil,
+	return locateResult{
+		location: at,
+		found:    found && err == nil,
 	}
 }
--- a/internal/runner/metrics.go
+++ b/internal/runner/metrics.go
@@ -10,8 +10,8 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// Metrics counts what a Runner did since its start. Its variable is a JSON
-// object; docs/OPERATIONS.md gives the unit and the meaning of each field.
+// Metrics counts the actions of a Runner since its start. Its variable is a
+// JSON object; docs/OPERATIONS.md describes the fields and their units.
 type Metrics struct {
 	vars *expvar.Map
 
@@ -31,7 +31,7 @@
 	droppedEvents    expvar.Int
 	droppedEffects   expvar.Int
 	evicted          expvar.Int
-	lags             lagWindow
+	loopLag          lagWindow
 }
 
 func newMetrics() *Metrics {
@@ -53,24 +53,24 @@
 		"dropped_events":    &m.droppedEvents,
 		"dropped_effects":   &m.droppedEffects,
 		"evicted_answers":   &m.evicted,
-		"loop_lag_ms":       &m.lags,
+		"loop_lag_ms":       &m.loopLag,
 	} {
 		m.vars.Set(name, v)
 	}
 	return m
 }
 
-// observe adds the figures that are read when they are asked for.
-func (m *Metrics) observe(r *Runner) {
+// addGauges adds the gauges, which are computed when they are read.
+func (m *Metrics) addGauges(r *Runner) {
 	gauges := map[string]func() int64{
 		"answers":      func() int64 { return int64(r.answers.Len()) },
 		"answer_bytes": func() int64 { return int64(r.answers.Bytes()) },
 		"copies": func() int64 {
-			n, _ := r.copies.size()
+			n, _ := r.copies.totals()
 			return int64(n)
 		},
 		"copy_bytes": func() int64 {
-			_, bytes := r.copies.size()
+			_, bytes := r.copies.totals()
 			return int64(bytes)
 		},
 		"event_queue": func() int64 { return int64(len(r.events)) },
@@ -83,26 +83,27 @@
 // Var returns the variable to publish.
 func (m *Metrics) Var() expvar.Var { return m.vars }
 
-func (m *Metrics) refused(r messenger.Refusal) {
+func (m *Metrics) countRefusal(r messenger.Refusal) {
 	m.refusals.Add(string(r.Reason), 1)
-	m.outcome(r.Outcome)
+	m.countOutcome(r.Outcome)
 }
 
-func (m *Metrics) outcome(o messenger.Outcome) { m.outcomes.Add(string(o), 1) }
+func (m *Metrics) countOutcome(o messenger.Outcome) { m.outcomes.Add(string(o), 1) }
 
-func (m *Metrics) attemptEnded(result messenger.AttemptResult) { m.results.Add(string(result), 1) }
+func (m *Metrics) countAttemptEnd(result messenger.AttemptResult) { m.results.Add(string(result), 1) }
 
-// started counts an attempt and what it makes a server compute again.
-func (m *Metrics) started(e messenger.SendAttempt, spec messenger.RequestSpec, from identifier.Tokens) {
+// countAttempt counts an attempt and the tokens that it makes a server
+// recompute.
+func (m *Metrics) countAttempt(e messenger.SendAttempt, spec messenger.RequestSpec, from identifier.Tokens) {
 	m.attempts.Add(string(e.Mode), 1)
 	if e.Mode == messenger.StartPrefill {
 		m.recomputedTokens.Add(int64(spec.PromptTokens + from))
 	}
 }
 
-func (m *Metrics) lag(d time.Duration) { m.lags.add(time.Now(), d) }
+func (m *Metrics) recordLag(d time.Duration) { m.loopLag.add(time.Now(), d) }
 
-// lagWindow keeps the longest lag of the present and the last second.
+// lagWindow holds the maximum lag of the current and the previous second.
 type lagWindow struct {
 	second  atomic.Int64
 	present atomic.Int64
@@ -111,7 +112,7 @@
 
 var _ expvar.Var = (*lagWindow)(nil)
 
-// add is called by the loop only.
+// add must be called only by the loop.
 func (w *lagWindow) add(now time.Time, d time.Duration) {
 	if s := now.Unix(); s != w.second.Load() {
 		w.second.Store(s)
@@ -122,7 +123,7 @@
 	}
 }
 
-// String returns the longest lag in milliseconds, as JSON.
+// String returns the maximum lag in milliseconds, as JSON.
 func (w *lagWindow) String() string {
 	text, err := json.Marshal(max(w.present.Load(), w.last.Load()))
 	if err != nil {
--- a/internal/runner/operate.go
+++ b/internal/runner/operate.go
@@ -11,14 +11,15 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// Propose changes one file of the configuration and waits for the verdict.
+// Propose changes one configuration file and waits for the verdict. If ctx ends
+// first, the verdict is unknown.
 func (r *Runner) Propose(ctx context.Context, change messenger.ChangeProposed) (messenger.ChangeVerdict, error) {
 	verdict := make(chan messenger.ChangeVerdict, 1)
-	ok := r.ask(ctx, func() {
-		r.proposed++
-		change.Ticket = r.proposed
+	ok := r.runInLoop(ctx, func() {
+		r.lastProposal++
+		change.Ticket = r.lastProposal
 		r.proposals[change.Ticket] = verdict
-		r.later(change)
+		r.enqueue(change)
 	})
 	if !ok {
 		return messenger.ChangeVerdict{}, &answerer.NodeStoppingError{}
@@ -29,14 +30,14 @@
 	case <-ctx.Done():
 	case <-r.stopped:
 	}
-	r.ask(context.Background(), func() { delete(r.proposals, change.Ticket) })
+	r.runInLoop(context.Background(), func() { delete(r.proposals, change.Ticket) })
 	return messenger.ChangeVerdict{Unknown: true}, nil
 }
 
-// Files returns the configuration in force.
+// Files returns the configuration files in force.
 func (r *Runner) Files() map[identifier.FileName]server.FileState {
 	files := make(map[identifier.FileName]server.FileState)
-	r.ask(context.Background(), func() {
+	r.runInLoop(context.Background(), func() {
 		for name, f := range r.config.Reducer.Files() {
 			files[name] = server.FileState{
 				Content:  f.Content,
@@ -48,17 +49,17 @@
 	return files
 }
 
-// History returns the changes that this node knows, oldest first.
+// History returns the configuration changes known to this node, oldest first.
 func (r *Runner) History() []configurer.Change {
 	var changes []configurer.Change
-	r.ask(context.Background(), func() { changes = r.config.Reducer.History() })
+	r.runInLoop(context.Background(), func() { changes = r.config.Reducer.History() })
 	return changes
 }
 
-// Timeline returns the events of this node that match f.
+// Timeline returns the timeline entries of this node that match f.
 func (r *Runner) Timeline(f historian.Filter) []historian.Entry { return r.config.Historian.Entries(f) }
 
-// Explain returns the events that led to the end of a request.
+// Explain returns the timeline entries of a request.
 func (r *Runner) Explain(request identifier.RequestID) []historian.Entry {
 	return r.config.Historian.Entries(historian.Filter{Request: request})
 }
--- a/internal/runner/order.go
+++ b/internal/runner/order.go
@@ -16,10 +16,10 @@
 	exportTimeout = 2 * time.Minute
 )
 
-// covered reports whether a lease still covers an act. It is asked right
-// before the act leaves, in the task: the process may have been paused since
-// the reducer decided, and the lease may have passed to another node.
-func (r *Runner) covered(notAfter timekeeper.Time) bool {
+// leaseCovers reports whether a lease still covers an action. It is called in
+// the task right before the action: the process may have been paused since the
+// reducer's decision, and the lease may have passed to another node.
+func (r *Runner) leaseCovers(notAfter timekeeper.Time) bool {
 	return r.clock.Now().Before(notAfter)
 }
 
@@ -42,14 +42,14 @@
 	}, r.report(moved))
 }
 
-// giveOrder gives an engine an order. Orders to one engine keep their order.
+// giveOrder sends an order to an engine. Orders to one engine stay in sequence.
 func (r *Runner) giveOrder(e messenger.GiveOrder) {
 	ended := messenger.OrderEnded{
 		Ticket: e.Ticket,
 		Server: e.Server,
 	}
 	r.inLane("order/"+string(e.Server), func(ctx context.Context) func() {
-		if !r.covered(e.NotAfter) {
+		if !r.leaseCovers(e.NotAfter) {
 			r.metrics.lapsedOrders.Add(1)
 			return r.report(ended)
 		}
@@ -63,16 +63,15 @@
 	}, r.report(ended))
 }
 
-// buyVM buys a VM.
 func (r *Runner) buyVM(e messenger.BuyVM) {
-	lost := messenger.BuyEnded{
+	rejected := messenger.BuyEnded{
 		Ticket:  e.Ticket,
 		Refused: true,
 	}
 	r.inLane("cloud/"+e.ClientToken, func(ctx context.Context) func() {
-		if !r.covered(e.NotAfter) {
+		if !r.leaseCovers(e.NotAfter) {
 			r.metrics.lapsedOrders.Add(1)
-			return r.report(lost)
+			return r.report(rejected)
 		}
 		ctx, done := context.WithTimeout(ctx, cloudTimeout)
 		defer done()
@@ -84,14 +83,14 @@
 			Refused:   errors.As(err, &refused),
 			Ambiguous: err != nil && !errors.As(err, &refused),
 		})
-	}, r.report(lost))
+	}, r.report(rejected))
 }
 
-// releaseVM gives a VM back. Where that fails, the list goes on showing the
-// VM and the reducer asks again.
+// releaseVM releases a VM. If that fails, the VM list still contains the VM and
+// the reducer retries.
 func (r *Runner) releaseVM(e messenger.ReleaseVM) {
 	r.inLane("cloud/"+string(e.VM), func(ctx context.Context) func() {
-		if !r.covered(e.NotAfter) {
+		if !r.leaseCovers(e.NotAfter) {
 			r.metrics.lapsedOrders.Add(1)
 			return nil
 		}
--- a/internal/runner/order_test.go
+++ b/internal/runner/order_test.go
@@ -14,22 +14,22 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// lateCloud carries an order out, late where its answer is lost, if its fence is not below
-// one that it has seen.
-type lateCloud struct {
+// delayingCloud executes orders unless their fence is below one that it has
+// seen. If lose is set, it executes them after a delay and returns no answer.
+type delayingCloud struct {
 	mu      sync.Mutex
 	seen    identifier.Fence
 	servers int
 	lose    bool
 }
 
-var _ LeaderTasks = (*lateCloud)(nil)
+var _ LeaderTasks = (*delayingCloud)(nil)
 
-func (c *lateCloud) ReportUsage(context.Context, messenger.ReportUsage) messenger.LeaderTaskResult {
+func (c *delayingCloud) ReportUsage(context.Context, messenger.ReportUsage) messenger.LeaderTaskResult {
 	return messenger.LeaderTaskDone
 }
 
-func (c *lateCloud) OrderServers(ctx context.Context, e messenger.OrderServers) messenger.LeaderTaskResult {
+func (c *delayingCloud) OrderServers(ctx context.Context, e messenger.OrderServers) messenger.LeaderTaskResult {
 	c.mu.Lock()
 	lose := c.lose
 	c.mu.Unlock()
@@ -41,7 +41,7 @@
 	return c.carryOut(e)
 }
 
-func (c *lateCloud) carryOut(e messenger.OrderServers) messenger.LeaderTaskResult {
+func (c *delayingCloud) carryOut(e messenger.OrderServers) messenger.LeaderTaskResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if e.Fence < c.seen {
@@ -52,20 +52,18 @@
 	return messenger.LeaderTaskDone
 }
 
-// loses lets the cloud lose its answers, or no longer.
-func (c *lateCloud) loses(lose bool) {
+// setLoseAnswers sets whether answers are lost.
+func (c *delayingCloud) setLoseAnswers(lose bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lose = lose
 }
 
-// Callers of a zone came in crowds, and it was to have 40 servers. An order for 23 from
-// before, whose answer had been lost, came into force twelve seconds later, and 17 of the
-// 40 went at once; the same crowd was served well on days on which another call was lost.
-// What was ordered before a newer order may not undo it.
-func TestLateOrderDoesNotUndoANewerOne(t *testing.T) {
+// Guards against a delayed order that overrides a newer one and removes
+// servers.
+func TestLateOrderDoesNotOverrideNewerOne(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
-		cloud := &lateCloud{}
+		cloud := &delayingCloud{}
 		f.config.LeaderTasks = cloud
 		order := func(count int) messenger.OrderServers {
 			return messenger.OrderServers{
@@ -79,11 +77,11 @@
 				NotAfter: timekeeper.FromStd(time.Now().Add(time.Minute)),
 			}
 		}
-		cloud.loses(true)
-		f.do(order(23))
+		cloud.setLoseAnswers(true)
+		f.runEffects(order(23))
 		<-time.After(2 * time.Second)
-		cloud.loses(false)
-		f.do(order(40))
+		cloud.setLoseAnswers(false)
+		f.runEffects(order(40))
 		<-time.After(20 * time.Second)
 		cloud.mu.Lock()
 		defer cloud.mu.Unlock()
--- a/internal/runner/outside.go
+++ b/internal/runner/outside.go
@@ -16,30 +16,31 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Reducer decides. Only the loop calls it.
+// Reducer makes the decisions of a node. It is called only by the loop.
 type Reducer interface {
 	Apply(e messenger.Event) []messenger.Effect
 	// Catalog returns the configuration in force, or nil.
 	Catalog() *catalog.Catalog
-	// Streams returns the streams of the log to follow.
+	// Streams returns the log streams to follow.
 	Streams() []identifier.LogStream
-	// Nodes returns the live nodes, this one included.
+	// Nodes returns the live nodes, including this one.
 	Nodes() []gossiper.Node
 	// Node returns a node, dead or alive.
 	Node(vm identifier.VMID) (gossiper.Node, bool)
 	// Addresses returns the nodes for the callers of an account, best first.
 	Addresses(now timekeeper.Time, account identifier.AccountID) []gossiper.Node
 	View(now timekeeper.Time) reducer.View
-	// Rollouts returns the roll-outs that the node knows.
+	// Rollouts returns the rollouts known to the node.
 	Rollouts(now timekeeper.Time) []promoter.Status
 	Files() map[identifier.FileName]configurer.FileState
 	History() []configurer.Change
-	// ExportConfiguration returns the state of the configuration for a peer.
+	// ExportConfiguration returns the encoded state of the configuration for a
+	// peer.
 	ExportConfiguration() ([]byte, bool)
-	// Following returns which records of the platform's store to read.
+	// Following returns the kinds of records to read from the platform's store.
 	Following(now timekeeper.Time) reducer.Following
-	// Ready reports whether callers of opaque exchanges may come here, and
-	// ReadyNodes where else they may go.
+	// Ready reports whether this node accepts callers of opaque exchanges.
+	// ReadyNodes returns the nodes that do.
 	Ready() bool
 	ReadyNodes() []gossiper.Node
 }
@@ -48,8 +49,8 @@
 
 // PlatformLog is the platform's append-only log.
 type PlatformLog interface {
-	// Append appends all records or none. With a *adapter.RateLimitedError
-	// none was appended; with other errors they may have been.
+	// Append appends all records or none. After an *adapter.RateLimitedError
+	// none was appended; after any other error they may have been.
 	Append(ctx context.Context, records []adapter.Record) ([]identifier.Offset, error)
 	Read(
 		ctx context.Context, stream identifier.LogStream, from identifier.Offset,
@@ -62,61 +63,64 @@
 	List(ctx context.Context) (messenger.ListRead, error)
 }
 
-// Cloud sells VMs and takes them away.
+// Cloud buys and releases VMs and reports reclaim notices.
 type Cloud interface {
 	Notices(ctx context.Context, after uint64, wait timekeeper.Duration) ([]adapter.Notice, error)
 	Buy(ctx context.Context, b messenger.BuyVM) (identifier.VMID, error)
 	Release(ctx context.Context, vm identifier.VMID) error
 }
 
-// PublishedStore is the platform's store of what operators and backend servers
-// publish. An *ExpiredError means that records after the offset are gone: the
-// whole has to be read anew.
+// PublishedStore is the platform's store of the records that operators and
+// backend servers publish. A *RecordsExpiredError means that records after the
+// offset have been deleted, so that all records must be read again.
 type PublishedStore interface {
-	// Era returns the era of the store as far as an answer has told.
+	// Generation returns the latest generation that an answer of the store has
+	// stated.
 	Generation() identifier.StoreGeneration
-	// AllServers returns all entries, and the offset to go on from.
+	// AllServers returns all entries and the offset at which to continue.
 	AllServers(ctx context.Context) ([]messenger.PublishedServer, identifier.Offset, error)
-	// ServersFrom returns the entries from an offset on, which may be none.
+	// ServersFrom returns the entries from an offset on, if any, and the offset
+	// at which to continue.
 	ServersFrom(ctx context.Context, from identifier.Offset) ([]messenger.PublishedServer, identifier.Offset, error)
-	// Configuration returns the newest configuration and the orders of roll-outs,
-	// or nil where there are none yet.
+	// Configuration returns the latest configuration and rollout orders, or nil
+	// if none exists.
 	Configuration(ctx context.Context) (*Published, identifier.Offset, error)
-	// ConfigurationFrom waits for either from an offset on; nil means that none
-	// came in time.
+	// ConfigurationFrom waits for a configuration or an order from an offset
+	// on. It returns nil if none arrives within the wait.
 	ConfigurationFrom(ctx context.Context, from identifier.Offset, wait timekeeper.Duration) (*Published, identifier.Offset, error)
-	// Decode reads a configuration that a peer had from the store.
+	// Decode decodes a configuration that a peer received from the store.
 	Decode(data []byte) (*Published, error)
 }
 
-// Published is what operators wrote.
+// Published holds records that operators published.
 type Published struct {
-	// Catalog is a configuration, and Data the same as the store has it; nil where
-	// only orders were read.
+	// Catalog is the decoded configuration and Data its encoding in the store.
+	// Both are nil if only orders were read.
 	Catalog *catalog.Catalog
 	Data    []byte
-	// Orders are orders of roll-outs, the newest of each service last.
+	// Orders are rollout orders, the newest of each service last.
 	Orders []messenger.RolloutOrder
 }
 
-// RolloutStore keeps the states of roll-outs. Nothing is written under a fence once a
-// larger one was used.
+// RolloutStore stores the state of rollouts. It rejects a write whose fence is
+// lower than one already used.
 type RolloutStore interface {
-	// ClaimRollouts keeps holders with smaller fences from writing, and returns the
-	// last state of each service's roll-out.
+	// ClaimRollouts fences off holders of lower fences and returns the stored
+	// state of each service's rollout.
 	ClaimRollouts(ctx context.Context, fence identifier.Fence) ([]messenger.Rollout, messenger.LeaderTaskResult)
-	// KeepRollout writes a state and tells the operators.
+	// StoreRollout writes the state of a rollout and notifies the operators.
 	StoreRollout(ctx context.Context, e messenger.StoreRollout) messenger.LeaderTaskResult
 }
 
-// Duties are the calls to the platform that one node at a time makes. They say
-// truthfully what became of each.
+// LeaderTasks are the platform calls that only the leader makes. The result
+// states whether a call took effect, was fenced off or refused, or is unknown.
 type LeaderTasks interface {
 	ReportUsage(ctx context.Context, e messenger.ReportUsage) messenger.LeaderTaskResult
 	OrderServers(ctx context.Context, e messenger.OrderServers) messenger.LeaderTaskResult
 }
 
-// ExpiredError reports that records which were to be read next are gone.
+// RecordsExpiredError reports that the next records to read have expired.
+// Records from offset FirstAvailable on remain.
 type RecordsExpiredError struct {
 	FirstAvailable identifier.Offset
 }
@@ -127,7 +131,7 @@
 	return fmt.Sprintf("records before offset %d have expired", e.FirstAvailable)
 }
 
-// Engines speaks to model engines.
+// Engines calls model engines.
 type Engines interface {
 	Start(ctx context.Context, address string, s adapter.StartRequest, p adapter.ResponseTimeouts, sink adapter.Sink) error
 	Resume(
@@ -141,7 +145,7 @@
 	Order(ctx context.Context, address string, o messenger.Order) error
 }
 
-// PlainServers speaks to plain servers.
+// PlainServers calls plain servers.
 type PlainServers interface {
 	Call(ctx context.Context, address string, c adapter.PlainCall, p adapter.ResponseTimeouts) (adapter.PlainReply, error)
 	Load(ctx context.Context, address string) (messenger.ServerLoad, error)
@@ -155,7 +159,7 @@
 	_ PlainServers = (*adapter.Plain)(nil)
 )
 
-// Peers speaks to other nodes at their peer addresses.
+// Peers calls other nodes at their peer addresses.
 type Peers interface {
 	Gossip(ctx context.Context, address string, data []byte) error
 	SendStateUpdate(ctx context.Context, address string, s messenger.StateUpdate) error
@@ -164,7 +168,7 @@
 	Hold(ctx context.Context, address string, p relayer.Push) (relayer.HoldAnswer, error)
 	Unhold(ctx context.Context, address string, r identifier.RequestID) error
 	// HandOver returns nil once the peer owns the request. After an error for
-	// which relayer.PeerError.NoEffect is false it may own it too.
+	// which relayer.PeerError.NoEffect returns false, the peer may own it too.
 	HandOver(ctx context.Context, address string, p relayer.Push) error
 	Locate(ctx context.Context, address string, q relayer.Query) (relayer.Location, bool, error)
 	Outcome(ctx context.Context, address string, q relayer.Query) (relayer.Ending, error)
--- a/internal/runner/peer.go
+++ b/internal/runner/peer.go
@@ -9,83 +9,85 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// What follows answers the calls of peers. It runs in their handlers'
-// goroutines.
+// The methods below serve calls from peers. They run in the goroutines of the
+// call handlers.
 
-// ReceiveGossip takes a peer's news. Where the loop is behind, the news is
-// dropped; the peer's next message makes up for it.
+// ReceiveGossip passes a peer's gossip message to the loop. If the event queue
+// is full, the message is dropped; the peer's next message supersedes it.
 func (r *Runner) ReceiveGossip(from identifier.VMID, data []byte) {
-	r.offer(messenger.GossipReceived{
+	r.tryEmit(messenger.GossipReceived{
 		From: from,
 		Data: data,
 	})
 }
 
-// KeepCopy takes a push from the owner of a long request.
+// StoreCopy stores a push from the owner of a long request.
 //
-// An owner that was paused, taken for dead and thawed again still believes it
-// owns the request. Its push is refused where this node came after it, or has
-// the whole answer, so that callers do not read two continuations of one
-// answer. Where the pusher came after this node, the reducer yields to it.
+// An owner that was paused, declared dead and then resumed still believes that
+// it owns the request. Its push is rejected if this node superseded it or has
+// the complete answer, so that callers do not read two continuations of one
+// answer. If instead the pushing node superseded this one, the reducer yields
+// to it.
 func (r *Runner) StoreCopy(ctx context.Context, from identifier.VMID, p relayer.Push) relayer.HoldAnswer {
-	own, ok := r.answers.Get(p.Spec.Request)
-	if ok && r.outranks(own, from, p.Epoch) {
+	existing, ok := r.answers.Get(p.Spec.Request)
+	if ok && r.outranks(existing, from, p.Epoch) {
 		return relayer.HoldOwned
 	}
-	answer := r.copies.keep(from, p)
+	answer := r.copies.store(from, p)
 	if answer != relayer.HoldStored {
 		return answer
 	}
-	if ok && neverRan(own) {
-		// Callers that ask for the request are to find the copy's owner.
-		r.answers.Discard(own)
+	if ok && neverRan(existing) {
+		// Callers that query this node must be directed to the copy's owner.
+		r.answers.Discard(existing)
 	}
-	kept, _, ok := r.copies.get(p.Spec.Request)
+	stored, _, ok := r.copies.get(p.Spec.Request)
 	if !ok {
 		return relayer.HoldOwned
 	}
-	place := kept.Placement()
-	held := messenger.CopyHeld{
-		Spec:      kept.Spec(),
-		Epoch:     kept.Epoch(),
+	place := stored.Placement()
+	event := messenger.CopyHeld{
+		Spec:      stored.Spec(),
+		Epoch:     stored.Epoch(),
 		Owner:     from,
 		Attempt:   place.Attempt,
 		Server:    place.Server,
 		Stream:    place.Stream,
-		Delivered: kept.Delivered(),
+		Delivered: stored.Delivered(),
 	}
-	if !r.emit(ctx, held) {
+	if !r.emit(ctx, event) {
 		return relayer.HoldFull
 	}
 	return relayer.HoldStored
 }
 
-// DropCopy drops the copy that from's request has here.
+// DropCopy drops the copy of a request if it belongs to the given node.
 func (r *Runner) DropCopy(ctx context.Context, from identifier.VMID, request identifier.RequestID) {
-	if r.copies.dropFrom(from, request) {
+	if r.copies.dropIfOwner(from, request) {
 		r.emit(ctx, messenger.CopyDropped{Request: request})
 	}
 }
 
-// outranks reports whether this node's answer stands against a peer that takes
-// itself for the owner: it is whole, or this node came after the peer.
+// outranks reports whether this node's answer takes precedence over a peer that
+// claims ownership, because the answer is complete or this node superseded the
+// peer.
 //
-// A refusal does not stand. Its caller goes on to the next node under the same
-// key; were that node told that the request is taken here, it would send the
-// caller back to a node that has nothing, and the caller would look for its
-// request until it gives up. Nothing ran here, so the peer is the only owner.
-func (r *Runner) outranks(own *answerer.Answer, from identifier.VMID, epoch identifier.Epoch) bool {
-	if neverRan(own) {
+// An answer that never ran does not take precedence. After a refusal the caller
+// retries with the same key at the next node. If that node were told that this
+// one owns the request, it would redirect the caller to a node without an
+// answer. Since nothing ran here, the peer is the only owner.
+func (r *Runner) outranks(answer *answerer.Answer, from identifier.VMID, epoch identifier.Epoch) bool {
+	if neverRan(answer) {
 		return false
 	}
-	end, ended := own.Ended()
+	end, ended := answer.Ended()
 	if ended && end.MovedTo == "" {
 		return true
 	}
-	if to, moved := own.MovedTo(); moved && to == from {
+	if to, moved := answer.MovedTo(); moved && to == from {
 		return false
 	}
-	return later(own.Epoch(), r.config.Self, epoch, from)
+	return laterOwner(answer.Epoch(), r.config.Self, epoch, from)
 }
 
 // neverRan reports whether a request ended here without having run.
@@ -95,8 +97,8 @@
 }
 
 // TakeOver makes this node the owner of a leaving peer's request. It returns
-// once the request is safe here, a copy with a holder included. A second call
-// for the same request changes nothing: the answer to the first may have been
+// once the request is stored safely, including a copy at a holder if needed.
+// The call is idempotent, since the peer repeats it if the first response is
 // lost.
 func (r *Runner) TakeOver(ctx context.Context, from identifier.VMID, p relayer.Push) error {
 	answer := answerer.New(answerer.Config{
@@ -115,15 +117,15 @@
 	if err != nil {
 		return err
 	}
-	if over(answer) {
-		return nil // Whole here, or with a later owner, to which callers are sent.
+	if hasEnded(answer) {
+		return nil // The answer is complete here, or has moved to a later owner.
 	}
 	if added {
 		r.copies.drop(p.Spec.Request)
 	}
-	safe, forget := r.confirms.await(p.Spec.Request)
+	safe, forget := r.handoverConfirmations.await(p.Spec.Request)
 	defer forget()
-	taken := messenger.RequestHandedOver{
+	event := messenger.RequestHandedOver{
 		Spec:      answer.Spec(),
 		Epoch:     p.Epoch,
 		From:      from,
@@ -132,7 +134,7 @@
 		Stream:    p.Place.Stream,
 		Delivered: answer.Delivered(),
 	}
-	if !r.emit(ctx, taken) {
+	if !r.emit(ctx, event) {
 		if added {
 			r.answers.Remove(p.Spec.Request)
 		}
@@ -156,8 +158,8 @@
 	}
 }
 
-// WhereIs tells a peer where a request of an account is, as far as this node
-// knows by itself.
+// Locate returns the location of an account's request as far as this node
+// knows, without querying others.
 func (r *Runner) Locate(q relayer.Query) (relayer.Location, bool) {
 	if a, ok := r.answers.Get(q.Request); ok {
 		if a.Account() != q.Account {
@@ -177,8 +179,8 @@
 	return relayer.Location{}, false
 }
 
-// EndingOf waits up to q.Wait for the end of a request that this node owns
-// and tells a peer of it.
+// Ending waits up to q.Wait for the end of a request that this node owns and
+// returns it.
 func (r *Runner) Ending(ctx context.Context, q relayer.Query) relayer.Ending {
 	a, ok := r.answers.Get(q.Request)
 	if !ok || a.Account() != q.Account {
@@ -211,12 +213,12 @@
 	return e
 }
 
-// ExportConfiguration gives a peer this node's state of the configuration.
+// ExportConfiguration returns this node's encoded state of the configuration.
 func (r *Runner) ExportConfiguration(ctx context.Context) ([]byte, bool) {
 	var (
 		data []byte
 		ok   bool
 	)
-	r.ask(ctx, func() { data, ok = r.config.Reducer.ExportConfiguration() })
+	r.runInLoop(ctx, func() { data, ok = r.config.Reducer.ExportConfiguration() })
 	return data, ok
 }
--- a/internal/runner/poll.go
+++ b/internal/runner/poll.go
@@ -16,42 +16,43 @@
 	gossipTimeout = 1 * time.Second
 	listTimeout   = 5 * time.Second
 	noticeWait    = 5 * timekeeper.Second
-	// gossipQueue is how many messages to one peer may wait: the newest says
-	// all that matters.
-	gossipQueue = 2
-	// maxCursors bounds the places kept in servers' cache events.
+	// maxQueuedGossip bounds the queued messages to one peer. Each message
+	// supersedes earlier ones.
+	maxQueuedGossip = 2
+	// maxCursors bounds the number of stored positions in servers' cache event
+	// streams.
 	maxCursors = 4096
 )
 
 func (r *Runner) startPollers() {
 	r.startAppender()
 	r.startTailers()
-	listPause := newBackoff(jitter(r.config.Seed, "list"))
+	listRetry := newBackoff(jitter(r.config.Seed, "list"))
 	r.tasks.start(func(ctx context.Context) func() {
-		r.pollList(ctx, listPause)
+		r.pollList(ctx, listRetry)
 		return nil
 	})
 	r.startFollowers()
 	if r.config.Cloud == nil {
 		return
 	}
-	noticePause := newBackoff(jitter(r.config.Seed, "notices"))
+	noticeRetry := newBackoff(jitter(r.config.Seed, "notices"))
 	r.tasks.start(func(ctx context.Context) func() {
-		r.pollNotices(ctx, noticePause)
+		r.pollNotices(ctx, noticeRetry)
 		return nil
 	})
 }
 
-// pollList reads the list of VMs again and again.
-func (r *Runner) pollList(ctx context.Context, pause *backoff) {
+// pollList reads the VM list periodically.
+func (r *Runner) pollList(ctx context.Context, retry *backoff) {
 	for ctx.Err() == nil {
 		read, err := r.readList(ctx)
 		if err != nil {
-			r.logger.Debug("VM list not read", "error", err)
-			pause.wait(ctx)
+			r.logger.Debug("reading VM list failed", "error", err)
+			retry.wait(ctx)
 			continue
 		}
-		pause.reset()
+		retry.reset()
 		r.emit(ctx, read)
 		sleep(ctx, r.config.Limits.ListInterval.Std())
 	}
@@ -63,16 +64,16 @@
 	return r.config.Lister.List(ctx)
 }
 
-// pollNotices waits for reclaim notices.
-func (r *Runner) pollNotices(ctx context.Context, pause *backoff) {
+// pollNotices reads reclaim notices with long polling.
+func (r *Runner) pollNotices(ctx context.Context, retry *backoff) {
 	var last uint64
 	for ctx.Err() == nil {
 		notices, err := r.readNotices(ctx, last)
 		if err != nil {
-			pause.wait(ctx)
+			retry.wait(ctx)
 			continue
 		}
-		pause.reset()
+		retry.reset()
 		for _, n := range notices {
 			last = max(last, n.Seq)
 			r.emit(ctx, messenger.NoticeReceived{
@@ -84,13 +85,13 @@
 }
 
 func (r *Runner) readNotices(ctx context.Context, after uint64) ([]adapter.Notice, error) {
-	ctx, done := context.WithTimeout(ctx, noticeWait.Std()+readSlack)
+	ctx, done := context.WithTimeout(ctx, noticeWait.Std()+readMargin)
 	defer done()
 	return r.config.Cloud.Notices(ctx, after, noticeWait)
 }
 
-// pollServer asks a server for its load, and an engine for its cache events.
-// A server that has not answered the last poll yet is not polled again.
+// pollServer reads a server's load and, from an engine, its cache events. A
+// server whose last poll is still in progress is not polled again.
 func (r *Runner) pollServer(e messenger.PollServer) {
 	key := "poll/" + string(e.Server)
 	if !r.lanes.idle(key) {
@@ -106,10 +107,10 @@
 		}
 		var page adapter.CacheEvents
 		if e.Kind == catalog.ModelService {
-			// A page that could not be read comes with the next poll.
+			// After an error the next poll reads the same page.
 			page, _ = r.config.Engines.CacheEvents(ctx, e.Address, after)
 		}
-		return func() { r.polled(e.Server, load, page) }
+		return func() { r.pollEnded(e.Server, load, page) }
 	}, nil)
 }
 
@@ -120,8 +121,8 @@
 	return r.config.PlainServers.Load(ctx, e.Address)
 }
 
-func (r *Runner) polled(vm identifier.VMID, load messenger.ServerLoad, page adapter.CacheEvents) {
-	r.later(messenger.LoadReported{
+func (r *Runner) pollEnded(vm identifier.VMID, load messenger.ServerLoad, page adapter.CacheEvents) {
+	r.enqueue(messenger.LoadReported{
 		Server: vm,
 		Load:   load,
 	})
@@ -129,10 +130,10 @@
 		return
 	}
 	if len(r.cursors) >= maxCursors {
-		clear(r.cursors) // Old events are told again, which does no harm.
+		clear(r.cursors) // The servers repeat old events, which is harmless.
 	}
 	r.cursors[vm] = page.Last
-	r.later(messenger.CacheReported{
+	r.enqueue(messenger.CacheReported{
 		Server:  vm,
 		Cached:  page.Cached,
 		Evicted: page.Evicted,
@@ -140,40 +141,41 @@
 	})
 }
 
-// sendGossip sends a peer this node's news.
+// sendGossip sends a gossip message to a peer.
 func (r *Runner) sendGossip(e messenger.SendGossip) {
 	key := "gossip/" + string(e.Peer)
-	if r.lanes.waiting(key) >= gossipQueue {
+	if r.lanes.waiting(key) >= maxQueuedGossip {
 		r.metrics.droppedEffects.Add(1)
 		return
 	}
-	farewell := !r.exiting
-	if farewell {
-		r.farewells++
+	final := !r.exiting
+	if final {
+		r.finalMessages++
 	}
 	r.inLane(key, func(ctx context.Context) func() {
 		ctx, done := context.WithTimeout(ctx, gossipTimeout)
 		defer done()
 		err := r.config.Peers.Gossip(ctx, e.Address, e.Data)
-		return func() { r.gossipEnded(e.Peer, err, farewell) }
-	}, func() { r.gossipEnded(e.Peer, nil, farewell) })
+		return func() { r.gossipEnded(e.Peer, err, final) }
+	}, func() { r.gossipEnded(e.Peer, nil, final) })
 }
 
-// gossipEnded takes note of the end of a message to a peer. The node's end
-// waits for those that began before it: one of them tells that the node is
-// leaving, and a peer that never got it would go on giving the node out.
-// Later ones are not waited for, else a silent peer would keep the node.
-func (r *Runner) gossipEnded(peer identifier.VMID, err error, farewell bool) {
+// gossipEnded handles the end of a message to a peer. The node's exit waits for
+// the messages sent before it began: one of them announces that the node is
+// leaving, and a peer that misses it would keep referring callers to the node.
+// Later messages are not waited for, since an unresponsive peer would otherwise
+// prevent the exit.
+func (r *Runner) gossipEnded(peer identifier.VMID, err error, final bool) {
 	if err != nil {
-		r.later(messenger.PeerFailed{Peer: peer})
+		r.enqueue(messenger.PeerFailed{Peer: peer})
 	}
-	if farewell {
-		r.farewells--
-		r.finishIfAlone()
+	if final {
+		r.finalMessages--
+		r.finishIfIdle()
 	}
 }
 
-// fetchConfiguration asks a peer for its state of the configuration.
+// fetchConfiguration requests the state of the configuration from a peer.
 func (r *Runner) fetchConfiguration(e messenger.FetchConfiguration) {
 	r.inLane("configuration", func(ctx context.Context) func() {
 		ctx, done := context.WithTimeout(ctx, pollTimeout)
@@ -183,7 +185,7 @@
 			return nil
 		}
 		if r.config.Store != nil {
-			return r.publishedByPeer(e.Peer, data)
+			return r.reportPeerConfiguration(e.Peer, data)
 		}
 		return r.report(messenger.ConfigurationReceived{
 			From: e.Peer,
--- a/internal/runner/published.go
+++ b/internal/runner/published.go
@@ -13,28 +13,31 @@
 )
 
 const (
-	// serversEvery is the spacing of reads of the servers' entries. These
-	// change many times a second, mostly to say that a server still lives; a
-	// read that waits would return at once and cost a call each time.
-	serversEvery = 400 * time.Millisecond
-	// configWait is how long a read waits for a new configuration: half the
-	// age past which other nodes doubt what they know.
+	// serversInterval is the time between reads of the servers' entries. These
+	// change many times a second, mostly for heartbeats, so a read that waits
+	// for a change would return at once and cost a call each time.
+	serversInterval = 400 * time.Millisecond
+	// configWait is the longest time that a read waits for a new configuration.
+	// It is half the age at which other nodes treat theirs as stale.
 	configWait = 2 * timekeeper.Second
-	// storeTimeout bounds a read beyond its wait. The store answers in some
-	// milliseconds; a connection that something lost track of never does.
+	// storeTimeout is the time that a read may take beyond its wait. The store
+	// usually answers within milliseconds; a broken connection may never
+	// return.
 	storeTimeout = 900 * time.Millisecond
-	// idleCheck is how often a node that need not read looks whether it must.
-	idleCheck = 100 * time.Millisecond
+	// idleCheckInterval is the time between checks whether a paused reader must
+	// resume.
+	idleCheckInterval = 100 * time.Millisecond
 )
 
-// following tells the followers what the reducer wants read.
+// following holds the kinds of records that the reducer requires, as read by
+// the followers.
 type following struct {
 	servers       atomic.Bool
 	configuration atomic.Bool
 }
 
-// noteFollowing asks the reducer what to read.
-func (r *Runner) noteFollowing(now timekeeper.Time) {
+// updateFollowing queries the reducer for the kinds of records to read.
+func (r *Runner) updateFollowing(now timekeeper.Time) {
 	if r.config.Store == nil {
 		return
 	}
@@ -44,22 +47,22 @@
 }
 
 // startFollowers starts the tasks that read the platform's store. Each node
-// reads all of it once, and then what the reducer wants.
+// reads all records once, and afterwards only those that the reducer requires.
 func (r *Runner) startFollowers() {
 	if r.config.Store == nil {
 		return
 	}
-	for _, records := range []published{
+	for _, records := range []storeRecords{
 		{
-			name:   "servers",
-			wanted: &r.following.servers,
-			pause:  serversEvery,
-			read:   r.readServers,
+			name:     "servers",
+			required: &r.following.servers,
+			interval: serversInterval,
+			read:     r.readServers,
 		},
 		{
-			name:   "configuration",
-			wanted: &r.following.configuration,
-			read:   r.readConfiguration,
+			name:     "configuration",
+			required: &r.following.configuration,
+			read:     r.readConfiguration,
 		},
 	} {
 		rng := jitter(r.config.Seed, records.name)
@@ -70,70 +73,70 @@
 	}
 }
 
-// published is a kind of records of the store.
-type published struct {
-	name   string
-	wanted *atomic.Bool
-	// pause is the time between reads that do not wait by themselves.
-	pause time.Duration
-	// read reads the whole, or what is new from an offset on, and returns the
-	// event that tells of it and the offset to go on from, zero to read the
-	// whole again.
+// storeRecords is a kind of records in the store.
+type storeRecords struct {
+	name     string
+	required *atomic.Bool
+	// interval is the time between reads that return without waiting.
+	interval time.Duration
+	// read reads all records if whole is set, else those from an offset on. It
+	// returns the event to report and the offset at which to continue, or zero
+	// to read all records again.
 	read func(ctx context.Context, from identifier.Offset, whole bool) (messenger.EventBody, identifier.Offset, error)
 }
 
-// followPublished reads records again and again.
-func (r *Runner) followPublished(ctx context.Context, records published, pause *backoff) {
+// followPublished reads one kind of records until ctx ends.
+func (r *Runner) followPublished(ctx context.Context, records storeRecords, retry *backoff) {
 	var next identifier.Offset
 	failed := false
 	for ctx.Err() == nil {
-		if next != 0 && !records.wanted.Load() {
-			sleep(ctx, idleCheck)
+		if next != 0 && !records.required.Load() {
+			sleep(ctx, idleCheckInterval)
 			continue
 		}
 		event, end, err := records.read(ctx, next, next == 0)
-		r.noteEra(ctx)
+		r.checkGeneration(ctx)
 		var expired *RecordsExpiredError
 		switch {
 		case errors.As(err, &expired):
 			next = 0
 			continue
 		case err != nil:
-			r.storeFailed(ctx, records.name, &failed, err)
-			pause.wait(ctx)
+			r.logStoreFailure(ctx, records.name, &failed, err)
+			retry.wait(ctx)
 			continue
 		}
-		r.storeServed(records.name, &failed)
-		pause.reset()
+		r.logStoreRecovery(records.name, &failed)
+		retry.reset()
 		next = end
 		r.emit(ctx, event)
-		if records.pause > 0 {
-			sleep(ctx, records.pause)
+		if records.interval > 0 {
+			sleep(ctx, records.interval)
 		}
 	}
 }
 
-func (r *Runner) readServers(ctx context.Context, from identifier.Offset, whole bool) (messenger.EventBody, identifier.Offset, error) {
+func (r *Runner) readServers(ctx context.Context, from identifier.Offset, all bool) (messenger.EventBody, identifier.Offset, error) {
 	ctx, done := context.WithTimeout(ctx, storeTimeout)
 	defer done()
 	read := func() ([]messenger.PublishedServer, identifier.Offset, error) {
-		if whole {
+		if all {
 			return r.config.Store.AllServers(ctx)
 		}
 		return r.config.Store.ServersFrom(ctx, from)
 	}
-	entries, end, err := read()
+	servers, end, err := read()
 	return messenger.ServersPublished{
-		Servers: entries,
-		All:     whole,
+		Servers: servers,
+		All:     all,
 	}, end, err
 }
 
-func (r *Runner) readConfiguration(ctx context.Context, from identifier.Offset, whole bool) (messenger.EventBody, identifier.Offset, error) {
+func (r *Runner) readConfiguration(ctx context.Context, from identifier.Offset, all bool) (messenger.EventBody, identifier.Offset, error) {
 	ctx, done := context.WithTimeout(ctx, configWait.Std()+storeTimeout)
 	defer done()
 	read := func() (*Published, identifier.Offset, error) {
-		if whole {
+		if all {
 			return r.config.Store.Configuration(ctx)
 		}
 		return r.config.Store.ConfigurationFrom(ctx, from, configWait)
@@ -150,11 +153,12 @@
 	}, end, err
 }
 
-// publishedByPeer reports a configuration that a peer had.
-func (r *Runner) publishedByPeer(peer identifier.VMID, data []byte) func() {
+// reportPeerConfiguration returns a function that reports a configuration
+// received from a peer.
+func (r *Runner) reportPeerConfiguration(peer identifier.VMID, data []byte) func() {
 	p, err := r.config.Store.Decode(data)
 	if err != nil {
-		r.logger.Error("configuration of a peer not readable", "peer", peer, "error", err)
+		r.logger.Error("decoding configuration from peer failed", "peer", peer, "error", err)
 		return nil
 	}
 	return r.report(messenger.CatalogPublished{
@@ -163,35 +167,34 @@
 	})
 }
 
-// noteEra reports that the store has come back from a copy, before anything that was
-// read since.
-func (r *Runner) noteEra(ctx context.Context) {
+// checkGeneration reports that the store was restored from a copy. It must be
+// called before any records read since are reported.
+func (r *Runner) checkGeneration(ctx context.Context) {
 	if r.config.Store == nil {
 		return
 	}
-	era := r.config.Store.Generation()
-	r.era.mu.Lock()
-	defer r.era.mu.Unlock()
+	current := r.config.Store.Generation()
+	r.generation.mu.Lock()
+	defer r.generation.mu.Unlock()
 	switch {
-	case !r.era.known:
-		r.era.known = true
-		r.era.last = era
-	case era > r.era.last:
-		r.era.last = era
-		r.emit(ctx, messenger.StoreRestored{Generation: era})
+	case !r.generation.known:
+		r.generation.known = true
+		r.generation.last = current
+	case current > r.generation.last:
+		r.generation.last = current
+		r.emit(ctx, messenger.StoreRestored{Generation: current})
 	}
 }
 
-// era is the era of the store that the reducer knows of.
-type era struct {
+// knownGeneration is the store generation that the reducer knows.
+type knownGeneration struct {
 	mu    sync.Mutex
 	known bool
 	last  identifier.StoreGeneration
 }
 
-// storeFailed notes a read that failed. The log has a line when reads begin to
-// fail and one when they succeed again, not one for each.
-func (r *Runner) storeFailed(ctx context.Context, what string, failed *bool, err error) {
+// logStoreFailure logs the first of a series of failed reads.
+func (r *Runner) logStoreFailure(ctx context.Context, what string, failed *bool, err error) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -201,8 +204,8 @@
 	*failed = true
 }
 
-// storeServed notes a read that succeeded.
-func (r *Runner) storeServed(what string, failed *bool) {
+// logStoreRecovery logs the first successful read after failures.
+func (r *Runner) logStoreRecovery(what string, failed *bool) {
 	if *failed {
 		r.logger.Info("store regained", "records", what)
 	}
--- a/internal/runner/rollout.go
+++ b/internal/runner/rollout.go
@@ -7,15 +7,15 @@
 	"github.com/dotterelhollow/dotterelhollow/internal/promoter"
 )
 
-// rolloutLane is the lane of all calls that keep states of roll-outs: of two writes the
-// later one has to arrive last.
+// rolloutLane is the lane of all calls that store rollout states, since writes
+// must arrive in order.
 const rolloutLane = "rollouts"
 
-// claimRollouts keeps earlier holders from writing, if the lease still covers it.
+// claimRollouts fences off earlier leaders, if the lease still covers the call.
 func (r *Runner) claimRollouts(e messenger.ClaimRollouts) {
 	r.inLane(rolloutLane, func(ctx context.Context) func() {
 		claimed := messenger.RolloutsClaimed{Fence: e.Fence}
-		claimed.Result = r.duty(ctx, e.NotAfter, func(ctx context.Context) messenger.LeaderTaskResult {
+		claimed.Result = r.underLease(ctx, e.NotAfter, func(ctx context.Context) messenger.LeaderTaskResult {
 			var result messenger.LeaderTaskResult
 			claimed.Rollouts, result = r.config.Rollouts.ClaimRollouts(ctx, e.Fence)
 			return result
@@ -24,10 +24,11 @@
 	}, nil)
 }
 
-// keepRollout writes the state of a roll-out, if the lease still covers it.
-func (r *Runner) keepRollout(e messenger.StoreRollout) {
+// storeRollout writes the state of a rollout, if the lease still covers the
+// call.
+func (r *Runner) storeRollout(e messenger.StoreRollout) {
 	r.inLane(rolloutLane, func(ctx context.Context) func() {
-		result := r.duty(ctx, e.NotAfter, func(ctx context.Context) messenger.LeaderTaskResult {
+		result := r.underLease(ctx, e.NotAfter, func(ctx context.Context) messenger.LeaderTaskResult {
 			return r.config.Rollouts.StoreRollout(ctx, e)
 		})
 		return r.report(messenger.RolloutStored{
@@ -40,9 +41,9 @@
 	}, nil)
 }
 
-// Rollouts returns the roll-outs that this node knows, for operators.
+// Rollouts returns the rollouts known to this node.
 func (r *Runner) Rollouts(ctx context.Context) []promoter.Status {
 	var out []promoter.Status
-	r.ask(ctx, func() { out = r.config.Reducer.Rollouts(r.clock.Now()) })
+	r.runInLoop(ctx, func() { out = r.config.Reducer.Rollouts(r.clock.Now()) })
 	return out
 }
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -19,14 +19,14 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Config says what a Runner works with.
+// Config holds the identity, dependencies and limits of a Runner.
 type Config struct {
 	Self          identifier.VMID
 	Incarnation   identifier.Incarnation
 	Zone          identifier.Zone
 	CallerAddress string
-	// OperatorKeyHashes are the SHA-256 sums, in lower-case hexadecimal, of
-	// the operators' keys.
+	// OperatorKeyHashes are the SHA-256 hashes of the operators' keys, in
+	// lower-case hexadecimal.
 	OperatorKeyHashes []string
 	Seed              uint64
 
@@ -40,32 +40,33 @@
 	Engines      Engines
 	PlainServers PlainServers
 	Peers        Peers
-	// Store and Duties are what a node that serves opaque exchanges needs of
-	// the platform; nil where it serves none.
+	// Store and LeaderTasks are the platform services that a node needs to
+	// serve opaque exchanges. Both are nil on a node that serves none.
 	Store PublishedStore
-	// Rollouts keeps the states of roll-outs; nil where there are none.
+	// Rollouts stores the state of rollouts. It is nil if the node runs none.
 	Rollouts    RolloutStore
 	LeaderTasks LeaderTasks
-	// CloseListeners closes the ports gracefully: it returns once the
-	// handlers of open connections have ended, or with its context.
+	// CloseListeners closes the ports gracefully. It returns when the handlers
+	// of open connections have ended or ctx ends.
 	CloseListeners func(ctx context.Context)
 
-	// PromptStreams are streams of the log on which records come every second
-	// and are acted on within seconds.
+	// LowLatencyStreams are log streams that receive records every second and
+	// must be read within seconds.
 	LowLatencyStreams []identifier.LogStream
 
 	Limits Limits
 }
 
-// Limits bound what a Runner keeps and waits for. Zero fields take defaults.
+// Limits bounds the memory and times of a Runner. Zero fields take defaults.
 type Limits struct {
 	AnswerBytes identifier.Bytes
 	CopyBytes   identifier.Bytes
-	// EndedGrace is how long an ended answer stays for reattaching callers.
+	// EndedGrace is the time that an ended answer is kept for callers that
+	// reattach.
 	EndedGrace timekeeper.Duration
-	// StopMargin is what a planned stop may take beyond its deadline.
+	// StopMargin is the time that a planned stop may take beyond its deadline.
 	StopMargin timekeeper.Duration
-	// ListEvery is the spacing of reads of the VM list.
+	// ListInterval is the pause between reads of the VM list.
 	ListInterval timekeeper.Duration
 }
 
@@ -76,12 +77,12 @@
 	defaultStopMargin                   = 2 * timekeeper.Second
 	defaultListEvery                    = 1 * timekeeper.Second
 
-	// eventQueue bounds the events that wait for the loop.
-	eventQueue = 4096
-	// laneLimit bounds the tasks that talk to peers and backend servers
-	// besides streams, and laneDepth what waits in one lane.
-	laneLimit = 128
-	laneDepth = 16
+	// maxQueuedEvents bounds the events queued for the loop.
+	maxQueuedEvents = 4096
+	// maxRunningLanes bounds the concurrent calls to peers and backend servers,
+	// streams excluded. maxLaneQueue bounds the jobs queued in one lane.
+	maxRunningLanes = 128
+	maxLaneQueue    = 16
 )
 
 func (l Limits) withDefaults() Limits {
@@ -108,46 +109,48 @@
 	answers *answerer.Store
 	copies  *copies
 	appends *appender
-	// confirms are the handovers that wait until the request is safe here.
-	confirms *confirms
+	// handoverConfirmations holds the handovers of peers that wait until this
+	// node has stored the request safely.
+	handoverConfirmations *confirmations
 
-	// What follows belongs to the loop.
-	tasks    *tasks
-	lanes    *lanes
-	backlog  []messenger.EventBody
-	attempts map[identifier.RequestID]*attempt
-	holds    map[identifier.RequestID]*pusher
-	unholds  map[copyAt]chan struct{}
-	// tailers tells of each stream that was ever followed whether it still is.
-	tailers   map[identifier.LogStream]*atomic.Bool
-	cursors   map[identifier.VMID]uint64
-	proposals map[identifier.Ticket]chan messenger.ChangeVerdict
-	proposed  identifier.Ticket
-	exchanges map[identifier.ExchangeID]chan messenger.Effect
-	// limitAsks are the peers that wait for a part of an account's limit, and
-	// permitAsks those that wait for a permit to send to a server.
-	limitAsks  questions[messenger.LimitAnswered]
-	permitAsks questions[messenger.PermitAnswered]
-	farewells  int           // what peers are to be told before the node ends
-	leaving    chan struct{} // closed when listeners are closed for good
-	// orders numbers the orders for servers.
-	orders    leaser.CallSequence
-	era       era
-	following following
-	summaries *summarizer.Summarizer
-	draining  bool
-	exiting   bool
-	finished  bool
-	hardStop  <-chan time.Time
+	// The following fields are accessed only by the loop.
+	tasks          *tasks
+	lanes          *lanes
+	backlog        []messenger.EventBody
+	attempts       map[identifier.RequestID]*attempt
+	holds          map[identifier.RequestID]*pusher
+	pendingUnholds map[copyKey]chan struct{}
+	// tailers has a flag for every stream that was ever followed, which is set
+	// while the reducer follows the stream.
+	tailers      map[identifier.LogStream]*atomic.Bool
+	cursors      map[identifier.VMID]uint64
+	proposals    map[identifier.Ticket]chan messenger.ChangeVerdict
+	lastProposal identifier.Ticket
+	exchanges    map[identifier.ExchangeID]chan messenger.Effect
+	// limitRequests and permitRequests are the pending requests of peers for a
+	// part of an account's limit and for a permit to send to a server.
+	limitRequests   pendingRequests[messenger.LimitAnswered]
+	permitRequests  pendingRequests[messenger.PermitAnswered]
+	finalMessages   int           // messages to peers that the node's exit waits for
+	listenersClosed chan struct{} // closed when the listeners have closed
+	// orders assigns sequence numbers to orders for servers.
+	orders     leaser.CallSequence
+	generation knownGeneration
+	following  following
+	summaries  *summarizer.Summarizer
+	draining   bool
+	exiting    bool
+	finished   bool
+	hardStop   <-chan time.Time
 }
 
-// queuedEvent is an event on its way to the loop.
+// queuedEvent is an event queued for the loop.
 type queuedEvent struct {
 	body messenger.EventBody
 	sent time.Time
 }
 
-// New returns a Runner that does nothing until Run.
+// New returns a Runner. Run starts it.
 func New(c Config) *Runner {
 	c.Limits = c.Limits.withDefaults()
 	if c.Logger == nil {
@@ -162,7 +165,7 @@
 		clock:   c.Clock,
 		logger:  c.Logger,
 		metrics: metrics,
-		events:  make(chan queuedEvent, eventQueue),
+		events:  make(chan queuedEvent, maxQueuedEvents),
 		queries: make(chan func()),
 		drains:  make(chan timekeeper.Time, 1),
 		stopped: make(chan struct{}),
@@ -170,49 +173,50 @@
 			Limit: c.Limits.AnswerBytes,
 			Grace: c.Limits.EndedGrace,
 		}),
-		copies:    newCopies(c.Limits.CopyBytes),
-		appends:   newAppender(c.Log, jitter(c.Seed, "append"), metrics),
-		attempts:  make(map[identifier.RequestID]*attempt),
-		holds:     make(map[identifier.RequestID]*pusher),
-		unholds:   make(map[copyAt]chan struct{}),
-		confirms:  newConfirms(),
-		tailers:   make(map[identifier.LogStream]*atomic.Bool),
-		cursors:   make(map[identifier.VMID]uint64),
-		proposals: make(map[identifier.Ticket]chan messenger.ChangeVerdict),
-		exchanges: make(map[identifier.ExchangeID]chan messenger.Effect),
-		leaving:   make(chan struct{}),
-		summaries: summarizer.New(),
+		copies:                newCopies(c.Limits.CopyBytes),
+		appends:               newAppender(c.Log, jitter(c.Seed, "append"), metrics),
+		attempts:              make(map[identifier.RequestID]*attempt),
+		holds:                 make(map[identifier.RequestID]*pusher),
+		pendingUnholds:        make(map[copyKey]chan struct{}),
+		handoverConfirmations: newConfirmations(),
+		tailers:               make(map[identifier.LogStream]*atomic.Bool),
+		cursors:               make(map[identifier.VMID]uint64),
+		proposals:             make(map[identifier.Ticket]chan messenger.ChangeVerdict),
+		exchanges:             make(map[identifier.ExchangeID]chan messenger.Effect),
+		listenersClosed:       make(chan struct{}),
+		summaries:             summarizer.New(),
 	}
-	r.metrics.observe(r)
+	r.metrics.addGauges(r)
 	r.catalog.Store(c.Reducer.Catalog())
 	return r
 }
 
-// Drain begins a planned stop that is to be over by the deadline.
+// Drain begins a planned stop, which should complete by the deadline. Further
+// calls have no effect.
 func (r *Runner) Drain(deadline timekeeper.Time) {
 	select {
 	case r.drains <- deadline:
-	default: // One has begun already.
+	default: // A stop has already been requested.
 	}
 }
 
-// Run runs the loop until a planned stop is over or ctx ends, which stops the
+// Run runs the loop until a planned stop completes or ctx ends, which stops the
 // node at once. All goroutines that it started have ended when it returns.
 func (r *Runner) Run(ctx context.Context) {
 	defer close(r.stopped)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	r.tasks = newTasks(ctx)
-	r.lanes = newLanes(r.tasks, laneLimit, laneDepth)
+	r.lanes = newLanes(r.tasks, maxRunningLanes, maxLaneQueue)
 	r.startPollers()
 	ticker := time.NewTicker(messenger.TickInterval.Std())
 	defer ticker.Stop()
 	r.step(messenger.Tick{})
 	for !r.finished {
-		r.settle()
+		r.applyBacklog()
 		select {
 		case e := <-r.events:
-			r.metrics.lag(time.Since(e.sent))
+			r.metrics.recordLag(time.Since(e.sent))
 			r.step(e.body)
 		case query := <-r.queries:
 			query()
@@ -235,7 +239,7 @@
 	}
 }
 
-// step applies one event and carries out what follows from it.
+// step applies one event and executes the resulting effects.
 func (r *Runner) step(body messenger.EventBody) {
 	effects := r.config.Reducer.Apply(messenger.Event{
 		At:   r.clock.Now(),
@@ -245,12 +249,12 @@
 		r.catalog.Store(c)
 	}
 	for _, e := range effects {
-		r.carryOut(e)
+		r.execute(e)
 	}
 }
 
-// settle applies the events that the loop itself gave rise to.
-func (r *Runner) settle() {
+// applyBacklog applies the events that the loop itself has queued.
+func (r *Runner) applyBacklog() {
 	for len(r.backlog) > 0 {
 		body := r.backlog[0]
 		r.backlog = r.backlog[1:]
@@ -258,28 +262,28 @@
 	}
 }
 
-// later queues an event from within the loop, which must not wait for room in
-// its own channel.
-func (r *Runner) later(body messenger.EventBody) { r.backlog = append(r.backlog, body) }
+// enqueue queues an event from within the loop, which would deadlock if it
+// waited for space in its own channel.
+func (r *Runner) enqueue(body messenger.EventBody) { r.backlog = append(r.backlog, body) }
 
 func (r *Runner) tick() {
 	now := r.clock.Now()
 	r.step(messenger.Tick{})
-	r.noteFollowing(now)
+	r.updateFollowing(now)
 	r.startTailers()
-	r.writeSums(now)
+	r.logSummaries(now)
 	r.metrics.evicted.Add(int64(r.answers.Sweep(now)))
 	for _, dropped := range r.copies.sweep(now) {
-		r.later(messenger.CopyDropped{Request: dropped})
+		r.enqueue(messenger.CopyDropped{Request: dropped})
 	}
 }
 
-// emit hands the loop an event, waiting for room. It returns false when the
-// task's context or the node ended first.
+// emit sends an event to the loop and blocks while the queue is full. It
+// returns false if ctx ends or the node stops first.
 func (r *Runner) emit(ctx context.Context, body messenger.EventBody) bool {
 	select {
 	case <-r.stopped:
-		return false // Even where there is room, nobody reads any more.
+		return false // The queue may have space, but the loop no longer reads it.
 	default:
 	}
 	e := queuedEvent{
@@ -296,9 +300,9 @@
 	}
 }
 
-// offer hands the loop an event if there is room. It is for news that the
-// next one makes up for.
-func (r *Runner) offer(body messenger.EventBody) {
+// tryEmit sends an event to the loop unless the queue is full. It is for events
+// that the next one of the same kind supersedes.
+func (r *Runner) tryEmit(body messenger.EventBody) {
 	e := queuedEvent{
 		body: body,
 		sent: time.Now(),
@@ -310,9 +314,9 @@
 	}
 }
 
-// ask runs query in the loop and waits for its end. It returns false when ctx
-// or the node ended first; query may then still run.
-func (r *Runner) ask(ctx context.Context, query func()) bool {
+// runInLoop runs query in the loop and waits until it returns. It returns false
+// if ctx ends or the node stops before the loop accepts query.
+func (r *Runner) runInLoop(ctx context.Context, query func()) bool {
 	done := make(chan struct{})
 	select {
 	case r.queries <- func() { query(); close(done) }:
@@ -325,7 +329,7 @@
 	return true
 }
 
-// jitter returns a source of randomness for the named use.
+// jitter returns a random source seeded for the named use.
 func jitter(seed uint64, use string) *rand.Rand {
 	var n uint64
 	for _, b := range []byte(use) {
--- a/internal/runner/runner_test.go
+++ b/internal/runner/runner_test.go
@@ -23,10 +23,10 @@
 	}
 }
 
-// All nodes share a few hundred appends a second. What waits while a call is
-// under way goes into the next one; the rate limit is waited out with nothing
-// lost or doubled; a lost answer is reported as such and not tried again,
-// because the append may have taken effect.
+// Guards against exceeding the log's append rate: records that arrive during a
+// call are batched. Rate-limited batches are retried without loss or
+// duplication. An ambiguous append is reported as failed and not retried, since
+// it may have taken effect.
 func TestAppendsAreBatched(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		f.log.append = func(n int) error {
@@ -41,16 +41,16 @@
 			}
 			return nil
 		}
-		f.do(record(1))
-		f.do(record(2), record(3), record(4))
+		f.runEffects(record(1))
+		f.runEffects(record(2), record(3), record(4))
 		sleep(t.Context(), 2*time.Second)
-		f.do(record(5))
+		f.runEffects(record(5))
 
 		var sizes []int
 		for _, batch := range f.log.batches {
 			sizes = append(sizes, len(batch))
 		}
-		require.Equal(t, []int{1, 3, 3, 1}, sizes, "the second call was refused and made again")
+		require.Equal(t, []int{1, 3, 3, 1}, sizes, "the second call was rate-limited and retried")
 		ended := eventsOf[messenger.AppendEnded](f.reducer)
 		require.Len(t, ended, 5)
 		for i, e := range ended {
@@ -60,9 +60,9 @@
 	})
 }
 
-// Nobody asks again for the record of an outcome, so it is appended again
-// when an append's answer is lost.
-func TestOutcomeIsAppendedUntilItStands(t *testing.T) {
+// Guards against the loss of an outcome record, which no one else retries,
+// after an ambiguous append.
+func TestOutcomeAppendIsRetried(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		f.log.append = func(n int) error {
 			if n < 3 {
@@ -70,7 +70,7 @@
 			}
 			return nil
 		}
-		f.do(messenger.AppendOutcome{
+		f.runEffects(messenger.AppendOutcome{
 			Request: "r1",
 			Stream:  "claims-0",
 			Outcome: messenger.Done,
@@ -80,12 +80,12 @@
 	})
 }
 
-// The process was paused between the reducer's decision and the order's
-// leaving, and the lease has lapsed meanwhile. The order must not leave.
-func TestOrderUnderALapsedLeaseDoesNotLeave(t *testing.T) {
+// Guards against an order or a purchase after the lease expired, if the process
+// was paused since the reducer's decision.
+func TestOrderUnderExpiredLeaseIsNotSent(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		now := bubbleClock{}.Now()
-		f.do(messenger.GiveOrder{
+		f.runEffects(messenger.GiveOrder{
 			Server:   "engine-1",
 			NotAfter: now,
 		}, messenger.BuyVM{
@@ -97,7 +97,7 @@
 		require.False(t, eventsOf[messenger.OrderEnded](f.reducer)[0].OK)
 		require.True(t, eventsOf[messenger.BuyEnded](f.reducer)[0].Refused)
 
-		f.do(messenger.GiveOrder{
+		f.runEffects(messenger.GiveOrder{
 			Server:   "engine-1",
 			NotAfter: now.Add(timekeeper.Second),
 		})
@@ -105,40 +105,38 @@
 	})
 }
 
-// A planned stop with a stream in flight: the reducer hears of it, and the
-// ports close only when it says Exit. Nothing that the node started is left,
-// which the bubble and goleak check.
+// A planned stop with a stream in flight must not close the ports before the
+// Exit effect, and must not leak goroutines.
 func TestPlannedStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
 		closed := false
 		f.config.CloseListeners = func(context.Context) { closed = true }
 		f.reducer.streams = []identifier.LogStream{"config", "claims-0"}
-		f.engines.run = engineSaying("a")
+		f.engines.run = engineSending("a")
 		go f.Run(t.Context())
 		a := f.submit()
-		f.do(attemptOf(a, 1))
+		f.runEffects(attemptOf(a, 1))
 		f.Drain(bubbleClock{}.Now().Add(timekeeper.Minute))
 		sleep(t.Context(), 10*time.Second)
 		require.Len(t, eventsOf[messenger.DrainStarted](f.reducer), 1)
 		require.False(t, closed)
 
-		f.do(messenger.Finish{
+		f.runEffects(messenger.Finish{
 			Request: a.Request(),
 			Outcome: messenger.Done,
 		}, messenger.Exit{})
 		<-f.stopped
 		require.True(t, closed)
-		_, err := f.Submit(context.Background(), report("key-2"))
+		_, err := f.Submit(context.Background(), submission("key-2"))
 		require.Error(t, err)
 	})
 }
 
-// A node with no request in flight is told to stop, so that Exit comes in the
-// same step as the message that tells a peer of it. The peer takes a while to
-// answer. Were the node to end before, the message would be cut, and the peer
-// would go on giving the node out to callers until it missed its heartbeats.
-func TestPlannedStopTellsPeers(t *testing.T) {
+// Guards against an exit that cancels the announcement to peers that the node
+// is leaving. Peers would otherwise refer callers to it until its heartbeats
+// time out.
+func TestPlannedStopNotifiesPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const answerTime = 300 * time.Millisecond
 		f := newFixture(t)
@@ -148,7 +146,7 @@
 			return nil
 		}
 		go f.Run(t.Context())
-		f.do(messenger.SendGossip{
+		f.runEffects(messenger.SendGossip{
 			Peer:    "entry-2",
 			Address: "127.0.0.1:2",
 		}, messenger.Exit{})
@@ -157,9 +155,9 @@
 	})
 }
 
-// The peer never answers. The node ends all the same, once its patience with
-// one message is over; messages that it begins meanwhile do not prolong it.
-func TestSilentPeerDoesNotKeepTheNode(t *testing.T) {
+// Guards against an exit that waits for an unresponsive peer longer than one
+// message timeout.
+func TestUnresponsivePeerDoesNotBlockExit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
 		f.peers.gossip = func(ctx context.Context) error {
@@ -172,28 +170,27 @@
 		}
 		go f.Run(t.Context())
 		began := time.Now()
-		f.do(send, messenger.Exit{}, send)
+		f.runEffects(send, messenger.Exit{}, send)
 		<-f.stopped
 		require.Equal(t, gossipTimeout, time.Since(began))
 	})
 }
 
-// The reducer never says Exit. The node stops by itself a little after the
-// deadline, although a handler hangs.
-func TestPlannedStopHasAnEnd(t *testing.T) {
+// Guards against a planned stop that never ends because a handler hangs.
+func TestPlannedStopIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
 		f.config.CloseListeners = func(ctx context.Context) { <-ctx.Done() }
 		go f.Run(t.Context())
 		began := time.Now()
 		f.Drain(bubbleClock{}.Now().Add(5 * timekeeper.Second))
-		f.do(messenger.Exit{})
+		f.runEffects(messenger.Exit{})
 		<-f.stopped
 		require.Equal(t, (5*timekeeper.Second + defaultStopMargin).Std(), time.Since(began))
 	})
 }
 
-func TestProposalGetsItsVerdict(t *testing.T) {
+func TestProposalReceivesVerdict(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		f.reducer.on = func(body messenger.EventBody) []messenger.Effect {
 			e, ok := body.(messenger.ChangeProposed)
@@ -222,8 +219,8 @@
 	})
 }
 
-// Jobs of one lane run in order and one at a time, lanes side by side, and a
-// full lane says so.
+// Jobs of one lane run one at a time and in order, different lanes run
+// concurrently, and a full lane rejects jobs.
 func TestLanes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ts := newTasks(t.Context())
@@ -239,10 +236,10 @@
 		require.True(t, add("a", 1))
 		require.True(t, add("a", 2))
 		require.True(t, add("a", 3))
-		require.False(t, add("a", 4), "one runs and two wait")
+		require.False(t, add("a", 4), "one job runs and two are queued")
 		require.True(t, add("b", 1))
 		require.True(t, add("c", 1))
-		require.Equal(t, 2, ts.running, "the third lane waits")
+		require.Equal(t, 2, ts.running, "the third lane is queued")
 		close(gate)
 		for ts.running > 0 {
 			ts.ended(<-ts.ends)
--- a/internal/runner/status.go
+++ b/internal/runner/status.go
@@ -15,7 +15,7 @@
 		now  timekeeper.Time
 		view reducer.View
 	)
-	r.ask(context.Background(), func() {
+	r.runInLoop(context.Background(), func() {
 		now = r.clock.Now()
 		view = r.config.Reducer.View(now)
 	})
@@ -74,7 +74,8 @@
 	return out
 }
 
-// serverState is what a backend server is taken for, in the words of nodes.
+// serverState returns the state of a backend server, in the terms used for
+// nodes.
 func serverState(s reducer.ServerView) string {
 	switch {
 	case s.Leaving:
--- a/internal/runner/stop.go
+++ b/internal/runner/stop.go
@@ -19,9 +19,9 @@
 	r.step(messenger.DrainStarted{Deadline: deadline})
 }
 
-// exit ends the node once nothing is left to wait for: first the listeners,
-// whose handlers still need the loop, then what is left to tell peers: of
-// copies that they may drop, and that this node leaves; then the loop.
+// exit ends the node in three steps: it closes the listeners, whose handlers
+// still need the loop; waits for the final messages to peers, which drop copies
+// and announce that the node is leaving; and ends the loop.
 func (r *Runner) exit() {
 	if r.exiting {
 		return
@@ -32,17 +32,18 @@
 			r.config.CloseListeners(ctx)
 		}
 		return func() {
-			close(r.leaving)
-			r.finishIfAlone()
+			close(r.listenersClosed)
+			r.finishIfIdle()
 		}
 	})
 }
 
-// finishIfAlone ends the loop when the last farewell has been said.
-func (r *Runner) finishIfAlone() {
+// finishIfIdle ends the loop if the listeners are closed and all final messages
+// have been sent.
+func (r *Runner) finishIfIdle() {
 	select {
-	case <-r.leaving:
-		if r.farewells == 0 {
+	case <-r.listenersClosed:
+		if r.finalMessages == 0 {
 			r.finished = true
 		}
 	default:
--- a/internal/runner/task.go
+++ b/internal/runner/task.go
@@ -2,8 +2,8 @@
 
 import "context"
 
-// tasks starts goroutines for the loop and learns of their ends. Only the
-// loop uses it.
+// tasks starts goroutines for the loop and counts them. It is accessed only by
+// the loop.
 type tasks struct {
 	ctx     context.Context
 	ends    chan func()
@@ -17,11 +17,11 @@
 	}
 }
 
-// start runs work in a goroutine. What work returns runs in the loop once the
-// goroutine has ended; it may be nil.
+// start runs work in a goroutine. The function that work returns, if not nil,
+// runs in the loop after the goroutine has ended.
 //
-// The goroutine reports its end even after the context was cancelled, and the
-// loop reads ends until none is missing, so that no goroutine outlives Run.
+// The goroutine reports its end even after its context is cancelled, and the
+// loop reads the ends of all goroutines, so that none outlives Run.
 func (t *tasks) start(work func(ctx context.Context) func()) {
 	t.running++
 	go func() {
@@ -29,7 +29,7 @@
 	}()
 }
 
-// ended takes the report of an end.
+// ended handles the end of a goroutine.
 func (t *tasks) ended(after func()) {
 	t.running--
 	if after != nil {
