--- a/cmd/dotterelhollow/gateway_test.go
+++ b/cmd/dotterelhollow/gateway_test.go
@@ -87,7 +87,7 @@
 			Service: "reader",
 			Zone:    "boston-a",
 			Events:  30,
-			Pause:   10 * time.Millisecond,
+			EventInterval:   10 * time.Millisecond,
 		})
 	}
 	in.portal = &standin.Server{
@@ -235,7 +235,7 @@
 // are ordered, by one node.
 func TestGatewayServes(t *testing.T) {
 	in := newInstallation(t, 2)
-	in.engines[0].BreakAfter.Store(10)
+	in.engines[0].AbortAfter.Store(10)
 	for i := range 6 {
 		id := fmt.Sprintf("r-%d", i)
 		response, body, err := in.ask(in.nodes[i%2], id, "/reports/1", "secret")
@@ -248,7 +248,7 @@
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, response.StatusCode)
 	require.Equal(t, "prompt", body)
-	require.Equal(t, map[string]int{"r-book": 1}, in.portal.Ran())
+	require.Equal(t, map[string]int{"r-book": 1}, in.portal.Executions())
 
 	for path, want := range map[string]int{
 		"/reports/1": http.StatusUnauthorized,
@@ -298,7 +298,7 @@
 		<-pause.C
 	}
 	took := time.Since(began).Seconds()
-	require.Len(t, in.portal.Ran(), served, "what was refused has not run")
+	require.Len(t, in.portal.Executions(), served, "what was refused has not run")
 	require.LessOrEqual(t, float64(served), rate*took+nodes+1, "each node may send one before it knows")
 
 	none := ""
@@ -320,7 +320,7 @@
 		response, _, err := in.ask(in.nodes[0], "r-1", "/new/1", "secret")
 		return err == nil && response.StatusCode == http.StatusOK
 	}, patience, 20*time.Millisecond)
-	in.store.Refuse(true)
+	in.store.SetUnavailable(true)
 	seed := in.nodes[0].settings.Peer.Advertised
 	in.start(2, seed)
 	require.Eventually(t, func() bool {
@@ -374,7 +374,7 @@
 func TestGatewayPlannedStop(t *testing.T) {
 	in := newInstallation(t, 2)
 	for _, e := range in.engines {
-		e.Pause = 50 * time.Millisecond
+		e.EventInterval = 50 * time.Millisecond
 	}
 	type result struct {
 		body string
@@ -390,7 +390,7 @@
 	}()
 	require.Eventually(t, func() bool {
 		for _, e := range in.engines {
-			if e.Ran()["r-1"] > 0 {
+			if e.Executions()["r-1"] > 0 {
 				return true
 			}
 		}
--- a/cmd/dotterelhollow/rollout_test.go
+++ b/cmd/dotterelhollow/rollout_test.go
@@ -32,7 +32,7 @@
 			Zone:    "boston-a",
 			Version: "v2",
 		}
-		s.Fails.Store(fails)
+		s.FailAlternate.Store(fails)
 		require.NoError(t, s.Publish(in.store, in.listen(s), "ready"))
 		servers = append(servers, s)
 	}
@@ -71,9 +71,9 @@
 	require.JSONEq(t, `{"state":"rolled_back","to":"v2"}`, state)
 	ran := 0
 	for _, s := range servers {
-		ran += len(s.Ran())
+		ran += len(s.Executions())
 	}
-	require.Less(t, ran, len(in.portal.Ran())/10+50)
+	require.Less(t, ran, len(in.portal.Executions())/10+50)
 }
 
 // Operators order a version that is as good as the old one. It is completed in time, and
@@ -82,10 +82,10 @@
 	in := newInstallation(t, 2)
 	state, _ := rollOut(t, in, false)
 	require.JSONEq(t, `{"state":"completed","to":"v2"}`, state)
-	before := len(in.portal.Ran())
+	before := len(in.portal.Executions())
 	for i := range 10 {
 		_, _, err := in.ask(in.nodes[i%2], fmt.Sprintf("r-after-%d", i), "/slots/1", "secret")
 		require.NoError(t, err)
 	}
-	require.Len(t, in.portal.Ran(), before)
+	require.Len(t, in.portal.Executions(), before)
 }
--- a/internal/catalog/route.go
+++ b/internal/catalog/route.go
@@ -15,11 +15,11 @@
 const (
 	// Repeatable requests may run any number of times.
 	Repeatable Repetition = "repeatable"
-	// Once requests may run at most once, whoever asks.
-	Once Repetition = "once"
-	// Resumed requests are streams: a later run may go on behind the last
+	// AtMostOnce requests run at most once.
+	AtMostOnce Repetition = "once"
+	// Resumable requests are streams: a later run may go on behind the last
 	// event that was delivered, and never starts over behind it.
-	Resumed Repetition = "resumed"
+	Resumable Repetition = "resumed"
 )
 
 // Route says what becomes of the requests of one host under one path prefix.
@@ -91,12 +91,12 @@
 	Slots int
 	// Model tells that the servers are model engines.
 	Model bool
-	// Memory is how many tokens of prompts and answers an engine keeps; zero
-	// where that is not known.
-	Memory identifier.Tokens
-	// CopyRate is how many tokens of a prompt an engine copies in a millisecond
-	// from another one that keeps them; zero where engines can't.
-	CopyRate float64
+	// KVTokens is the number of tokens that an engine caches; zero
+	// if unknown.
+	KVTokens identifier.Tokens
+	// CopyTokensPerMS is the rate at which an engine copies cached tokens
+	// from another one; zero if it can not.
+	CopyTokensPerMS float64
 	// Fleet is nil where the servers can't be ordered.
 	Fleet *Fleet
 }
@@ -106,11 +106,11 @@
 	routes   map[string][]*Route
 	accounts map[string]identifier.AccountID
 	Backends map[identifier.ServiceName]Backend
-	// PlainTokens is what a request counts that says nothing of its tokens,
+	// DefaultTokens is charged for a request that states no token counts,
 	// by account.
-	PlainTokens map[identifier.AccountID]identifier.Tokens
-	// Ranks order the accounts; zero goes first.
-	Ranks   map[identifier.AccountID]int
+	DefaultTokens map[identifier.AccountID]identifier.Tokens
+	// AccountRanks order the accounts; zero goes first.
+	AccountRanks   map[identifier.AccountID]int
 	MaxBody identifier.Bytes
 }
 
@@ -120,8 +120,8 @@
 		routes:      map[string][]*Route{},
 		accounts:    keys,
 		Backends:    map[identifier.ServiceName]Backend{},
-		PlainTokens: map[identifier.AccountID]identifier.Tokens{},
-		Ranks:       map[identifier.AccountID]int{},
+		DefaultTokens: map[identifier.AccountID]identifier.Tokens{},
+		AccountRanks:       map[identifier.AccountID]int{},
 	}
 	for _, route := range routes {
 		r.routes[route.Host] = append(r.routes[route.Host], route)
@@ -149,4 +149,4 @@
 }
 
 // NeedsKeys reports whether requests need a key unless their route is public.
-func (r *Routing) NeedsKeys() bool { return len(r.Ranks) > 0 }
+func (r *Routing) NeedsKeys() bool { return len(r.AccountRanks) > 0 }
--- a/internal/configurer/check.go
+++ b/internal/configurer/check.go
@@ -134,7 +134,7 @@
 		}
 		b.forms[section.Title()] = form
 		kind.read(b, form, section.Names)
-		form.End()
+		form.ReportUnknownKeys()
 	}
 }
 
--- a/internal/configurer/errors.go
+++ b/internal/configurer/errors.go
@@ -28,12 +28,12 @@
 type GapError struct {
 	// Have is the offset as of which the state is known, Lost the last offset
 	// that may have been missed.
-	Have identifier.Offset
-	Lost identifier.Offset
+	AsOf identifier.Offset
+	LostTo identifier.Offset
 }
 
 func (e *GapError) Error() string {
-	return fmt.Sprintf("configuration: records after offset %d up to %d expired unread and no snapshot covers them", e.Have, e.Lost)
+	return fmt.Sprintf("configuration: records after offset %d up to %d expired unread and no snapshot covers them", e.AsOf, e.LostTo)
 }
 
 // StateError reports a snapshot or a peer's state whose folder has faults by
@@ -49,12 +49,12 @@
 
 // OlderStateError reports a peer's state that is not newer than our own.
 type OlderStateError struct {
-	Have  identifier.Offset
-	Given identifier.Offset
+	AsOf  identifier.Offset
+	OfferedAsOf identifier.Offset
 }
 
 func (e *OlderStateError) Error() string {
-	return fmt.Sprintf("configuration as of offset %d is not newer than the one as of offset %d", e.Given, e.Have)
+	return fmt.Sprintf("configuration as of offset %d is not newer than the one as of offset %d", e.OfferedAsOf, e.AsOf)
 }
 
 // ProposalError reports a change that no folder could take.
@@ -64,19 +64,19 @@
 	return (&folderreader.FaultsError{Faults: e.Faults}).Error()
 }
 
-// BusyError reports that too many changes wait for their verdicts.
-type BusyError struct{ Pending int }
+// TooManyPendingError reports that too many changes wait for their verdicts.
+type TooManyPendingError struct{ Pending int }
 
-func (e *BusyError) Error() string {
+func (e *TooManyPendingError) Error() string {
 	return fmt.Sprintf("%d changes wait for their verdicts", e.Pending)
 }
 
 // NoGapError reports a restore that was asked for without need: the state is
 // whole, and a change of one file does not undo another operator's.
-type NoGapError struct{ Have identifier.Offset }
+type NoGapError struct{ AsOf identifier.Offset }
 
 func (e *NoGapError) Error() string {
-	return fmt.Sprintf("configuration is whole as of offset %d: change its files instead of restoring it", e.Have)
+	return fmt.Sprintf("configuration is whole as of offset %d: change its files instead of restoring it", e.AsOf)
 }
 
 var (
@@ -85,6 +85,6 @@
 	_ error = (*StateError)(nil)
 	_ error = (*OlderStateError)(nil)
 	_ error = (*ProposalError)(nil)
-	_ error = (*BusyError)(nil)
+	_ error = (*TooManyPendingError)(nil)
 	_ error = (*NoGapError)(nil)
 )
--- a/internal/configurer/harness_test.go
+++ b/internal/configurer/harness_test.go
@@ -77,7 +77,7 @@
 }
 
 func (l *testLog) read(s *State) []Applied {
-	return s.Absorb(l.now, l.kept(s.ReadFrom(), len(l.records)+1))
+	return s.ApplyRecords(l.now, l.kept(s.ReadFrom(), len(l.records)+1))
 }
 
 func (l *testLog) node(r rules) *State {
--- a/internal/configurer/property_test.go
+++ b/internal/configurer/property_test.go
@@ -187,7 +187,7 @@
 }
 
 func (p *trial) absorb(n *seen, limit int) {
-	p.check(n, n.state.Absorb(p.log.now, p.log.kept(n.state.ReadFrom(), limit)))
+	p.check(n, n.state.ApplyRecords(p.log.now, p.log.kept(n.state.ReadFrom(), limit)))
 }
 
 // check requires that no revision goes down on a node.
--- a/internal/configurer/proposal.go
+++ b/internal/configurer/proposal.go
@@ -23,7 +23,7 @@
 }
 
 // Propose returns the record to append for an operator's change. The nonce
-// must be fresh. The verdict comes with Absorb, or as unknown with Timeouts.
+// must be fresh. The verdict comes with ApplyRecords, or as unknown with Timeouts.
 // The error is a *ProposalError, *BusyError, *GapError or *StateError; with
 // each of them the change is not made.
 func (s *State) Propose(now timekeeper.Time, p messenger.ChangeProposed, nonce identifier.Nonce) ([]byte, error) {
@@ -67,7 +67,7 @@
 // to. While the state is whole the error is a *NoGapError.
 func (s *State) ProposeRestore(now timekeeper.Time, files map[identifier.FileName][]byte, ticket identifier.Ticket, nonce identifier.Nonce) ([]byte, error) {
 	if !s.gap() {
-		return nil, &NoGapError{Have: s.view.asOf}
+		return nil, &NoGapError{AsOf: s.view.asOf}
 	}
 	if _, faults := Check(files); len(faults) > 0 {
 		return nil, &ProposalError{Faults: faults}
@@ -83,7 +83,7 @@
 
 func (s *State) wait(now timekeeper.Time, nonce identifier.Nonce, file identifier.FileName, ticket identifier.Ticket, data []byte) ([]byte, error) {
 	if len(s.pending) >= maxPending {
-		return nil, &BusyError{Pending: len(s.pending)}
+		return nil, &TooManyPendingError{Pending: len(s.pending)}
 	}
 	s.pending = append(s.pending, proposal{
 		nonce:  nonce,
@@ -95,10 +95,10 @@
 	return data, nil
 }
 
-// Again returns the record of a change that still waits for its verdict. It
+// PendingRecord returns the record of a change that still waits for its verdict. It
 // may be appended again when the answer to its append was lost: its nonce
 // makes the copies count once.
-func (s *State) Again(nonce identifier.Nonce) ([]byte, bool) {
+func (s *State) PendingRecord(nonce identifier.Nonce) ([]byte, bool) {
 	for _, p := range s.pending {
 		if p.nonce == nonce {
 			return p.data, true
--- a/internal/configurer/sections.go
+++ b/internal/configurer/sections.go
@@ -23,7 +23,7 @@
 )
 
 func (b *builder) log(f *folderreader.Form, _ []string) {
-	if retention := f.Need("retention").Duration(minRetention, maxRetention); retention > 0 {
+	if retention := f.Required("retention").Duration(minRetention, maxRetention); retention > 0 {
 		b.catalog.LogRetention = retention
 	}
 }
@@ -32,7 +32,7 @@
 	name := identifier.Zone(names[0])
 	b.catalog.Zones[name] = catalog.ZoneSpec{
 		Name:   name,
-		Region: identifier.Region(f.Need("region").Name()),
+		Region: identifier.Region(f.Required("region").Name()),
 	}
 }
 
@@ -48,9 +48,9 @@
 	class, zone := identifier.VMClass(names[0]), identifier.Zone(names[1])
 	prices := make(map[catalog.Market]identifier.Money)
 	for _, market := range []catalog.Market{catalog.Reclaimable, catalog.OnDemand} {
-		f.Known(string(market))
+		f.AllowKeys(string(market))
 		if f.Has(string(market)) {
-			prices[market] = f.Need(string(market)).Money()
+			prices[market] = f.Required(string(market)).Money()
 		}
 	}
 	if len(prices) == 0 {
@@ -70,23 +70,23 @@
 	pool := catalog.Pool{
 		Name:            identifier.PoolName(names[0]),
 		Kind:            serviceKind(f),
-		ChecksFence:     f.Get("checks_fence", "false").Bool(),
-		OrderTime:       f.Get("order_time", "30s").Duration(timekeeper.Millisecond, maxOrderTime),
-		Class:           identifier.VMClass(f.Need("vm_class").Name()),
-		Slots:           f.Need("slots").Count(1, maxSlots),
-		Min:             f.Need("min").Count(0, maxServers),
-		Max:             f.Need("max").Count(1, maxServers),
-		OnDemandPercent: f.Get("on_demand_percent", "0").Count(0, 100),
-	}
-	f.Known("tokens_per_second", "prefill_per_second", "kv_bytes_per_token", "transfer_rate")
+		ChecksFence:     f.Optional("checks_fence", "false").Bool(),
+		OrderTime:       f.Optional("order_time", "30s").Duration(timekeeper.Millisecond, maxOrderTime),
+		Class:           identifier.VMClass(f.Required("vm_class").Name()),
+		Slots:           f.Required("slots").Count(1, maxSlots),
+		Min:             f.Required("min").Count(0, maxServers),
+		Max:             f.Required("max").Count(1, maxServers),
+		OnDemandPercent: f.Optional("on_demand_percent", "0").Count(0, 100),
+	}
+	f.AllowKeys("tokens_per_second", "prefill_per_second", "kv_bytes_per_token", "transfer_rate")
 	switch pool.Kind {
 	case catalog.PlainService:
 		unwanted(f, "tokens_per_second", "prefill_per_second", "kv_bytes_per_token", "transfer_rate")
 	case catalog.ModelService:
-		pool.TokensPerSecond = f.Need("tokens_per_second").Number(0.1, maxPace)
-		pool.PrefillPerSecond = f.Need("prefill_per_second").Number(0.1, maxPace)
-		pool.KVBytesPerToken = f.Need("kv_bytes_per_token").Bytes(1, maxKVBytes)
-		pool.TransferRate = identifier.BytesPerSecond(f.Need("transfer_rate").Bytes(1, maxTransfer))
+		pool.TokensPerSecond = f.Required("tokens_per_second").Number(0.1, maxPace)
+		pool.PrefillPerSecond = f.Required("prefill_per_second").Number(0.1, maxPace)
+		pool.KVBytesPerToken = f.Required("kv_bytes_per_token").Bytes(1, maxKVBytes)
+		pool.TransferRate = identifier.BytesPerSecond(f.Required("transfer_rate").Bytes(1, maxTransfer))
 	}
 	if pool.Min > pool.Max && pool.Max > 0 {
 		f.Fault("min", "at most max", "more")
@@ -95,7 +95,7 @@
 }
 
 func serviceKind(f *folderreader.Form) catalog.ServiceKind {
-	return catalog.ServiceKind(f.Need("kind").Choice(
+	return catalog.ServiceKind(f.Required("kind").Choice(
 		string(catalog.ModelService),
 		string(catalog.PlainService),
 	))
@@ -104,7 +104,7 @@
 // unwanted reports keys that only model pools and services have.
 func unwanted(f *folderreader.Form, keys ...string) {
 	for _, key := range keys {
-		f.Unwanted(key, "with kind = plain")
+		f.ForbidKey(key, "with kind = plain")
 	}
 }
 
@@ -112,25 +112,25 @@
 	service := catalog.Service{
 		Name:         identifier.ServiceName(names[0]),
 		Kind:         serviceKind(f),
-		Pool:         identifier.PoolName(f.Need("pool").Name()),
+		Pool:         identifier.PoolName(f.Required("pool").Name()),
 		Priority:     priority(f),
-		Long:         f.Get("long", "false").Bool(),
-		Deadline:     f.Need("deadline").Duration(timekeeper.Millisecond, maxDeadline),
-		MaxBody:      f.Get("max_body", "1MiB").Bytes(1, maxBody),
-		RetryPercent: f.Get("retry_percent", "10").Count(0, 100),
-		KeyWindow:    f.Get("key_window", "10m").Duration(timekeeper.Second, maxRetention),
+		Long:         f.Optional("long", "false").Bool(),
+		Deadline:     f.Required("deadline").Duration(timekeeper.Millisecond, maxDeadline),
+		MaxBody:      f.Optional("max_body", "1MiB").Bytes(1, maxBody),
+		RetryPercent: f.Optional("retry_percent", "10").Count(0, 100),
+		KeyWindow:    f.Optional("key_window", "10m").Duration(timekeeper.Second, maxRetention),
 	}
-	f.Known("model", "max_tokens", "idempotent")
+	f.AllowKeys("model", "max_tokens", "idempotent")
 	switch service.Kind {
 	case catalog.PlainService:
 		unwanted(f, "model", "max_tokens")
 		// Whether a call may be repeated is never guessed: a wrong guess
 		// doubles a booking or loses an answer.
-		service.Idempotent = f.Need("idempotent").Bool()
+		service.Idempotent = f.Required("idempotent").Bool()
 	case catalog.ModelService:
-		service.Model = identifier.ModelName(f.Need("model").Name())
-		service.MaxTokens = identifier.Tokens(f.Need("max_tokens").Count(1, maxAnswer))
-		service.Idempotent = f.Get("idempotent", "true").Bool()
+		service.Model = identifier.ModelName(f.Required("model").Name())
+		service.MaxTokens = identifier.Tokens(f.Required("max_tokens").Count(1, maxAnswer))
+		service.Idempotent = f.Optional("idempotent", "true").Bool()
 	}
 	b.catalog.Services[service.Name] = service
 }
@@ -143,7 +143,7 @@
 )
 
 func priority(f *folderreader.Form) catalog.Priority {
-	switch f.Need("priority").Choice(batchWord, standardWord, interactiveWord) {
+	switch f.Required("priority").Choice(batchWord, standardWord, interactiveWord) {
 	case batchWord:
 		return catalog.Batch
 	case interactiveWord:
@@ -156,11 +156,11 @@
 func (b *builder) account(f *folderreader.Form, names []string) {
 	account := catalog.Account{
 		ID:                identifier.AccountID(names[0]),
-		KeyHashes:         f.Need("key_sha256").Hashes(),
-		RequestsPerSecond: f.Need("requests_per_second").Number(0.001, maxRate),
-		RequestBurst:      f.Need("request_burst").Number(1, maxRate),
-		TokensPerSecond:   f.Need("tokens_per_second").Number(0.001, maxRate),
-		TokenBurst:        f.Need("token_burst").Number(1, maxRate),
+		KeyHashes:         f.Required("key_sha256").Hashes(),
+		RequestsPerSecond: f.Required("requests_per_second").Number(0.001, maxRate),
+		RequestBurst:      f.Required("request_burst").Number(1, maxRate),
+		TokensPerSecond:   f.Required("tokens_per_second").Number(0.001, maxRate),
+		TokenBurst:        f.Required("token_burst").Number(1, maxRate),
 		Targets:           make(map[identifier.ServiceName]catalog.Target),
 	}
 	b.catalog.Accounts[account.ID] = account
@@ -169,15 +169,15 @@
 func (b *builder) target(f *folderreader.Form, names []string) {
 	account, service := identifier.AccountID(names[0]), identifier.ServiceName(names[1])
 	target := catalog.Target{
-		Completion: f.Need("completion").Duration(timekeeper.Millisecond, maxDeadline),
-		Penalty:    f.Need("penalty").Money(),
+		Completion: f.Required("completion").Duration(timekeeper.Millisecond, maxDeadline),
+		Penalty:    f.Required("penalty").Money(),
 	}
 	target.FirstToken = target.Completion
-	f.Known("first_token")
+	f.AllowKeys("first_token")
 	if b.catalog.Services[service].Kind == catalog.PlainService {
-		f.Unwanted("first_token", "for a plain service")
+		f.ForbidKey("first_token", "for a plain service")
 	} else if f.Has("first_token") {
-		target.FirstToken = f.Need("first_token").Duration(timekeeper.Millisecond, maxDeadline)
+		target.FirstToken = f.Required("first_token").Duration(timekeeper.Millisecond, maxDeadline)
 	}
 	if target.FirstToken > target.Completion && target.Completion > 0 {
 		f.Fault("first_token", "at most the completion", target.FirstToken.String())
--- a/internal/configurer/snapshot.go
+++ b/internal/configurer/snapshot.go
@@ -129,8 +129,8 @@
 	}
 	if r.Snapshot.AsOf <= s.view.asOf && s.rules.importOnlyNewer {
 		return nil, &OlderStateError{
-			Have:  s.view.asOf,
-			Given: r.Snapshot.AsOf,
+			AsOf:  s.view.asOf,
+			OfferedAsOf: r.Snapshot.AsOf,
 		}
 	}
 	v, err := viewOf(r.Snapshot)
--- a/internal/configurer/state.go
+++ b/internal/configurer/state.go
@@ -111,8 +111,8 @@
 func (s *State) Fault() error {
 	if s.gap() {
 		return &GapError{
-			Have: s.view.asOf,
-			Lost: s.lostTo,
+			AsOf: s.view.asOf,
+			LostTo: s.lostTo,
 		}
 	}
 	return s.problem
@@ -120,9 +120,9 @@
 
 func (s *State) gap() bool { return s.lostTo > s.view.asOf }
 
-// Absorb takes in one read of the stream and returns the verdicts that it
+// ApplyRecords applies one read of the stream and returns the verdicts that it
 // brought. Reads may overlap or be repeated, but not leave records out.
-func (s *State) Absorb(now timekeeper.Time, read messenger.LogRead) []Applied {
+func (s *State) ApplyRecords(now timekeeper.Time, read messenger.LogRead) []Applied {
 	s.noteExpiry(now, read.First)
 	var applied []Applied
 	for _, rec := range read.Records {
--- a/internal/configurer/state_test.go
+++ b/internal/configurer/state_test.go
@@ -257,7 +257,7 @@
 	l := newTestLog()
 	s := l.ready(allRules())
 	data, nonce := l.propose(s, proposalOf(s, fileA, zoneFile("x")))
-	again, waiting := s.Again(nonce)
+	again, waiting := s.PendingRecord(nonce)
 	require.True(t, waiting)
 	require.Equal(t, data, again)
 	require.Empty(t, s.Timeouts(l.now))
@@ -332,7 +332,7 @@
 	for range maxPending {
 		l.propose(s, proposalOf(s, fileA, zoneFile("x")))
 	}
-	var busy *BusyError
+	var busy *TooManyPendingError
 	_, err = s.Propose(l.now, proposalOf(s, fileA, zoneFile("x")), l.nonce())
 	require.ErrorAs(t, err, &busy)
 }
--- a/internal/dispatcher/choose.go
+++ b/internal/dispatcher/choose.go
@@ -180,9 +180,9 @@
 	rates := d.estimator(x.service)
 	cached := cache.cached
 	c := choice{server: s}
-	if cache.copyFrom != nil && backend.CopyRate > 0 {
+	if cache.copyFrom != nil && backend.CopyTokensPerMS > 0 {
 		c.copyFrom = cache.copyFrom
-		c.copyTime = copySetup + timekeeper.Duration(float64(cache.copyTokens-cache.cached)/backend.CopyRate)
+		c.copyTime = copySetup + timekeeper.Duration(float64(cache.copyTokens-cache.cached)/backend.CopyTokensPerMS)
 		cached = cache.copyTokens
 	}
 	c.work = x.work(cached)
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -303,7 +303,7 @@
 	if !ok || env.Catalog == nil || env.Catalog.Routing == nil {
 		return 0
 	}
-	return env.Catalog.Routing.Backends[s.Service].Memory * cachePercent / 100
+	return env.Catalog.Routing.Backends[s.Service].KVTokens * cachePercent / 100
 }
 
 // MergeCachedPrefixes merges the cached prefixes that a peer reported. If passOn is
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -59,17 +59,17 @@
 	public.Public = true
 	routing := catalog.NewRouting([]*catalog.Route{
 		route("ping", catalog.Repeatable, false, 2),
-		route("book", catalog.Once, false, 2),
-		route("report", catalog.Resumed, true, 2),
-		route("draft", catalog.Once, true, 1),
+		route("book", catalog.AtMostOnce, false, 2),
+		route("report", catalog.Resumable, true, 2),
+		route("draft", catalog.AtMostOnce, true, 1),
 		public,
 	}, map[string]identifier.AccountID{"secret": "agency"})
 	routing.Backends["reader"] = catalog.Backend{
 		Model: true,
 		Slots: 64,
 	}
-	routing.Ranks["agency"] = 0
-	routing.PlainTokens["agency"] = 200
+	routing.AccountRanks["agency"] = 0
+	routing.DefaultTokens["agency"] = 200
 	return &catalog.Catalog{
 		Revision: 1,
 		Accounts: map[identifier.AccountID]catalog.Account{
@@ -481,7 +481,7 @@
 func newCopyingNode() *node {
 	n := newNode(3)
 	backend := n.env.Catalog.Routing.Backends["reader"]
-	backend.CopyRate = 400
+	backend.CopyTokensPerMS = 400
 	n.env.Catalog.Routing.Backends["reader"] = backend
 	return n
 }
--- a/internal/dispatcher/ended_test.go
+++ b/internal/dispatcher/ended_test.go
@@ -83,7 +83,7 @@
 func TestKeysOfOneAccount(t *testing.T) {
 	n := newNode(12)
 	n.env.Catalog.Routing = catalog.NewRouting([]*catalog.Route{
-		route("book", catalog.Once, false, 2),
+		route("book", catalog.AtMostOnce, false, 2),
 	}, map[string]identifier.AccountID{
 		"secret": "agency",
 		"newer":  "agency",
--- a/internal/dispatcher/limit.go
+++ b/internal/dispatcher/limit.go
@@ -73,7 +73,7 @@
 	if sum := x.spec.PromptTokens + x.spec.MaxTokens; sum > 0 {
 		return sum
 	}
-	return env.Catalog.Routing.PlainTokens[x.account]
+	return env.Catalog.Routing.DefaultTokens[x.account]
 }
 
 // LimitAnswered continues a request when the allocator has answered.
--- a/internal/dispatcher/prompts_test.go
+++ b/internal/dispatcher/prompts_test.go
@@ -107,8 +107,8 @@
 		n := newNode(engines)
 		n.env.Catalog.Accounts = map[identifier.AccountID]catalog.Account{}
 		backend := n.env.Catalog.Routing.Backends["reader"]
-		backend.Memory = 580_000
-		backend.CopyRate = 1 / copyPerToken
+		backend.KVTokens = 580_000
+		backend.CopyTokensPerMS = 1 / copyPerToken
 		n.env.Catalog.Routing.Backends["reader"] = backend
 		c.nodes = append(c.nodes, n)
 	}
--- a/internal/dispatcher/receive.go
+++ b/internal/dispatcher/receive.go
@@ -183,7 +183,7 @@
 }
 
 func urgency(routing *catalog.Routing, route *catalog.Route, account identifier.AccountID) int {
-	return min(max(routing.Ranks[account]*rankStep+route.Rank, 0), maxUrgency)
+	return min(max(routing.AccountRanks[account]*rankStep+route.Rank, 0), maxUrgency)
 }
 
 func deadline(spec messenger.ExchangeSpec, route *catalog.Route) timekeeper.Time {
--- a/internal/dispatcher/repeat.go
+++ b/internal/dispatcher/repeat.go
@@ -116,7 +116,7 @@
 	switch x.route.Repetition {
 	case catalog.Repeatable:
 		return !e.Streaming
-	case catalog.Resumed:
+	case catalog.Resumable:
 		return true
 	}
 	return false
@@ -142,7 +142,7 @@
 // eventTimeouts returns the timeouts for the first event and between events. They are
 // zero, for no timeout, if no other server may take over: the answer may still come.
 func (d *Dispatcher) eventTimeouts(x *exchange, predicted timekeeper.Duration) (first, next timekeeper.Duration) {
-	if x.route.Repetition == catalog.Once || x.countedAttempts >= x.route.Attempts {
+	if x.route.Repetition == catalog.AtMostOnce || x.countedAttempts >= x.route.Attempts {
 		return 0, 0
 	}
 	target := timekeeper.Duration(float64(x.route.Target) * firstEventTargets)
--- a/internal/folderreader/folderreader_test.go
+++ b/internal/folderreader/folderreader_test.go
@@ -19,7 +19,7 @@
 		"99-override.ini": []byte("[pool reading]\nslots = 9\n"),
 	}, &faults)
 	form := folderreader.NewForm(sections[0], &faults)
-	fmt.Println(sections[0].Title(), form.Need("slots").Count(1, 100), form.Need("min").Count(1, 100))
+	fmt.Println(sections[0].Title(), form.Required("slots").Count(1, 100), form.Required("min").Count(1, 100))
 	// Output: pool reading 9 2
 }
 
--- a/internal/folderreader/form.go
+++ b/internal/folderreader/form.go
@@ -7,7 +7,7 @@
 )
 
 // Form reads the keys of one section as typed values. Each key that is read is
-// a known key; End reports the others.
+// a known key; ReportUnknownKeys reports the others.
 type Form struct {
 	section *Section
 	faults  *Faults
@@ -22,12 +22,12 @@
 	}
 }
 
-// Known tells that the keys are known, whether they are read or not.
-func (f *Form) Known(keys ...string) { f.known = append(f.known, keys...) }
+// AllowKeys tells that the keys are known, whether they are read or not.
+func (f *Form) AllowKeys(keys ...string) { f.known = append(f.known, keys...) }
 
-// Need returns the value of a key that must be there.
-func (f *Form) Need(key string) Value {
-	f.Known(key)
+// Required returns the value of a key that must be there.
+func (f *Form) Required(key string) Value {
+	f.AllowKeys(key)
 	entry, ok := f.section.Keys[key]
 	return Value{
 		form:    f,
@@ -37,9 +37,9 @@
 	}
 }
 
-// Get returns the value of a key, or fallback where the key is not there.
-func (f *Form) Get(key, fallback string) Value {
-	value := f.Need(key)
+// Optional returns the value of a key, or fallback where the key is not there.
+func (f *Form) Optional(key, fallback string) Value {
+	value := f.Required(key)
 	if value.missing {
 		value.missing = false
 		value.text = fallback
@@ -53,9 +53,9 @@
 	return ok
 }
 
-// Unwanted reports a known key that must not be there, and why.
-func (f *Form) Unwanted(key, why string) {
-	f.Known(key)
+// ForbidKey reports a known key that must not be there, and why.
+func (f *Form) ForbidKey(key, why string) {
+	f.AllowKeys(key)
 	if entry, ok := f.section.Keys[key]; ok {
 		f.Fault(key, "no such key "+why, quote(entry.Value))
 	}
@@ -77,8 +77,8 @@
 	})
 }
 
-// End reports the keys that were not read.
-func (f *Form) End() {
+// ReportUnknownKeys reports the keys that were not read.
+func (f *Form) ReportUnknownKeys() {
 	known := slices.Clone(f.known)
 	slices.Sort(known)
 	expected := "no keys"
--- a/internal/prover/exchange_world_test.go
+++ b/internal/prover/exchange_world_test.go
@@ -207,13 +207,13 @@
 // publish puts a new configuration into the store.
 func (w *exchangeWorld) publish(revision identifier.Revision) {
 	var routes []*catalog.Route
-	for _, r := range []catalog.Repetition{catalog.Once, catalog.Repeatable, catalog.Resumed} {
+	for _, r := range []catalog.Repetition{catalog.AtMostOnce, catalog.Repeatable, catalog.Resumable} {
 		routes = append(routes, &catalog.Route{
 			Name:       identifier.RouteName(r),
 			Host:       "api.example",
 			PathPrefix: "/" + string(r) + "/",
 			Repetition: r,
-			Stream:     r == catalog.Resumed,
+			Stream:     r == catalog.Resumable,
 			Timeout:    5 * timekeeper.Second,
 			Target:     timekeeper.Second,
 			MaxGap:     400,
@@ -227,8 +227,8 @@
 		})
 	}
 	routing := catalog.NewRouting(routes, map[string]identifier.AccountID{"secret": "agency"})
-	routing.Ranks["agency"] = 0
-	routing.PlainTokens["agency"] = 1
+	routing.AccountRanks["agency"] = 0
+	routing.DefaultTokens["agency"] = 1
 	routing.Backends["reader"] = catalog.Backend{
 		Model: true,
 		Slots: 16,
@@ -626,7 +626,7 @@
 	if n == nil {
 		return
 	}
-	kinds := []catalog.Repetition{catalog.Once, catalog.Repeatable, catalog.Resumed}
+	kinds := []catalog.Repetition{catalog.AtMostOnce, catalog.Repeatable, catalog.Resumable}
 	kind := kinds[w.rng.IntN(len(kinds))]
 	w.next++
 	id := identifier.RequestID(fmt.Sprintf("r-%d", w.next))
@@ -676,7 +676,7 @@
 	}
 	if result != messenger.AttemptNotSent && result != messenger.AttemptRefused {
 		w.ran[id] = append(w.ran[id], e.Server)
-		if w.kinds[id] == catalog.Once && len(w.ran[id]) > 1 {
+		if w.kinds[id] == catalog.AtMostOnce && len(w.ran[id]) > 1 {
 			w.fault("%s ran at %v", id, w.ran[id])
 		}
 	}
--- a/internal/prover/platform_test.go
+++ b/internal/prover/platform_test.go
@@ -342,7 +342,7 @@
 		panic(&folderreader.FaultsError{Faults: faults})
 	}
 	state := configurer.New(configurer.Config{})
-	state.Absorb(w.now, w.log.read("config", 1))
+	state.ApplyRecords(w.now, w.log.read("config", 1))
 	record, err := state.Propose(w.now, messenger.ChangeProposed{
 		Ticket:  1,
 		File:    "10-world.ini",
--- a/internal/prover/query_test.go
+++ b/internal/prover/query_test.go
@@ -249,7 +249,7 @@
 		t.Run(fault.name, func(t *testing.T) {
 			for i, step := range steps {
 				w := newQueryWorld(t, uint64(i))
-				kinds := []catalog.Repetition{catalog.Resumed, catalog.Once, catalog.Repeatable}
+				kinds := []catalog.Repetition{catalog.Resumable, catalog.AtMostOnce, catalog.Repeatable}
 				for k, kind := range kinds {
 					content := identifier.ContentHash(k + 1)
 					w.deadly[content] = true
@@ -291,7 +291,7 @@
 		w.persistent = 5
 		for k := range d.queries {
 			w.deadly[identifier.ContentHash(k+1)] = true
-			w.returns(identifier.ContentHash(k+1), catalog.Resumed, 4000+timekeeper.Duration(170*k), exchangeDay, 500)
+			w.returns(identifier.ContentHash(k+1), catalog.Resumable, 4000+timekeeper.Duration(170*k), exchangeDay, 500)
 		}
 		for at := timekeeper.Duration(4000); d.each > 0 && at < exchangeDay; at += d.each {
 			w.at(at, w.endAny)
--- a/internal/prover/retry_test.go
+++ b/internal/prover/retry_test.go
@@ -117,7 +117,7 @@
 	w.run()
 	repeatable := 0
 	for id := range w.kinds {
-		if w.kinds[id] != catalog.Once && slices.Contains([]identifier.RequestID{"r-1", "r-2", "r-3", "r-4"}, id) {
+		if w.kinds[id] != catalog.AtMostOnce && slices.Contains([]identifier.RequestID{"r-1", "r-2", "r-3", "r-4"}, id) {
 			repeatable++
 			require.Greater(t, len(w.ran[id]), 1, "%s", id)
 		}
--- a/internal/reducer/platformlog.go
+++ b/internal/reducer/platformlog.go
@@ -71,7 +71,7 @@
 func (r *Reducer) configRead(env *conductor.Env, e messenger.LogRead) []messenger.Effect {
 	before := r.revision()
 	r.timers.configUnavailableSince = timekeeper.Never
-	out := r.replyVerdicts(r.files.Absorb(env.Now, e))
+	out := r.replyVerdicts(r.files.ApplyRecords(env.Now, e))
 	return append(out, r.configApplied(env, before)...)
 }
 
@@ -172,7 +172,7 @@
 	r.timers.nextChange = env.Now.Add(changeRetryInterval)
 	var out []messenger.Effect
 	for _, t := range slices.Sorted(maps.Keys(r.timers.pendingChanges)) {
-		record, pending := r.files.Again(r.timers.pendingChanges[t])
+		record, pending := r.files.PendingRecord(r.timers.pendingChanges[t])
 		if !pending {
 			delete(r.timers.pendingChanges, t)
 			continue
--- a/internal/reducer/relay_test.go
+++ b/internal/reducer/relay_test.go
@@ -165,7 +165,7 @@
 			Name:       "report",
 			Host:       "api.example",
 			PathPrefix: "/report/",
-			Repetition: catalog.Resumed,
+			Repetition: catalog.Resumable,
 			Stream:     true,
 			Timeout:    timekeeper.Minute,
 			Target:     timekeeper.Second,
--- a/internal/starter/gateway.go
+++ b/internal/starter/gateway.go
@@ -75,16 +75,16 @@
 
 func (g *Gateway) read(f *folderreader.Form) {
 	if f.Has("cloud") {
-		g.Cloud = f.Need("cloud").AddrPort(true)
+		g.Cloud = f.Required("cloud").AddrPort(true)
 	}
-	f.Known("cloud")
-	g.Seeds = f.Get("seeds", "").AddrPorts()
-	g.UsageWindow = f.Get("usage_window", "0s").Duration(0, maxWindow)
-	g.UsageLate = f.Get("usage_late", "10s").Duration(0, maxWindow)
-	g.LogRetention = f.Get("log_retention", "20s").Duration(1*timekeeper.Second, maxRetention)
-	g.ExposureShare = f.Get("exposure_share", "0.05").Number(0, 1)
-	g.ExposureSlack = f.Get("exposure_slack", "0").Number(0, maxSlack)
-	g.MemoryLimit = f.Get("memory_mb", "256").Number(1, maxMemory)
-	g.CPU = f.Get("cpu", "0").Number(0, maxCPU)
-	g.Link = f.Get("link_mbps", "0").Number(0, maxLink)
+	f.AllowKeys("cloud")
+	g.Seeds = f.Optional("seeds", "").AddrPorts()
+	g.UsageWindow = f.Optional("usage_window", "0s").Duration(0, maxWindow)
+	g.UsageLate = f.Optional("usage_late", "10s").Duration(0, maxWindow)
+	g.LogRetention = f.Optional("log_retention", "20s").Duration(1*timekeeper.Second, maxRetention)
+	g.ExposureShare = f.Optional("exposure_share", "0.05").Number(0, 1)
+	g.ExposureSlack = f.Optional("exposure_slack", "0").Number(0, maxSlack)
+	g.MemoryLimit = f.Optional("memory_mb", "256").Number(1, maxMemory)
+	g.CPU = f.Optional("cpu", "0").Number(0, maxCPU)
+	g.Link = f.Optional("link_mbps", "0").Number(0, maxLink)
 }
--- a/internal/starter/starter.go
+++ b/internal/starter/starter.go
@@ -77,7 +77,7 @@
 	for _, kind := range settings.kinds() {
 		form := folderreader.NewForm(find(kind.name, sections), &faults)
 		kind.read(form)
-		form.End()
+		form.ReportUnknownKeys()
 	}
 	settings.reportUnknown(sections, &faults)
 	if all := faults.Sorted(); len(all) > 0 {
@@ -136,32 +136,32 @@
 }
 
 func (s *Settings) node(f *folderreader.Form) {
-	s.VM = identifier.VMID(f.Need("vm").Name())
-	s.Zone = identifier.Zone(f.Need("zone").Name())
-	s.Region = identifier.Region(f.Need("region").Name())
-	s.DrainTime = f.Get("drain_time", "2m").Duration(0, maxDrainTime)
-	s.LogLevel = f.Get("log_level", "info").Choice("trace", "debug", "info", "warn", "error")
+	s.VM = identifier.VMID(f.Required("vm").Name())
+	s.Zone = identifier.Zone(f.Required("zone").Name())
+	s.Region = identifier.Region(f.Required("region").Name())
+	s.DrainTime = f.Optional("drain_time", "2m").Duration(0, maxDrainTime)
+	s.LogLevel = f.Optional("log_level", "info").Choice("trace", "debug", "info", "warn", "error")
 }
 
 func (p *Port) read(f *folderreader.Form) {
-	p.Listen = f.Need("listen").AddrPort(false)
+	p.Listen = f.Required("listen").AddrPort(false)
 	p.Advertised = p.Listen
 	if f.Has("advertise") || !p.Listen.IsValid() || p.Listen.Addr().IsUnspecified() {
-		p.Advertised = f.Need("advertise").AddrPort(true)
+		p.Advertised = f.Required("advertise").AddrPort(true)
 	}
-	f.Known("advertise")
+	f.AllowKeys("advertise")
 }
 
 func (s *Settings) platform(f *folderreader.Form) {
-	s.Platform = f.Need("address").AddrPort(true)
+	s.Platform = f.Required("address").AddrPort(true)
 }
 
 func (s *Settings) operator(f *folderreader.Form) {
-	s.OperatorKeyHashes = f.Need("key_sha256").Hashes()
+	s.OperatorKeyHashes = f.Required("key_sha256").Hashes()
 }
 
 func (s *Settings) timeline(f *folderreader.Form) {
-	s.TimelineCapacity = f.Get("capacity", "4096").Count(minCapacity, maxCapacity)
+	s.TimelineCapacity = f.Optional("capacity", "4096").Count(minCapacity, maxCapacity)
 }
 
 func (s *Settings) reportUnknown(sections []*folderreader.Section, faults *folderreader.Faults) {
