--- a/cmd/dotterelhollow/gateway_test.go
+++ b/cmd/dotterelhollow/gateway_test.go
@@ -83,11 +83,11 @@
 	in.cloudAddress = in.listen(in.cloud)
 	for i := range engines {
 		in.engines = append(in.engines, &standin.Server{
-			ID:      fmt.Sprintf("i-%d", i+1),
-			Service: "reader",
-			Zone:    "boston-a",
-			Events:  30,
-			EventInterval:   10 * time.Millisecond,
+			ID:            fmt.Sprintf("i-%d", i+1),
+			Service:       "reader",
+			Zone:          "boston-a",
+			Events:        30,
+			EventInterval: 10 * time.Millisecond,
 		})
 	}
 	in.portal = &standin.Server{
--- a/internal/catalog/route.go
+++ b/internal/catalog/route.go
@@ -110,18 +110,18 @@
 	// by account.
 	DefaultTokens map[identifier.AccountID]identifier.Tokens
 	// AccountRanks order the accounts; zero goes first.
-	AccountRanks   map[identifier.AccountID]int
-	MaxBody identifier.Bytes
+	AccountRanks map[identifier.AccountID]int
+	MaxBody      identifier.Bytes
 }
 
 // NewRouting indexes routes by host and keys by account.
 func NewRouting(routes []*Route, keys map[string]identifier.AccountID) *Routing {
 	r := &Routing{
-		routes:      map[string][]*Route{},
-		accounts:    keys,
-		Backends:    map[identifier.ServiceName]Backend{},
+		routes:        map[string][]*Route{},
+		accounts:      keys,
+		Backends:      map[identifier.ServiceName]Backend{},
 		DefaultTokens: map[identifier.AccountID]identifier.Tokens{},
-		AccountRanks:       map[identifier.AccountID]int{},
+		AccountRanks:  map[identifier.AccountID]int{},
 	}
 	for _, route := range routes {
 		r.routes[route.Host] = append(r.routes[route.Host], route)
--- a/internal/configurer/errors.go
+++ b/internal/configurer/errors.go
@@ -28,7 +28,7 @@
 type GapError struct {
 	// Have is the offset as of which the state is known, Lost the last offset
 	// that may have been missed.
-	AsOf identifier.Offset
+	AsOf   identifier.Offset
 	LostTo identifier.Offset
 }
 
@@ -49,7 +49,7 @@
 
 // OlderStateError reports a peer's state that is not newer than our own.
 type OlderStateError struct {
-	AsOf  identifier.Offset
+	AsOf        identifier.Offset
 	OfferedAsOf identifier.Offset
 }
 
--- a/internal/configurer/snapshot.go
+++ b/internal/configurer/snapshot.go
@@ -129,7 +129,7 @@
 	}
 	if r.Snapshot.AsOf <= s.view.asOf && s.rules.importOnlyNewer {
 		return nil, &OlderStateError{
-			AsOf:  s.view.asOf,
+			AsOf:        s.view.asOf,
 			OfferedAsOf: r.Snapshot.AsOf,
 		}
 	}
--- a/internal/configurer/state.go
+++ b/internal/configurer/state.go
@@ -111,7 +111,7 @@
 func (s *State) Fault() error {
 	if s.gap() {
 		return &GapError{
-			AsOf: s.view.asOf,
+			AsOf:   s.view.asOf,
 			LostTo: s.lostTo,
 		}
 	}
