--- a/internal/answerer/answer_test.go
+++ b/internal/answerer/answer_test.go
@@ -179,14 +179,14 @@
 		Limit: 1000,
 		Grace: timekeeper.Minute,
 	})
-	keep := func(*answerer.Answer) bool { return true }
-	a, added, err := s.Add(newAnswer("r1"), keep)
+	keepOld := func(*answerer.Answer) bool { return true }
+	a, added, err := s.Add(newAnswer("r1"), keepOld)
 	require.NoError(t, err)
 	require.True(t, added)
-	again, added, err := s.Add(newAnswer("r1"), keep)
+	existing, added, err := s.Add(newAnswer("r1"), keepOld)
 	require.NoError(t, err)
 	require.False(t, added)
-	require.Same(t, a, again)
+	require.Same(t, a, existing)
 
 	require.Zero(t, s.Sweep(1000), "a live answer stays")
 	a.Finish(answerer.End{Outcome: messenger.Done})
@@ -201,16 +201,16 @@
 		Limit: 10,
 		Grace: timekeeper.Minute,
 	})
-	keep := func(*answerer.Answer) bool { return true }
-	old, _, err := s.Add(newAnswer("r1"), keep)
+	keepOld := func(*answerer.Answer) bool { return true }
+	old, _, err := s.Add(newAnswer("r1"), keepOld)
 	require.NoError(t, err)
-	_, _, err = s.Add(newAnswer("r2"), keep)
+	_, _, err = s.Add(newAnswer("r2"), keepOld)
 	var full *answerer.StoreFullError
 	require.ErrorAs(t, err, &full, "a live answer is not evicted")
 
 	old.Finish(answerer.End{Outcome: messenger.Done})
 	s.Sweep(1)
-	_, _, err = s.Add(newAnswer("r2"), keep)
+	_, _, err = s.Add(newAnswer("r2"), keepOld)
 	require.NoError(t, err, "an ended answer is evicted")
 	_, ok := s.Get("r1")
 	require.False(t, ok)
--- a/internal/answerer/write.go
+++ b/internal/answerer/write.go
@@ -152,7 +152,7 @@
 	return a.epoch
 }
 
-// Hold withholds all further content from readers until Release is called for
+// Hold withholds all further content from readers until Release releases
 // it.
 func (a *Answer) Hold() {
 	a.mu.Lock()
--- a/internal/runner/addresses_test.go
+++ b/internal/runner/addresses_test.go
@@ -48,7 +48,7 @@
 	for size, listed := range map[int]int{6: 6, 9: 9, 12: 12, 13: shardNodes, 40: shardNodes} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			nodes := zonedNodes(size)
-			homes := make(map[identifier.VMID]int)
+			accountsPerNode := make(map[identifier.VMID]int)
 			for i := range accounts {
 				account := identifier.AccountID(fmt.Sprintf("account-%d", i))
 				list := addressesFor(account, nodes)
@@ -56,7 +56,7 @@
 				zones := make(map[identifier.Zone]bool)
 				for _, n := range list[:affinityNodes] {
 					zones[n.Zone] = true
-					homes[n.VM]++
+					accountsPerNode[n.VM]++
 				}
 				require.Len(t, zones, affinityNodes)
 				other := slices.Clone(nodes)
@@ -65,14 +65,14 @@
 			}
 			mean := accounts * affinityNodes / size
 			for _, n := range nodes {
-				require.InDelta(t, mean, homes[n.VM], 0.6*float64(mean), n.VM)
+				require.InDelta(t, mean, accountsPerNode[n.VM], 0.6*float64(mean), n.VM)
 			}
-			first := make(map[identifier.VMID]int)
+			callersPerFirstNode := make(map[identifier.VMID]int)
 			for range accounts {
-				first[addressesFor("account-1", nodes)[0].VM]++
+				callersPerFirstNode[addressesFor("account-1", nodes)[0].VM]++
 			}
-			require.Len(t, first, affinityNodes)
-			for vm, callers := range first {
+			require.Len(t, callersPerFirstNode, affinityNodes)
+			for vm, callers := range callersPerFirstNode {
 				require.Greater(t, callers, accounts/(2*affinityNodes), vm)
 			}
 		})
--- a/internal/runner/backend_test.go
+++ b/internal/runner/backend_test.go
@@ -62,10 +62,10 @@
 				if test.outcome != "" {
 					first.Finish(answerer.End{Outcome: test.outcome})
 				}
-				again, err := f.Submit(t.Context(), submission("key-1"))
+				repeated, err := f.Submit(t.Context(), submission("key-1"))
 				require.NoError(t, err)
-				require.Equal(t, first.Request(), again.Request())
-				require.Equal(t, test.same, first == again)
+				require.Equal(t, first.Request(), repeated.Request())
+				require.Equal(t, test.same, first == repeated)
 				synctest.Wait()
 				received := eventsOf[messenger.RequestReceived](f.reducer)
 				require.Equal(t, test.same, len(received) == 1)
@@ -126,9 +126,9 @@
 				first, err := f.Submit(t.Context(), mail)
 				require.NoError(t, err)
 				test.end(first)
-				again, err := f.Submit(t.Context(), mail)
+				repeated, err := f.Submit(t.Context(), mail)
 				require.NoError(t, err)
-				require.Equal(t, test.same, first == again)
+				require.Equal(t, test.same, first == repeated)
 				synctest.Wait()
 				received := eventsOf[messenger.RequestReceived](f.reducer)
 				require.Equal(t, test.same, len(received) == 1)
@@ -169,14 +169,14 @@
 			at, ok := known[address]
 			return at, ok, nil
 		}
-		var elsewhere *answerer.NotOwnerError
+		var notOwner *answerer.NotOwnerError
 		_, err := f.Attach(t.Context(), "r1", "agency")
-		require.ErrorAs(t, err, &elsewhere)
-		require.Equal(t, "entry-2:caller", elsewhere.Address, "the holder of a copy if no owner is found")
+		require.ErrorAs(t, err, &notOwner)
+		require.Equal(t, "entry-2:caller", notOwner.Address, "the holder of a copy if no owner is found")
 		known["entry-3:peer"] = relayer.Location{Address: "entry-3:caller"}
 		_, err = f.Attach(t.Context(), "r1", "agency")
-		require.ErrorAs(t, err, &elsewhere)
-		require.Equal(t, "entry-3:caller", elsewhere.Address, "the owner rather than a holder")
+		require.ErrorAs(t, err, &notOwner)
+		require.Equal(t, "entry-3:caller", notOwner.Address, "the owner rather than a holder")
 		clear(known)
 		var unknown *answerer.UnknownRequestError
 		_, err = f.Attach(t.Context(), "r1", "agency")
@@ -197,10 +197,10 @@
 			return relayer.Location{Address: "entry-3:caller"}, true, nil
 		}
 		began := time.Now()
-		var elsewhere *answerer.NotOwnerError
+		var notOwner *answerer.NotOwnerError
 		_, err := f.Attach(t.Context(), "r1", "agency")
-		require.ErrorAs(t, err, &elsewhere)
-		require.Equal(t, "entry-3:caller", elsewhere.Address)
+		require.ErrorAs(t, err, &notOwner)
+		require.Equal(t, "entry-3:caller", notOwner.Address)
 		require.Zero(t, time.Since(began))
 	})
 }
@@ -236,18 +236,18 @@
 func TestCallersAreCounted(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		a := f.submit()
-		ctx, leave := context.WithCancel(t.Context())
+		ctx, disconnect := context.WithCancel(t.Context())
 		_, err := f.Attach(ctx, a.Request(), "agency")
 		require.NoError(t, err)
-		leave()
+		disconnect()
 		synctest.Wait()
 		require.Len(t, eventsOf[messenger.CallerAttached](f.reducer), 1)
 		require.Empty(t, eventsOf[messenger.CallerDisconnected](f.reducer))
 
-		ctx, leave = context.WithCancel(t.Context())
+		ctx, disconnect = context.WithCancel(t.Context())
 		_, err = f.Submit(ctx, submission("key-2"))
 		require.NoError(t, err)
-		leave()
+		disconnect()
 		synctest.Wait()
 		require.Len(t, eventsOf[messenger.CallerDisconnected](f.reducer), 1)
 	})
--- a/internal/runner/copies.go
+++ b/internal/runner/copies.go
@@ -90,9 +90,9 @@
 		return relayer.HoldIncomplete
 	}
 	held.answer.RaiseEpoch(p.Epoch)
-	now := held.answer.Size()
-	c.bytes += now - held.size
-	held.size = now
+	newSize := held.answer.Size()
+	c.bytes += newSize - held.size
+	held.size = newSize
 	return relayer.HoldStored
 }
 
--- a/internal/runner/follow_test.go
+++ b/internal/runner/follow_test.go
@@ -30,15 +30,15 @@
 		f.log.unavailable.Store(true)
 		passTime(t, readWait.Std()+time.Second) // The pending read ends.
 		require.NotEmpty(t, eventsOf[messenger.LogUnavailable](f.reducer))
-		before := reads()
+		readsBefore := reads()
 		passTime(t, time.Minute)
-		require.Equal(t, before, reads(), "reads fail")
+		require.Equal(t, readsBefore, reads(), "reads fail")
 
 		f.log.unavailable.Store(false)
 		passTime(t, maxRetryBackoff)
-		require.Equal(t, before+1, reads())
+		require.Equal(t, readsBefore+1, reads())
 		passTime(t, readWait.Std()-maxRetryBackoff-time.Second)
-		require.Equal(t, before+1, reads(), "later reads wait")
+		require.Equal(t, readsBefore+1, reads(), "later reads wait")
 		cancel()
 		<-f.stopped
 	})
--- a/internal/runner/hold.go
+++ b/internal/runner/hold.go
@@ -151,15 +151,15 @@
 	return errors.As(err, &peer) && peer.Reach == relayer.Refused
 }
 
-func unchanged(c answerer.Change, m answerer.Progress) bool {
-	return len(c.Pieces) == 0 && c.Reply == nil && c.Placement.Attempt == m.Attempt
+func unchanged(c answerer.Change, acked answerer.Progress) bool {
+	return len(c.Pieces) == 0 && c.Reply == nil && c.Placement.Attempt == acked.Attempt
 }
 
-func advance(m answerer.Progress, c answerer.Change) answerer.Progress {
+func advance(acked answerer.Progress, c answerer.Change) answerer.Progress {
 	return answerer.Progress{
 		Attempt: c.Placement.Attempt,
-		Pieces:  m.Pieces + identifier.Tokens(len(c.Pieces)),
-		Reply:   m.Reply || c.Reply != nil,
+		Pieces:  acked.Pieces + identifier.Tokens(len(c.Pieces)),
+		Reply:   acked.Reply || c.Reply != nil,
 	}
 }
 
--- a/internal/runner/hold_test.go
+++ b/internal/runner/hold_test.go
@@ -42,8 +42,8 @@
 			<-acks
 			return relayer.HoldStored, nil
 		}
-		speak := make(chan string)
-		f.engines.run = engineRelaying(speak)
+		words := make(chan string)
+		f.engines.run = engineRelaying(words)
 		a := f.submit()
 		f.runEffects(holdOf(a))
 		require.Empty(t, eventsOf[messenger.HoldAcked](f.reducer))
@@ -53,7 +53,7 @@
 		ack() // The push of the attempt's placement.
 
 		for _, word := range []string{"a", "b", "c"} {
-			speak <- word
+			words <- word
 			synctest.Wait()
 			requireReadable(t, a, "")
 		}
@@ -125,9 +125,9 @@
 // next holder must receive the complete answer, including the body.
 func TestHolderIsReplacedAfterFailure(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
-		gone := true
+		failing := true
 		f.peers.hold = func(context.Context, relayer.Push) (relayer.HoldAnswer, error) {
-			if gone {
+			if failing {
 				return "", &relayer.PeerError{Reach: relayer.Refused}
 			}
 			return relayer.HoldStored, nil
@@ -142,7 +142,7 @@
 		text, _ := readable(t, a)
 		require.Empty(t, text, "an Unhold that names a holder releases nothing")
 
-		gone = false
+		failing = false
 		f.runEffects(holdOf(a))
 		text, _ = readable(t, a)
 		require.Equal(t, "a", text)
@@ -177,16 +177,16 @@
 // same holder.
 func TestHoldWaitsForEarlierUnhold(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
-		told := make(chan struct{})
+		unhold := make(chan struct{})
 		f.peers.unhold = func(context.Context) error {
-			<-told
+			<-unhold
 			return nil
 		}
 		a := f.submit()
 		f.runEffects(holdOf(a))
 		f.runEffects(unholdOf(a), holdOf(a))
 		require.Len(t, f.peers.pushed(), 1)
-		close(told)
+		close(unhold)
 		synctest.Wait()
 		require.Len(t, f.peers.pushed(), 2)
 	})
@@ -396,23 +396,23 @@
 // requests a full push. A push beyond the memory limit is rejected.
 func TestCopies(t *testing.T) {
 	c := newCopies(100)
-	whole := push(1)
-	part := relayer.Push{
-		Spec:  whole.Spec,
+	full := push(1)
+	increment := relayer.Push{
+		Spec:  full.Spec,
 		Epoch: 1,
 		Pieces: []answerer.Piece{{
 			Index: 1,
 			Text:  "a",
 		}},
 	}
-	require.Equal(t, relayer.HoldIncomplete, c.store("entry-2", part))
-	require.Equal(t, relayer.HoldStored, c.store("entry-2", whole))
-	require.Equal(t, relayer.HoldStored, c.store("entry-2", part))
-	part.Pieces[0].Index = 3
-	require.Equal(t, relayer.HoldIncomplete, c.store("entry-2", part))
-	require.Equal(t, relayer.HoldOwned, c.store("entry-3", part), "entry-2 precedes at the same epoch")
-	part.Pieces[0].Text = string(make([]byte, 200))
-	require.Equal(t, relayer.HoldFull, c.store("entry-2", part))
+	require.Equal(t, relayer.HoldIncomplete, c.store("entry-2", increment))
+	require.Equal(t, relayer.HoldStored, c.store("entry-2", full))
+	require.Equal(t, relayer.HoldStored, c.store("entry-2", increment))
+	increment.Pieces[0].Index = 3
+	require.Equal(t, relayer.HoldIncomplete, c.store("entry-2", increment))
+	require.Equal(t, relayer.HoldOwned, c.store("entry-3", increment), "entry-2 precedes at the same epoch")
+	increment.Pieces[0].Text = string(make([]byte, 200))
+	require.Equal(t, relayer.HoldFull, c.store("entry-2", increment))
 
 	require.Equal(t, relayer.HoldStored, c.store("entry-3", push(2)))
 	require.False(t, c.dropIfOwner("entry-2", "r1"), "message from the previous owner")
--- a/internal/runner/order_test.go
+++ b/internal/runner/order_test.go
@@ -17,10 +17,10 @@
 // delayingCloud executes orders unless their fence is below one that it has
 // seen. If lose is set, it executes them after a delay and returns no answer.
 type delayingCloud struct {
-	mu      sync.Mutex
-	seen    identifier.Fence
-	servers int
-	lose    bool
+	mu       sync.Mutex
+	maxFence identifier.Fence
+	servers  int
+	lose     bool
 }
 
 var _ LeaderTasks = (*delayingCloud)(nil)
@@ -34,20 +34,20 @@
 	lose := c.lose
 	c.mu.Unlock()
 	if lose {
-		time.AfterFunc(12*time.Second, func() { c.carryOut(e) })
+		time.AfterFunc(12*time.Second, func() { c.execute(e) })
 		<-ctx.Done()
 		return messenger.LeaderTaskUnknown
 	}
-	return c.carryOut(e)
+	return c.execute(e)
 }
 
-func (c *delayingCloud) carryOut(e messenger.OrderServers) messenger.LeaderTaskResult {
+func (c *delayingCloud) execute(e messenger.OrderServers) messenger.LeaderTaskResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if e.Fence < c.seen {
+	if e.Fence < c.maxFence {
 		return messenger.LeaderTaskFenced
 	}
-	c.seen = e.Fence
+	c.maxFence = e.Fence
 	c.servers = e.Order.Count
 	return messenger.LeaderTaskDone
 }
--- a/internal/runner/peer.go
+++ b/internal/runner/peer.go
@@ -45,14 +45,14 @@
 	if !ok {
 		return relayer.HoldOwned
 	}
-	place := stored.Placement()
+	placement := stored.Placement()
 	event := messenger.CopyHeld{
 		Spec:      stored.Spec(),
 		Epoch:     stored.Epoch(),
 		Owner:     from,
-		Attempt:   place.Attempt,
-		Server:    place.Server,
-		Stream:    place.Stream,
+		Attempt:   placement.Attempt,
+		Server:    placement.Server,
+		Stream:    placement.Stream,
 		Delivered: stored.Delivered(),
 	}
 	if !r.emit(ctx, event) {
--- a/internal/runner/published.go
+++ b/internal/runner/published.go
@@ -79,10 +79,10 @@
 	required *atomic.Bool
 	// interval is the time between reads that return without waiting.
 	interval time.Duration
-	// read reads all records if whole is set, else those from an offset on. It
+	// read reads all records if all is set, else those from an offset on. It
 	// returns the event to report and the offset at which to continue, or zero
 	// to read all records again.
-	read func(ctx context.Context, from identifier.Offset, whole bool) (messenger.EventBody, identifier.Offset, error)
+	read func(ctx context.Context, from identifier.Offset, all bool) (messenger.EventBody, identifier.Offset, error)
 }
 
 // followPublished reads one kind of records until ctx ends.
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -71,11 +71,11 @@
 }
 
 const (
-	defaultAnswerBytes identifier.Bytes = 8 << 20
-	defaultCopyBytes   identifier.Bytes = 8 << 20
-	defaultEndedGrace                   = 2 * timekeeper.Minute
-	defaultStopMargin                   = 2 * timekeeper.Second
-	defaultListEvery                    = 1 * timekeeper.Second
+	defaultAnswerBytes  identifier.Bytes = 8 << 20
+	defaultCopyBytes    identifier.Bytes = 8 << 20
+	defaultEndedGrace                    = 2 * timekeeper.Minute
+	defaultStopMargin                    = 2 * timekeeper.Second
+	defaultListInterval                  = 1 * timekeeper.Second
 
 	// maxQueuedEvents bounds the events queued for the loop.
 	maxQueuedEvents = 4096
@@ -90,7 +90,7 @@
 	l.CopyBytes = cmp.Or(l.CopyBytes, defaultCopyBytes)
 	l.EndedGrace = cmp.Or(l.EndedGrace, defaultEndedGrace)
 	l.StopMargin = cmp.Or(l.StopMargin, defaultStopMargin)
-	l.ListInterval = cmp.Or(l.ListInterval, defaultListEvery)
+	l.ListInterval = cmp.Or(l.ListInterval, defaultListInterval)
 	return l
 }
 
--- a/internal/runner/runner_test.go
+++ b/internal/runner/runner_test.go
@@ -140,9 +140,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		const answerTime = 300 * time.Millisecond
 		f := newFixture(t)
-		told := false
+		delivered := false
 		f.peers.gossip = func(ctx context.Context) error {
-			told = sleep(ctx, answerTime)
+			delivered = sleep(ctx, answerTime)
 			return nil
 		}
 		go f.Run(t.Context())
@@ -151,7 +151,7 @@
 			Address: "127.0.0.1:2",
 		}, messenger.Exit{})
 		<-f.stopped
-		require.True(t, told)
+		require.True(t, delivered)
 	})
 }
 
