--- a/cmd/dotterelhollow/apply.go
+++ b/cmd/dotterelhollow/apply.go
@@ -243,7 +243,7 @@
 	if change.Delete {
 		q.method = http.MethodDelete
 	}
-	var answer server.ChangeAnswer
+	var answer server.ChangeResult
 	err := c.ask(ctx, node, q, &answer)
 	if err == nil {
 		return answer.Revision, nil
--- a/cmd/dotterelhollow/ask.go
+++ b/cmd/dotterelhollow/ask.go
@@ -21,11 +21,11 @@
 )
 
 var (
-	_ flags.Commander   = (*askCommand)(nil)
-	_ flags.Unmarshaler = (*duration)(nil)
-	_ caller.Sink       = (*printer)(nil)
-	_ caller.Watcher    = (*printer)(nil)
-	_ error             = (*statusError)(nil)
+	_ flags.Commander       = (*askCommand)(nil)
+	_ flags.Unmarshaler     = (*duration)(nil)
+	_ caller.Sink           = (*printer)(nil)
+	_ caller.AttachObserver = (*printer)(nil)
+	_ error                 = (*statusError)(nil)
 )
 
 // duration is a flag that holds a span such as "90s".
@@ -99,8 +99,8 @@
 	return c.stream(ctx, client)
 }
 
-func (c *askCommand) terms() caller.Terms {
-	return caller.Terms{
+func (c *askCommand) terms() caller.Options {
+	return caller.Options{
 		Key:      c.Idempotency,
 		Deadline: timekeeper.Duration(c.Deadline),
 	}
@@ -124,7 +124,7 @@
 func (c *askCommand) prompt() (caller.Prompt, error) {
 	text, err := c.input()
 	return caller.Prompt{
-		Terms:     c.terms(),
+		Options:   c.terms(),
 		Service:   c.Service,
 		Text:      text,
 		MaxTokens: c.MaxTokens,
@@ -180,7 +180,7 @@
 	if err != nil {
 		return err
 	}
-	text, trace, err := client.Whole(ctx, prompt)
+	text, trace, err := client.Complete(ctx, prompt)
 	if err == nil && !c.JSON {
 		fmt.Fprintln(c.stdout, text)
 	}
@@ -193,7 +193,7 @@
 		return err
 	}
 	reply, trace, err := client.Call(ctx, caller.Call{
-		Terms:       c.terms(),
+		Options:     c.terms(),
 		Service:     c.Service,
 		Method:      c.Method,
 		Path:        c.Path,
@@ -224,8 +224,8 @@
 	if !c.JSON {
 		fmt.Fprintf(c.stderr, "request %s: %s, %d reattached, %d restarted, nodes %s\n",
 			trace.Request, progress(trace), trace.Reattached, trace.Restarted, strings.Join(trace.Nodes, " "))
-		if err != nil && trace.Last != "" {
-			fmt.Fprintf(c.stderr, "to go on: --service %s --resume %s --after %s\n", c.Service, trace.Request, trace.Last)
+		if err != nil && trace.LastEventID != "" {
+			fmt.Fprintf(c.stderr, "to go on: --service %s --resume %s --after %s\n", c.Service, trace.Request, trace.LastEventID)
 		}
 		return err
 	}
--- a/cmd/dotterelhollow/exit.go
+++ b/cmd/dotterelhollow/exit.go
@@ -32,7 +32,7 @@
 		usage    *flags.Error
 		refusal  *caller.RefusalError
 		noNode   *caller.NoNodeError
-		lost     *caller.LostError
+		lost     *caller.UnknownOutcomeError
 		diverged *caller.DivergedError
 		problem  *problemError
 		faults   *folderreader.FaultsError
--- a/cmd/dotterelhollow/operator.go
+++ b/cmd/dotterelhollow/operator.go
@@ -125,7 +125,7 @@
 	}
 	r.Header.Set("Authorization", "Bearer "+c.key)
 	if q.saw != nil {
-		r.Header.Set(server.HeaderSawRevision, strconv.FormatUint(uint64(*q.saw), 10))
+		r.Header.Set(server.HeaderBaseRevision, strconv.FormatUint(uint64(*q.saw), 10))
 	}
 	response, err := c.http.Do(r)
 	if err != nil {
--- a/cmd/dotterelhollow/operator_test.go
+++ b/cmd/dotterelhollow/operator_test.go
@@ -235,7 +235,7 @@
 	for code, errs := range map[int][]error{
 		exitDone:     {nil},
 		exitNotRun:   {&caller.RefusalError{Outcome: caller.OutcomeNotRun}, &caller.NoNodeError{}},
-		exitUnknown:  {&caller.RefusalError{Outcome: caller.OutcomeUnknown}, &caller.LostError{}, &unsettledError{}},
+		exitUnknown:  {&caller.RefusalError{Outcome: caller.OutcomeUnknown}, &caller.UnknownOutcomeError{}, &unsettledError{}},
 		exitFaults:   {&folderreader.FaultsError{}, &blockedError{}, &wholeError{}, rejected},
 		exitDisagree: {&disagreeError{}},
 		exitDiverged: {&caller.DivergedError{Cause: &caller.RefusalError{Outcome: caller.OutcomeUnknown}}},
--- a/cmd/dotterelhollow/restore.go
+++ b/cmd/dotterelhollow/restore.go
@@ -120,7 +120,7 @@
 func (c *operatorClient) restoreAt(
 	ctx context.Context, node string, files map[identifier.FileName][]byte,
 ) (identifier.Revision, error) {
-	wanted := server.Restore{Files: make(map[identifier.FileName]string)}
+	wanted := server.RestoreRequest{Files: make(map[identifier.FileName]string)}
 	for name, content := range files {
 		wanted.Files[name] = string(content)
 	}
@@ -128,7 +128,7 @@
 	if err != nil {
 		return 0, fmt.Errorf("encoding the folder: %w", err)
 	}
-	var answer server.ChangeAnswer
+	var answer server.ChangeResult
 	err = c.ask(ctx, node, question{
 		method: http.MethodPost,
 		path:   "/operator/v1/config/restore",
--- a/cmd/dotterelhollow/restore_test.go
+++ b/cmd/dotterelhollow/restore_test.go
@@ -41,7 +41,7 @@
 		if n.loses {
 			panic(http.ErrAbortHandler)
 		}
-		value = server.ChangeAnswer{
+		value = server.ChangeResult{
 			Accepted: true,
 			Revision: n.view.Revision,
 		}
@@ -52,7 +52,7 @@
 
 func (n *lossyNode) restore(body io.Reader) {
 	n.restores++
-	var wanted server.Restore
+	var wanted server.RestoreRequest
 	_ = json.NewDecoder(body).Decode(&wanted)
 	n.view.Revision = 42
 	for name, content := range wanted.Files {
--- a/internal/bencher/tally.go
+++ b/internal/bencher/tally.go
@@ -193,7 +193,7 @@
 
 // PerThousand is the cost of a thousand requests answered on time.
 func (r Result) PerThousand(cost identifier.Money) float64 {
-	return float64(cost) / float64(identifier.Coin) / float64(max(r.OnTime, 1)) * 1000
+	return float64(cost) / float64(identifier.CurrencyUnit) / float64(max(r.OnTime, 1)) * 1000
 }
 
 // RecomputedShare is the part of all tokens that was computed a second time.
--- a/internal/bencher/workload.go
+++ b/internal/bencher/workload.go
@@ -187,4 +187,4 @@
 	return list
 }
 
-const milliCoin = identifier.Coin / 1000
+const milliCoin = identifier.CurrencyUnit / 1000
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -53,7 +53,7 @@
 		Tokens:    100,
 		Deadline:  timekeeper.Never,
 		Predicted: timekeeper.Second,
-		Target:    catalog.Target{Penalty: identifier.Coin},
+		Target:    catalog.Target{Penalty: identifier.CurrencyUnit},
 		FreeSlots: 80,
 		Slots:     80,
 	}
--- a/internal/limiter/pool_test.go
+++ b/internal/limiter/pool_test.go
@@ -53,8 +53,8 @@
 // Under overload, the requests with the lowest penalty are refused first.
 func TestOverloadShedsLeastPenaltyFirst(t *testing.T) {
 	loads := []accountLoad{
-		loadOf("a0", 5, identifier.Coin),
-		loadOf("a1", 5, 10*identifier.Coin),
+		loadOf("a0", 5, identifier.CurrencyUnit),
+		loadOf("a1", 5, 10*identifier.CurrencyUnit),
 	}
 	rules := AllRules()
 	parts := admittedFractions(rules, 30, loads...)
@@ -69,9 +69,9 @@
 // refused for it, although the large account's requests have the higher penalty.
 func TestLargeAccountIsShedBeforeOthers(t *testing.T) {
 	loads := []accountLoad{
-		loadOf("a0", 30, 10*identifier.Coin),
-		loadOf("a1", 1, identifier.Coin),
-		loadOf("a2", 1, identifier.Coin),
+		loadOf("a0", 30, 10*identifier.CurrencyUnit),
+		loadOf("a1", 1, identifier.CurrencyUnit),
+		loadOf("a2", 1, identifier.CurrencyUnit),
 	}
 	rules := AllRules()
 	parts := admittedFractions(rules, 30, loads...)
--- a/internal/limiter/share_test.go
+++ b/internal/limiter/share_test.go
@@ -235,7 +235,7 @@
 		for i := range 2000 {
 			at = at.Add(10)
 			l.Admit(at, testRequest("a0", nil))
-			if i%20 == 0 && l.Admit(at, testRequest("a0", func(req *Request) { req.Target.Penalty = 100 * identifier.Coin })).OK {
+			if i%20 == 0 && l.Admit(at, testRequest("a0", func(req *Request) { req.Target.Penalty = 100 * identifier.CurrencyUnit })).OK {
 				served++
 			}
 		}
--- a/internal/loader/loader_test.go
+++ b/internal/loader/loader_test.go
@@ -291,8 +291,8 @@
 		{"refused", Result{Err: refusal(caller.OutcomeNotRun)}, fateRefused},
 		{"failed", Result{Err: refusal(caller.OutcomeFailed)}, fateFailed},
 		{"accepted, then refused", Result{Arrival: stream, Trace: answered, Err: refusal(caller.OutcomeNotRun)}, fateLost},
-		{"lost, last refused", Result{Err: &caller.LostError{Cause: refusal(caller.OutcomeNotRun)}}, fateLost},
-		{"lost, no node", Result{Err: &caller.LostError{Cause: &caller.NoNodeError{}}}, fateLost},
+		{"lost, last refused", Result{Err: &caller.UnknownOutcomeError{Cause: refusal(caller.OutcomeNotRun)}}, fateLost},
+		{"lost, no node", Result{Err: &caller.UnknownOutcomeError{Cause: &caller.NoNodeError{}}}, fateLost},
 		{"no node", Result{Err: &caller.NoNodeError{}}, fateRefused},
 		{"run over", Result{Err: &caller.NoNodeError{}, GivenUp: true}, fateGivenUp},
 	}
--- a/internal/loader/send.go
+++ b/internal/loader/send.go
@@ -59,8 +59,8 @@
 	return r
 }
 
-func (s sender) terms(a Arrival) caller.Terms {
-	return caller.Terms{
+func (s sender) terms(a Arrival) caller.Options {
+	return caller.Options{
 		Key: identifier.IdempotencyKey(fmt.Sprintf("%s-%d", s.name, a.Repeats)),
 	}
 }
@@ -73,7 +73,7 @@
 		clock:  s.clock,
 	}
 	r.Trace, r.Err = s.client.Stream(ctx, caller.Prompt{
-		Terms:     s.terms(a),
+		Options:   s.terms(a),
 		Service:   a.Kind.Service.Name,
 		Text:      a.Prompt,
 		MaxTokens: a.Answer,
@@ -88,7 +88,7 @@
 func (s sender) call(ctx context.Context, r *Result) {
 	a := r.Arrival
 	call := caller.Call{
-		Terms:       s.terms(a),
+		Options:     s.terms(a),
 		Service:     a.Kind.Service.Name,
 		Method:      http.MethodGet,
 		Path:        fmt.Sprintf("/item/%d", a.Repeats),
--- a/internal/loader/tally.go
+++ b/internal/loader/tally.go
@@ -138,7 +138,7 @@
 
 // saysLost tells an error that says so itself, whatever it wraps.
 func saysLost(err error) bool {
-	var lost *caller.LostError
+	var lost *caller.UnknownOutcomeError
 	var diverged *caller.DivergedError
 	return errors.As(err, &lost) || errors.As(err, &diverged)
 }
--- a/internal/planner/wave_test.go
+++ b/internal/planner/wave_test.go
@@ -174,8 +174,8 @@
 	leaving := map[identifier.VMID]timekeeper.Time{"old": testNow + 4300}
 	streams := []Stream{
 		stream("cheap", 5000, 3500, 0),
-		stream("costly", 5000, 3500, identifier.Coin),
-		stream("short", 100, 3500, identifier.Coin),
+		stream("costly", 5000, 3500, identifier.CurrencyUnit),
+		stream("short", 100, 3500, identifier.CurrencyUnit),
 	}
 	headroom := []Headroom{
 		{
@@ -255,7 +255,7 @@
 			}
 			var streams []Stream
 			for i := range size.streams {
-				s := stream(fmt.Sprintf("r-%d", i), identifier.Tokens(300+i*7%3000), identifier.Tokens(100+i*13%4000), identifier.Money(i%5)*identifier.Coin)
+				s := stream(fmt.Sprintf("r-%d", i), identifier.Tokens(300+i*7%3000), identifier.Tokens(100+i*13%4000), identifier.Money(i%5)*identifier.CurrencyUnit)
 				s.Server = identifier.VMID(fmt.Sprintf("vm-%d", i%size.leaving))
 				streams = append(streams, s)
 			}
--- a/internal/prover/rollout_test.go
+++ b/internal/prover/rollout_test.go
@@ -55,7 +55,7 @@
 func (w *exchangeWorld) orders() []messenger.RolloutOrder {
 	out := slices.Clone(w.rollouts.orders)
 	for i := range out {
-		out[i].Offset = identifier.OffsetAt(w.era, out[i].Offset.Place())
+		out[i].Offset = identifier.OffsetAt(w.era, out[i].Offset.Position())
 	}
 	return out
 }
--- a/internal/provisioner/provisioner_test.go
+++ b/internal/provisioner/provisioner_test.go
@@ -94,8 +94,8 @@
 				Name: "engine",
 				Prices: map[identifier.Zone]map[catalog.Market]identifier.Money{
 					"a": {
-						catalog.Reclaimable: identifier.Coin,
-						catalog.OnDemand:    3 * identifier.Coin,
+						catalog.Reclaimable: identifier.CurrencyUnit,
+						catalog.OnDemand:    3 * identifier.CurrencyUnit,
 					},
 				},
 			},
--- a/internal/rehearser/operators_test.go
+++ b/internal/rehearser/operators_test.go
@@ -87,7 +87,7 @@
 	for i, n := range c.nodes[:2] {
 		content := fmt.Sprintf("%s\n# Seen by operator %d.\n", before.Content, i)
 		go func() {
-			header := http.Header{server.HeaderSawRevision: {fmt.Sprint(before.Revision)}}
+			header := http.Header{server.HeaderBaseRevision: {fmt.Sprint(before.Revision)}}
 			a := changeAnswer{content: content}
 			a.status, _, a.body, a.err = n.operator(http.MethodPut, "/operator/v1/config/"+string(changedFile), header, []byte(content))
 			answers <- a
@@ -98,7 +98,7 @@
 		a := <-answers
 		require.NoError(t, a.err)
 		if a.status == http.StatusOK {
-			var answer server.ChangeAnswer
+			var answer server.ChangeResult
 			require.NoError(t, json.Unmarshal(a.body, &answer))
 			require.True(t, answer.Accepted)
 			won = append(won, server.ConfigFile{
--- a/internal/rehearser/replace_test.go
+++ b/internal/rehearser/replace_test.go
@@ -159,7 +159,7 @@
 
 func tag(ctx context.Context, client *caller.Client, i int) error {
 	prompt := fmt.Sprintf("Tag submission %d.", i)
-	text, _, err := client.Whole(ctx, caller.Prompt{
+	text, _, err := client.Complete(ctx, caller.Prompt{
 		Service:   "genre_tag",
 		Text:      prompt,
 		MaxTokens: 4,
--- a/internal/rehearser/report_test.go
+++ b/internal/rehearser/report_test.go
@@ -48,8 +48,8 @@
 }
 
 var (
-	_ caller.Sink    = (*report)(nil)
-	_ caller.Watcher = (*report)(nil)
+	_ caller.Sink           = (*report)(nil)
+	_ caller.AttachObserver = (*report)(nil)
 )
 
 // Token implements caller.Sink.
@@ -95,7 +95,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	go func() {
 		r.trace, r.err = client.Stream(ctx, caller.Prompt{
-			Terms: caller.Terms{
+			Options: caller.Options{
 				Key:      identifier.IdempotencyKey(t.Name() + prompt),
 				Deadline: timekeeper.Minute * 2,
 			},
--- a/internal/scaler/scaler_test.go
+++ b/internal/scaler/scaler_test.go
@@ -19,14 +19,14 @@
 	prices := make(map[identifier.Zone]map[catalog.Market]identifier.Money)
 	for i, z := range []identifier.Zone{"a", "b", "c"} {
 		prices[z] = map[catalog.Market]identifier.Money{
-			catalog.Reclaimable: identifier.Coin + identifier.Money(i),
-			catalog.OnDemand:    3 * identifier.Coin,
+			catalog.Reclaimable: identifier.CurrencyUnit + identifier.Money(i),
+			catalog.OnDemand:    3 * identifier.CurrencyUnit,
 		}
 	}
 	return &catalog.Catalog{
 		Services: map[identifier.ServiceName]catalog.Service{"s": {Pool: "p"}},
 		Accounts: map[identifier.AccountID]catalog.Account{
-			"x": {Targets: map[identifier.ServiceName]catalog.Target{"s": {Penalty: identifier.Coin}}},
+			"x": {Targets: map[identifier.ServiceName]catalog.Target{"s": {Penalty: identifier.CurrencyUnit}}},
 		},
 		Pools: map[identifier.PoolName]catalog.Pool{
 			"p": {
--- a/internal/server/answer_test.go
+++ b/internal/server/answer_test.go
@@ -50,7 +50,7 @@
 func TestHeartbeats(t *testing.T) {
 	a := newAnswer("r1")
 	b := &fakeBackend{answers: map[identifier.RequestID]*answerer.Answer{"r1": a}}
-	address := start(t, b, server.Limits{Heartbeat: timekeeper.Millisecond})
+	address := start(t, b, server.Limits{HeartbeatInterval: timekeeper.Millisecond})
 	conn, err := net.Dial("tcp", address)
 	require.NoError(t, err)
 	defer conn.Close()
--- a/internal/server/bound.go
+++ b/internal/server/bound.go
@@ -42,7 +42,7 @@
 func (s *Server) extendWrites(ctx iris.Context) {
 	// A response writer without deadlines, as in tests without a connection,
 	// has nothing to bound.
-	_ = controller(ctx).SetWriteDeadline(time.Now().Add(s.limits.WriteTime.Std()))
+	_ = controller(ctx).SetWriteDeadline(time.Now().Add(s.limits.WriteTimeout.Std()))
 }
 
 // writeAll writes data as the rest of the response. A caller that is gone can
@@ -62,7 +62,7 @@
 		return
 	}
 	w.Header().Set("Connection", "close")
-	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(s.limits.BodyTime.Std()))
+	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(s.limits.BodyTimeout.Std()))
 }
 
 // readBody reads a request's whole body within a bound on its size; boundBody
@@ -91,10 +91,10 @@
 	case errors.As(err, &large):
 		return tooLarge(limit)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return refused(http.StatusRequestTimeout, ReasonBodyUnread,
-			"the body did not arrive within %s", s.limits.BodyTime)
+		return refused(http.StatusRequestTimeout, ReasonBodyIncomplete,
+			"the body did not arrive within %s", s.limits.BodyTimeout)
 	}
-	return refused(http.StatusBadRequest, ReasonBodyUnread, "the body broke off: %v", err)
+	return refused(http.StatusBadRequest, ReasonBodyIncomplete, "the body broke off: %v", err)
 }
 
 func tooLarge(limit identifier.Bytes) *Problem {
--- a/internal/server/bound_test.go
+++ b/internal/server/bound_test.go
@@ -79,17 +79,17 @@
 // bound on the body, and the node never sees the request.
 func TestHalfSentBodyIsBounded(t *testing.T) {
 	b := &fakeBackend{}
-	conn := sendHalf(t, start(t, b, server.Limits{BodyTime: boundTime}))
+	conn := sendHalf(t, start(t, b, server.Limits{BodyTimeout: boundTime}))
 	p := readProblem(t, conn)
 	require.Equal(t, http.StatusRequestTimeout, p.Status)
-	require.Equal(t, server.ReasonBodyUnread, p.Reason)
+	require.Equal(t, server.ReasonBodyIncomplete, p.Reason)
 	require.Empty(t, b.submitted)
 }
 
 // The control of the bound on the body: without it the connection stays open
 // and silent, with a goroutine behind it.
 func TestHalfSentBodyWithoutTheBound(t *testing.T) {
-	requireSilent(t, sendHalf(t, start(t, &fakeBackend{}, server.Limits{BodyTime: timekeeper.Hour})))
+	requireSilent(t, sendHalf(t, start(t, &fakeBackend{}, server.Limits{BodyTimeout: timekeeper.Hour})))
 }
 
 // A caller with a bad key, or one that asks for what needs no body, sends half
@@ -121,7 +121,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			address := start(t, &fakeBackend{}, server.Limits{BodyTime: boundTime})
+			address := start(t, &fakeBackend{}, server.Limits{BodyTimeout: boundTime})
 			conn := send(t, address, test.request)
 			require.Equal(t, test.reason, readProblem(t, conn).Reason)
 			requireClosed(t, conn)
@@ -132,7 +132,7 @@
 // The control: without the bound on the body the connection outlives the
 // answer, with a goroutine that reads on.
 func TestHalfSentBodyThatNobodyReadsWithoutTheBound(t *testing.T) {
-	conn := send(t, start(t, &fakeBackend{}, server.Limits{BodyTime: timekeeper.Hour}),
+	conn := send(t, start(t, &fakeBackend{}, server.Limits{BodyTimeout: timekeeper.Hour}),
 		"POST /nowhere HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\nhalf")
 	require.Equal(t, server.ReasonNotFound, readProblem(t, conn).Reason)
 	requireSilent(t, conn)
@@ -142,7 +142,7 @@
 // bound is on the whole body: a caller that is slow for good is told so.
 func TestSlowWriterIsBounded(t *testing.T) {
 	b := &fakeBackend{}
-	conn := sendHalf(t, start(t, b, server.Limits{BodyTime: boundTime}))
+	conn := sendHalf(t, start(t, b, server.Limits{BodyTimeout: boundTime}))
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
@@ -151,7 +151,7 @@
 	}()
 	p := readProblem(t, conn)
 	require.Equal(t, http.StatusRequestTimeout, p.Status)
-	require.Equal(t, server.ReasonBodyUnread, p.Reason)
+	require.Equal(t, server.ReasonBodyIncomplete, p.Reason)
 	require.Empty(t, b.submitted)
 	cancel()
 	<-ended
@@ -172,7 +172,7 @@
 // A body that arrives whole and in time leaves the connection open for the
 // next request, and no bound on it: the answer may take longer than the body.
 func TestWholeBodyKeepsTheConnection(t *testing.T) {
-	address := start(t, &fakeBackend{}, server.Limits{BodyTime: boundTime})
+	address := start(t, &fakeBackend{}, server.Limits{BodyTimeout: boundTime})
 	const body = `{"model":"poem","messages":[{"content":"x"}]}`
 	request := fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\n"+
 		"Content-Length: %d\r\n\r\n%s", harborKey, len(body), body)
@@ -188,14 +188,14 @@
 // The control is the same without the bound.
 func TestHalfSentHeadersAreBounded(t *testing.T) {
 	const half = "GET /v1/addresses?service=report HTTP/1.1\r\nHost: x\r\n"
-	requireClosed(t, send(t, start(t, &fakeBackend{}, server.Limits{HeaderTime: boundTime}), half))
-	requireSilent(t, send(t, start(t, &fakeBackend{}, server.Limits{HeaderTime: timekeeper.Hour}), half))
+	requireClosed(t, send(t, start(t, &fakeBackend{}, server.Limits{HeaderTimeout: boundTime}), half))
+	requireSilent(t, send(t, start(t, &fakeBackend{}, server.Limits{HeaderTimeout: timekeeper.Hour}), half))
 }
 
 // Headers over the bound are refused before a handler runs. net/http allows
 // 4 KiB more than its bound; the control is within it.
 func TestHeadersAreBounded(t *testing.T) {
-	address := start(t, &fakeBackend{}, server.Limits{HeaderSize: 8 << 10})
+	address := start(t, &fakeBackend{}, server.Limits{MaxHeaderSize: 8 << 10})
 	for size, status := range map[int]int{
 		16 << 10: http.StatusRequestHeaderFieldsTooLarge,
 		4 << 10:  http.StatusOK,
@@ -210,7 +210,7 @@
 // control is the same without the bound.
 func TestIdleConnectionIsClosed(t *testing.T) {
 	for _, idle := range []timekeeper.Duration{boundTime, timekeeper.Hour} {
-		address := start(t, &fakeBackend{}, server.Limits{IdleTime: idle})
+		address := start(t, &fakeBackend{}, server.Limits{IdleTimeout: idle})
 		conn := send(t, address, "GET /v1/nothing HTTP/1.1\r\nHost: x\r\n\r\n")
 		require.Equal(t, server.ReasonNotFound, readProblem(t, conn).Reason)
 		if idle == boundTime {
@@ -267,7 +267,7 @@
 // caller gets it whole when it reattaches.
 func TestSlowReaderIsCutAndReattaches(t *testing.T) {
 	b, a := longAnswer()
-	address := start(t, b, server.Limits{WriteTime: boundTime})
+	address := start(t, b, server.Limits{WriteTimeout: boundTime})
 	openAndStall(t, address)
 	require.Eventually(t, func() bool { return alone(a) }, waitLimit, waitStep,
 		"the handler of the slow reader never ended")
@@ -281,6 +281,6 @@
 // The control of the bound on writes: without it the handler stays.
 func TestSlowReaderWithoutTheBound(t *testing.T) {
 	b, a := longAnswer()
-	openAndStall(t, start(t, b, server.Limits{WriteTime: timekeeper.Hour}))
+	openAndStall(t, start(t, b, server.Limits{WriteTimeout: timekeeper.Hour}))
 	require.Never(t, func() bool { return alone(a) }, wellPast, waitStep)
 }
--- a/internal/server/caller.go
+++ b/internal/server/caller.go
@@ -21,7 +21,7 @@
 type AddressList struct {
 	Nodes []NodeAddress `json:"nodes"`
 	// Keep is how long the caller may use the list.
-	Keep timekeeper.Duration `json:"keep_ms"`
+	MaxAge timekeeper.Duration `json:"keep_ms"`
 }
 
 func (s *Server) addresses(ctx iris.Context, account identifier.AccountID) {
@@ -32,8 +32,8 @@
 	}
 	nodes, keep := s.backend.Addresses(account, name)
 	writeJSON(ctx, AddressList{
-		Nodes: nodes,
-		Keep:  keep,
+		Nodes:  nodes,
+		MaxAge: keep,
 	})
 }
 
@@ -52,7 +52,7 @@
 	if problem != nil {
 		return Submission{}, false, problem
 	}
-	body, problem := s.readBody(ctx, s.limits.MaxBody)
+	body, problem := s.readBody(ctx, s.limits.MaxBodySize)
 	if problem != nil {
 		return Submission{}, false, problem
 	}
@@ -140,9 +140,9 @@
 // server's is lower.
 func (s *Server) bodyLimit(service catalog.Service) identifier.Bytes {
 	if service.MaxBody > 0 {
-		return min(service.MaxBody, s.limits.MaxBody)
+		return min(service.MaxBody, s.limits.MaxBodySize)
 	}
-	return s.limits.MaxBody
+	return s.limits.MaxBodySize
 }
 
 // submit hands a request to the node and answers it.
--- a/internal/server/diverged_test.go
+++ b/internal/server/diverged_test.go
@@ -23,7 +23,7 @@
 	restarts int
 }
 
-var _ caller.Watcher = (*sink)(nil)
+var _ caller.AttachObserver = (*sink)(nil)
 
 func (s *sink) Attached(_ identifier.RequestID, node string) { s.attached(node) }
 
@@ -68,13 +68,13 @@
 	backends := []*fakeBackend{{submit: always(owner)}, {answers: kept(m.adopter)}, {answers: kept(m.third)}}
 	var nodes []server.NodeAddress
 	for _, b := range backends {
-		nodes = append(nodes, server.NodeAddress{Address: start(t, b, server.Limits{Heartbeat: 5})})
+		nodes = append(nodes, server.NodeAddress{Address: start(t, b, server.Limits{HeartbeatInterval: 5})})
 	}
 	config := caller.Config{
-		Key:       harborKey,
-		Transport: m.transport,
-		Pause:     5 * timekeeper.Millisecond,
-		Restart:   200 * timekeeper.Millisecond,
+		Key:           harborKey,
+		Transport:     m.transport,
+		RetryDelay:    5 * timekeeper.Millisecond,
+		SearchTimeout: 200 * timekeeper.Millisecond,
 	}
 	for i, b := range backends {
 		b.nodes = nodes
--- a/internal/server/limits.go
+++ b/internal/server/limits.go
@@ -7,51 +7,52 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Limits bounds what one connection may cost the node. A zero field takes its
-// default.
+// Limits bounds the resources that one connection may use. A zero field
+// selects its default.
 type Limits struct {
-	// HeaderTime bounds the wait for a request's headers, HeaderSize their
-	// size.
-	HeaderTime timekeeper.Duration
-	HeaderSize identifier.Bytes
-	// BodyTime bounds the wait for a request's whole body, MaxBody its size
-	// where the service allows more.
-	BodyTime timekeeper.Duration
-	MaxBody  identifier.Bytes
-	// WriteTime bounds each write to a caller.
-	WriteTime timekeeper.Duration
-	// IdleTime bounds the wait for the next request on an open connection.
-	IdleTime timekeeper.Duration
-	// Heartbeat is the spacing of comments on a stream that has no tokens.
-	Heartbeat timekeeper.Duration
-	// MaxDeadline bounds the deadline that a caller may ask for.
+	// HeaderTimeout and MaxHeaderSize bound the time to receive a request's
+	// headers and their size.
+	HeaderTimeout timekeeper.Duration
+	MaxHeaderSize identifier.Bytes
+	// BodyTimeout bounds the time to receive a request's whole body.
+	BodyTimeout timekeeper.Duration
+	// MaxBodySize bounds the size of a body even if the service allows more.
+	MaxBodySize identifier.Bytes
+	// WriteTimeout bounds each write to a caller.
+	WriteTimeout timekeeper.Duration
+	// IdleTimeout bounds the wait for the next request on an open connection.
+	IdleTimeout timekeeper.Duration
+	// HeartbeatInterval is the interval between heartbeat comments on a
+	// stream without tokens.
+	HeartbeatInterval timekeeper.Duration
+	// MaxDeadline is the longest deadline that a caller may request.
 	MaxDeadline timekeeper.Duration
-	// VerdictGrace is how long past its deadline a request may stay without
-	// a verdict before its caller is told that the outcome is unknown.
+	// VerdictGrace is the time after its deadline that a request may remain
+	// without a verdict. After it the server reports an unknown outcome.
 	VerdictGrace timekeeper.Duration
 }
 
-// The default limits.
+// Defaults of Limits.
 const (
-	DefaultHeaderTime                    = 5 * timekeeper.Second
-	DefaultHeaderSize   identifier.Bytes = 16 << 10
-	DefaultBodyTime                      = 15 * timekeeper.Second
-	DefaultMaxBody      identifier.Bytes = 4 << 20
-	DefaultWriteTime                     = 10 * timekeeper.Second
-	DefaultIdleTime                      = 60 * timekeeper.Second
-	DefaultHeartbeat                     = timekeeper.Second
-	DefaultMaxDeadline                   = 24 * timekeeper.Hour
-	DefaultVerdictGrace                  = 5 * timekeeper.Second
+	DefaultHeaderTimeout                      = 5 * timekeeper.Second
+	DefaultMaxHeaderSize     identifier.Bytes = 16 << 10
+	DefaultBodyTimeout                        = 15 * timekeeper.Second
+	DefaultMaxBodySize       identifier.Bytes = 4 << 20
+	DefaultWriteTimeout                       = 10 * timekeeper.Second
+	DefaultIdleTimeout                        = 60 * timekeeper.Second
+	DefaultHeartbeatInterval                  = timekeeper.Second
+	DefaultMaxDeadline                        = 24 * timekeeper.Hour
+	DefaultVerdictGrace                       = 5 * timekeeper.Second
 )
 
 func (l Limits) withDefaults() Limits {
-	l.HeaderTime = cmp.Or(l.HeaderTime, DefaultHeaderTime)
-	l.HeaderSize = cmp.Or(l.HeaderSize, DefaultHeaderSize)
-	l.BodyTime = cmp.Or(l.BodyTime, DefaultBodyTime)
-	l.MaxBody = cmp.Or(l.MaxBody, DefaultMaxBody)
-	l.WriteTime = cmp.Or(l.WriteTime, DefaultWriteTime)
-	l.IdleTime = cmp.Or(l.IdleTime, DefaultIdleTime)
-	l.Heartbeat = cmp.Or(l.Heartbeat, DefaultHeartbeat)
+	l.HeaderTimeout = cmp.Or(l.HeaderTimeout, DefaultHeaderTimeout)
+	l.MaxHeaderSize = cmp.Or(l.MaxHeaderSize, DefaultMaxHeaderSize)
+	l.BodyTimeout = cmp.Or(l.BodyTimeout, DefaultBodyTimeout)
+	l.MaxBodySize = cmp.Or(l.MaxBodySize, DefaultMaxBodySize)
+	l.WriteTimeout = cmp.Or(l.WriteTimeout, DefaultWriteTimeout)
+	l.IdleTimeout = cmp.Or(l.IdleTimeout, DefaultIdleTimeout)
+	l.HeartbeatInterval = cmp.Or(l.HeartbeatInterval, DefaultHeartbeatInterval)
 	l.MaxDeadline = cmp.Or(l.MaxDeadline, DefaultMaxDeadline)
 	l.VerdictGrace = cmp.Or(l.VerdictGrace, DefaultVerdictGrace)
 	return l
--- a/internal/server/operator.go
+++ b/internal/server/operator.go
@@ -43,8 +43,8 @@
 	Files    []ConfigFile        `json:"files"`
 }
 
-// ChangeAnswer tells an operator what became of a change.
-type ChangeAnswer struct {
+// ChangeResult reports an accepted change to an operator.
+type ChangeResult struct {
 	Accepted bool `json:"accepted"`
 	// File is empty for a restore, which is of all files.
 	File     identifier.FileName `json:"file,omitempty"`
@@ -116,8 +116,8 @@
 	})
 }
 
-// Restore is the whole folder that an operator restores.
-type Restore struct {
+// RestoreRequest holds the complete configuration folder to restore.
+type RestoreRequest struct {
 	Files map[identifier.FileName]string `json:"files"`
 }
 
@@ -129,7 +129,7 @@
 		problem.write(ctx)
 		return
 	}
-	var wanted Restore
+	var wanted RestoreRequest
 	if err := json.Unmarshal(body, &wanted); err != nil {
 		refused(http.StatusBadRequest, ReasonBadJSON, "the body is not a folder: %v", err).write(ctx)
 		return
@@ -148,15 +148,15 @@
 // parseSaw reads the revision that a change is based on. It has no default:
 // an operator that left it out would overwrite a colleague's change unseen.
 func parseSaw(h http.Header) (identifier.Revision, *Problem) {
-	text := h.Get(HeaderSawRevision)
+	text := h.Get(HeaderBaseRevision)
 	if text == "" {
-		return 0, refused(http.StatusPreconditionRequired, ReasonSawMissing,
-			"%s is missing: send the file's revision, or 0 for a new file", HeaderSawRevision)
+		return 0, refused(http.StatusPreconditionRequired, ReasonBaseRevisionMissing,
+			"%s is missing: send the file's revision, or 0 for a new file", HeaderBaseRevision)
 	}
 	value, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
 		return 0, refused(http.StatusBadRequest, ReasonBadHeader,
-			"%s is %q, want a revision", HeaderSawRevision, text)
+			"%s is %q, want a revision", HeaderBaseRevision, text)
 	}
 	return identifier.Revision(value), nil
 }
@@ -180,7 +180,7 @@
 		p.Faults = verdict.Faults
 		p.write(ctx)
 	default:
-		writeJSON(ctx, ChangeAnswer{
+		writeJSON(ctx, ChangeResult{
 			Accepted: true,
 			File:     change.File,
 			Revision: verdict.Revision,
--- a/internal/server/problem.go
+++ b/internal/server/problem.go
@@ -17,22 +17,22 @@
 // The reasons that the server itself refuses for; the others are those of
 // package messenger.
 const (
-	ReasonUnauthorized    messenger.Reason = "unauthorized"
-	ReasonNotFound        messenger.Reason = "not_found"
-	ReasonMethod          messenger.Reason = "method_not_allowed"
-	ReasonBodyTooLarge    messenger.Reason = "body_too_large"
-	ReasonBodyUnread      messenger.Reason = "body_unread"
-	ReasonBadJSON         messenger.Reason = "bad_json"
-	ReasonBadField        messenger.Reason = "bad_field"
-	ReasonBadHeader       messenger.Reason = "bad_header"
-	ReasonWrongKind       messenger.Reason = "wrong_service_kind"
-	ReasonUnknownRequest  messenger.Reason = "unknown_request"
-	ReasonNoVerdict       messenger.Reason = "no_verdict"
-	ReasonInternal        messenger.Reason = "internal"
-	ReasonSawMissing      messenger.Reason = "saw_revision_missing"
-	ReasonChangeRejected  messenger.Reason = "change_rejected"
-	ReasonChangeUnsettled messenger.Reason = "change_unsettled"
-	ReasonAnswerDiverged  messenger.Reason = "answer_diverged"
+	ReasonUnauthorized        messenger.Reason = "unauthorized"
+	ReasonNotFound            messenger.Reason = "not_found"
+	ReasonMethodNotAllowed    messenger.Reason = "method_not_allowed"
+	ReasonBodyTooLarge        messenger.Reason = "body_too_large"
+	ReasonBodyIncomplete      messenger.Reason = "body_unread"
+	ReasonBadJSON             messenger.Reason = "bad_json"
+	ReasonBadField            messenger.Reason = "bad_field"
+	ReasonBadHeader           messenger.Reason = "bad_header"
+	ReasonWrongKind           messenger.Reason = "wrong_service_kind"
+	ReasonUnknownRequest      messenger.Reason = "unknown_request"
+	ReasonNoVerdict           messenger.Reason = "no_verdict"
+	ReasonInternal            messenger.Reason = "internal"
+	ReasonBaseRevisionMissing messenger.Reason = "saw_revision_missing"
+	ReasonChangeRejected      messenger.Reason = "change_rejected"
+	ReasonChangeUnsettled     messenger.Reason = "change_unsettled"
+	ReasonAnswerDiverged      messenger.Reason = "answer_diverged"
 )
 
 // Problem is a refusal as a problem document.
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -19,10 +19,10 @@
 	HeaderRequestID      = "Request-Id"
 	HeaderLastEventID    = "Last-Event-ID"
 	HeaderOutcome        = "Outcome"
-	HeaderSawRevision    = "Saw-Revision"
+	HeaderBaseRevision   = "Saw-Revision"
 )
 
-// Config says what a Server needs.
+// Config configures a Server.
 type Config struct {
 	Backend Backend
 	Logger  hclog.Logger
@@ -101,9 +101,9 @@
 func (s *Server) HTTPServer() *http.Server {
 	return &http.Server{
 		Handler:           s,
-		ReadHeaderTimeout: s.limits.HeaderTime.Std(),
-		IdleTimeout:       s.limits.IdleTime.Std(),
-		MaxHeaderBytes:    int(s.limits.HeaderSize),
+		ReadHeaderTimeout: s.limits.HeaderTimeout.Std(),
+		IdleTimeout:       s.limits.IdleTimeout.Std(),
+		MaxHeaderBytes:    int(s.limits.MaxHeaderSize),
 		ErrorLog: s.logger.StandardLogger(&hclog.StandardLoggerOptions{
 			InferLevels: false,
 			ForceLevel:  hclog.Debug,
@@ -116,7 +116,7 @@
 		refused(http.StatusNotFound, ReasonNotFound, "no such path").write(ctx)
 	})
 	s.app.OnErrorCode(http.StatusMethodNotAllowed, func(ctx iris.Context) {
-		refused(http.StatusMethodNotAllowed, ReasonMethod, "the path has no %s", ctx.Method()).write(ctx)
+		refused(http.StatusMethodNotAllowed, ReasonMethodNotAllowed, "the path has no %s", ctx.Method()).write(ctx)
 	})
 
 	callers := s.app.Party("/v1", s.boundWrites)
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -411,7 +411,7 @@
 			path:   "/v1/chat/completions",
 			body:   chat,
 			status: 405,
-			reason: server.ReasonMethod,
+			reason: server.ReasonMethodNotAllowed,
 		},
 		{
 			name:   "caller's key for operators",
@@ -429,7 +429,7 @@
 		},
 	}
 	b := &fakeBackend{}
-	address := start(t, b, server.Limits{MaxBody: 8 << 10})
+	address := start(t, b, server.Limits{MaxBodySize: 8 << 10})
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			response, body := exchange(t, test.method, address, test.path, test.body, test.header)
--- a/internal/server/stream.go
+++ b/internal/server/stream.go
@@ -135,7 +135,7 @@
 func (w *eventWriter) beating(wait func(context.Context) error) error {
 	caller := w.ctx.Request().Context()
 	for {
-		beat, cancel := context.WithTimeout(caller, w.server.limits.Heartbeat.Std())
+		beat, cancel := context.WithTimeout(caller, w.server.limits.HeartbeatInterval.Std())
 		err := wait(beat)
 		cancel()
 		if err == nil || caller.Err() != nil || !errors.Is(err, context.DeadlineExceeded) {
--- a/pkg/caller/caller_test.go
+++ b/pkg/caller/caller_test.go
@@ -88,11 +88,11 @@
 
 func (c *cluster) client(change func(*caller.Config)) *caller.Client {
 	config := caller.Config{
-		Key:         "harbor-key",
-		SilenceTime: 200 * timekeeper.Millisecond,
-		Patience:    20 * timekeeper.Second,
-		Pause:       5 * timekeeper.Millisecond,
-		Restart:     50 * timekeeper.Millisecond,
+		Key:               "harbor-key",
+		StreamIdleTimeout: 200 * timekeeper.Millisecond,
+		ProgressTimeout:   20 * timekeeper.Second,
+		RetryDelay:        5 * timekeeper.Millisecond,
+		SearchTimeout:     50 * timekeeper.Millisecond,
 	}
 	for node := range c.nodes {
 		config.Nodes = append(config.Nodes, c.address(node))
@@ -241,10 +241,10 @@
 			done(w)
 		}
 	})
-	ctx, cancel := context.WithTimeout(t.Context(), caller.DefaultAnswerTime.Std()/2)
+	ctx, cancel := context.WithTimeout(t.Context(), caller.DefaultAnswerTimeout.Std()/2)
 	defer cancel()
 	var got text
-	_, err := c.client(func(c *caller.Config) { c.Restart = timekeeper.Minute }).Stream(ctx, report, &got)
+	_, err := c.client(func(c *caller.Config) { c.SearchTimeout = timekeeper.Minute }).Stream(ctx, report, &got)
 	require.NoError(t, err)
 	require.Equal(t, "<1><2><3><4>", got.String())
 	require.Len(t, c.visits, 3)
@@ -290,7 +290,7 @@
 		Method:  http.MethodPost,
 		Path:    "/send",
 	})
-	var lost *caller.LostError
+	var lost *caller.UnknownOutcomeError
 	require.ErrorAs(t, err, &lost)
 }
 
@@ -347,9 +347,9 @@
 			})
 			client := c.client(func(config *caller.Config) {
 				config.Nodes = config.Nodes[1:]
-				config.Restart = timekeeper.Minute
-				config.Patience = timekeeper.Second
-				config.Forgotten = 100 * timekeeper.Millisecond
+				config.SearchTimeout = timekeeper.Minute
+				config.ProgressTimeout = timekeeper.Second
+				config.UnknownRequestTimeout = 100 * timekeeper.Millisecond
 			})
 			var got text
 			trace, err := client.Stream(t.Context(), report, &got)
@@ -445,7 +445,7 @@
 			var got text
 			prompt := report
 			prompt.Deadline = 30 * timekeeper.Second
-			_, err := c.client(func(c *caller.Config) { c.Patience = 2 * timekeeper.Minute }).Stream(t.Context(), prompt, &got)
+			_, err := c.client(func(c *caller.Config) { c.ProgressTimeout = 2 * timekeeper.Minute }).Stream(t.Context(), prompt, &got)
 			require.Len(t, c.visits, test.visits)
 			if test.ok {
 				require.NoError(t, err)
@@ -528,7 +528,7 @@
 		done(w)
 	})
 	var got text
-	_, err := c.client(func(c *caller.Config) { c.Restart = timekeeper.Minute }).Stream(t.Context(), report, &got)
+	_, err := c.client(func(c *caller.Config) { c.SearchTimeout = timekeeper.Minute }).Stream(t.Context(), report, &got)
 	require.NoError(t, err)
 	require.Equal(t, "<1>", got.String())
 }
@@ -543,7 +543,7 @@
 		}
 		_, _ = fmt.Fprint(w, `{"choices":[{"message":{"content":"the ship"}}],"usage":{"completion_tokens":2}}`)
 	})
-	got, trace, err := c.client(nil).Whole(t.Context(), report)
+	got, trace, err := c.client(nil).Complete(t.Context(), report)
 	require.NoError(t, err)
 	require.Equal(t, "the ship", got)
 	require.Equal(t, identifier.RequestID("r1"), trace.Request)
@@ -569,7 +569,7 @@
 	})
 	c.nodes[0].Close()
 	var got text
-	_, err := c.client(func(c *caller.Config) { c.Pause = timekeeper.Minute }).Stream(t.Context(), report, &got)
+	_, err := c.client(func(c *caller.Config) { c.RetryDelay = timekeeper.Minute }).Stream(t.Context(), report, &got)
 	require.NoError(t, err)
 	require.Equal(t, "<1>", got.String())
 	require.Len(t, c.visits, 1)
--- a/pkg/caller/client.go
+++ b/pkg/caller/client.go
@@ -129,7 +129,7 @@
 }
 
 func (c *Client) addressesFrom(ctx context.Context, node string, service identifier.ServiceName) (addressList, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.config.SilenceTime.Std())
+	ctx, cancel := context.WithTimeout(ctx, c.config.StreamIdleTimeout.Std())
 	defer cancel()
 	r, err := c.newRequest(ctx, http.MethodGet, node, "/v1/addresses?service="+url.QueryEscape(string(service)), nil)
 	if err != nil {
@@ -242,7 +242,7 @@
 }
 
 func (c *Client) cancelOnce(ctx context.Context, node string, request identifier.RequestID) (string, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.config.SilenceTime.Std())
+	ctx, cancel := context.WithTimeout(ctx, c.config.StreamIdleTimeout.Std())
 	defer cancel()
 	r, err := c.newRequest(ctx, http.MethodDelete, node, requestPath(request), nil)
 	if err != nil {
--- a/pkg/caller/config.go
+++ b/pkg/caller/config.go
@@ -9,68 +9,66 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Config says how a Client reaches the system. Nodes and Key are required; a
-// zero duration takes its default.
+// Config configures a Client. Nodes and Key are required. A zero duration
+// selects its default.
 type Config struct {
-	// Nodes are the caller addresses, host:port, of some nodes. One that
-	// answers is enough.
+	// Nodes are the caller addresses (host:port) of some nodes. One reachable
+	// node is enough.
 	Nodes []string
 	// Key authenticates the client account.
 	Key string
-	// Clock is the wall clock when nil.
+	// Clock defaults to the wall clock.
 	Clock timekeeper.Clock
-	// Transport is a transport of the client's own when nil.
+	// Transport defaults to a transport that only this client uses.
 	Transport http.RoundTripper
-	// DialTime bounds the wait for a connection.
-	DialTime timekeeper.Duration
-	// SilenceTime is how long an open stream may stay without a token or
-	// heartbeat. Past it the connection is taken for dead.
-	SilenceTime timekeeper.Duration
-	// AnswerTime bounds the wait for the headers of a stream, and for the
-	// whole answer of a plain call that set no deadline.
-	AnswerTime timekeeper.Duration
-	// Patience bounds the time without progress, over all nodes and
-	// connections, before a request is given up.
-	Patience timekeeper.Duration
-	// Pause is the wait after all nodes were tried in vain.
-	Pause timekeeper.Duration
-	// Restart bounds the time for which a request that no node knows is
-	// looked for before it is sent again under its key, and for which a node
-	// is looked for that goes on with an answer of which another node has a
-	// different one. It is longer than nodes take to adopt a dead node's
-	// requests.
-	Restart timekeeper.Duration
-	// Forgotten bounds the same time for a request of which, all that time
-	// long, every node that can be reached says that it does not know it.
-	Forgotten timekeeper.Duration
+	// DialTimeout bounds the time to establish a connection.
+	DialTimeout timekeeper.Duration
+	// StreamIdleTimeout bounds the time without a token or heartbeat on an
+	// open stream. A connection that exceeds it is closed.
+	StreamIdleTimeout timekeeper.Duration
+	// AnswerTimeout bounds the wait for the headers of a stream, and for the
+	// whole answer to a call without a deadline.
+	AnswerTimeout timekeeper.Duration
+	// ProgressTimeout bounds the time without progress, over all nodes and
+	// connections, before a request fails.
+	ProgressTimeout timekeeper.Duration
+	// RetryDelay is the wait after all nodes have failed.
+	RetryDelay timekeeper.Duration
+	// SearchTimeout bounds the search for a node that continues the answer.
+	// After it a request that no node knows is sent again under its key, and
+	// a request whose answer differs on another node fails. It must exceed
+	// the time that nodes need to adopt the requests of a failed node.
+	SearchTimeout timekeeper.Duration
+	// UnknownRequestTimeout replaces SearchTimeout if every reachable node
+	// reports throughout the search that it does not know the request.
+	UnknownRequestTimeout timekeeper.Duration
 }
 
-// The defaults of a Config.
+// Defaults of Config.
 const (
-	DefaultDialTime    = timekeeper.Second
-	DefaultSilenceTime = 4 * timekeeper.Second
-	DefaultAnswerTime  = 30 * timekeeper.Second
-	DefaultPatience    = 60 * timekeeper.Second
-	DefaultPause       = 250 * timekeeper.Millisecond
-	DefaultRestart     = 20 * timekeeper.Second
-	DefaultForgotten   = 5 * timekeeper.Second
+	DefaultDialTimeout           = timekeeper.Second
+	DefaultStreamIdleTimeout     = 4 * timekeeper.Second
+	DefaultAnswerTimeout         = 30 * timekeeper.Second
+	DefaultProgressTimeout       = 60 * timekeeper.Second
+	DefaultRetryDelay            = 250 * timekeeper.Millisecond
+	DefaultSearchTimeout         = 20 * timekeeper.Second
+	DefaultUnknownRequestTimeout = 5 * timekeeper.Second
 )
 
-// idleTime bounds how long an unused connection is kept. It is short, because
-// something between two ends may lose track of an idle connection, and the
-// next request on it would wait in vain.
-const idleTime = 5 * time.Second
+// idleConnTimeout is short because a middlebox may drop the state of an idle
+// connection, and the next request on it would then get no response.
+const idleConnTimeout = 5 * time.Second
 
 func (c Config) withDefaults() Config {
 	if c.Clock == nil {
 		c.Clock = timekeeper.System{}
 	}
-	c.DialTime = cmp.Or(c.DialTime, DefaultDialTime)
-	c.SilenceTime = cmp.Or(c.SilenceTime, DefaultSilenceTime)
-	c.AnswerTime = cmp.Or(c.AnswerTime, DefaultAnswerTime)
-	c.Patience = cmp.Or(c.Patience, DefaultPatience)
-	c.Pause = cmp.Or(c.Pause, DefaultPause)
-	c.Restart = cmp.Or(c.Restart, DefaultRestart)
+	c.DialTimeout = cmp.Or(c.DialTimeout, DefaultDialTimeout)
+	c.StreamIdleTimeout = cmp.Or(c.StreamIdleTimeout, DefaultStreamIdleTimeout)
+	c.AnswerTimeout = cmp.Or(c.AnswerTimeout, DefaultAnswerTimeout)
+	c.ProgressTimeout = cmp.Or(c.ProgressTimeout, DefaultProgressTimeout)
+	c.RetryDelay = cmp.Or(c.RetryDelay, DefaultRetryDelay)
+	c.SearchTimeout = cmp.Or(c.SearchTimeout, DefaultSearchTimeout)
 	if c.Transport == nil {
 		c.Transport = newTransport(c)
 	}
@@ -78,9 +76,9 @@
 }
 
 func newTransport(c Config) *http.Transport {
-	dialer := &net.Dialer{Timeout: c.DialTime.Std()}
+	dialer := &net.Dialer{Timeout: c.DialTimeout.Std()}
 	return &http.Transport{
 		DialContext:     dialer.DialContext,
-		IdleConnTimeout: idleTime,
+		IdleConnTimeout: idleConnTimeout,
 	}
 }
--- a/pkg/caller/errors.go
+++ b/pkg/caller/errors.go
@@ -9,7 +9,7 @@
 
 var (
 	_ error = (*RefusalError)(nil)
-	_ error = (*LostError)(nil)
+	_ error = (*UnknownOutcomeError)(nil)
 	_ error = (*DivergedError)(nil)
 	_ error = (*ProtocolError)(nil)
 	_ error = (*NoNodeError)(nil)
@@ -62,9 +62,9 @@
 	return text
 }
 
-// LostError reports a request that was sent and whose end could not be
+// UnknownOutcomeError reports a request that was sent and whose end could not be
 // learned from any node in time. It may have run.
-type LostError struct {
+type UnknownOutcomeError struct {
 	Request identifier.RequestID
 	Key     identifier.IdempotencyKey
 	// Received is the number of tokens that did arrive.
@@ -72,11 +72,11 @@
 	Cause    error
 }
 
-func (e *LostError) Error() string {
+func (e *UnknownOutcomeError) Error() string {
 	return fmt.Sprintf("request %s with key %s lost after %d tokens: %v", e.Request, e.Key, e.Received, e.Cause)
 }
 
-func (e *LostError) Unwrap() error { return e.Cause }
+func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
 // DivergedError reports that a node has another answer to the request than the
 // one whose first tokens arrived, and that no node turned up that could go on
--- a/pkg/caller/exchange.go
+++ b/pkg/caller/exchange.go
@@ -107,7 +107,7 @@
 			return err
 		}
 		e.cause = err
-		if e.since(e.progress) > e.client.config.Patience || ctx.Err() != nil {
+		if e.since(e.progress) > e.client.config.ProgressTimeout || ctx.Err() != nil {
 			return e.giveUp(err)
 		}
 		if err := e.restartIfGone(); err != nil {
@@ -135,7 +135,7 @@
 
 func (e *exchange) refill(ctx context.Context) error {
 	if e.tried {
-		if err := pause(ctx, e.client.config.Pause); err != nil {
+		if err := pause(ctx, e.client.config.RetryDelay); err != nil {
 			return err
 		}
 		e.client.expire(e.message.service)
@@ -197,7 +197,7 @@
 	defer timer.Stop()
 	e.beat = func() {
 		e.progress = e.now()
-		timer.Reset(e.client.config.SilenceTime.Std())
+		timer.Reset(e.client.config.StreamIdleTimeout.Std())
 	}
 	r, err := e.request(bounded, node)
 	if err != nil {
@@ -217,16 +217,16 @@
 func (e *exchange) answerTime(node string) timekeeper.Duration {
 	switch {
 	case node == e.again:
-		return e.client.config.SilenceTime
+		return e.client.config.StreamIdleTimeout
 	case !e.message.stream && e.message.terms.Deadline > 0:
 		return e.message.terms.Deadline
 	}
-	return e.client.config.AnswerTime
+	return e.client.config.AnswerTimeout
 }
 
 func (e *exchange) request(ctx context.Context, node string) (*http.Request, error) {
 	if e.trace.Request != "" {
-		return e.message.reattach(ctx, e.client, node, e.trace.Request, e.trace.Last)
+		return e.message.reattach(ctx, e.client, node, e.trace.Request, e.trace.LastEventID)
 	}
 	remaining := e.message.terms.Deadline
 	if remaining > 0 {
@@ -441,7 +441,7 @@
 	if deadline := e.message.terms.Deadline; deadline > 0 && e.since(e.started)+d >= deadline {
 		return true
 	}
-	return e.since(e.progress)+d > e.client.config.Patience
+	return e.since(e.progress)+d > e.client.config.ProgressTimeout
 }
 
 // truth returns a refusal as far as it can be believed. A node that says "not
@@ -460,7 +460,7 @@
 	if e.diverged == 0 {
 		return e.restartIfLost()
 	}
-	if e.since(e.diverged) < e.client.config.Restart {
+	if e.since(e.diverged) < e.client.config.SearchTimeout {
 		return nil
 	}
 	return e.divergedError(e.cause)
@@ -478,7 +478,7 @@
 // restartIfLost sends the request again under its key once no node has known
 // it for so long that none will adopt it any more.
 func (e *exchange) restartIfLost() error {
-	if e.lost == 0 || e.since(e.lost) < e.client.config.Restart && !e.forgotten() {
+	if e.lost == 0 || e.since(e.lost) < e.client.config.SearchTimeout && !e.forgotten() {
 		return nil
 	}
 	if e.sentEarlier || e.trace.Restarted == maxRestarts {
@@ -494,7 +494,7 @@
 	e.lost = 0
 	e.denied = 0
 	e.last = 0
-	e.trace.Last = ""
+	e.trace.LastEventID = ""
 	return nil
 }
 
@@ -505,7 +505,7 @@
 // A node that is out of reach and may have it answers nobody, and then neither
 // its silence nor a redirect to it counts as a denial.
 func (e *exchange) forgotten() bool {
-	return e.denied != 0 && e.message.path != "" && e.since(e.denied) >= e.client.config.Forgotten
+	return e.denied != 0 && e.message.path != "" && e.since(e.denied) >= e.client.config.UnknownRequestTimeout
 }
 
 // giveUp returns the error for a request whose answer did not come in time.
@@ -523,7 +523,7 @@
 }
 
 func (e *exchange) lostError(cause error) error {
-	return &LostError{
+	return &UnknownOutcomeError{
 		Request:  e.trace.Request,
 		Key:      e.message.terms.Key,
 		Received: e.last,
--- a/pkg/caller/request.go
+++ b/pkg/caller/request.go
@@ -14,8 +14,8 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Terms are what a caller asks for besides the work itself.
-type Terms struct {
+// Options apply to every kind of request.
+type Options struct {
 	// Key is the request's name within the client account. A fresh one is
 	// made where it is empty.
 	Key identifier.IdempotencyKey
@@ -26,7 +26,7 @@
 
 // Prompt is a request to a model service.
 type Prompt struct {
-	Terms
+	Options
 	Service identifier.ServiceName
 	Text    string
 	// MaxTokens bounds the answer; zero leaves it to the service.
@@ -35,7 +35,7 @@
 
 // Call is a call to a plain service.
 type Call struct {
-	Terms
+	Options
 	Service     identifier.ServiceName
 	Method      string
 	Path        string
@@ -56,7 +56,7 @@
 	Restarted  int               `json:"restarted"`
 	Tokens     identifier.Tokens `json:"tokens"`
 	// Last names the last token that was taken.
-	Last EventID `json:"last_event_id,omitempty"`
+	LastEventID EventID `json:"last_event_id,omitempty"`
 	// FirstToken is the time from the start to the first token, Total that to
 	// the end.
 	FirstToken timekeeper.Duration `json:"first_token_ms"`
@@ -108,7 +108,7 @@
 	contentType string
 	body        []byte
 	stream      bool
-	terms       Terms
+	terms       Options
 }
 
 func (p Prompt) message(stream bool) message {
@@ -119,7 +119,7 @@
 		contentType: "application/json",
 		body:        p.encode(stream),
 		stream:      stream,
-		terms:       p.Terms,
+		terms:       p.Options,
 	}
 }
 
@@ -131,7 +131,7 @@
 		contentType: c.ContentType,
 		body:        c.Body,
 		stream:      false,
-		terms:       c.Terms,
+		terms:       c.Options,
 	}
 }
 
--- a/pkg/caller/stream.go
+++ b/pkg/caller/stream.go
@@ -55,15 +55,16 @@
 	Restart() error
 }
 
-// Watcher is a Sink that also wants to know which node has the request.
-type Watcher interface {
+// AttachObserver may be implemented by a Sink to learn which node serves the
+// request.
+type AttachObserver interface {
 	// Attached tells that a node answers for the request from here on.
 	Attached(request identifier.RequestID, node string)
 }
 
 // Stream sends a request to a model service and gives sink the tokens of the
 // answer as they arrive. Its errors are a *RefusalError, a *NoNodeError, a
-// *LostError, a *DivergedError, a *ProtocolError, or the sink's own.
+// *UnknownOutcomeError, a *DivergedError, a *ProtocolError, or the sink's own.
 func (c *Client) Stream(ctx context.Context, p Prompt, sink Sink) (Trace, error) {
 	t := &streamTaker{sink: sink}
 	e := c.newExchange(p.message(true), t)
@@ -90,7 +91,7 @@
 	e.message.terms.Key = ""
 	e.trace.Key = ""
 	e.last = index
-	e.trace.Last = after
+	e.trace.LastEventID = after
 	e.attached = true
 	e.markLost()
 	err = e.run(ctx)
@@ -112,7 +113,7 @@
 }
 
 func (t *streamTaker) take(e *exchange, node string, response *http.Response) error {
-	if w, ok := t.sink.(Watcher); ok {
+	if w, ok := t.sink.(AttachObserver); ok {
 		w.Attached(e.trace.Request, node)
 	}
 	lines := bufio.NewScanner(response.Body)
@@ -262,7 +263,7 @@
 	}
 	e.last = index
 	e.diverged = 0
-	e.trace.Last = id
+	e.trace.LastEventID = id
 	e.trace.Tokens = index
 }
 
--- a/pkg/caller/whole.go
+++ b/pkg/caller/whole.go
@@ -12,9 +12,9 @@
 // maxReply bounds a whole answer.
 const maxReply = 64 << 20
 
-// Whole sends a request to a model service and returns the text of the answer
+// Complete sends a request to a model service and returns the text of the answer
 // once it is whole. Its errors are those of Stream.
-func (c *Client) Whole(ctx context.Context, p Prompt) (string, Trace, error) {
+func (c *Client) Complete(ctx context.Context, p Prompt) (string, Trace, error) {
 	t := &wholeTaker{}
 	e := c.newExchange(p.message(false), t)
 	if err := e.run(ctx); err != nil {
--- a/pkg/identifier/identifier.go
+++ b/pkg/identifier/identifier.go
@@ -125,8 +125,8 @@
 // Generation returns the store generation in which the record was written.
 func (o Offset) Generation() StoreGeneration { return StoreGeneration(o >> generationShift) }
 
-// Place returns the place in the log, counted from zero; zero also for no Offset.
-func (o Offset) Place() uint64 { return max(uint64(o)&(1<<generationShift-1), 1) - 1 }
+// Position returns the position in the log, counted from zero; zero also for no Offset.
+func (o Offset) Position() uint64 { return max(uint64(o)&(1<<generationShift-1), 1) - 1 }
 
 // Fence is a fencing number: the offset of the grant of the lease under
 // which an order is given.
@@ -177,8 +177,8 @@
 // Money is an amount in millionths of the operator's currency.
 type Money int64
 
-// Coin is one whole unit of the operator's currency.
-const Coin Money = 1_000_000
+// CurrencyUnit is one whole unit of the operator's currency.
+const CurrencyUnit Money = 1_000_000
 
 // String returns m in whole units with six decimals.
 func (m Money) String() string {
@@ -186,7 +186,7 @@
 	if m < 0 {
 		sign, m = "-", -m
 	}
-	return fmt.Sprintf("%s%d.%06d", sign, m/Coin, m%Coin)
+	return fmt.Sprintf("%s%d.%06d", sign, m/CurrencyUnit, m%CurrencyUnit)
 }
 
 // Version names a version of the software of backend servers.
