--- a/internal/accountant/accountant.go
+++ b/internal/accountant/accountant.go
@@ -31,19 +31,19 @@
 const (
 	// settleTime is how long after a window's end its counts are complete:
 	// peers tell theirs twice a second, and one message may be lost.
-	settleTime = 2 * timekeeper.Second
+	settleDelay = 2 * timekeeper.Second
 	// againAfter is the spacing of repeated appends and reports. Both may be
 	// repeated without harm.
-	againAfter = 1 * timekeeper.Second
+	retryInterval = 1 * timekeeper.Second
 	// rememberTime is how long after the log came back those that know a window's
 	// record have to write it again.
-	rememberTime = 1500 * timekeeper.Millisecond
+	rewritePeriod = 1500 * timekeeper.Millisecond
 	// keptWindows bounds the windows that are remembered.
-	keptWindows = 12
+	maxWindows = 12
 	// toldWindows is how many windows a node tells its peers of: the present
 	// one, and those that are not yet reported.
-	toldWindows = 4
-	maxNodes    = 4096
+	sharedWindows = 4
+	maxPeers      = 4096
 )
 
 // Config sets up an Accountant. Both spans are the users'.
@@ -62,21 +62,21 @@
 	config Config
 	own    map[identifier.UsageWindow]counts
 	// others holds what each process of a peer reported last.
-	others map[process]map[identifier.UsageWindow]counts
+	peers map[process]map[identifier.UsageWindow]counts
 	// agreed holds the first record of each window in the log.
-	agreed map[identifier.UsageWindow]counts
-	sent   map[identifier.UsageWindow]timekeeper.Time
-	done   map[identifier.UsageWindow]bool
+	firstRecords map[identifier.UsageWindow]counts
+	lastSent     map[identifier.UsageWindow]timekeeper.Time
+	finished     map[identifier.UsageWindow]bool
 	// restored is when the log came back from an older copy, zero where it did not,
 	// and written the windows whose record was read since.
-	restored timekeeper.Time
-	written  map[identifier.UsageWindow]bool
+	restoredAt       timekeeper.Time
+	readSinceRestore map[identifier.UsageWindow]bool
 	// began is the instant of the first read, and lostUntil one before which records
 	// may be gone of which this process never knew.
-	began     timekeeper.Time
-	lostUntil timekeeper.Time
+	firstReadAt      timekeeper.Time
+	recordsLostUntil timekeeper.Time
 	// era is that of the last record that was read.
-	era identifier.StoreGeneration
+	generation identifier.StoreGeneration
 	// ignored counts records that could not be read.
 	ignored int
 }
@@ -89,14 +89,14 @@
 // New returns an Accountant that has counted nothing.
 func New(c Config) *Accountant {
 	return &Accountant{
-		config: c,
-		own:    map[identifier.UsageWindow]counts{},
-		others: map[process]map[identifier.UsageWindow]counts{},
-		agreed: map[identifier.UsageWindow]counts{},
-		sent:   map[identifier.UsageWindow]timekeeper.Time{},
-		done:   map[identifier.UsageWindow]bool{},
+		config:       c,
+		own:          map[identifier.UsageWindow]counts{},
+		peers:        map[process]map[identifier.UsageWindow]counts{},
+		firstRecords: map[identifier.UsageWindow]counts{},
+		lastSent:     map[identifier.UsageWindow]timekeeper.Time{},
+		finished:     map[identifier.UsageWindow]bool{},
 
-		written: map[identifier.UsageWindow]bool{},
+		readSinceRestore: map[identifier.UsageWindow]bool{},
 	}
 }
 
@@ -104,9 +104,9 @@
 // is written again, since another process would agree on other counts for a window that
 // was reported already.
 func (a *Accountant) Restored(now timekeeper.Time) {
-	a.restored = now
-	clear(a.written)
-	clear(a.sent)
+	a.restoredAt = now
+	clear(a.readSinceRestore)
+	clear(a.lastSent)
 }
 
 // window returns the window of an instant.
@@ -127,23 +127,23 @@
 	w := a.window(now)
 	if a.own[w] == nil {
 		a.own[w] = counts{}
-		a.forget(w)
+		a.dropOldWindows(w)
 	}
 	a.own[w][account]++
 }
 
 // forget drops windows that nobody asks for any more.
-func (a *Accountant) forget(now identifier.UsageWindow) {
-	old := func(w identifier.UsageWindow) bool { return w < now-keptWindows }
+func (a *Accountant) dropOldWindows(now identifier.UsageWindow) {
+	old := func(w identifier.UsageWindow) bool { return w < now-maxWindows }
 	maps.DeleteFunc(a.own, func(w identifier.UsageWindow, _ counts) bool { return old(w) })
-	maps.DeleteFunc(a.agreed, func(w identifier.UsageWindow, _ counts) bool { return old(w) })
-	maps.DeleteFunc(a.sent, func(w identifier.UsageWindow, _ timekeeper.Time) bool { return old(w) })
-	maps.DeleteFunc(a.done, func(w identifier.UsageWindow, _ bool) bool { return old(w) })
-	maps.DeleteFunc(a.written, func(w identifier.UsageWindow, _ bool) bool { return old(w) })
-	for p, windows := range a.others {
+	maps.DeleteFunc(a.firstRecords, func(w identifier.UsageWindow, _ counts) bool { return old(w) })
+	maps.DeleteFunc(a.lastSent, func(w identifier.UsageWindow, _ timekeeper.Time) bool { return old(w) })
+	maps.DeleteFunc(a.finished, func(w identifier.UsageWindow, _ bool) bool { return old(w) })
+	maps.DeleteFunc(a.readSinceRestore, func(w identifier.UsageWindow, _ bool) bool { return old(w) })
+	for p, windows := range a.peers {
 		maps.DeleteFunc(windows, func(w identifier.UsageWindow, _ counts) bool { return old(w) })
 		if len(windows) == 0 {
-			delete(a.others, p)
+			delete(a.peers, p)
 		}
 	}
 }
@@ -154,7 +154,7 @@
 		return nil
 	}
 	var out []messenger.UsageCount
-	for w := a.window(now) - toldWindows + 1; w <= a.window(now); w++ {
+	for w := a.window(now) - sharedWindows + 1; w <= a.window(now); w++ {
 		for _, account := range slices.Sorted(maps.Keys(a.own[w])) {
 			out = append(out, messenger.UsageCount{
 				Window:  w,
@@ -169,22 +169,22 @@
 // PeerCounts takes in the counts of a peer's process. Counts only grow, so of two
 // messages that crossed each other the larger count is the newer.
 func (a *Accountant) MergePeerCounts(vm identifier.VMID, i identifier.Incarnation, reported []messenger.UsageCount) {
-	p := process{
+	peer := process{
 		vm:          vm,
 		incarnation: i,
 	}
-	if a.others[p] == nil {
-		if len(a.others) >= maxNodes {
+	if a.peers[peer] == nil {
+		if len(a.peers) >= maxPeers {
 			return
 		}
-		a.others[p] = map[identifier.UsageWindow]counts{}
+		a.peers[peer] = map[identifier.UsageWindow]counts{}
 	}
 	for _, c := range reported {
-		if a.others[p][c.Window] == nil {
-			a.others[p][c.Window] = counts{}
+		if a.peers[peer][c.Window] == nil {
+			a.peers[peer][c.Window] = counts{}
 		}
-		of := a.others[p][c.Window]
-		of[c.Account] = max(of[c.Account], c.Count)
+		merged := a.peers[peer][c.Window]
+		merged[c.Account] = max(merged[c.Account], c.Count)
 	}
 }
 
@@ -194,7 +194,7 @@
 	if sum == nil {
 		sum = counts{}
 	}
-	for _, windows := range a.others {
+	for _, windows := range a.peers {
 		for account, n := range windows[w] {
 			sum[account] += n
 		}
@@ -211,58 +211,58 @@
 // Absorb takes in records of the usage stream, in log order. A window that was
 // just agreed on is due at once.
 func (a *Accountant) ApplyRecords(now timekeeper.Time, read messenger.LogRead) {
-	if a.began == 0 {
-		a.began = now
+	if a.firstReadAt == 0 {
+		a.firstReadAt = now
 	}
 	for _, r := range read.Records {
-		a.noteEra(r)
+		a.recordGeneration(r)
 		var rec record
 		if err := json.Unmarshal(r.Data, &rec); err != nil {
 			a.ignored++
 			continue
 		}
-		a.written[rec.Window] = true
-		if _, known := a.agreed[rec.Window]; known {
+		a.readSinceRestore[rec.Window] = true
+		if _, known := a.firstRecords[rec.Window]; known {
 			continue
 		}
-		a.agreed[rec.Window] = rec.Counts
-		delete(a.sent, rec.Window)
+		a.firstRecords[rec.Window] = rec.Counts
+		delete(a.lastSent, rec.Window)
 	}
 }
 
 // noteEra notes a record after which older ones may be missing.
-func (a *Accountant) noteEra(r messenger.Record) {
-	if era := r.Offset.Generation(); era > a.era {
-		a.era = era
-		a.lostUntil = max(a.lostUntil, r.Appended)
+func (a *Accountant) recordGeneration(r messenger.Record) {
+	if generation := r.Offset.Generation(); generation > a.generation {
+		a.generation = generation
+		a.recordsLostUntil = max(a.recordsLostUntil, r.Appended)
 	}
 }
 
 // unsure reports whether a window may have been reported by a record that is gone. Those
 // that know it write it again at once; one of which nobody does is left out, rather than
 // reported with other counts.
-func (a *Accountant) unsure(now timekeeper.Time, w identifier.UsageWindow) bool {
+func (a *Accountant) mayHaveBeenReported(now timekeeper.Time, w identifier.UsageWindow) bool {
 	end := a.end(w)
-	if end < a.restored && now.Sub(a.restored) < rememberTime {
+	if end < a.restoredAt && now.Sub(a.restoredAt) < rewritePeriod {
 		return true
 	}
-	return end < a.began && (end < a.lostUntil || now.Sub(a.began) < rememberTime)
+	return end < a.firstReadAt && (end < a.recordsLostUntil || now.Sub(a.firstReadAt) < rewritePeriod)
 }
 
 // Rewrite returns the records that the log lost and this node knows, to be appended again.
 // Each node that knows them does so, not the holder alone: it may have started just now.
 func (a *Accountant) RewriteLostRecords(now timekeeper.Time) []messenger.Effect {
-	if a.restored == 0 || now.Sub(a.restored) > a.config.MaxReportDelay {
+	if a.restoredAt == 0 || now.Sub(a.restoredAt) > a.config.MaxReportDelay {
 		return nil
 	}
 	var out []messenger.Effect
-	for _, w := range slices.Sorted(maps.Keys(a.agreed)) {
-		sent, ok := a.sent[w]
-		if a.written[w] || ok && now.Sub(sent) < againAfter || now.Sub(a.end(w)) > a.config.MaxReportDelay {
+	for _, w := range slices.Sorted(maps.Keys(a.firstRecords)) {
+		sent, ok := a.lastSent[w]
+		if a.readSinceRestore[w] || ok && now.Sub(sent) < retryInterval || now.Sub(a.end(w)) > a.config.MaxReportDelay {
 			continue
 		}
-		a.sent[w] = now
-		if e := a.appendCounts(w, a.agreed[w]); e != nil {
+		a.lastSent[w] = now
+		if e := a.appendEffect(w, a.firstRecords[w]); e != nil {
 			out = append(out, e)
 		}
 	}
@@ -278,8 +278,8 @@
 		return nil
 	}
 	var out []messenger.Effect
-	for w := a.window(now) - keptWindows; w < a.window(now); w++ {
-		if e := a.due(now, w, fence, notAfter); e != nil {
+	for w := a.window(now) - maxWindows; w < a.window(now); w++ {
+		if e := a.nextEffect(now, w, fence, notAfter); e != nil {
 			out = append(out, e)
 		}
 	}
@@ -287,37 +287,37 @@
 }
 
 // due returns what a window needs now, or nil.
-func (a *Accountant) due(now timekeeper.Time, w identifier.UsageWindow, fence identifier.Fence, notAfter timekeeper.Time) messenger.Effect {
+func (a *Accountant) nextEffect(now timekeeper.Time, w identifier.UsageWindow, fence identifier.Fence, notAfter timekeeper.Time) messenger.Effect {
 	since := now.Sub(a.end(w))
-	if a.done[w] || since < settleTime || since > a.config.MaxReportDelay {
+	if a.finished[w] || since < settleDelay || since > a.config.MaxReportDelay {
 		return nil
 	}
-	if sent, ok := a.sent[w]; ok && now.Sub(sent) < againAfter {
+	if sent, ok := a.lastSent[w]; ok && now.Sub(sent) < retryInterval {
 		return nil
 	}
-	agreed, ok := a.agreed[w]
-	if ok && a.restored != 0 && !a.written[w] {
+	recorded, ok := a.firstRecords[w]
+	if ok && a.restoredAt != 0 && !a.readSinceRestore[w] {
 		return nil // Until it stands in the log again, see Rewrite.
 	}
 	if ok {
-		a.sent[w] = now
+		a.lastSent[w] = now
 		return messenger.ReportUsage{
 			Window:   w,
-			Counts:   maps.Clone(agreed),
+			Counts:   maps.Clone(recorded),
 			Fence:    fence,
 			NotAfter: notAfter,
 		}
 	}
 	sum := a.total(w)
-	if len(sum) == 0 || a.unsure(now, w) {
+	if len(sum) == 0 || a.mayHaveBeenReported(now, w) {
 		return nil
 	}
-	a.sent[w] = now
-	return a.appendCounts(w, sum)
+	a.lastSent[w] = now
+	return a.appendEffect(w, sum)
 }
 
 // appendCounts writes what is to be reported of a window.
-func (a *Accountant) appendCounts(w identifier.UsageWindow, c counts) messenger.Effect {
+func (a *Accountant) appendEffect(w identifier.UsageWindow, c counts) messenger.Effect {
 	data, err := json.Marshal(record{
 		Window: w,
 		Counts: c,
@@ -335,6 +335,6 @@
 // Reported takes in the end of a report.
 func (a *Accountant) ReportEnded(w identifier.UsageWindow, result messenger.LeaderTaskResult) {
 	if result == messenger.LeaderTaskDone || result == messenger.LeaderTaskRefused {
-		a.done[w] = true
+		a.finished[w] = true
 	}
 }
--- a/internal/accountant/accountant_test.go
+++ b/internal/accountant/accountant_test.go
@@ -14,8 +14,8 @@
 const (
 	window = 5 * timekeeper.Second
 	// first is the window that the tests count in, and begins its start.
-	first  identifier.UsageWindow = 200
-	begins                        = timekeeper.Time(int64(first) * int64(window))
+	first      identifier.UsageWindow = 200
+	firstStart                        = timekeeper.Time(int64(first) * int64(window))
 )
 
 func newAccountant() *accountant.Accountant {
@@ -25,12 +25,12 @@
 	})
 }
 
-func holderTick(a *accountant.Accountant, now timekeeper.Time) []messenger.Effect {
+func tick(a *accountant.Accountant, now timekeeper.Time) []messenger.Effect {
 	return a.Tick(now, 7, now.Add(1000))
 }
 
 // logged puts appended records into a log in order and lets all read it.
-func logged(effects []messenger.Effect, readers ...*accountant.Accountant) {
+func applyToLog(effects []messenger.Effect, readers ...*accountant.Accountant) {
 	read := messenger.LogRead{Stream: accountant.Stream}
 	for _, e := range effects {
 		if appended, ok := e.(messenger.AppendRecord); ok {
@@ -56,17 +56,17 @@
 // arrived. The next holder knows of more requests by then. Sent with its own
 // counts, the window would be reported twice and differently, so it sends what
 // the log has first, whatever it appended itself.
-func TestTwoHoldersReportTheSame(t *testing.T) {
+func TestSuccessiveLeadersReportSameCounts(t *testing.T) {
 	one, two := newAccountant(), newAccountant()
-	one.RequestBegan(begins, "agency")
-	two.RequestBegan(begins, "agency")
-	two.RequestBegan(begins+1, "agency")
-	late := begins.Add(window + 2000)
-	appends := append(holderTick(one, late), holderTick(two, late)...)
+	one.RequestBegan(firstStart, "agency")
+	two.RequestBegan(firstStart, "agency")
+	two.RequestBegan(firstStart+1, "agency")
+	late := firstStart.Add(window + 2000)
+	appends := append(tick(one, late), tick(two, late)...)
 	require.Len(t, appends, 2)
-	logged(appends, one, two)
+	applyToLog(appends, one, two)
 
-	ofOne, ofTwo := reports(holderTick(one, late)), reports(holderTick(two, late))
+	ofOne, ofTwo := reports(tick(one, late)), reports(tick(two, late))
 	require.Len(t, ofOne, 1)
 	require.Equal(t, ofOne, ofTwo)
 	require.Equal(t, map[identifier.AccountID]int{"agency": 1}, ofOne[0].Counts)
@@ -74,34 +74,34 @@
 
 // Nothing is reported before it stands in the log, before all peers had time to
 // tell their counts, after its time, or again once it is done.
-func TestWhenAWindowIsDue(t *testing.T) {
+func TestReportSchedule(t *testing.T) {
 	a := newAccountant()
-	a.RequestBegan(begins, "agency")
-	end := begins.Add(window)
-	require.Empty(t, holderTick(a, end.Add(1900)))
-	appends := holderTick(a, end.Add(2000))
+	a.RequestBegan(firstStart, "agency")
+	end := firstStart.Add(window)
+	require.Empty(t, tick(a, end.Add(1900)))
+	appends := tick(a, end.Add(2000))
 	require.Len(t, appends, 1)
 	require.Empty(t, reports(appends))
-	require.Empty(t, holderTick(a, end.Add(2100)), "the append is under way")
-	require.Len(t, holderTick(a, end.Add(3100)), 1, "it may have been lost")
-	logged(appends, a)
-	require.Len(t, reports(holderTick(a, end.Add(3200))), 1)
-	require.Empty(t, holderTick(a, end.Add(3300)))
-	require.Len(t, reports(holderTick(a, end.Add(4300))), 1, "no answer came")
+	require.Empty(t, tick(a, end.Add(2100)), "the append is under way")
+	require.Len(t, tick(a, end.Add(3100)), 1, "it may have been lost")
+	applyToLog(appends, a)
+	require.Len(t, reports(tick(a, end.Add(3200))), 1)
+	require.Empty(t, tick(a, end.Add(3300)))
+	require.Len(t, reports(tick(a, end.Add(4300))), 1, "no answer came")
 	a.ReportEnded(first, messenger.LeaderTaskDone)
-	require.Empty(t, holderTick(a, end.Add(9000)))
+	require.Empty(t, tick(a, end.Add(9000)))
 
-	late := newAccountant()
-	late.RequestBegan(begins, "agency")
-	require.Empty(t, holderTick(late, end.Add(10_100)))
+	expired := newAccountant()
+	expired.RequestBegan(firstStart, "agency")
+	require.Empty(t, tick(expired, end.Add(10_100)))
 }
 
 // A peer's counts arrive again and again, crossed, and from two processes on
 // one VM. Each request counts once.
-func TestPeersCounts(t *testing.T) {
+func TestPeerCountsAreDeduplicated(t *testing.T) {
 	a := newAccountant()
-	a.RequestBegan(begins, "agency")
-	told := func(i identifier.Incarnation, n int) {
+	a.RequestBegan(firstStart, "agency")
+	merge := func(i identifier.Incarnation, n int) {
 		a.MergePeerCounts("entry-2", i, []messenger.UsageCount{
 			{
 				Window:  first,
@@ -110,21 +110,21 @@
 			},
 		})
 	}
-	told(1, 4)
-	told(1, 3)
-	told(2, 2)
-	told(2, 2)
-	appends := holderTick(a, begins.Add(window+2000))
-	logged(appends, a)
-	report := reports(holderTick(a, begins.Add(window+2100)))
+	merge(1, 4)
+	merge(1, 3)
+	merge(2, 2)
+	merge(2, 2)
+	appends := tick(a, firstStart.Add(window+2000))
+	applyToLog(appends, a)
+	report := reports(tick(a, firstStart.Add(window+2100)))
 	require.Equal(t, map[identifier.AccountID]int{"agency": 7}, report[0].Counts)
 }
 
 // A node tells its peers of the present window and those not yet reported.
-func TestOwn(t *testing.T) {
+func TestOwnCounts(t *testing.T) {
 	a := newAccountant()
-	a.RequestBegan(begins, "agency")
-	a.RequestBegan(begins.Add(window), "portal")
+	a.RequestBegan(firstStart, "agency")
+	a.RequestBegan(firstStart.Add(window), "portal")
 	require.Equal(t, []messenger.UsageCount{
 		{
 			Window:  first,
@@ -136,8 +136,8 @@
 			Account: "portal",
 			Count:   1,
 		},
-	}, a.OwnCounts(begins.Add(window)))
-	require.Empty(t, a.OwnCounts(begins.Add(10*window)))
+	}, a.OwnCounts(firstStart.Add(window)))
+	require.Empty(t, a.OwnCounts(firstStart.Add(10*window)))
 }
 
 func TestUnreadableRecordIsCounted(t *testing.T) {
--- a/internal/adapter/adapter.go
+++ b/internal/adapter/adapter.go
@@ -44,9 +44,9 @@
 	// maxReply bounds an answer that is read whole.
 	maxReply = 32 << 20
 	// maxIdle is enough for one long poll on each stream of the log.
-	maxIdle = 16
+	maxIdlePerHost = 16
 	// maxProblem bounds the body of an error answer.
-	maxProblem = 64 << 10
+	maxErrorBody = 64 << 10
 )
 
 // Bounds are the time limits of a client.
@@ -57,41 +57,41 @@
 	Call timekeeper.Duration
 }
 
-func (b Timeouts) withDefaults() Timeouts {
-	b.Dial = cmp.Or(b.Dial, DefaultDialTimeout)
-	b.Call = cmp.Or(b.Call, DefaultCallTimeout)
-	return b
+func (timeouts Timeouts) withDefaults() Timeouts {
+	timeouts.Dial = cmp.Or(timeouts.Dial, DefaultDialTimeout)
+	timeouts.Call = cmp.Or(timeouts.Call, DefaultCallTimeout)
+	return timeouts
 }
 
 // client sends requests over one transport.
 type client struct {
-	bounds Timeouts
-	http   http.Client
+	timeouts Timeouts
+	http     http.Client
 }
 
 // newClient returns a client that reuses connections.
-func newClient(b Timeouts) *client {
-	return newClientWith(b, false)
+func newClient(timeouts Timeouts) *client {
+	return newClientWith(timeouts, false)
 }
 
 // newFreshClient returns a client that opens a connection for every request:
 // a pooled one may have gone silent for good, and net/http may send a request
 // twice when a pooled connection closes under it.
-func newFreshClient(b Timeouts) *client {
-	return newClientWith(b, true)
+func newUnpooledClient(timeouts Timeouts) *client {
+	return newClientWith(timeouts, true)
 }
 
-func newClientWith(b Timeouts, fresh bool) *client {
-	b = b.withDefaults()
-	dialer := &net.Dialer{Timeout: b.Dial.Std()}
+func newClientWith(timeouts Timeouts, unpooled bool) *client {
+	timeouts = timeouts.withDefaults()
+	dialer := &net.Dialer{Timeout: timeouts.Dial.Std()}
 	return &client{
-		bounds: b,
+		timeouts: timeouts,
 		http: http.Client{
 			Transport: &http.Transport{
 				DialContext:         dialer.DialContext,
-				DisableKeepAlives:   fresh,
+				DisableKeepAlives:   unpooled,
 				DisableCompression:  true,
-				MaxIdleConnsPerHost: maxIdle,
+				MaxIdleConnsPerHost: maxIdlePerHost,
 				IdleConnTimeout:     (30 * timekeeper.Second).Std(),
 			},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -115,22 +115,22 @@
 
 // do sends the request. Its error is a *NotSentError when no byte of it can
 // have left, else a *ConnectionError.
-func (c *client) do(ctx context.Context, wanted call) (*http.Response, error) {
+func (c *client) do(ctx context.Context, req call) (*http.Response, error) {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
-	request, err := http.NewRequestWithContext(ctx, wanted.method, wanted.url(), bytes.NewReader(wanted.body))
+	request, err := http.NewRequestWithContext(ctx, req.method, req.url(), bytes.NewReader(req.body))
 	if err != nil {
 		return nil, &NotSentError{
-			Address: wanted.address,
+			Address: req.address,
 			Cause:   err,
 		}
 	}
 	// Without GetBody net/http can't send the body a second time.
 	request.GetBody = nil
-	if wanted.header != nil {
-		request.Header = wanted.header
+	if req.header != nil {
+		request.Header = req.header
 	}
 	response, err := c.http.Do(request)
 	switch {
@@ -140,12 +140,12 @@
 		// The transport writes only after it has handed a connection to the
 		// request, which GotConn reports: without it nothing left.
 		return nil, &NotSentError{
-			Address: wanted.address,
+			Address: req.address,
 			Cause:   err,
 		}
 	default:
 		return nil, &ConnectionError{
-			Address: wanted.address,
+			Address: req.address,
 			Cause:   cause(ctx, err),
 		}
 	}
@@ -162,19 +162,19 @@
 
 // exchange makes a call and decodes the JSON answer into reply, which may be
 // nil. Answers other than 2xx are *StatusError.
-func (c *client) exchange(ctx context.Context, wanted call, reply any) error {
-	response, err := c.do(ctx, wanted)
+func (c *client) callJSON(ctx context.Context, req call, reply any) error {
+	response, err := c.do(ctx, req)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode/100 != 2 {
-		return statusError(wanted.address, response)
+		return statusError(req.address, response)
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(nil, response.Body, maxReply))
 	if err != nil {
 		return &ConnectionError{
-			Address: wanted.address,
+			Address: req.address,
 			Cause:   cause(ctx, err),
 		}
 	}
@@ -183,7 +183,7 @@
 	}
 	if err := json.Unmarshal(body, reply); err != nil {
 		return &ConnectionError{
-			Address: wanted.address,
+			Address: req.address,
 			Cause:   fmt.Errorf("decode answer: %w", err),
 		}
 	}
@@ -191,15 +191,15 @@
 }
 
 // exchangeBounded is exchange within the client's time limit plus extra.
-func (c *client) exchangeBounded(ctx context.Context, wanted call, reply any, extra timekeeper.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, (c.bounds.Call + extra).Std())
+func (c *client) callJSONWithTimeout(ctx context.Context, req call, reply any, extra timekeeper.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, (c.timeouts.Call + extra).Std())
 	defer cancel()
-	return c.exchange(ctx, wanted, reply)
+	return c.callJSON(ctx, req, reply)
 }
 
 // get is exchangeBounded for a call without a body.
 func (c *client) get(ctx context.Context, address, path string, reply any, extra timekeeper.Duration) error {
-	return c.exchangeBounded(ctx, call{
+	return c.callJSONWithTimeout(ctx, call{
 		method:  http.MethodGet,
 		address: address,
 		path:    path,
@@ -208,7 +208,7 @@
 
 // statusError reads an answer that is not a success.
 func statusError(address string, response *http.Response) *StatusError {
-	body, _ := io.ReadAll(io.LimitReader(response.Body, maxProblem))
+	body, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBody))
 	var problem encoder.Problem
 	_ = json.Unmarshal(body, &problem)
 	return &StatusError{
--- a/internal/adapter/client_test.go
+++ b/internal/adapter/client_test.go
@@ -13,7 +13,7 @@
 // dropSecond answers the first request of each connection and cuts the
 // connection at the second, as a server does that closes an idle connection
 // at the moment at which a request comes. It counts the requests.
-func dropSecond(t *testing.T) (address string, requests *atomic.Int64) {
+func startDroppingServer(t *testing.T) (address string, requests *atomic.Int64) {
 	t.Helper()
 	var seen atomic.Value
 	seen.Store("")
@@ -32,7 +32,7 @@
 // it goes out a second time by itself it may run twice, and nobody ever
 // learns. net/http does that on pooled connections; fresh ones rule it out.
 // The control makes the same calls over a pooled connection and sees it.
-func TestFreshConnectionsAreNotReplayed(t *testing.T) {
+func TestUnpooledRequestsAreNotReplayed(t *testing.T) {
 	cases := []struct {
 		name     string
 		client   *client
@@ -40,7 +40,7 @@
 	}{
 		{
 			name:     "fresh",
-			client:   newFreshClient(Timeouts{}),
+			client:   newUnpooledClient(Timeouts{}),
 			requests: 2,
 		},
 		{
@@ -51,9 +51,9 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			address, requests := dropSecond(t)
+			address, requests := startDroppingServer(t)
 			for range 2 {
-				require.NoError(t, c.client.exchangeBounded(context.Background(), call{
+				require.NoError(t, c.client.callJSONWithTimeout(context.Background(), call{
 					method:  http.MethodGet,
 					address: address,
 					path:    "/",
--- a/internal/adapter/cloud.go
+++ b/internal/adapter/cloud.go
@@ -35,7 +35,7 @@
 // List returns the list, dated by this process's clock. Its error is an
 // *UnavailableError.
 func (l *Lister) List(ctx context.Context) (messenger.ListRead, error) {
-	asked := l.config.clock().Now()
+	sentAt := l.config.clock().Now()
 	var reply encoder.ListResponse
 	if err := l.client.get(ctx, l.config.Address, "/vms", &reply, 0); err != nil {
 		return messenger.ListRead{}, readError(err)
@@ -43,7 +43,7 @@
 	read := messenger.ListRead{
 		// Dated from before the call: a list is never taken for newer than it
 		// is.
-		AsOf: asked.Add(-timekeeper.Duration(reply.AgeMS)),
+		AsOf: sentAt.Add(-timekeeper.Duration(reply.AgeMS)),
 		VMs:  make([]messenger.VMState, 0, len(reply.VMs)),
 	}
 	for _, v := range reply.VMs {
@@ -70,7 +70,7 @@
 // Buy buys a VM. Its errors are *BuyRefusedError and *UnavailableError, when
 // nothing was bought, and *AmbiguousError. The caller checks its lease before.
 func (c *Cloud) Buy(ctx context.Context, b messenger.BuyVM) (identifier.VMID, error) {
-	wanted, err := postJSON(c.config.Address, "/cloud/vms", encoder.BuyRequest{
+	req, err := postJSON(c.config.Address, "/cloud/vms", encoder.BuyRequest{
 		ClientToken: b.ClientToken,
 		Class:       b.Class,
 		Zone:        b.Zone,
@@ -81,7 +81,7 @@
 		return "", effectError(err)
 	}
 	var reply encoder.VM
-	err = c.writers.exchangeBounded(ctx, wanted, &reply, 0)
+	err = c.writers.callJSONWithTimeout(ctx, req, &reply, 0)
 	var status *StatusError
 	if errors.As(err, &status) && status.Status == http.StatusConflict {
 		return "", &BuyRefusedError{Text: status.Text}
@@ -95,12 +95,12 @@
 // Release gives a VM back. A VM that the cloud no longer knows counts as
 // given back. Its errors are *UnavailableError and *AmbiguousError.
 func (c *Cloud) Release(ctx context.Context, vm identifier.VMID) error {
-	wanted := call{
+	req := call{
 		method:  http.MethodDelete,
 		address: c.config.Address,
 		path:    "/cloud/vms/" + url.PathEscape(string(vm)),
 	}
-	err := c.writers.exchangeBounded(ctx, wanted, nil, 0)
+	err := c.writers.callJSONWithTimeout(ctx, req, nil, 0)
 	var status *StatusError
 	if errors.As(err, &status) && status.Status == http.StatusNotFound {
 		return nil
@@ -150,7 +150,7 @@
 func NewWeights(c PlatformConfig) *Weights {
 	return &Weights{
 		config: c,
-		client: newFreshClient(c.Timeouts),
+		client: newUnpooledClient(c.Timeouts),
 	}
 }
 
--- a/internal/adapter/engine.go
+++ b/internal/adapter/engine.go
@@ -40,7 +40,7 @@
 func NewEngine(c ServerConfig) *Engine {
 	return &Engine{
 		config:  c,
-		streams: newFreshClient(c.Timeouts),
+		streams: newUnpooledClient(c.Timeouts),
 		polls:   newClient(c.Timeouts),
 	}
 }
@@ -87,8 +87,8 @@
 // Start starts a stream and reads it to its end. A nil error means that the
 // answer is whole. Its errors are *NotSentError, *RefusedError, *ConnectionError,
 // *ResponseTimeoutError, *ServerFailedError, *TokenSequenceError and those of the sink.
-func (e *Engine) Start(ctx context.Context, address string, s StartRequest, p ResponseTimeouts, sink Sink) error {
-	wanted, err := postJSON(address, "/generate", encoder.GenerateRequest{
+func (e *Engine) Start(ctx context.Context, address string, s StartRequest, timeouts ResponseTimeouts, sink Sink) error {
+	req, err := postJSON(address, "/generate", encoder.GenerateRequest{
 		Stream:       s.Stream,
 		Model:        s.Model,
 		Prompt:       s.Prompt,
@@ -103,34 +103,34 @@
 	if err != nil {
 		return err
 	}
-	return e.follow(ctx, wanted, reading{
-		stream:   s.Stream,
-		last:     identifier.Tokens(len(s.AnswerSoFar)),
-		patience: p,
-		sink:     sink,
+	return e.readStream(ctx, req, streamReader{
+		stream:    s.Stream,
+		lastIndex: identifier.Tokens(len(s.AnswerSoFar)),
+		timeouts:  timeouts,
+		sink:      sink,
 	})
 }
 
 // Resume reads a stream that the engine already runs, from after the given
 // token index to its end. Its errors are those of Start and
 // *UnknownStreamError.
-func (e *Engine) Resume(ctx context.Context, address string, stream identifier.StreamName, from identifier.Tokens, p ResponseTimeouts, sink Sink) error {
-	err := e.follow(ctx, call{
+func (e *Engine) Resume(ctx context.Context, address string, stream identifier.StreamName, after identifier.Tokens, timeouts ResponseTimeouts, sink Sink) error {
+	err := e.readStream(ctx, call{
 		method:  http.MethodGet,
 		address: address,
-		path:    streamPath(stream) + "?from=" + strconv.FormatInt(int64(from), 10),
-	}, reading{
-		stream:   stream,
-		last:     from,
-		patience: p,
-		sink:     sink,
+		path:    streamPath(stream) + "?from=" + strconv.FormatInt(int64(after), 10),
+	}, streamReader{
+		stream:    stream,
+		lastIndex: after,
+		timeouts:  timeouts,
+		sink:      sink,
 	})
 	return unknownStream(err, address, stream)
 }
 
 // Cancel makes the engine drop a stream. An unknown stream is no error.
 func (e *Engine) Cancel(ctx context.Context, address string, stream identifier.StreamName) error {
-	err := e.streams.exchangeBounded(ctx, call{
+	err := e.streams.callJSONWithTimeout(ctx, call{
 		method:  http.MethodDelete,
 		address: address,
 		path:    streamPath(stream),
@@ -146,11 +146,11 @@
 // Only ctx bounds it, because the transfer takes as long as it takes. Its
 // errors are those of Start and *UnknownStreamError.
 func (e *Engine) MoveKV(ctx context.Context, address string, stream identifier.StreamName, toAddress string) error {
-	wanted, err := postJSON(address, streamPath(stream)+"/export", encoder.ExportRequest{ToAddress: toAddress})
+	req, err := postJSON(address, streamPath(stream)+"/export", encoder.ExportRequest{ToAddress: toAddress})
 	if err != nil {
 		return err
 	}
-	return unknownStream(serverError(e.streams.exchange(ctx, wanted, nil)), address, stream)
+	return unknownStream(serverError(e.streams.callJSON(ctx, req, nil)), address, stream)
 }
 
 // Load asks an engine, or a plain server, for its load.
@@ -177,34 +177,34 @@
 	if err := e.polls.get(ctx, address, path, &reply, 0); err != nil {
 		return CacheEvents{}, serverError(err)
 	}
-	return foldCacheEvents(reply.Events, after), nil
+	return mergeCacheEvents(reply.Events, after), nil
 }
 
-func foldCacheEvents(events []encoder.CacheEvent, after uint64) CacheEvents {
-	folded := CacheEvents{Last: after}
+func mergeCacheEvents(events []encoder.CacheEvent, after uint64) CacheEvents {
+	merged := CacheEvents{Last: after}
 	final := make(map[identifier.PrefixHash]int, len(events))
 	for i, event := range events {
 		final[event.Hash] = i
 	}
 	for i, event := range events {
-		folded.Gap = folded.Gap || event.Seq != folded.Last+1
-		folded.Last = event.Seq
+		merged.Gap = merged.Gap || event.Seq != merged.Last+1
+		merged.Last = event.Seq
 		switch {
 		case final[event.Hash] != i:
 		case event.Evicted:
-			folded.Evicted = append(folded.Evicted, event.Hash)
+			merged.Evicted = append(merged.Evicted, event.Hash)
 		default:
-			folded.Cached = append(folded.Cached, event.Hash)
+			merged.Cached = append(merged.Cached, event.Hash)
 		}
 	}
-	return folded
+	return merged
 }
 
 // Order gives an engine an order. Its errors are *StaleFenceError,
 // *NotSentError, *ServerFailedError, *ConnectionError. Only ctx bounds it, because a
 // load may take long. The caller checks its lease right before.
 func (e *Engine) Order(ctx context.Context, address string, o messenger.Order) error {
-	wanted, err := postJSON(address, "/orders", encoder.OrderRequest{
+	req, err := postJSON(address, "/orders", encoder.OrderRequest{
 		Kind:  o.Kind,
 		Model: o.Model,
 		Role:  o.Role,
@@ -213,7 +213,7 @@
 	if err != nil {
 		return err
 	}
-	err = e.streams.exchange(ctx, wanted, nil)
+	err = e.streams.callJSON(ctx, req, nil)
 	var status *StatusError
 	if errors.As(err, &status) && status.Status == http.StatusConflict {
 		return &StaleFenceError{
@@ -238,7 +238,7 @@
 }
 
 func pollLoad(ctx context.Context, c *client, clock timekeeper.Clock, address string) (messenger.ServerLoad, error) {
-	asked := clock.Now()
+	sentAt := clock.Now()
 	var reply encoder.Load
 	if err := c.get(ctx, address, "/load", &reply, 0); err != nil {
 		return messenger.ServerLoad{}, serverError(err)
@@ -246,7 +246,7 @@
 	return messenger.ServerLoad{
 		// Dated from before the call: a report is never taken for newer than
 		// it is.
-		AsOf:            asked.Add(-timekeeper.Duration(reply.AgeMS)),
+		AsOf:            sentAt.Add(-timekeeper.Duration(reply.AgeMS)),
 		Running:         reply.Running,
 		Waiting:         reply.Waiting,
 		Slots:           reply.Slots,
--- a/internal/adapter/engine_test.go
+++ b/internal/adapter/engine_test.go
@@ -18,7 +18,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-var patience = adapter.ResponseTimeouts{
+var testTimeouts = adapter.ResponseTimeouts{
 	FirstByte: 5000,
 	NextByte:  5000,
 }
@@ -27,8 +27,8 @@
 	_, address := startEngine(t, engine.Config{})
 	client := adapter.NewEngine(adapter.ServerConfig{})
 	var sink recorder
-	s := start("a.1", 50)
-	require.NoError(t, client.Start(context.Background(), address, s, patience, &sink))
+	s := newStartRequest("a.1", 50)
+	require.NoError(t, client.Start(context.Background(), address, s, testTimeouts, &sink))
 	require.True(t, sink.started)
 	require.Equal(t, standin.Answer(s.Prompt, 50), sink.text())
 }
@@ -41,12 +41,12 @@
 	e.SetFaults(func(f *engine.Faults) { f.BreakAfter = 5 })
 	client := adapter.NewEngine(adapter.ServerConfig{})
 	var sink recorder
-	s := start("a.1", 50)
-	err := client.Start(context.Background(), address, s, patience, &sink)
+	s := newStartRequest("a.1", 50)
+	err := client.Start(context.Background(), address, s, testTimeouts, &sink)
 	require.Equal(t, messenger.AttemptBroken, adapter.Result(err))
 	require.Len(t, sink.tokens, 5)
 	e.SetFaults(func(f *engine.Faults) { f.BreakAfter = 0 })
-	require.NoError(t, client.Resume(context.Background(), address, s.Stream, 5, patience, &sink))
+	require.NoError(t, client.Resume(context.Background(), address, s.Stream, 5, testTimeouts, &sink))
 	require.Equal(t, standin.Answer(s.Prompt, 50), sink.text())
 	require.Equal(t, 1, e.Ledger().StreamsRun)
 }
@@ -54,13 +54,13 @@
 // An engine dies in the middle of an answer. Another one is given the prompt
 // and the tokens so far and must go on with the next token, and it counts what
 // it had to read again.
-func TestPrefillContinues(t *testing.T) {
+func TestStartContinuesPartialAnswer(t *testing.T) {
 	e, address := startEngine(t, engine.Config{})
 	client := adapter.NewEngine(adapter.ServerConfig{})
-	s := start("a.2", 50)
+	s := newStartRequest("a.2", 50)
 	s.AnswerSoFar = standin.Tokens(s.Prompt, 20)
 	sink := recorder{tokens: s.AnswerSoFar}
-	require.NoError(t, client.Start(context.Background(), address, s, patience, &sink))
+	require.NoError(t, client.Start(context.Background(), address, s, testTimeouts, &sink))
 	require.Equal(t, standin.Answer(s.Prompt, 50), sink.text())
 	require.Positive(t, e.Ledger().TokensRecomputed)
 	require.Equal(t, identifier.Tokens(30), e.Ledger().TokensGenerated)
@@ -68,28 +68,28 @@
 
 // Control for the checks above: an engine that is given tokens that are not
 // the answer's own goes on with another answer, and a checker sees it.
-func TestWrongGivenTokensShow(t *testing.T) {
+func TestWrongAnswerPrefixIsDetected(t *testing.T) {
 	_, address := startEngine(t, engine.Config{})
 	client := adapter.NewEngine(adapter.ServerConfig{})
-	s := start("a.2", 50)
+	s := newStartRequest("a.2", 50)
 	s.AnswerSoFar = standin.Tokens("another manuscript", 20)
 	sink := recorder{tokens: s.AnswerSoFar}
-	require.NoError(t, client.Start(context.Background(), address, s, patience, &sink))
+	require.NoError(t, client.Start(context.Background(), address, s, testTimeouts, &sink))
 	require.NotEqual(t, standin.Tokens(s.Prompt, 50)[20:], sink.tokens[20:])
 }
 
 // An engine gets notice. Its KV cache goes to another one before it leaves, so
 // that the answer goes on there with one token of context read again, in place
 // of the whole of it.
-func TestMovedKVSparesPrefill(t *testing.T) {
+func TestMovedKVAvoidsPrefill(t *testing.T) {
 	_, from := startEngine(t, engine.Config{TokensPerSecond: 200})
 	to, toAddress := startEngine(t, engine.Config{})
 	client := adapter.NewEngine(adapter.ServerConfig{})
-	s := start("a.1", 2000)
+	s := newStartRequest("a.1", 2000)
 	ctx := context.Background()
 	moved := false
 	sink := recorder{}
-	sink.on = func(token adapter.Token) error {
+	sink.onToken = func(token adapter.Token) error {
 		if token.Index < 10 {
 			return nil
 		}
@@ -97,11 +97,11 @@
 		require.NoError(t, client.MoveKV(ctx, from, s.Stream, toAddress))
 		return &stopError{}
 	}
-	require.ErrorIs(t, client.Start(ctx, from, s, patience, &sink), &stopError{})
+	require.ErrorIs(t, client.Start(ctx, from, s, testTimeouts, &sink), &stopError{})
 	require.True(t, moved)
 	s.Stream, s.AnswerSoFar, s.MaxTokens = "a.2", sink.tokens, 30
-	sink.on = nil
-	require.NoError(t, client.Start(ctx, toAddress, s, patience, &sink))
+	sink.onToken = nil
+	require.NoError(t, client.Start(ctx, toAddress, s, testTimeouts, &sink))
 	require.Equal(t, standin.Answer(s.Prompt, 30), sink.text())
 	require.Equal(t, identifier.Tokens(1), to.Ledger().TokensRecomputed)
 }
@@ -114,12 +114,12 @@
 // The connection goes silent for good in the middle of an answer, while new
 // ones work. No error comes: only the bound on silence ends the reading, and a
 // new connection to the same engine brings the rest.
-func TestSilentConnectionIsLeft(t *testing.T) {
+func TestStalledConnectionTimesOut(t *testing.T) {
 	e, address := startEngine(t, engine.Config{TokensPerSecond: 200})
 	client := adapter.NewEngine(adapter.ServerConfig{})
-	s := start("a.1", 50)
+	s := newStartRequest("a.1", 50)
 	var sink recorder
-	sink.on = func(token adapter.Token) error {
+	sink.onToken = func(token adapter.Token) error {
 		if token.Index == 3 {
 			e.SetFaults(func(f *engine.Faults) { f.Silence = true })
 		}
@@ -131,31 +131,31 @@
 	}
 	err := client.Start(context.Background(), address, s, short, &sink)
 	require.Equal(t, messenger.AttemptTimedOut, adapter.Result(err))
-	sink.on = nil
+	sink.onToken = nil
 	have := identifier.Tokens(len(sink.tokens))
-	require.NoError(t, client.Resume(context.Background(), address, s.Stream, have, patience, &sink))
+	require.NoError(t, client.Resume(context.Background(), address, s.Stream, have, testTimeouts, &sink))
 	require.Equal(t, standin.Answer(s.Prompt, 50), sink.text())
 }
 
 // A frozen engine answers nothing at all; the first bound ends the wait. The
 // engine may hold the request, so the result is not "not sent".
-func TestFrozenEngineIsSilent(t *testing.T) {
+func TestFrozenEngineTimesOut(t *testing.T) {
 	e, address := startEngine(t, engine.Config{})
 	e.SetFaults(func(f *engine.Faults) { f.Freeze = true })
 	client := adapter.NewEngine(adapter.ServerConfig{})
 	short := adapter.ResponseTimeouts{FirstByte: 500}
-	err := client.Start(context.Background(), address, start("a.1", 5), short, &recorder{})
+	err := client.Start(context.Background(), address, newStartRequest("a.1", 5), short, &recorder{})
 	require.Equal(t, messenger.AttemptTimedOut, adapter.Result(err))
 }
 
-func TestStartsThatDidNotRun(t *testing.T) {
+func TestStartNotSentOrRefused(t *testing.T) {
 	e, address := startEngine(t, engine.Config{})
 	client := adapter.NewEngine(adapter.ServerConfig{})
 	ctx := context.Background()
-	err := client.Start(ctx, closedAddress(t), start("a.1", 5), patience, &recorder{})
+	err := client.Start(ctx, closedAddress(t), newStartRequest("a.1", 5), testTimeouts, &recorder{})
 	require.Equal(t, messenger.AttemptNotSent, adapter.Result(err))
 	e.SetFaults(func(f *engine.Faults) { f.Refuse = true })
-	err = client.Start(ctx, address, start("a.1", 5), patience, &recorder{})
+	err = client.Start(ctx, address, newStartRequest("a.1", 5), testTimeouts, &recorder{})
 	require.Equal(t, messenger.AttemptRefused, adapter.Result(err))
 	require.Positive(t, adapter.RetryAfter(err))
 	require.Zero(t, e.Ledger().StreamsRun)
@@ -169,12 +169,12 @@
 	e.SetFaults(func(f *engine.Faults) { f.LoseStarts = 1 })
 	client := adapter.NewEngine(adapter.ServerConfig{})
 	ctx := context.Background()
-	s := start("a.1", 20)
-	err := client.Start(ctx, address, s, patience, &recorder{})
+	s := newStartRequest("a.1", 20)
+	err := client.Start(ctx, address, s, testTimeouts, &recorder{})
 	require.Equal(t, messenger.AttemptBroken, adapter.Result(err))
 	for range 2 {
 		var sink recorder
-		require.NoError(t, client.Start(ctx, address, s, patience, &sink))
+		require.NoError(t, client.Start(ctx, address, s, testTimeouts, &sink))
 		require.Equal(t, standin.Answer(s.Prompt, 20), sink.text())
 	}
 	require.Equal(t, 1, e.Ledger().StreamsRun)
@@ -185,12 +185,12 @@
 	client := adapter.NewEngine(adapter.ServerConfig{})
 	ctx := context.Background()
 	var unknown *adapter.UnknownStreamError
-	err := client.Resume(ctx, address, "nobody.1", 0, patience, &recorder{})
+	err := client.Resume(ctx, address, "nobody.1", 0, testTimeouts, &recorder{})
 	require.ErrorAs(t, err, &unknown)
 	require.NoError(t, client.Cancel(ctx, address, "nobody.1"))
 	sink := recorder{}
-	sink.on = func(adapter.Token) error { return client.Cancel(ctx, address, "a.1") }
-	err = client.Start(ctx, address, start("a.1", 1000), patience, &sink)
+	sink.onToken = func(adapter.Token) error { return client.Cancel(ctx, address, "a.1") }
+	err = client.Start(ctx, address, newStartRequest("a.1", 1000), testTimeouts, &sink)
 	require.Equal(t, messenger.AttemptBroken, adapter.Result(err))
 	require.Less(t, e.Ledger().TokensGenerated, identifier.Tokens(1000))
 }
@@ -198,7 +198,7 @@
 // A late or crossed answer may repeat or skip tokens. A repeated token is
 // dropped by its index; a skipped one, and an end that is too early, end the
 // reading with an error in place of a whole answer with a hole.
-func TestTokensOutOfStep(t *testing.T) {
+func TestTokenSequence(t *testing.T) {
 	const token = "id: %d\ndata: {\"token\":\"t%d\"}\n\n"
 	cases := []struct {
 		name    string
@@ -245,7 +245,7 @@
 			defer server.Close()
 			client := adapter.NewEngine(adapter.ServerConfig{})
 			var sink recorder
-			err := client.Start(context.Background(), server.Listener.Addr().String(), start("a.1", 9), patience, &sink)
+			err := client.Start(context.Background(), server.Listener.Addr().String(), newStartRequest("a.1", 9), testTimeouts, &sink)
 			require.Equal(t, c.want, sink.tokens)
 			var outOfStep *adapter.TokenSequenceError
 			require.Equal(t, !c.whole, err != nil)
@@ -273,7 +273,7 @@
 		NextByte:  timekeeper.Hour,
 	}
 	var sink recorder
-	err := client.Start(t.Context(), server.Listener.Addr().String(), start("a.1", 9), long, &sink)
+	err := client.Start(t.Context(), server.Listener.Addr().String(), newStartRequest("a.1", 9), long, &sink)
 	require.Equal(t, messenger.AttemptBroken, adapter.Result(err))
 	var wrong *adapter.ProtocolError
 	require.ErrorAs(t, err, &wrong)
--- a/internal/adapter/errors.go
+++ b/internal/adapter/errors.go
@@ -174,10 +174,10 @@
 // counts as broken.
 func Result(err error) messenger.AttemptResult {
 	var (
-		notSent *NotSentError
-		refused *RefusedError
-		silent  *ResponseTimeoutError
-		failed  *ServerFailedError
+		notSent  *NotSentError
+		refused  *RefusedError
+		timedOut *ResponseTimeoutError
+		failed   *ServerFailedError
 	)
 	switch {
 	case err == nil:
@@ -186,7 +186,7 @@
 		return messenger.AttemptNotSent
 	case errors.As(err, &refused):
 		return messenger.AttemptRefused
-	case errors.As(err, &silent):
+	case errors.As(err, &timedOut):
 		return messenger.AttemptTimedOut
 	case errors.As(err, &failed):
 		return messenger.AttemptFailed
--- a/internal/adapter/log.go
+++ b/internal/adapter/log.go
@@ -35,12 +35,12 @@
 			Data:   r.Data,
 		})
 	}
-	wanted, err := postJSON(l.config.Address, "/log/append", request)
+	req, err := postJSON(l.config.Address, "/log/append", request)
 	if err != nil {
 		return nil, effectError(err)
 	}
 	var reply encoder.AppendResponse
-	if err := l.writers.exchangeBounded(ctx, wanted, &reply, 0); err != nil {
+	if err := l.writers.callJSONWithTimeout(ctx, req, &reply, 0); err != nil {
 		return nil, effectError(err)
 	}
 	return reply.Offsets, nil
--- a/internal/adapter/plain.go
+++ b/internal/adapter/plain.go
@@ -25,7 +25,7 @@
 func NewPlain(c ServerConfig) *Plain {
 	return &Plain{
 		config: c,
-		calls:  newFreshClient(c.Timeouts),
+		calls:  newUnpooledClient(c.Timeouts),
 		polls:  newClient(c.Timeouts),
 	}
 }
@@ -58,9 +58,9 @@
 // Call makes one call and reads the whole answer. Statuses below 500 are
 // answers. Its errors are *NotSentError, *RefusedError, *ConnectionError,
 // *ResponseTimeoutError and *ServerFailedError.
-func (p *Plain) Call(ctx context.Context, address string, c PlainCall, patience ResponseTimeouts) (PlainReply, error) {
-	ctx, w := newWatch(ctx, address, patience)
-	defer w.stop()
+func (p *Plain) Call(ctx context.Context, address string, c PlainCall, timeouts ResponseTimeouts) (PlainReply, error) {
+	ctx, timer := newResponseTimer(ctx, address, timeouts)
+	defer timer.stop()
 	response, err := p.calls.do(ctx, call{
 		method:  c.Method,
 		address: address,
@@ -69,21 +69,21 @@
 		body:    c.Body,
 	})
 	if err != nil {
-		return PlainReply{}, silence(ctx, err)
+		return PlainReply{}, timeoutError(ctx, err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	w.heard(address)
+	timer.reset(address)
 	refused := response.Header.Get(encoder.OutcomeHeader) == encoder.OutcomeNotRun
 	if refused || response.StatusCode >= http.StatusInternalServerError {
 		return PlainReply{}, serverError(statusError(address, response))
 	}
-	body, err := io.ReadAll(&hearingReader{
+	body, err := io.ReadAll(&timedReader{
 		reader:  http.MaxBytesReader(nil, response.Body, maxReply),
-		watch:   w,
+		timer:   timer,
 		address: address,
 	})
 	if err != nil {
-		return PlainReply{}, silence(ctx, &ConnectionError{
+		return PlainReply{}, timeoutError(ctx, &ConnectionError{
 			Address: address,
 			Cause:   cause(ctx, err),
 		})
@@ -113,18 +113,18 @@
 }
 
 // hearingReader tells a watch of every byte read.
-type hearingReader struct {
+type timedReader struct {
 	reader  io.Reader
-	watch   *watch
+	timer   *responseTimer
 	address string
 }
 
-var _ io.Reader = (*hearingReader)(nil)
+var _ io.Reader = (*timedReader)(nil)
 
-func (r *hearingReader) Read(b []byte) (int, error) {
+func (r *timedReader) Read(b []byte) (int, error) {
 	n, err := r.reader.Read(b)
 	if n > 0 {
-		r.watch.heard(r.address)
+		r.timer.reset(r.address)
 	}
 	return n, err
 }
--- a/internal/adapter/plain_test.go
+++ b/internal/adapter/plain_test.go
@@ -27,7 +27,7 @@
 func TestPlainCall(t *testing.T) {
 	p, address := startResponder(t)
 	client := adapter.NewPlain(adapter.ServerConfig{})
-	reply, err := client.Call(context.Background(), address, rejection(), patience)
+	reply, err := client.Call(context.Background(), address, rejection(), testTimeouts)
 	require.NoError(t, err)
 	var echo responder.Reply
 	require.NoError(t, json.Unmarshal(reply.Body, &echo))
@@ -88,11 +88,11 @@
 // up: no byte left, and the client may say so.
 func TestNotSent(t *testing.T) {
 	client := adapter.NewPlain(adapter.ServerConfig{})
-	_, err := client.Call(context.Background(), closedAddress(t), rejection(), patience)
+	_, err := client.Call(context.Background(), closedAddress(t), rejection(), testTimeouts)
 	require.Equal(t, messenger.AttemptNotSent, adapter.Result(err))
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, err = client.Call(ctx, closedAddress(t), rejection(), patience)
+	_, err = client.Call(ctx, closedAddress(t), rejection(), testTimeouts)
 	require.Equal(t, messenger.AttemptNotSent, adapter.Result(err))
 }
 
@@ -116,7 +116,7 @@
 		}
 	}()
 	client := adapter.NewPlain(adapter.ServerConfig{})
-	_, err = client.Call(context.Background(), listener.Addr().String(), rejection(), patience)
+	_, err = client.Call(context.Background(), listener.Addr().String(), rejection(), testTimeouts)
 	require.Equal(t, messenger.AttemptBroken, adapter.Result(err))
 	require.NoError(t, listener.Close())
 	require.Equal(t, 1, <-accepted)
--- a/internal/adapter/platform.go
+++ b/internal/adapter/platform.go
@@ -30,7 +30,7 @@
 	return platformClient{
 		config:  c,
 		readers: newClient(c.Timeouts),
-		writers: newFreshClient(c.Timeouts),
+		writers: newUnpooledClient(c.Timeouts),
 	}
 }
 
--- a/internal/adapter/platform_test.go
+++ b/internal/adapter/platform_test.go
@@ -30,7 +30,7 @@
 	return list
 }
 
-func TestLogKeepsOneOrderOverStreams(t *testing.T) {
+func TestLogOrderSpansStreams(t *testing.T) {
 	_, config := startPlatform(t, platform.Config{})
 	log := adapter.NewLog(config)
 	ctx := context.Background()
@@ -97,7 +97,7 @@
 
 // Records expire. A reader that comes too late must see that it missed some:
 // First stands beyond the offset from which it reads.
-func TestExpiredRecordsMoveFirst(t *testing.T) {
+func TestExpiredRecordsAdvanceFirst(t *testing.T) {
 	clock := timekeeper.NewManual(1_000_000)
 	_, config := startPlatform(t, platform.Config{
 		Clock:     clock,
@@ -133,7 +133,7 @@
 
 // The list lags: a VM that has got its notice still shows as live for a while,
 // and a gone one still shows. The faults pin both states.
-func TestListLagsAndLies(t *testing.T) {
+func TestListIsStale(t *testing.T) {
 	clock := timekeeper.NewManual(1_000_000)
 	p, config := startPlatform(t, platform.Config{
 		Clock:   clock,
--- a/internal/adapter/stream.go
+++ b/internal/adapter/stream.go
@@ -16,14 +16,14 @@
 )
 
 // maxLine bounds a line of a stream, and the lines of one event together.
-const maxLine = 64 << 10
+const maxEventBytes = 64 << 10
 
 // reading is the state of reading one stream.
-type reading struct {
-	stream   identifier.StreamName
-	last     identifier.Tokens // the last token taken
-	patience ResponseTimeouts
-	sink     Sink
+type streamReader struct {
+	stream    identifier.StreamName
+	lastIndex identifier.Tokens // the last token taken
+	timeouts  ResponseTimeouts
+	sink      Sink
 }
 
 // ProtocolError reports bytes that no engine should send.
@@ -34,31 +34,31 @@
 func (e *ProtocolError) Error() string { return "protocol: " + e.Text }
 
 // follow makes the call and reads the stream that answers it.
-func (e *Engine) follow(ctx context.Context, wanted call, r reading) error {
-	ctx, w := newWatch(ctx, wanted.address, r.patience)
-	defer w.stop()
-	response, err := e.streams.do(ctx, wanted)
+func (e *Engine) readStream(ctx context.Context, req call, r streamReader) error {
+	ctx, timer := newResponseTimer(ctx, req.address, r.timeouts)
+	defer timer.stop()
+	response, err := e.streams.do(ctx, req)
 	if err != nil {
-		return silence(ctx, err)
+		return timeoutError(ctx, err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return serverError(statusError(wanted.address, response))
+		return serverError(statusError(req.address, response))
 	}
 	r.sink.Started()
-	events := bufio.NewScanner(response.Body)
-	events.Buffer(make([]byte, 0, 4096), maxLine)
+	scanner := bufio.NewScanner(response.Body)
+	scanner.Buffer(make([]byte, 0, 4096), maxEventBytes)
 	for {
-		event, err := nextEvent(events)
+		event, err := nextEvent(scanner)
 		if err != nil {
-			return silence(ctx, &ConnectionError{
-				Address: wanted.address,
+			return timeoutError(ctx, &ConnectionError{
+				Address: req.address,
 				Cause:   cause(ctx, err),
 			})
 		}
-		w.heard(wanted.address)
-		over, err := r.take(wanted.address, event)
-		if over || err != nil {
+		timer.reset(req.address)
+		done, err := r.handle(req.address, event)
+		if done || err != nil {
 			return err
 		}
 	}
@@ -66,11 +66,11 @@
 
 // silence returns the *ResponseTimeoutError for which the watch ended the context,
 // where that is why the call failed. A call that never left stays not sent.
-func silence(ctx context.Context, err error) error {
+func timeoutError(ctx context.Context, err error) error {
 	var broken *ConnectionError
-	var silent *ResponseTimeoutError
-	if errors.As(err, &broken) && errors.As(context.Cause(ctx), &silent) {
-		return silent
+	var timeout *ResponseTimeoutError
+	if errors.As(err, &broken) && errors.As(context.Cause(ctx), &timeout) {
+		return timeout
 	}
 	return err
 }
@@ -84,10 +84,10 @@
 
 // nextEvent reads the lines up to the next empty one. An event cut off by the
 // end of the stream is no event.
-func nextEvent(lines *bufio.Scanner) (event, error) {
+func nextEvent(scanner *bufio.Scanner) (event, error) {
 	var e event
-	for lines.Scan() {
-		field, value, _ := strings.Cut(lines.Text(), ":")
+	for scanner.Scan() {
+		field, value, _ := strings.Cut(scanner.Text(), ":")
 		value = strings.TrimPrefix(value, " ")
 		switch field {
 		case "id":
@@ -95,31 +95,31 @@
 		case "event":
 			e.name = value
 		case "data":
-			if len(e.data)+len(value) > maxLine {
+			if len(e.data)+len(value) > maxEventBytes {
 				return event{}, &ProtocolError{Text: "event too long"}
 			}
 			e.data += value
 		case "":
-			if lines.Text() == "" && e != (event{}) {
+			if scanner.Text() == "" && e != (event{}) {
 				return e, nil
 			}
 		}
 	}
-	if err := lines.Err(); err != nil {
+	if err := scanner.Err(); err != nil {
 		return event{}, fmt.Errorf("read stream: %w", err)
 	}
 	return event{}, io.ErrUnexpectedEOF
 }
 
 // take handles one event and tells whether it was the last.
-func (r *reading) take(address string, e event) (over bool, err error) {
+func (r *streamReader) handle(address string, e event) (done bool, err error) {
 	switch e.name {
 	case encoder.EndEvent:
-		return true, r.takeEnd(address, e.data)
+		return true, r.checkEnd(address, e.data)
 	case encoder.ErrorEvent:
-		return true, takeError(address, e.data)
+		return true, decodeErrorEvent(address, e.data)
 	case "":
-		return false, r.takeToken(address, e)
+		return false, r.handleToken(address, e)
 	default:
 		return false, nil
 	}
@@ -129,7 +129,7 @@
 // stands already is dropped: another reader's answer crossed ours, or the
 // engine began too early. A skipped one ends the reading, because the answer
 // could not become whole.
-func (r *reading) takeToken(address string, e event) error {
+func (r *streamReader) handleToken(address string, e event) error {
 	index, err := strconv.ParseInt(e.id, 10, 64)
 	if err != nil {
 		return protocolError(address, "token id: "+err.Error())
@@ -138,7 +138,7 @@
 	if err := json.Unmarshal([]byte(e.data), &token); err != nil {
 		return protocolError(address, "token: "+err.Error())
 	}
-	got, want := identifier.Tokens(index), r.last+1
+	got, want := identifier.Tokens(index), r.lastIndex+1
 	switch {
 	case got < want:
 		return nil
@@ -149,7 +149,7 @@
 			Got:    got,
 		}
 	}
-	r.last = got
+	r.lastIndex = got
 	return r.sink.Token(Token{
 		Index: got,
 		Text:  token.Token,
@@ -157,22 +157,22 @@
 }
 
 // takeEnd checks that the answer is as long as the engine says.
-func (r *reading) takeEnd(address, data string) error {
+func (r *streamReader) checkEnd(address, data string) error {
 	var end encoder.End
 	if err := json.Unmarshal([]byte(data), &end); err != nil {
 		return protocolError(address, "end: "+err.Error())
 	}
-	if end.Tokens != r.last {
+	if end.Tokens != r.lastIndex {
 		return &TokenSequenceError{
 			Stream: r.stream,
-			Want:   r.last + 1,
+			Want:   r.lastIndex + 1,
 			Got:    end.Tokens + 1,
 		}
 	}
 	return nil
 }
 
-func takeError(address, data string) error {
+func decodeErrorEvent(address, data string) error {
 	var problem encoder.Problem
 	if err := json.Unmarshal([]byte(data), &problem); err != nil {
 		return protocolError(address, "error event: "+err.Error())
--- a/internal/adapter/testing_test.go
+++ b/internal/adapter/testing_test.go
@@ -64,7 +64,7 @@
 type recorder struct {
 	started bool
 	tokens  []string
-	on      func(adapter.Token) error
+	onToken func(adapter.Token) error
 }
 
 var _ adapter.Sink = (*recorder)(nil)
@@ -73,16 +73,16 @@
 
 func (r *recorder) Token(t adapter.Token) error {
 	r.tokens = append(r.tokens, t.Text)
-	if r.on == nil {
+	if r.onToken == nil {
 		return nil
 	}
-	return r.on(t)
+	return r.onToken(t)
 }
 
 func (r *recorder) text() string { return strings.Join(r.tokens, "") }
 
 // start is a request for an answer of n tokens.
-func start(name identifier.StreamName, n identifier.Tokens) adapter.StartRequest {
+func newStartRequest(name identifier.StreamName, n identifier.Tokens) adapter.StartRequest {
 	return adapter.StartRequest{
 		Stream:    name,
 		Model:     "report",
--- a/internal/adapter/timeouts.go
+++ b/internal/adapter/timeouts.go
@@ -19,52 +19,52 @@
 // watch ends a call whose connection has lost its voice. An open connection
 // may be dead for good while new ones work; no error ever comes on it, so
 // that only a bound on silence frees its reader.
-type watch struct {
-	cancel context.CancelCauseFunc
-	timer  *time.Timer
-	next   timekeeper.Duration
+type responseTimer struct {
+	cancel   context.CancelCauseFunc
+	timer    *time.Timer
+	nextByte timekeeper.Duration
 }
 
 // newWatch returns a context that ends with a *ResponseTimeoutError when a bound of p
 // passes without a call of heard.
-func newWatch(ctx context.Context, address string, p ResponseTimeouts) (context.Context, *watch) {
+func newResponseTimer(ctx context.Context, address string, timeouts ResponseTimeouts) (context.Context, *responseTimer) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	w := &watch{
-		cancel: cancel,
-		next:   p.NextByte,
+	timer := &responseTimer{
+		cancel:   cancel,
+		nextByte: timeouts.NextByte,
 	}
-	if p.FirstByte > 0 {
-		w.timer = time.AfterFunc(p.FirstByte.Std(), func() {
+	if timeouts.FirstByte > 0 {
+		timer.timer = time.AfterFunc(timeouts.FirstByte.Std(), func() {
 			cancel(&ResponseTimeoutError{
 				Address: address,
-				After:   p.FirstByte,
+				After:   timeouts.FirstByte,
 			})
 		})
 	}
-	return ctx, w
+	return ctx, timer
 }
 
 // heard starts the wait for the next byte.
-func (w *watch) heard(address string) {
-	if w.timer != nil {
-		w.timer.Stop()
+func (timer *responseTimer) reset(address string) {
+	if timer.timer != nil {
+		timer.timer.Stop()
 	}
-	if w.next <= 0 {
-		w.timer = nil
+	if timer.nextByte <= 0 {
+		timer.timer = nil
 		return
 	}
-	w.timer = time.AfterFunc(w.next.Std(), func() {
-		w.cancel(&ResponseTimeoutError{
+	timer.timer = time.AfterFunc(timer.nextByte.Std(), func() {
+		timer.cancel(&ResponseTimeoutError{
 			Address: address,
-			After:   w.next,
+			After:   timer.nextByte,
 		})
 	})
 }
 
 // stop ends the watch and its context.
-func (w *watch) stop() {
-	if w.timer != nil {
-		w.timer.Stop()
+func (timer *responseTimer) stop() {
+	if timer.timer != nil {
+		timer.timer.Stop()
 	}
-	w.cancel(nil)
+	timer.cancel(nil)
 }
--- a/internal/claimer/fold.go
+++ b/internal/claimer/apply.go
@@ -10,8 +10,8 @@
 )
 
 // fold applies one record of the log.
-func (t *Table) fold(now timekeeper.Time, s *stream, at messenger.Record) {
-	s.now = max(s.now, at.Appended)
+func (t *Table) applyRecord(now timekeeper.Time, s *stream, at messenger.Record) {
+	s.latestAppend = max(s.latestAppend, at.Appended)
 	var r record
 	if err := json.Unmarshal(at.Data, &r); err != nil || r.Version != recordVersion {
 		t.counts.Ignored++
@@ -23,52 +23,52 @@
 	}
 	switch r.Kind {
 	case claimKind:
-		t.foldClaim(now, s, at, r)
+		t.applyClaim(now, s, at, r)
 	case outcomeKind:
-		t.foldOutcome(r)
+		t.applyOutcome(r)
 	case releaseKind:
-		t.foldRelease(at.Offset, r)
+		t.applyRelease(at.Offset, r)
 	case clockKind:
 	default:
 		t.counts.Ignored++
 	}
 }
 
-func (t *Table) foldClaim(now timekeeper.Time, s *stream, at messenger.Record, r record) {
+func (t *Table) applyClaim(now timekeeper.Time, s *stream, at messenger.Record, r record) {
 	e, ok := t.entries[key{
 		account: r.Account,
 		key:     r.Key,
 	}]
-	held := ok && e.holdsAt(t.judgedAt(now, at))
+	held := ok && e.holdsAt(t.decisionTime(now, at))
 	c := t.nonces[r.Nonce]
 	switch {
 	case held && e.Nonce == r.Nonce:
 		t.extend(now, s, e, at, r)
-	case held && !t.free(e, r):
+	case held && !t.isFree(e, r):
 		t.extend(now, s, e, at, r)
-		t.lose(s, c, e)
+		t.decideLoser(s, c, e)
 	default:
-		t.hold(now, s, at, r)
-		t.win(now, s, at, c)
+		t.setHolder(now, s, at, r)
+		t.decideHolder(now, s, at, c)
 	}
 }
 
 // free reports whether a claim may hold a key that an earlier claim held.
-func (t *Table) free(e *entry, r record) bool {
-	return e.Released && (r.Seen > e.ReleasedAt || t.off.ignoreSeen)
+func (t *Table) isFree(e *entry, r record) bool {
+	return e.Released && (r.Seen > e.ReleasedAt || t.disabled.ignoreSeen)
 }
 
 // judgedAt returns the time by which a claim is judged: the log's, since all
 // nodes have to forget a key before the same claim.
-func (t *Table) judgedAt(now timekeeper.Time, at messenger.Record) timekeeper.Time {
-	if t.off.localTime {
+func (t *Table) decisionTime(now timekeeper.Time, at messenger.Record) timekeeper.Time {
+	if t.disabled.localTime {
 		return now
 	}
 	return at.Appended
 }
 
 func (t *Table) extend(now timekeeper.Time, s *stream, e *entry, at messenger.Record, r record) {
-	if t.off.fixedWindow {
+	if t.disabled.fixedWindow {
 		return
 	}
 	e.extend(now, at, r)
@@ -76,7 +76,7 @@
 }
 
 // hold makes a claim the holder of its key.
-func (t *Table) hold(now timekeeper.Time, s *stream, at messenger.Record, r record) {
+func (t *Table) setHolder(now timekeeper.Time, s *stream, at messenger.Record, r record) {
 	e := newEntry(now, s.name, at, r)
 	if old, ok := t.entries[e.key()]; ok {
 		heap.Remove(&s.expiry, old.index)
@@ -88,7 +88,7 @@
 		// seem to be the first and run again. Until its window has passed,
 		// no claim of this node on the stream is won.
 		t.counts.Overflowed++
-		s.blindUntil = max(s.blindUntil, e.ExpiresAt)
+		s.unrecordedUntil = max(s.unrecordedUntil, e.ExpiresAt)
 		return
 	}
 	t.entries[e.key()] = e
@@ -103,16 +103,16 @@
 // that is read back soon after its begin can't be beaten by a record that
 // this node never saw. A node that was frozen in between takes longer, and
 // must not trust its view: it would send what another has sent.
-func (t *Table) win(now timekeeper.Time, s *stream, at messenger.Record, c *claim) {
+func (t *Table) decideHolder(now timekeeper.Time, s *stream, at messenger.Record, c *claim) {
 	if c == nil {
 		return
 	}
 	late := now.Sub(c.began) >= t.config.Retention/8
-	c.first = !c.blind && !late && !at.Appended.Before(s.blindUntil) || t.off.trustView
+	c.confirmedFirst = !c.viewHasGap && !late && !at.Appended.Before(s.unrecordedUntil) || t.disabled.trustView
 	if c.state != waiting {
 		return
 	}
-	if !c.first {
+	if !c.confirmedFirst {
 		t.counts.Unsettled++
 		s.decide(c, Decision{Unsettled: true})
 		return
@@ -126,17 +126,17 @@
 
 // lose decides a claim of this node whose key is held. Where the holder is a
 // claim that this node itself has given up, the claim waits for its release.
-func (t *Table) lose(s *stream, c *claim, e *entry) {
+func (t *Table) decideLoser(s *stream, c *claim, e *entry) {
 	if c == nil || c.state != waiting {
 		return
 	}
 	if h := t.nonces[e.Nonce]; h != nil && h.state == abandoned {
-		t.loseToOwn(s, c, h)
+		t.loseToOwnClaim(s, c, h)
 		return
 	}
 	if e.Released && e.Winner == t.config.Self {
 		// The request came after this node gave the key up itself.
-		c.behind = true
+		c.awaitsRelease = true
 		return
 	}
 	s.decide(c, Decision{
@@ -146,9 +146,9 @@
 	})
 }
 
-func (t *Table) loseToOwn(s *stream, c, holder *claim) {
-	if holder.first {
-		c.behind = true
+func (t *Table) loseToOwnClaim(s *stream, c, holder *claim) {
+	if holder.confirmedFirst {
+		c.awaitsRelease = true
 		return
 	}
 	t.counts.Unsettled++
@@ -157,13 +157,13 @@
 
 func (s *stream) decide(c *claim, d Decision) {
 	d.Request = c.request
-	s.held = append(s.held, heldDecision{
+	s.pending = append(s.pending, pendingDecision{
 		Decision: d,
 		claim:    c,
 	})
 }
 
-func (t *Table) foldOutcome(r record) {
+func (t *Table) applyOutcome(r record) {
 	e, ok := t.entries[key{
 		account: r.Account,
 		key:     r.Key,
@@ -180,7 +180,7 @@
 	t.counts.BodiesDropped += t.bodies.add(e)
 }
 
-func (t *Table) foldRelease(at identifier.Offset, r record) {
+func (t *Table) applyRelease(at identifier.Offset, r record) {
 	e, ok := t.entries[key{
 		account: r.Account,
 		key:     r.Key,
--- a/internal/claimer/benchmark_test.go
+++ b/internal/claimer/benchmark_test.go
@@ -8,7 +8,7 @@
 
 const benchmarkClaims = 1000
 
-func BenchmarkAbsorb(b *testing.B) {
+func BenchmarkApplyRecords(b *testing.B) {
 	log := fakeLog{now: 1}
 	for i := range benchmarkClaims {
 		log.append(foreignClaim(i))
--- a/internal/claimer/claimer.go
+++ b/internal/claimer/claimer.go
@@ -151,15 +151,15 @@
 
 // outAfter is how long reads have to fail before the log is taken to be out;
 // one that fails is no outage.
-const outAfter = 300 * timekeeper.Millisecond
+const readOutageAfter = 300 * timekeeper.Millisecond
 
 const (
 	// unplacedAfter is how far apart appends have to fail for the same, with
 	// none that succeeds in between.
-	unplacedAfter = 400 * timekeeper.Millisecond
+	appendOutageAfter = 400 * timekeeper.Millisecond
 	// probeAfter is how long after the last append that failed the next one
 	// is tried.
-	probeAfter = 2 * timekeeper.Second
+	probeInterval = 2 * timekeeper.Second
 )
 
 // safeguards are switched off one by one by negative controls.
@@ -183,15 +183,15 @@
 	streams map[identifier.LogStream]*stream
 	entries map[key]*entry
 	// own lists this node's claims in the order of their Begin.
-	own    []*claim
-	nonces map[identifier.Nonce]*claim
-	active map[identifier.RequestID]*claim
-	bodies *bodies
-	counts Counts
-	off    safeguards
+	ownClaims []*claim
+	nonces    map[identifier.Nonce]*claim
+	active    map[identifier.RequestID]*claim
+	bodies    *bodies
+	counts    Counts
+	disabled  safeguards
 }
 
-type heldDecision struct {
+type pendingDecision struct {
 	Decision
 	claim *claim
 }
@@ -201,19 +201,19 @@
 	name     identifier.LogStream
 	position *follower.Stream
 	// now is the latest append time seen.
-	now timekeeper.Time
+	latestAppend timekeeper.Time
 	// blindUntil is the append time up to which a claim found no room.
-	blindUntil timekeeper.Time
-	expiry     expiryHeap
-	clockSent  timekeeper.Time
+	unrecordedUntil timekeeper.Time
+	expiry          expiryHeap
+	clockAppendedAt timekeeper.Time
 	// failingSince is when reads began to fail, or Never.
-	failingSince timekeeper.Time
+	readsFailingSince timekeeper.Time
 	// unplacedSince is when appends began to fail, or Never, and unplacedAt
 	// when one failed last.
-	unplacedSince timekeeper.Time
-	unplacedAt    timekeeper.Time
+	appendsFailingSince timekeeper.Time
+	lastAppendFailure   timekeeper.Time
 	// held are decisions to deliver once the stream was replayed.
-	held []heldDecision
+	pending []pendingDecision
 }
 
 // New returns an empty table.
@@ -230,10 +230,10 @@
 	for n := range c.Partitions {
 		name := partition(n)
 		t.streams[name] = &stream{
-			name:          name,
-			position:      follower.New(follower.Config{Retention: c.Retention}),
-			failingSince:  timekeeper.Never,
-			unplacedSince: timekeeper.Never,
+			name:                name,
+			position:            follower.New(follower.Config{Retention: c.Retention}),
+			readsFailingSince:   timekeeper.Never,
+			appendsFailingSince: timekeeper.Never,
 		}
 	}
 	return t
@@ -267,7 +267,7 @@
 
 // Full reports whether the table refuses further claims.
 func (t *Table) Full() bool {
-	return len(t.entries)+len(t.own) >= t.config.MaxEntries
+	return len(t.entries)+len(t.ownClaims) >= t.config.MaxEntries
 }
 
 // Len returns the number of keys that the table remembers.
@@ -282,7 +282,7 @@
 		account: account,
 		key:     k,
 	}]
-	if !ok || !e.holdsAt(t.streams[e.stream].now) {
+	if !ok || !e.holdsAt(t.streams[e.stream].latestAppend) {
 		return Entry{}, false
 	}
 	return e.Entry, true
@@ -291,7 +291,7 @@
 // Unavailable notes that a stream could not be read. Absorb takes it back.
 func (t *Table) ReadFailed(now timekeeper.Time, name identifier.LogStream) {
 	if s, ok := t.streams[name]; ok {
-		s.failingSince = min(s.failingSince, now)
+		s.readsFailingSince = min(s.readsFailingSince, now)
 	}
 }
 
@@ -299,36 +299,36 @@
 // begun now would wait in vain, and its caller with it.
 func (t *Table) LogUnavailable(now timekeeper.Time, name identifier.LogStream) bool {
 	s, ok := t.streams[name]
-	return ok && (s.unreadable(now) || s.unplaceable(now))
+	return ok && (s.readsFailing(now) || s.appendsFailing(now))
 }
 
-func (s *stream) unreadable(now timekeeper.Time) bool {
-	return s.failingSince != timekeeper.Never && now.Sub(s.failingSince) >= outAfter
+func (s *stream) readsFailing(now timekeeper.Time) bool {
+	return s.readsFailingSince != timekeeper.Never && now.Sub(s.readsFailingSince) >= readOutageAfter
 }
 
 // unplaceable reports whether appends went on failing for a while, and did so
 // lately. A few that fail at one moment are no outage, however long none is
 // tried after them. When none was tried for probeAfter, the next claim tries.
-func (s *stream) unplaceable(now timekeeper.Time) bool {
-	return s.unplacedSince != timekeeper.Never &&
-		s.unplacedAt.Sub(s.unplacedSince) >= unplacedAfter && now.Sub(s.unplacedAt) < probeAfter
+func (s *stream) appendsFailing(now timekeeper.Time) bool {
+	return s.appendsFailingSince != timekeeper.Never &&
+		s.lastAppendFailure.Sub(s.appendsFailingSince) >= appendOutageAfter && now.Sub(s.lastAppendFailure) < probeInterval
 }
 
 // AppendEnded notes how an append to a stream ended. In an outage appends fail
 // at once, while a read that waits for new records learns of it seconds later;
 // callers would be held for so long. Whether an append that failed took effect
 // is for reading back alone: this decides only whether to begin new claims.
-func (t *Table) AppendEnded(now timekeeper.Time, name identifier.LogStream, placed bool) {
+func (t *Table) AppendEnded(now timekeeper.Time, name identifier.LogStream, succeeded bool) {
 	s, ok := t.streams[name]
 	switch {
 	case !ok:
-	case placed:
-		s.unplacedSince = timekeeper.Never
-	case now.Sub(s.unplacedAt) >= probeAfter:
-		s.unplacedSince, s.unplacedAt = now, now
+	case succeeded:
+		s.appendsFailingSince = timekeeper.Never
+	case now.Sub(s.lastAppendFailure) >= probeInterval:
+		s.appendsFailingSince, s.lastAppendFailure = now, now
 	default:
-		s.unplacedSince = min(s.unplacedSince, now)
-		s.unplacedAt = now
+		s.appendsFailingSince = min(s.appendsFailingSince, now)
+		s.lastAppendFailure = now
 	}
 }
 
@@ -339,18 +339,18 @@
 	if !ok {
 		return nil
 	}
-	s.failingSince = timekeeper.Never
+	s.readsFailingSince = timekeeper.Never
 	if len(read.Records) > 0 {
-		s.unplacedSince = timekeeper.Never
+		s.appendsFailingSince = timekeeper.Never
 	}
 	batch := s.position.ApplyRecords(now, read)
 	if batch.Gap {
-		t.gapSeen(s)
+		t.recordGap(s)
 	}
 	for _, r := range batch.Records {
-		t.fold(now, s, r)
+		t.applyRecord(now, s, r)
 	}
-	t.forget(s)
+	t.expireEntries(s)
 	if !s.position.Replayed() {
 		return nil
 	}
@@ -361,7 +361,7 @@
 // meanwhile has none.
 func (t *Table) deliver(s *stream) []Decision {
 	var out []Decision
-	for _, d := range s.held {
+	for _, d := range s.pending {
 		if d.claim.state != waiting {
 			continue
 		}
@@ -371,7 +371,7 @@
 		}
 		out = append(out, d.Decision)
 	}
-	s.held = nil
+	s.pending = nil
 	return out
 }
 
@@ -379,11 +379,11 @@
 // unread may hold an earlier claim of their keys, and sending would run the
 // request twice. Claims begun later are safe, because what had expired by
 // then is older than any key's window.
-func (t *Table) gapSeen(s *stream) {
+func (t *Table) recordGap(s *stream) {
 	t.counts.Gaps++
-	for _, c := range t.own {
+	for _, c := range t.ownClaims {
 		if c.stream == s.name {
-			c.blind = true
+			c.viewHasGap = true
 		}
 	}
 }
@@ -391,10 +391,10 @@
 // forget drops the entries of a stream that ended well before the latest
 // append time. The decision on a later claim compares append times and does
 // not depend on when an entry is dropped.
-func (t *Table) forget(s *stream) {
+func (t *Table) expireEntries(s *stream) {
 	for len(s.expiry) > 0 {
 		e := s.expiry[0]
-		if s.now.Before(e.ExpiresAt.Add(forgetAfter)) {
+		if s.latestAppend.Before(e.ExpiresAt.Add(expiryMargin)) {
 			return
 		}
 		heap.Pop(&s.expiry)
--- a/internal/claimer/claimer_test.go
+++ b/internal/claimer/claimer_test.go
@@ -19,21 +19,21 @@
 }
 
 // bench is a log and some tables that read it.
-type bench struct {
+type harness struct {
 	log fakeLog
 }
 
-func (b *bench) claim(t testing.TB, table *Table, request identifier.RequestID) {
+func (b *harness) claim(t testing.TB, table *Table, request identifier.RequestID) {
 	_, data, err := table.Begin(b.log.now, request, "account", "key", identifier.Nonce(request), testWindow)
 	require.NoError(t, err)
 	b.log.append(data)
 }
 
-func (b *bench) read(table *Table) []Decision {
+func (b *harness) read(table *Table) []Decision {
 	return table.ApplyRecords(b.log.now, b.log.read(0, math.MaxInt))
 }
 
-func (b *bench) appends(table *Table) int {
+func (b *harness) appends(table *Table) int {
 	all := table.PendingAppends(b.log.now)
 	for _, a := range all {
 		b.log.append(a.Data)
@@ -44,8 +44,8 @@
 // A node says not_run of a key that it gave up before it saw its claim. The
 // caller repeats the key on the same node at once: the repeat waits for the
 // release of the first claim and then wins, instead of being lost to it.
-func TestRepeatAfterGiveUpWins(t *testing.T) {
-	b, a := &bench{log: fakeLog{now: 1}}, newTestTable("vm-a")
+func TestRetryAfterAbandonedClaimWins(t *testing.T) {
+	b, a := &harness{log: fakeLog{now: 1}}, newTestTable("vm-a")
 	b.claim(t, a, "first")
 	a.Drop("first")
 	b.claim(t, a, "second")
@@ -63,7 +63,7 @@
 // A winner's backend server refuses the work, and the node says not_run. Claims of
 // other nodes that stand before the release stay lost; one after it wins.
 func TestReleaseByWinner(t *testing.T) {
-	b, a, c := &bench{log: fakeLog{now: 1}}, newTestTable("vm-a"), newTestTable("vm-c")
+	b, a, c := &harness{log: fakeLog{now: 1}}, newTestTable("vm-a"), newTestTable("vm-c")
 	b.claim(t, a, "first")
 	require.True(t, b.read(a)[0].Won)
 	b.claim(t, c, "second")
@@ -84,11 +84,11 @@
 // holds its own for the first. Were b to release it, node c, which started
 // late, would take the key for free while a's release frees it for a: both
 // would send.
-func TestReleaseNeedsSettledView(t *testing.T) {
-	run := func(off safeguards) (sent int) {
-		s := &bench{log: fakeLog{now: 1}}
+func TestUnconfirmedClaimIsNotReleased(t *testing.T) {
+	run := func(disabled safeguards) (sent int) {
+		s := &harness{log: fakeLog{now: 1}}
 		a, b, c := newTestTable("vm-a"), newTestTable("vm-b"), newTestTable("vm-c")
-		b.off = off
+		b.disabled = disabled
 		s.claim(t, a, "a1")
 		require.True(t, s.read(a)[0].Won)
 		s.log.now += 30_000
@@ -120,7 +120,7 @@
 // A node wins a claim only when its view has no gap: frozen past the log's
 // retention, it leaves its claim unsettled and counts the gap.
 func TestGapLeavesClaimUnsettled(t *testing.T) {
-	b, a := &bench{log: fakeLog{now: 1}}, newTestTable("vm-a")
+	b, a := &harness{log: fakeLog{now: 1}}, newTestTable("vm-a")
 	require.False(t, a.Ready(partition(0)))
 	b.read(a)
 	require.True(t, a.Ready(partition(0)))
@@ -138,8 +138,8 @@
 	require.Zero(t, b.appends(a))
 }
 
-func TestOutcomes(t *testing.T) {
-	b, a := &bench{log: fakeLog{now: 1}}, newTestTable("vm-a")
+func TestOnlyFirstOutcomeOfHolderCounts(t *testing.T) {
+	b, a := &harness{log: fakeLog{now: 1}}, newTestTable("vm-a")
 	b.claim(t, a, "r")
 	b.read(a)
 	nonce, ok := a.Nonce("r")
@@ -178,7 +178,7 @@
 
 // A full table refuses claims and forgets none. When the windows are over, a
 // clock record lets all nodes forget, and claims are taken again.
-func TestFullTableRefuses(t *testing.T) {
+func TestFullTableRejectsClaims(t *testing.T) {
 	log := fakeLog{now: 1}
 	a := New(Config{
 		Self:       "vm-a",
@@ -195,7 +195,7 @@
 	_, _, err := a.Begin(log.now, "r", "account", "key", "n", testWindow)
 	var full *TableFullError
 	require.ErrorAs(t, err, &full)
-	log.now = log.now.Add(testWindow + forgetAfter)
+	log.now = log.now.Add(testWindow + expiryMargin)
 	for _, r := range a.PendingAppends(log.now) {
 		log.append(r.Data)
 	}
@@ -227,9 +227,9 @@
 // claim begun after c read the release is another matter: the caller repeated
 // the key.
 func TestClaimBegunBeforeReleaseLoses(t *testing.T) {
-	run := func(off safeguards) (early, later bool) {
-		b, a, c := &bench{log: fakeLog{now: 1}}, newTestTable("vm-a"), newTestTable("vm-c")
-		c.off = off
+	run := func(disabled safeguards) (early, later bool) {
+		b, a, c := &harness{log: fakeLog{now: 1}}, newTestTable("vm-a"), newTestTable("vm-c")
+		c.disabled = disabled
 		b.claim(t, a, "a1")
 		require.True(t, b.read(a)[0].Won)
 		b.read(c)
@@ -251,8 +251,8 @@
 
 // With the log out a caller is told so at once; one read that fails is no
 // outage, and the next one that succeeds ends it.
-func TestClaimIsRefusedWhileTheLogIsOut(t *testing.T) {
-	b, a := &bench{log: fakeLog{now: 1}}, newTestTable("vm-a")
+func TestClaimIsRejectedDuringLogOutage(t *testing.T) {
+	b, a := &harness{log: fakeLog{now: 1}}, newTestTable("vm-a")
 	b.read(a)
 	begin := func(r identifier.RequestID) error {
 		_, _, err := a.Begin(b.log.now, r, "account", "key", identifier.Nonce(r), testWindow)
@@ -260,7 +260,7 @@
 	}
 	a.ReadFailed(b.log.now, partition(0))
 	require.NoError(t, begin("r1"))
-	b.log.now += timekeeper.Time(outAfter)
+	b.log.now += timekeeper.Time(readOutageAfter)
 	a.ReadFailed(b.log.now, partition(0))
 	var out *LogUnavailableError
 	require.ErrorAs(t, begin("r2"), &out)
@@ -273,8 +273,8 @@
 // not return yet: a caller that comes half a second later is refused at once.
 // Appends that fail at one moment are no outage, and after a while without any
 // the next is tried.
-func TestClaimIsRefusedWhileAppendsFail(t *testing.T) {
-	b, a := &bench{log: fakeLog{now: 10_000}}, newTestTable("vm-a")
+func TestClaimIsRejectedWhileAppendsFail(t *testing.T) {
+	b, a := &harness{log: fakeLog{now: 10_000}}, newTestTable("vm-a")
 	b.read(a)
 	out := func(after timekeeper.Duration) bool {
 		b.log.now = b.log.now.Add(after)
@@ -283,14 +283,14 @@
 	fail := func() { a.AppendEnded(b.log.now, partition(0), false) }
 	fail()
 	fail()
-	require.False(t, out(unplacedAfter), "all at one moment")
+	require.False(t, out(appendOutageAfter), "all at one moment")
 	fail()
 	require.True(t, out(0), "and again later")
-	require.True(t, out(probeAfter-1))
+	require.True(t, out(probeInterval-1))
 	require.False(t, out(1), "the next claim tries the log")
 	fail()
 	require.False(t, out(0), "long after the last failure")
-	require.False(t, out(unplacedAfter))
+	require.False(t, out(appendOutageAfter))
 	fail()
 	require.True(t, out(0))
 	a.AppendEnded(b.log.now, partition(0), true)
--- a/internal/claimer/entry.go
+++ b/internal/claimer/entry.go
@@ -11,17 +11,17 @@
 
 // forgetAfter is how long an entry is kept past its window, in case the log's
 // clock is set back.
-const forgetAfter = timekeeper.Minute
+const expiryMargin = timekeeper.Minute
 
 type entry struct {
 	Entry
 	stream identifier.LogStream
 	// read is this node's time when it read the last claim of the key, and
 	// window is that claim's.
-	read   timekeeper.Time
-	window timekeeper.Duration
-	index  int
-	body   *list.Element
+	readAt      timekeeper.Time
+	window      timekeeper.Duration
+	index       int
+	bodyElement *list.Element
 }
 
 func newEntry(now timekeeper.Time, s identifier.LogStream, at messenger.Record, r record) *entry {
@@ -37,7 +37,7 @@
 			ExpiresAt: at.Appended.Add(r.Window),
 		},
 		stream: s,
-		read:   now,
+		readAt: now,
 		window: r.Window,
 	}
 }
@@ -46,7 +46,7 @@
 func (e *entry) extend(now timekeeper.Time, at messenger.Record, r record) {
 	if until := at.Appended.Add(r.Window); until.After(e.ExpiresAt) {
 		e.ExpiresAt = until
-		e.read = now
+		e.readAt = now
 		e.window = r.Window
 	}
 }
@@ -108,7 +108,7 @@
 		return 0
 	}
 	b.total += identifier.Bytes(len(e.Recorded.Body))
-	e.body = b.order.PushBack(e)
+	e.bodyElement = b.order.PushBack(e)
 	for b.total > b.max {
 		b.drop(b.order.Front().Value.(*entry))
 		dropped++
@@ -119,14 +119,14 @@
 // drop forgets the answer of e, if it has one. Decisions that already carry
 // it keep it.
 func (b *bodies) drop(e *entry) {
-	if e.body == nil {
+	if e.bodyElement == nil {
 		return
 	}
-	b.order.Remove(e.body)
-	e.body = nil
+	b.order.Remove(e.bodyElement)
+	e.bodyElement = nil
 	b.total -= identifier.Bytes(len(e.Recorded.Body))
-	short := *e.Recorded
-	short.Body = nil
-	short.BodyOmitted = true
-	e.Recorded = &short
+	withoutBody := *e.Recorded
+	withoutBody.Body = nil
+	withoutBody.BodyOmitted = true
+	e.Recorded = &withoutBody
 }
--- a/internal/claimer/own.go
+++ b/internal/claimer/own.go
@@ -13,7 +13,7 @@
 	// abandoned: the request will not be sent under this claim. Should the
 	// claim hold its key, it is released.
 	abandoned
-	gone
+	removed
 )
 
 // claim is a claim of this node.
@@ -27,14 +27,14 @@
 	began   timekeeper.Time
 	state   claimState
 	// blind tells that records may have expired unread since began.
-	blind bool
+	viewHasGap bool
 	// first tells that the claim was read back in time as the first of its
 	// key, with nothing unread before it.
-	first bool
+	confirmedFirst bool
 	// behind tells that it lost to a claim that this node has given up: it
 	// is appended again once that one is released.
-	behind bool
-	sent   timekeeper.Time
+	awaitsRelease bool
+	appendedAt    timekeeper.Time
 }
 
 func (c *claim) data(self identifier.VMID) []byte {
@@ -65,7 +65,7 @@
 	if stream := Stream(account, k, t.config.Partitions); t.LogUnavailable(now, stream) {
 		return "", nil, &LogUnavailableError{Stream: stream}
 	}
-	t.sweep(now)
+	t.removeExpiredClaims(now)
 	if t.Full() {
 		t.counts.Refused++
 		return "", nil, &TableFullError{MaxEntries: t.config.MaxEntries}
@@ -82,15 +82,15 @@
 		stream: Stream(account, k, t.config.Partitions),
 		began:  now,
 	}
-	c.seen = t.readTo(c.stream)
-	t.own = append(t.own, c)
+	c.seen = t.nextOffset(c.stream)
+	t.ownClaims = append(t.ownClaims, c)
 	t.nonces[nonce] = c
 	t.active[request] = c
 	return c.stream, c.data(t.config.Self), nil
 }
 
 // readTo returns the offset up to which a stream was read.
-func (t *Table) readTo(name identifier.LogStream) identifier.Offset {
+func (t *Table) nextOffset(name identifier.LogStream) identifier.Offset {
 	return t.streams[name].position.Next()
 }
 
@@ -125,7 +125,7 @@
 	if !ok {
 		return
 	}
-	if t.off.ignoreDrop {
+	if t.disabled.ignoreDrop {
 		return
 	}
 	delete(t.active, request)
@@ -146,13 +146,13 @@
 		return
 	}
 	delete(t.active, request)
-	if c.state != gone {
+	if c.state != removed {
 		c.state = abandoned
 	}
 }
 
 func (t *Table) remove(c *claim) {
-	c.state = gone
+	c.state = removed
 	delete(t.nonces, c.nonce)
 	if t.active[c.request] == c {
 		delete(t.active, c.request)
@@ -161,25 +161,25 @@
 
 // sweep forgets given-up claims whose window has long passed. One that lands
 // even later holds its key for a window and is run by nobody.
-func (t *Table) sweep(now timekeeper.Time) {
-	kept := t.own[:0]
-	for _, c := range t.own {
-		if c.state != waiting && now.Sub(c.began) > c.window+forgetAfter {
+func (t *Table) removeExpiredClaims(now timekeeper.Time) {
+	kept := t.ownClaims[:0]
+	for _, c := range t.ownClaims {
+		if c.state != waiting && now.Sub(c.began) > c.window+expiryMargin {
 			t.remove(c)
 		}
-		if c.state != gone {
+		if c.state != removed {
 			kept = append(kept, c)
 		}
 	}
-	clear(t.own[len(kept):])
-	t.own = kept
+	clear(t.ownClaims[len(kept):])
+	t.ownClaims = kept
 }
 
 // Waiting lists the requests whose claims are overdue, oldest first. The
 // caller appends them Again, or Drops them.
 func (t *Table) Overdue(now timekeeper.Time) []identifier.RequestID {
 	var out []identifier.RequestID
-	for _, c := range t.own {
+	for _, c := range t.ownClaims {
 		if c.state == waiting && now.Sub(c.began) >= t.config.DecisionTimeout {
 			out = append(out, c.request)
 		}
@@ -191,32 +191,32 @@
 // releases of given-up claims that hold their keys, claims that waited for
 // such a release, and clock records while a full table waits to forget.
 func (t *Table) PendingAppends(now timekeeper.Time) []Append {
-	t.sweep(now)
+	t.removeExpiredClaims(now)
 	var out []Append
-	for _, c := range t.own {
-		if c.sent != 0 && now.Sub(c.sent) < t.config.AppendInterval {
+	for _, c := range t.ownClaims {
+		if c.appendedAt != 0 && now.Sub(c.appendedAt) < t.config.AppendInterval {
 			continue
 		}
-		if data, ok := t.wanted(c); ok {
-			c.sent = now
+		if data, ok := t.recordToAppend(c); ok {
+			c.appendedAt = now
 			out = append(out, Append{
 				Stream: c.stream,
 				Data:   data,
 			})
 		}
 	}
-	return append(out, t.clocks(now)...)
+	return append(out, t.clockRecords(now)...)
 }
 
 // wanted returns the record that a claim needs appended. A claim that was not
 // surely the first of its key isn't released: where this node holds it for the
 // first, others may know an earlier one that ran, and a third node that
 // started late would take the key for free and run it again.
-func (t *Table) wanted(c *claim) ([]byte, bool) {
+func (t *Table) recordToAppend(c *claim) ([]byte, bool) {
 	e, ok := t.entries[c.id]
 	holds := ok && e.Nonce == c.nonce && !e.Released && e.Recorded == nil
 	switch {
-	case c.state == abandoned && holds && (c.first || t.off.releaseBlind):
+	case c.state == abandoned && holds && (c.confirmedFirst || t.disabled.releaseBlind):
 		return record{
 			Kind:     releaseKind,
 			Account:  c.id.account,
@@ -224,8 +224,8 @@
 			Claimant: t.config.Self,
 			Nonce:    c.nonce,
 		}.encode(), true
-	case c.state == waiting && c.behind && (!ok || e.Released):
-		c.seen = t.readTo(c.stream)
+	case c.state == waiting && c.awaitsRelease && (!ok || e.Released):
+		c.seen = t.nextOffset(c.stream)
 		return c.data(t.config.Self), true
 	}
 	return nil, false
@@ -235,21 +235,21 @@
 // while the table is full. Entries are forgotten by the append times of later
 // records; with all nodes refusing claims there would be none, and the tables
 // would stay full for ever.
-func (t *Table) clocks(now timekeeper.Time) []Append {
+func (t *Table) clockRecords(now timekeeper.Time) []Append {
 	if !t.Full() {
 		return nil
 	}
 	var out []Append
 	for _, name := range t.Streams() {
 		s := t.streams[name]
-		if len(s.expiry) == 0 || now.Sub(s.clockSent) < t.config.AppendInterval {
+		if len(s.expiry) == 0 || now.Sub(s.clockAppendedAt) < t.config.AppendInterval {
 			continue
 		}
 		oldest := s.expiry[0]
-		if now.Sub(oldest.read) < oldest.window+forgetAfter {
+		if now.Sub(oldest.readAt) < oldest.window+expiryMargin {
 			continue
 		}
-		s.clockSent = now
+		s.clockAppendedAt = now
 		out = append(out, Append{
 			Stream: name,
 			Data:   record{Kind: clockKind}.encode(),
--- a/internal/claimer/property_test.go
+++ b/internal/claimer/property_test.go
@@ -16,22 +16,22 @@
 )
 
 // source draws an integer below n.
-type source func(n int) int
+type randomSource func(n int) int
 
-func rapidSource(t *rapid.T) source {
+func rapidSource(t *rapid.T) randomSource {
 	return func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "draw") }
 }
 
-func seeded(seed uint64) source {
+func seeded(seed uint64) randomSource {
 	return rand.New(rand.NewPCG(seed, 1)).IntN
 }
 
 type node struct {
-	id    identifier.VMID
-	table *Table
-	from  identifier.Offset
+	id         identifier.VMID
+	table      *Table
+	nextOffset identifier.Offset
 	// open are the requests that the node has neither sent nor given up.
-	open []identifier.RequestID
+	openRequests []identifier.RequestID
 }
 
 // operation is a claim, or a release, in the history of one key.
@@ -44,28 +44,28 @@
 }
 
 type simulation struct {
-	draw    source
-	off     safeguards
-	steps   []timekeeper.Duration
-	log     fakeLog
-	nodes   []*node
-	flying  [][]byte
-	dropped map[identifier.RequestID]bool
-	ops     map[identifier.RequestID]*porcupine.Operation
-	order   []*porcupine.Operation
-	sent    []operation
-	moment  int64
-	fault   string
+	draw      randomSource
+	disabled  safeguards
+	intervals []timekeeper.Duration
+	log       fakeLog
+	nodes     []*node
+	inFlight  [][]byte
+	dropped   map[identifier.RequestID]bool
+	ops       map[identifier.RequestID]*porcupine.Operation
+	history   []*porcupine.Operation
+	sent      []operation
+	stepCount int64
+	fault     string
 }
 
-func newSimulation(draw source, off safeguards, steps []timekeeper.Duration) *simulation {
+func newSimulation(draw randomSource, disabled safeguards, intervals []timekeeper.Duration) *simulation {
 	s := &simulation{
-		draw:    draw,
-		off:     off,
-		steps:   steps,
-		log:     fakeLog{now: 1},
-		dropped: make(map[identifier.RequestID]bool),
-		ops:     make(map[identifier.RequestID]*porcupine.Operation),
+		draw:      draw,
+		disabled:  disabled,
+		intervals: intervals,
+		log:       fakeLog{now: 1},
+		dropped:   make(map[identifier.RequestID]bool),
+		ops:       make(map[identifier.RequestID]*porcupine.Operation),
 	}
 	for i := range 3 {
 		n := &node{id: identifier.VMID(fmt.Sprintf("vm-%d", i))}
@@ -77,14 +77,14 @@
 
 func (s *simulation) restart(n *node) {
 	n.table = newTestTable(n.id)
-	n.table.off = s.off
-	n.from = 0
-	n.open = nil
+	n.table.disabled = s.disabled
+	n.nextOffset = 0
+	n.openRequests = nil
 }
 
 func (s *simulation) run(steps int) string {
 	for range steps {
-		s.moment++
+		s.stepCount++
 		s.step(s.nodes[s.draw(len(s.nodes))])
 		if s.fault != "" {
 			return s.fault
@@ -98,7 +98,7 @@
 	case 0, 1:
 		s.begin(n)
 	case 2, 3, 4:
-		s.land()
+		s.deliverAppend()
 	case 5, 6, 7:
 		s.read(n, 1+s.draw(3))
 	case 8:
@@ -107,10 +107,10 @@
 		s.giveUp(n)
 	case 10:
 		for _, a := range n.table.PendingAppends(s.log.now) {
-			s.flying = append(s.flying, a.Data)
+			s.inFlight = append(s.inFlight, a.Data)
 		}
 	case 11:
-		s.log.now = s.log.now.Add(s.steps[s.draw(len(s.steps))])
+		s.log.now = s.log.now.Add(s.intervals[s.draw(len(s.intervals))])
 	case 12:
 		if s.draw(8) == 0 {
 			s.restart(n)
@@ -119,15 +119,15 @@
 }
 
 func (s *simulation) begin(n *node) {
-	request := identifier.RequestID(fmt.Sprintf("r%d", s.moment))
+	request := identifier.RequestID(fmt.Sprintf("r%d", s.stepCount))
 	k := identifier.IdempotencyKey([]string{"a", "b"}[s.draw(2)])
 	_, data, err := n.table.Begin(s.log.now, request, "account", k, identifier.Nonce(request), testWindow)
 	if err != nil {
 		s.fault = err.Error()
 		return
 	}
-	n.open = append(n.open, request)
-	s.flying = append(s.flying, data)
+	n.openRequests = append(n.openRequests, request)
+	s.inFlight = append(s.inFlight, data)
 	s.record(request, operation{
 		key:     k,
 		request: request,
@@ -136,26 +136,26 @@
 
 func (s *simulation) record(id identifier.RequestID, o operation) {
 	op := &porcupine.Operation{
-		ClientId: len(s.order),
+		ClientId: len(s.history),
 		Input:    o,
-		Call:     2 * s.moment,
+		Call:     2 * s.stepCount,
 		Output:   o,
 		Return:   math.MaxInt64,
 	}
 	s.ops[id] = op
-	s.order = append(s.order, op)
+	s.history = append(s.history, op)
 }
 
 // land lets an append take effect, in any order, twice, or never.
-func (s *simulation) land() {
-	if len(s.flying) == 0 {
+func (s *simulation) deliverAppend() {
+	if len(s.inFlight) == 0 {
 		return
 	}
-	i := s.draw(len(s.flying))
-	data := s.flying[i]
+	i := s.draw(len(s.inFlight))
+	data := s.inFlight[i]
 	fate := s.draw(8)
 	if fate != 0 {
-		s.flying = append(s.flying[:i:i], s.flying[i+1:]...)
+		s.inFlight = append(s.inFlight[:i:i], s.inFlight[i+1:]...)
 	}
 	if fate == 1 {
 		return
@@ -164,17 +164,17 @@
 }
 
 func (s *simulation) read(n *node, limit int) {
-	read := s.log.read(n.from, limit)
+	read := s.log.read(n.nextOffset, limit)
 	decisions := n.table.ApplyRecords(s.log.now, read)
 	if len(read.Records) > 0 {
-		n.from = read.Records[len(read.Records)-1].Offset + 1
+		n.nextOffset = read.Records[len(read.Records)-1].Offset + 1
 	}
 	for _, d := range decisions {
-		s.decided(n, d)
+		s.recordDecision(n, d)
 	}
 }
 
-func (s *simulation) decided(n *node, d Decision) {
+func (s *simulation) recordDecision(n *node, d Decision) {
 	if d.Unsettled {
 		return
 	}
@@ -182,7 +182,7 @@
 	o := op.Input.(operation)
 	o.winner = d.WinnerRequest
 	op.Output = o
-	op.Return = 2*s.moment + 1
+	op.Return = 2*s.stepCount + 1
 	if !d.Won {
 		return
 	}
@@ -225,10 +225,10 @@
 }
 
 func (s *simulation) giveUp(n *node) {
-	if len(n.open) == 0 {
+	if len(n.openRequests) == 0 {
 		return
 	}
-	request := n.open[s.draw(len(n.open))]
+	request := n.openRequests[s.draw(len(n.openRequests))]
 	if c := n.table.active[request]; c == nil || c.state != waiting {
 		return
 	}
@@ -244,7 +244,7 @@
 
 // register is the model of a key: the first claim holds it until its release.
 // Claims whose decision is not known, and releases, may have had no effect.
-var register = porcupine.NondeterministicModel{
+var keyModel = porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := map[identifier.IdempotencyKey][]porcupine.Operation{}
 		for _, op := range history {
@@ -275,8 +275,8 @@
 }
 
 var (
-	anyPace  = []timekeeper.Duration{10, 10, 1 * timekeeper.Second, 7 * timekeeper.Second, 21 * timekeeper.Second, 39 * timekeeper.Second}
-	fastPace = []timekeeper.Duration{1, 10}
+	mixedIntervals = []timekeeper.Duration{10, 10, 1 * timekeeper.Second, 7 * timekeeper.Second, 21 * timekeeper.Second, 39 * timekeeper.Second}
+	shortIntervals = []timekeeper.Duration{1, 10}
 )
 
 // TestKeyRunsAtMostOnce: callers give one key to several nodes at once and see
@@ -284,15 +284,15 @@
 // never; nodes read slowly, freeze past the log's retention, restart, give up.
 func TestKeyRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newSimulation(rapidSource(t), safeguards{}, anyPace)
+		s := newSimulation(rapidSource(t), safeguards{}, mixedIntervals)
 		require.Empty(t, s.run(300))
 	})
 }
 
-func TestManySeedsRunAtMostOnce(t *testing.T) {
+func TestKeyRunsAtMostOnceOverManySeeds(t *testing.T) {
 	sent := 0
 	for seed := range uint64(500) {
-		s := newSimulation(seeded(seed), safeguards{}, anyPace)
+		s := newSimulation(seeded(seed), safeguards{}, mixedIntervals)
 		require.Empty(t, s.run(400), "seed %d", seed)
 		sent += len(s.sent)
 	}
@@ -303,13 +303,13 @@
 // that its first writer holds, whatever becomes of the appends.
 func TestClaimsAreLinearizable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newSimulation(rapidSource(t), safeguards{}, fastPace)
+		s := newSimulation(rapidSource(t), safeguards{}, shortIntervals)
 		require.Empty(t, s.run(80))
 		require.True(t, s.linearizable())
 	})
 }
 
-func TestModelObjectsToTwoWinners(t *testing.T) {
+func TestModelRejectsTwoWinners(t *testing.T) {
 	s := &simulation{ops: make(map[identifier.RequestID]*porcupine.Operation)}
 	for _, r := range []identifier.RequestID{"r1", "r2"} {
 		s.record(r, operation{
@@ -323,15 +323,15 @@
 
 func (s *simulation) linearizable() bool {
 	var history []porcupine.Operation
-	for _, op := range s.order {
+	for _, op := range s.history {
 		history = append(history, *op)
 	}
-	return porcupine.CheckOperations(register.ToModel(), history)
+	return porcupine.CheckOperations(keyModel.ToModel(), history)
 }
 
-// TestSafeguardsOfClaims: without one of the safeguards the same check objects.
-func TestSafeguardsOfClaims(t *testing.T) {
-	for name, off := range map[string]safeguards{
+// TestCheckDetectsMissingSafeguards: without one of the safeguards the same check objects.
+func TestCheckDetectsMissingSafeguards(t *testing.T) {
+	for name, disabled := range map[string]safeguards{
 		"trust a view with a gap":       {trustView: true},
 		"run what was given up":         {ignoreDrop: true},
 		"count the window from first":   {fixedWindow: true},
@@ -339,7 +339,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(3000) {
-				s := newSimulation(seeded(seed), off, anyPace)
+				s := newSimulation(seeded(seed), disabled, mixedIntervals)
 				if fault := s.run(400); fault != "" {
 					t.Logf("seed %d: %s", seed, fault)
 					return
--- a/internal/forwarder/answer.go
+++ b/internal/forwarder/answer.go
@@ -13,7 +13,7 @@
 
 // refusedAgain is when a caller may come back that this node could not serve
 // for reasons of its own.
-const refusedAgain = 200 * timekeeper.Millisecond
+const refusalRetryAfter = 200 * timekeeper.Millisecond
 
 // statuses maps the reasons of refusals to what callers understand. Those of
 // 429 and 503 are promises: nothing ran, and nothing will.
@@ -30,7 +30,7 @@
 }
 
 // passed returns the headers that are passed on.
-func passed(in http.Header) http.Header {
+func endToEndHeaders(in http.Header) http.Header {
 	out := in.Clone()
 	for _, line := range in["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
@@ -46,7 +46,7 @@
 // writeHead writes the head of a server's answer.
 func (x *exchange) writeHead(status int, header http.Header) {
 	out := x.w.Header()
-	for name, values := range passed(header) {
+	for name, values := range endToEndHeaders(header) {
 		out[name] = values
 	}
 	// The library would add these where the server gave none.
@@ -60,7 +60,7 @@
 }
 
 // writeHeld writes an answer that is whole.
-func (x *exchange) writeHeld(a *held) {
+func (x *exchange) writeBuffered(a *bufferedAnswer) {
 	a.header.Set("Content-Length", strconv.Itoa(len(a.body)))
 	if a.status == http.StatusNoContent || a.status == http.StatusNotModified {
 		a.header.Del("Content-Length")
@@ -93,8 +93,8 @@
 }
 
 // unavailable refuses a request before anything was decided on it.
-func (x *exchange) unavailable(reason string, again timekeeper.Duration) {
-	x.forwarder.config.Protocol.WriteRetryAfter(x.w.Header(), again)
+func (x *exchange) unavailable(reason string, retryAfter timekeeper.Duration) {
+	x.forwarder.config.Protocol.WriteRetryAfter(x.w.Header(), retryAfter)
 	x.writeStatus(http.StatusServiceUnavailable)
 	x.log(messenger.AttemptRefused, reason)
 }
@@ -114,11 +114,11 @@
 // on; an answer that was begun is broken off, so that it does not look whole.
 func (x *exchange) fail(reason messenger.Reason) {
 	switch {
-	case x.answering:
+	case x.headSent:
 		x.log(messenger.AttemptBroken, string(reason))
 		panic(http.ErrAbortHandler)
-	case x.failure != nil:
-		x.writeHeld(x.failure)
+	case x.serverFailure != nil:
+		x.writeBuffered(x.serverFailure)
 	case reason == messenger.ReasonDeadlineExpired:
 		x.writeStatus(http.StatusGatewayTimeout)
 	default:
@@ -128,7 +128,7 @@
 }
 
 // hostOf returns a host without its port, in lower case.
-func hostOf(host string) string {
+func hostName(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
@@ -136,7 +136,7 @@
 }
 
 // pathOf returns the path as the caller wrote it.
-func pathOf(r *http.Request) string {
+func requestPath(r *http.Request) string {
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	return path
 }
@@ -149,54 +149,54 @@
 	f.config.Logger.Info("exchange ended",
 		"request", x.head.Request,
 		"content", x.content.String(),
-		"route", x.basis.Route,
-		"account", x.basis.Account,
-		"fingerprint", x.basis.Fingerprint.String(),
-		"limit", x.basis.Limit,
+		"route", x.inputs.Route,
+		"account", x.inputs.Account,
+		"fingerprint", x.inputs.Fingerprint.String(),
+		"limit", x.inputs.Limit,
 		"server", x.server,
-		"version", x.basis.Version,
+		"version", x.inputs.Version,
 		"server_limit", x.limitText(),
 		"attempts", x.attempts,
 		"result", result,
 		"status", x.status,
 		"reason", reason,
 		"last_event", x.lastEvent,
-		"first_ms", int64(x.first),
-		"longest_gap_ms", int64(x.gap),
+		"first_ms", int64(x.timeToFirst),
+		"longest_gap_ms", int64(x.longestGap),
 		"took_ms", int64(took),
 		"prompt_tokens", x.head.PromptTokens,
-		"revision", x.basis.Revision,
-		"revision_age_ms", int64(x.basis.RevisionAge),
-		"servers_age_ms", int64(x.basis.ServersAge),
-		"candidates", x.basis.Candidates,
-		"predicted_ms", int64(x.basis.Predicted),
+		"revision", x.inputs.Revision,
+		"revision_age_ms", int64(x.inputs.RevisionAge),
+		"servers_age_ms", int64(x.inputs.ServersAge),
+		"candidates", x.inputs.Candidates,
+		"predicted_ms", int64(x.inputs.Predicted),
 	)
 }
 
-func (x *exchange) logAttempt(s messenger.SendExchange, e ending) {
+func (x *exchange) logAttempt(s messenger.SendExchange, e attemptEnd) {
 	x.forwarder.config.Logger.Info("attempt ended",
 		"request", x.head.Request,
 		"content", x.content.String(),
 		"attempt", s.Attempt,
 		"server", s.Server,
 		"address", s.Address,
-		"version", x.basis.Version,
+		"version", x.inputs.Version,
 		"server_limit", x.limitText(),
 		"result", e.result,
 		"server_ended", e.serverEnded,
 		"reason", e.reason,
 		"last_event", x.lastEvent,
-		"revision", x.basis.Revision,
-		"servers_age_ms", int64(x.basis.ServersAge),
-		"candidates", x.basis.Candidates,
-		"predicted_ms", int64(x.basis.Predicted),
+		"revision", x.inputs.Revision,
+		"servers_age_ms", int64(x.inputs.ServersAge),
+		"candidates", x.inputs.Candidates,
+		"predicted_ms", int64(x.inputs.Predicted),
 	)
 }
 
 // limitText is the limit that the server of the last attempt stated, empty for none.
 func (x *exchange) limitText() string {
-	if !x.limit.Stated {
+	if !x.statedLimit.Stated {
 		return ""
 	}
-	return strconv.FormatFloat(float64(x.limit.Rate), 'f', -1, 64)
+	return strconv.FormatFloat(float64(x.statedLimit.Rate), 'f', -1, 64)
 }
--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -17,12 +17,12 @@
 )
 
 // ending is how an attempt ended.
-type ending struct {
+type attemptEnd struct {
 	result messenger.AttemptResult
 	reason string
 	// over tells that the caller has its final answer, or is gone; with abort
 	// its connection has to be broken, so that the answer does not look whole.
-	over       bool
+	done       bool
 	abort      bool
 	retryAfter timekeeper.Duration
 	// serverEnded tells that nothing listens at the server's address any more.
@@ -30,7 +30,7 @@
 }
 
 // held is an answer that was read to its end.
-type held struct {
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
@@ -38,26 +38,26 @@
 
 // watch bounds an attempt: by the end of the exchange and by a server's
 // silence, whichever comes first.
-type watch struct {
-	cancel  context.CancelFunc
-	timer   *time.Timer
-	silent  atomic.Bool
-	expired atomic.Bool
-	stop    func() bool
+type attemptTimer struct {
+	cancel       context.CancelFunc
+	eventTimer   *time.Timer
+	timedOut     atomic.Bool
+	expired      atomic.Bool
+	stopDeadline func() bool
 }
 
-func (x *exchange) watch(ctx context.Context, s messenger.SendExchange) (context.Context, *watch) {
+func (x *exchange) startTimer(ctx context.Context, s messenger.SendExchange) (context.Context, *attemptTimer) {
 	ctx, cancel := context.WithCancel(ctx)
-	w := &watch{cancel: cancel}
-	left := max(s.Deadline.Sub(x.forwarder.config.Clock.Now()), 0)
-	deadline := time.AfterFunc(left.Std(), func() {
+	w := &attemptTimer{cancel: cancel}
+	remaining := max(s.Deadline.Sub(x.forwarder.config.Clock.Now()), 0)
+	deadline := time.AfterFunc(remaining.Std(), func() {
 		w.expired.Store(true)
 		cancel()
 	})
-	w.stop = deadline.Stop
+	w.stopDeadline = deadline.Stop
 	if s.FirstEventTimeout > 0 {
-		w.timer = time.AfterFunc(s.FirstEventTimeout.Std(), func() {
-			w.silent.Store(true)
+		w.eventTimer = time.AfterFunc(s.FirstEventTimeout.Std(), func() {
+			w.timedOut.Store(true)
 			cancel()
 		})
 	}
@@ -65,36 +65,36 @@
 }
 
 // heard begins the wait for the next event.
-func (w *watch) heard(next timekeeper.Duration) {
-	if w.timer == nil {
+func (w *attemptTimer) eventReceived(next timekeeper.Duration) {
+	if w.eventTimer == nil {
 		return
 	}
 	if next <= 0 {
-		w.timer.Stop()
+		w.eventTimer.Stop()
 		return
 	}
-	w.timer.Reset(next.Std())
+	w.eventTimer.Reset(next.Std())
 }
 
-func (w *watch) end() {
-	w.stop()
-	if w.timer != nil {
-		w.timer.Stop()
+func (w *attemptTimer) release() {
+	w.stopDeadline()
+	if w.eventTimer != nil {
+		w.eventTimer.Stop()
 	}
 	w.cancel()
 }
 
 // trail follows how far a request came.
-type trail struct{ written atomic.Bool }
+type sendProgress struct{ written atomic.Bool }
 
 // attempt sends the request to one server and passes its answer on.
-func (x *exchange) attempt(ctx context.Context, s messenger.SendExchange) ending {
-	ctx, bound := x.watch(ctx, s)
-	defer bound.end()
-	t := &trail{}
-	request, err := x.outgoing(ctx, s, t)
+func (x *exchange) attempt(ctx context.Context, s messenger.SendExchange) attemptEnd {
+	ctx, timer := x.startTimer(ctx, s)
+	defer timer.release()
+	progress := &sendProgress{}
+	request, err := x.serverRequest(ctx, s, progress)
 	if err != nil {
-		return ending{
+		return attemptEnd{
 			result: messenger.AttemptNotSent,
 			reason: err.Error(),
 		}
@@ -102,49 +102,49 @@
 	sent := x.forwarder.config.Clock.Now()
 	response, err := x.forwarder.transport.RoundTrip(request)
 	if err != nil {
-		return x.broken(s, bound, t, err)
+		return x.classifyFailure(s, timer, progress, err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	reply := x.forwarder.config.Protocol.ReadReply(response.StatusCode, response.Header)
-	x.heardLimit(ctx, s, sent, reply)
+	x.reportLimit(ctx, s, sent, reply)
 	switch {
 	case reply.Request != "" && reply.Request != x.head.Request:
 		// The answer of another request, which came late on this connection.
-		return ending{
+		return attemptEnd{
 			result: messenger.AttemptBroken,
 			reason: "answer of another request",
 		}
 	case reply.Misdirected:
-		return ending{
+		return attemptEnd{
 			result: messenger.AttemptMisdirected,
 			reason: response.Status,
 		}
 	case reply.NotRun:
-		return ending{
+		return attemptEnd{
 			result:     messenger.AttemptRefused,
 			reason:     response.Status,
 			retryAfter: reply.RetryAfter,
 		}
 	case succeeded(response.StatusCode) && !reply.Signed:
-		return ending{
+		return attemptEnd{
 			result: messenger.AttemptBroken,
 			reason: "success without signature",
 		}
-	case x.answering && !succeeded(response.StatusCode):
-		return ending{
+	case x.headSent && !succeeded(response.StatusCode):
+		return attemptEnd{
 			result: messenger.AttemptFailed,
 			reason: response.Status,
 		}
 	case s.Route.Stream && succeeded(response.StatusCode):
-		return x.stream(ctx, s, bound, response)
+		return x.stream(ctx, s, timer, response)
 	}
-	return x.whole(ctx, s, bound, response)
+	return x.passBuffered(ctx, s, timer, response)
 }
 
 // heardLimit reports the limit that a server states in its answer, or that it states none
 // any more. An answer to another request, or from another server, says nothing of this
 // one, and what a server has not signed may come from something before it.
-func (x *exchange) heardLimit(ctx context.Context, s messenger.SendExchange, sent timekeeper.Time, reply Reply) {
+func (x *exchange) reportLimit(ctx context.Context, s messenger.SendExchange, sent timekeeper.Time, reply Reply) {
 	if reply.Misdirected || reply.Request != "" && reply.Request != x.head.Request {
 		return
 	}
@@ -152,9 +152,9 @@
 	if !reply.Limit.Stated && !lifted {
 		return
 	}
-	x.limit = reply.Limit
+	x.statedLimit = reply.Limit
 	if reply.Limit.Stated {
-		x.forwarder.config.Metrics.limited()
+		x.forwarder.config.Metrics.limitStated()
 	}
 	x.forwarder.config.Decider.LimitReceived(ctx, messenger.ServerLimitReceived{
 		Server: s.Server,
@@ -166,23 +166,23 @@
 func succeeded(status int) bool { return status >= 200 && status < 300 }
 
 // broken classifies an attempt that brought no answer, or no whole one.
-func (x *exchange) broken(s messenger.SendExchange, bound *watch, t *trail, err error) ending {
-	e := ending{
+func (x *exchange) classifyFailure(s messenger.SendExchange, timer *attemptTimer, progress *sendProgress, err error) attemptEnd {
+	e := attemptEnd{
 		result: messenger.AttemptBroken,
 		reason: err.Error(),
 	}
 	switch {
 	case x.r.Context().Err() != nil:
 		e.result = ""
-		e.over = true
+		e.done = true
 		e.abort = true
 		e.reason = "caller left"
-	case bound.expired.Load():
+	case timer.expired.Load():
 		return x.expire()
-	case bound.silent.Load():
+	case timer.timedOut.Load():
 		e.result = messenger.AttemptTimedOut
 	}
-	if !e.over && !t.written.Load() {
+	if !e.done && !progress.written.Load() {
 		e.result = messenger.AttemptNotSent
 	}
 	e.serverEnded = x.serverEnded(s, e.result, err)
@@ -203,23 +203,23 @@
 }
 
 // expire answers a caller whose time, or whose route's, is over.
-func (x *exchange) expire() ending {
-	e := ending{
+func (x *exchange) expire() attemptEnd {
+	e := attemptEnd{
 		result: messenger.AttemptTimedOut,
 		reason: string(messenger.ReasonDeadlineExpired),
-		over:   true,
-		abort:  x.answering,
+		done:   true,
+		abort:  x.headSent,
 	}
-	if !x.answering {
+	if !x.headSent {
 		x.writeStatus(http.StatusGatewayTimeout)
 	}
 	return e
 }
 
 // outgoing returns the request as a server gets it.
-func (x *exchange) outgoing(ctx context.Context, s messenger.SendExchange, t *trail) (*http.Request, error) {
+func (x *exchange) serverRequest(ctx context.Context, s messenger.SendExchange, progress *sendProgress) (*http.Request, error) {
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		WroteHeaders: func() { t.written.Store(true) },
+		WroteHeaders: func() { progress.written.Store(true) },
 	})
 	path, query, _ := strings.Cut(x.r.RequestURI, "?")
 	request := (&http.Request{
@@ -232,8 +232,8 @@
 			ForceQuery: query == "" && strings.HasSuffix(x.r.RequestURI, "?"),
 		},
 		Host:          x.r.Host,
-		Header:        passed(x.r.Header),
-		Body:          &once{Reader: bytes.NewReader(x.body)},
+		Header:        endToEndHeaders(x.r.Header),
+		Body:          &singleUseBody{Reader: bytes.NewReader(x.body)},
 		ContentLength: int64(len(x.body)),
 		Proto:         "HTTP/1.1",
 		ProtoMajor:    1,
@@ -245,8 +245,8 @@
 		request.URL.Path = x.r.URL.Path
 		request.URL.RawPath = x.r.URL.RawPath
 	}
-	left := s.Deadline.Sub(x.forwarder.config.Clock.Now())
-	x.forwarder.config.Protocol.WriteHead(request.Header, s, left, x.lastEvent)
+	remaining := s.Deadline.Sub(x.forwarder.config.Clock.Now())
+	x.forwarder.config.Protocol.WriteHead(request.Header, s, remaining, x.lastEvent)
 	if _, named := request.Header["User-Agent"]; !named {
 		request.Header["User-Agent"] = nil // Else the library names itself.
 	}
@@ -255,87 +255,87 @@
 
 // once is a body that the library can't send again by itself: it would repeat
 // a request whose connection broke, and only the decider may do that.
-type once struct{ io.Reader }
+type singleUseBody struct{ io.Reader }
 
 // Close implements io.Closer.
-func (*once) Close() error { return nil }
+func (*singleUseBody) Close() error { return nil }
 
 // whole holds an answer until it is read to its end, so that one that breaks
 // off may still be asked for elsewhere, and passes it on.
-func (x *exchange) whole(ctx context.Context, s messenger.SendExchange, bound *watch, response *http.Response) ending {
-	body, err := io.ReadAll(io.LimitReader(response.Body, int64(maxAnswer)+1))
+func (x *exchange) passBuffered(ctx context.Context, s messenger.SendExchange, timer *attemptTimer, response *http.Response) attemptEnd {
+	body, err := io.ReadAll(io.LimitReader(response.Body, int64(maxBufferedAnswer)+1))
 	if err != nil {
-		return x.broken(s, bound, wasWritten(), err)
+		return x.classifyFailure(s, timer, fullyWritten(), err)
 	}
-	if int64(len(body)) > int64(maxAnswer) {
-		return x.long(ctx, s, bound, response, body)
+	if int64(len(body)) > int64(maxBufferedAnswer) {
+		return x.passUnbuffered(ctx, s, timer, response, body)
 	}
-	answer := &held{
+	answer := &bufferedAnswer{
 		status: response.StatusCode,
 		header: response.Header,
 		body:   body,
 	}
 	if response.StatusCode >= http.StatusInternalServerError {
-		x.failure = answer
-		return ending{
+		x.serverFailure = answer
+		return attemptEnd{
 			result: messenger.AttemptFailed,
 			reason: response.Status,
 		}
 	}
-	x.beganNow(ctx, s)
-	x.writeHeld(answer)
-	return ending{
+	x.recordBegan(ctx, s)
+	x.writeBuffered(answer)
+	return attemptEnd{
 		result: messenger.AttemptComplete,
-		over:   true,
+		done:   true,
 	}
 }
 
 // long passes on an answer that is too long to be held.
-func (x *exchange) long(ctx context.Context, s messenger.SendExchange, bound *watch, response *http.Response, first []byte) ending {
-	bound.heard(0)
-	x.beganNow(ctx, s)
+func (x *exchange) passUnbuffered(ctx context.Context, s messenger.SendExchange, timer *attemptTimer, response *http.Response, prefix []byte) attemptEnd {
+	timer.eventReceived(0)
+	x.recordBegan(ctx, s)
 	x.writeHead(response.StatusCode, response.Header)
-	if _, err := x.w.Write(first); err != nil {
-		return gone(err)
+	if _, err := x.w.Write(prefix); err != nil {
+		return callerDisconnected(err)
 	}
 	if _, err := io.Copy(x.w, response.Body); err != nil {
-		return ending{
+		return attemptEnd{
 			result:      messenger.AttemptBroken,
 			reason:      err.Error(),
-			over:        true,
+			done:        true,
 			abort:       true,
 			serverEnded: x.serverEnded(s, messenger.AttemptBroken, err),
 		}
 	}
-	return ending{
+	return attemptEnd{
 		result: messenger.AttemptComplete,
-		over:   true,
+		done:   true,
 	}
 }
 
 // gone is the end of an exchange whose caller takes nothing any more.
-func gone(err error) ending {
-	return ending{
+func callerDisconnected(err error) attemptEnd {
+	return attemptEnd{
 		reason: err.Error(),
-		over:   true,
+		done:   true,
 		abort:  true,
 	}
 }
 
 // wasWritten is the trail of a request that was answered.
-func wasWritten() *trail {
-	t := &trail{}
-	t.written.Store(true)
-	return t
+func fullyWritten() *sendProgress {
+	progress := &sendProgress{}
+	progress.written.Store(true)
+	return progress
 }
 
 // beganNow notes the first byte, or the first event, of an attempt's answer.
-func (x *exchange) beganNow(ctx context.Context, s messenger.SendExchange) {
-	if !x.began {
-		x.first = x.forwarder.config.Clock.Now().Sub(x.received)
-		x.forwarder.config.Metrics.first(x.first)
+func (x *exchange) recordBegan(ctx context.Context, s messenger.SendExchange) {
+	if !x.responseBegan {
+		x.timeToFirst = x.forwarder.config.Clock.Now().Sub(x.received)
+		x.forwarder.config.Metrics.recordFirstEvent(x.timeToFirst)
 	}
-	x.began = true
+	x.responseBegan = true
 	x.forwarder.config.Decider.Began(ctx, messenger.ExchangeBegan{
 		Exchange: x.id,
 		Attempt:  s.Attempt,
@@ -343,14 +343,14 @@
 }
 
 // heardEvents notes the pause before events.
-func (x *exchange) heardEvents(events []byte) {
+func (x *exchange) recordEvents(events []byte) {
 	now := x.forwarder.config.Clock.Now()
-	if x.events == 0 {
-		x.eventsFrom = now
+	if x.eventCount == 0 {
+		x.firstEventAt = now
 	}
-	x.events += bytes.Count(events, eventEnd)
-	if x.lastAt != 0 {
-		x.gap = max(x.gap, now.Sub(x.lastAt))
+	x.eventCount += bytes.Count(events, eventEnd)
+	if x.lastEventAt != 0 {
+		x.longestGap = max(x.longestGap, now.Sub(x.lastEventAt))
 	}
-	x.lastAt = now
+	x.lastEventAt = now
 }
--- a/internal/forwarder/content_test.go
+++ b/internal/forwarder/content_test.go
@@ -17,11 +17,11 @@
 // A caller asks again under another id, with less time left and behind the last
 // event that it has. Nothing else told the nodes that it was the same request, so
 // that what they had learned of it was lost with each answer.
-func TestSameContentUnderAnyID(t *testing.T) {
-	s := newScript()
-	at := front(t, s)
+func TestContentHashIgnoresRequestID(t *testing.T) {
+	s := newFakeDecider()
+	forwarderAddress := startForwarder(t, s)
 	content := func(method, target, body, id string) identifier.ContentHash {
-		r := request(t, method, "http://"+at+target, strings.NewReader(body))
+		r := newRequest(t, method, "http://"+forwarderAddress+target, strings.NewReader(body))
 		r.Header.Set("Id", id)
 		r.Header.Set("After", id)
 		do(t, r)
@@ -38,7 +38,7 @@
 
 // endingServer is a server whose process ends when it has a request: the listener is
 // closed before the connection is, or stays where the connection alone breaks.
-func endingServer(t *testing.T, ends bool, answer string) string {
+func startEndingServer(t *testing.T, ends bool, answer string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -64,7 +64,7 @@
 // A server ends under a request. For the caller, and for the node, that looked like a
 // connection that broke: nothing told the two apart until the server's entry lapsed
 // seconds later.
-func TestServerThatEnded(t *testing.T) {
+func TestServerEnded(t *testing.T) {
 	stream := "HTTP/1.1 200 OK\r\nSignature: s\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, test := range []struct {
 		name   string
@@ -89,9 +89,9 @@
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			s := newScript(endingServer(t, test.ends, test.answer))
+			s := newFakeDecider(startEndingServer(t, test.ends, test.answer))
 			s.route.Stream = true
-			do(t, request(t, http.MethodPost, "http://"+front(t, s)+"/", strings.NewReader("prompt")))
+			do(t, newRequest(t, http.MethodPost, "http://"+startForwarder(t, s)+"/", strings.NewReader("prompt")))
 			require.Len(t, s.ends, 1)
 			require.Equal(t, messenger.AttemptBroken, s.ends[0].Result)
 			require.Equal(t, test.ends, s.ends[0].ServerEnded)
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -34,26 +34,26 @@
 	defaultMaxBody identifier.Bytes = 4 << 20
 	// maxHeld bounds the bodies of all requests together, so that a crowd of
 	// large ones does not take the process's memory.
-	maxHeld identifier.Bytes = 64 << 20
+	maxBufferedBodies identifier.Bytes = 64 << 20
 	// maxAnswer bounds an answer that is held until it is whole; a longer one
 	// is passed on as it comes.
-	maxAnswer identifier.Bytes = 1 << 20
+	maxBufferedAnswer identifier.Bytes = 1 << 20
 
 	// headerTime bounds the wait for a request's head: the users' own bound is
 	// three seconds, for which they ask no earlier end.
-	headerTime = 5 * time.Second
+	readHeaderTimeout = 5 * time.Second
 	// idleTime is how long callers' idle connections are kept. Callers reuse
 	// them up to four fifths of the users' bound of 15 s.
-	idleTime = 60 * time.Second
+	callerIdleTimeout = 60 * time.Second
 	// maxHeader bounds a request's head, twice the users' bound.
-	maxHeader = 32 << 10
+	maxHeaderBytes = 32 << 10
 
 	// serverIdleTime is how long idle connections to servers are kept. A
 	// server closes them after some seconds; a request that crosses the close
 	// can't be repeated, so this side closes first.
-	serverIdleTime = 4 * time.Second
+	serverIdleTimeout = 4 * time.Second
 	// idlePerServer bounds those connections to each server.
-	idlePerServer = 16
+	maxIdlePerServer = 16
 )
 
 // Decider decides what becomes of exchanges. Receive and AttemptEnded return
@@ -120,11 +120,11 @@
 
 // Forwarder serves callers. It is safe for concurrent use.
 type Forwarder struct {
-	config    Config
-	transport *http.Transport
-	next      atomic.Uint64
-	held      atomic.Int64
-	leaving   atomic.Bool
+	config        Config
+	transport     *http.Transport
+	lastID        atomic.Uint64
+	bufferedBytes atomic.Int64
+	leaving       atomic.Bool
 }
 
 var _ http.Handler = (*Forwarder)(nil)
@@ -154,9 +154,9 @@
 func (f *Forwarder) Server() *http.Server {
 	return &http.Server{
 		Handler:           f,
-		ReadHeaderTimeout: headerTime,
-		IdleTimeout:       idleTime,
-		MaxHeaderBytes:    maxHeader,
+		ReadHeaderTimeout: readHeaderTimeout,
+		IdleTimeout:       callerIdleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog: f.config.Logger.StandardLogger(&hclog.StandardLoggerOptions{
 			ForceLevel: hclog.Debug,
 		}),
@@ -166,8 +166,8 @@
 func newTransport() *http.Transport {
 	return &http.Transport{
 		DialContext:         dialer.New().DialContext,
-		MaxIdleConnsPerHost: idlePerServer,
-		IdleConnTimeout:     serverIdleTime,
+		MaxIdleConnsPerHost: maxIdlePerServer,
+		IdleConnTimeout:     serverIdleTimeout,
 		// A coded body is not the server's body.
 		DisableCompression: true,
 		ReadBufferSize:     4 << 10,
@@ -179,7 +179,7 @@
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	x := &exchange{
 		forwarder: f,
-		id:        identifier.ExchangeID(f.next.Add(1)),
+		id:        identifier.ExchangeID(f.lastID.Add(1)),
 		w:         w,
 		r:         r,
 		received:  f.config.Clock.Now(),
@@ -188,9 +188,9 @@
 	if f.leaving.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	if !x.read() {
+	if !x.readRequest() {
 		return
 	}
-	defer f.held.Add(-int64(len(x.body)))
+	defer f.bufferedBytes.Add(-int64(len(x.body)))
 	x.run()
 }
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -25,14 +25,14 @@
 
 // script is a decider that sends an exchange to the given servers in turn and
 // notes what it is told.
-type script struct {
+type fakeDecider struct {
 	servers []string
 	route   catalog.Route
 	// first and next bound a server's silence.
-	first    timekeeper.Duration
-	next     timekeeper.Duration
-	patience timekeeper.Duration
-	refusal  *messenger.Refusal
+	firstEventTimeout timekeeper.Duration
+	nextEventTimeout  timekeeper.Duration
+	timeLimit         timekeeper.Duration
+	refusal           *messenger.Refusal
 
 	mu      sync.Mutex
 	specs   []messenger.ExchangeSpec
@@ -43,15 +43,15 @@
 	limits  []messenger.ServerLimitReceived
 }
 
-func newScript(servers ...string) *script {
-	return &script{
-		servers:  servers,
-		patience: 5 * timekeeper.Second,
-		ended:    make(chan messenger.ExchangeEnded, 16),
+func newFakeDecider(servers ...string) *fakeDecider {
+	return &fakeDecider{
+		servers:   servers,
+		timeLimit: 5 * timekeeper.Second,
+		ended:     make(chan messenger.ExchangeEnded, 16),
 	}
 }
 
-func (s *script) Receive(_ context.Context, spec messenger.ExchangeSpec) messenger.Effect {
+func (s *fakeDecider) Receive(_ context.Context, spec messenger.ExchangeSpec) messenger.Effect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.specs = append(s.specs, spec)
@@ -61,10 +61,10 @@
 			Refusal:  *s.refusal,
 		}
 	}
-	return s.send(spec.Exchange)
+	return s.nextAttempt(spec.Exchange)
 }
 
-func (s *script) send(id identifier.ExchangeID) messenger.Effect {
+func (s *fakeDecider) nextAttempt(id identifier.ExchangeID) messenger.Effect {
 	if s.attempt >= len(s.servers) {
 		return messenger.EndExchange{
 			Exchange: id,
@@ -79,34 +79,34 @@
 		Address:           s.servers[s.attempt-1],
 		Account:           "agency",
 		Route:             &s.route,
-		Deadline:          timekeeper.System{}.Now().Add(s.patience),
-		FirstEventTimeout: s.first,
-		NextEventTimeout:  s.next,
+		Deadline:          timekeeper.System{}.Now().Add(s.timeLimit),
+		FirstEventTimeout: s.firstEventTimeout,
+		NextEventTimeout:  s.nextEventTimeout,
 	}
 }
 
-func (s *script) Began(context.Context, messenger.ExchangeBegan) {
+func (s *fakeDecider) Began(context.Context, messenger.ExchangeBegan) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.began++
 }
 
-func (s *script) AttemptEnded(_ context.Context, e messenger.ExchangeAttemptEnded) messenger.Effect {
+func (s *fakeDecider) AttemptEnded(_ context.Context, e messenger.ExchangeAttemptEnded) messenger.Effect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ends = append(s.ends, e)
-	return s.send(e.Exchange)
+	return s.nextAttempt(e.Exchange)
 }
 
-func (s *script) LimitReceived(_ context.Context, e messenger.ServerLimitReceived) {
+func (s *fakeDecider) LimitReceived(_ context.Context, e messenger.ServerLimitReceived) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits = append(s.limits, e)
 }
 
-func (s *script) Ended(e messenger.ExchangeEnded) { s.ended <- e }
+func (s *fakeDecider) Ended(e messenger.ExchangeEnded) { s.ended <- e }
 
-func (s *script) results() []messenger.AttemptResult {
+func (s *fakeDecider) results() []messenger.AttemptResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []messenger.AttemptResult
@@ -123,9 +123,9 @@
 
 // plainProtocol has names of its own, so that the tests show that the
 // forwarder knows none.
-type plainProtocol struct{}
+type testProtocol struct{}
 
-func (plainProtocol) ReadHead(r *http.Request) (forwarder.Head, error) {
+func (testProtocol) ReadHead(r *http.Request) (forwarder.Head, error) {
 	if r.Header.Get("Id") == "" {
 		return forwarder.Head{}, &noIDError{}
 	}
@@ -135,14 +135,14 @@
 	}, nil
 }
 
-func (plainProtocol) WriteHead(h http.Header, s messenger.SendExchange, _ timekeeper.Duration, lastEvent string) {
+func (testProtocol) WriteHead(h http.Header, s messenger.SendExchange, _ timekeeper.Duration, lastEvent string) {
 	h.Set("Account", string(s.Account))
 	if lastEvent != "" {
 		h.Set("After", lastEvent)
 	}
 }
 
-func (plainProtocol) ReadReply(_ int, h http.Header) forwarder.Reply {
+func (testProtocol) ReadReply(_ int, h http.Header) forwarder.Reply {
 	return forwarder.Reply{
 		Request: identifier.RequestID(h.Get("Id")),
 		NotRun:  h.Get("Not-Run") != "",
@@ -151,16 +151,16 @@
 	}
 }
 
-func (plainProtocol) WriteRetryAfter(h http.Header, d timekeeper.Duration) {
+func (testProtocol) WriteRetryAfter(h http.Header, d timekeeper.Duration) {
 	h.Set("Again", strconv.FormatInt(int64(d), 10))
 }
 
 // front serves a script and returns its address.
-func front(t testing.TB, s *script) string {
+func startForwarder(t testing.TB, s *fakeDecider) string {
 	t.Helper()
 	f := forwarder.New(forwarder.Config{
 		Decider:  s,
-		Protocol: plainProtocol{},
+		Protocol: testProtocol{},
 		Clock:    timekeeper.System{},
 		MaxBody:  func() identifier.Bytes { return 1 << 10 },
 	})
@@ -173,7 +173,7 @@
 }
 
 // backend serves a handler and returns its address.
-func backend(t testing.TB, h http.HandlerFunc) string {
+func startServer(t testing.TB, h http.HandlerFunc) string {
 	t.Helper()
 	server := httptest.NewServer(h)
 	t.Cleanup(server.Close)
@@ -181,7 +181,7 @@
 }
 
 // raw is a server that writes bytes of its own after it has read a request.
-func raw(t *testing.T, answer func(net.Conn)) string {
+func startRawServer(t *testing.T, answer func(net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -203,12 +203,12 @@
 	return l.Addr().String()
 }
 
-func signed(w http.ResponseWriter, r *http.Request) {
+func sign(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Signature", "s")
 	w.Header().Set("Id", r.Header.Get("Id"))
 }
 
-func request(t *testing.T, method, target string, body io.Reader) *http.Request {
+func newRequest(t *testing.T, method, target string, body io.Reader) *http.Request {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), method, target, body)
 	require.NoError(t, err)
@@ -217,24 +217,24 @@
 }
 
 // got is an answer, and the error that ended its body.
-type got struct {
+type reply struct {
 	status int
 	header http.Header
 	body   string
 	err    error
 }
 
-func do(t *testing.T, r *http.Request) got {
+func do(t *testing.T, r *http.Request) reply {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DisableCompression: true}}
 	defer client.CloseIdleConnections()
 	response, err := client.Do(r)
 	if err != nil {
-		return got{err: err}
+		return reply{err: err}
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
-	return got{
+	return reply{
 		status: response.StatusCode,
 		header: response.Header,
 		body:   string(body),
@@ -244,19 +244,19 @@
 
 // What a server gets is what the caller sent, to the byte, but for what
 // concerns one connection only; and so is the answer.
-func TestPassesThrough(t *testing.T) {
+func TestRequestAndAnswerPassUnchanged(t *testing.T) {
 	var seen *http.Request
 	var seenBody []byte
-	server := backend(t, func(w http.ResponseWriter, r *http.Request) {
+	server := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		seen = r
 		seenBody, _ = io.ReadAll(r.Body)
-		signed(w, r)
+		sign(w, r)
 		w.Header().Set("X-Own", "kept")
 		w.WriteHeader(http.StatusCreated)
 		_, _ = w.Write([]byte("answer"))
 	})
-	s := newScript(server)
-	r := request(t, http.MethodPut, "http://"+front(t, s)+"/a%2Fb/../c?x=1&y=%20", strings.NewReader("body"))
+	s := newFakeDecider(server)
+	r := newRequest(t, http.MethodPut, "http://"+startForwarder(t, s)+"/a%2Fb/../c?x=1&y=%20", strings.NewReader("body"))
 	r.Host = "api.example"
 	r.Header.Set("X-Caller", "kept")
 	r.Header.Set("Connection", "X-Hop")
@@ -282,7 +282,7 @@
 
 // Ends of attempts as the decider must hear of them: what it takes for not run
 // may be sent again, so a wrong word books a slot twice.
-func TestEndsOfAttempts(t *testing.T) {
+func TestAttemptResults(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, closed.Close())
@@ -301,7 +301,7 @@
 		{
 			name: "the server says that it did not run it",
 			server: func(t *testing.T) string {
-				return backend(t, func(w http.ResponseWriter, _ *http.Request) {
+				return startServer(t, func(w http.ResponseWriter, _ *http.Request) {
 					w.Header().Set("Not-Run", "1")
 					w.WriteHeader(http.StatusServiceUnavailable)
 				})
@@ -312,7 +312,7 @@
 		{
 			name: "the connection closes without an answer",
 			server: func(t *testing.T) string {
-				return raw(t, func(net.Conn) {})
+				return startRawServer(t, func(net.Conn) {})
 			},
 			want:   messenger.AttemptBroken,
 			status: http.StatusBadGateway,
@@ -320,7 +320,7 @@
 		{
 			name: "bytes that are no answer",
 			server: func(t *testing.T) string {
-				return raw(t, func(c net.Conn) { _, _ = c.Write([]byte("garbage\r\n\r\n")) })
+				return startRawServer(t, func(c net.Conn) { _, _ = c.Write([]byte("garbage\r\n\r\n")) })
 			},
 			want:   messenger.AttemptBroken,
 			status: http.StatusBadGateway,
@@ -328,7 +328,7 @@
 		{
 			name: "a body shorter than it says",
 			server: func(t *testing.T) string {
-				return raw(t, func(c net.Conn) {
+				return startRawServer(t, func(c net.Conn) {
 					_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nSignature: s\r\nContent-Length: 100\r\n\r\nshort"))
 				})
 			},
@@ -338,8 +338,8 @@
 		{
 			name: "the answer of another request",
 			server: func(t *testing.T) string {
-				return backend(t, func(w http.ResponseWriter, r *http.Request) {
-					signed(w, r)
+				return startServer(t, func(w http.ResponseWriter, r *http.Request) {
+					sign(w, r)
 					w.Header().Set("Id", "r-0")
 				})
 			},
@@ -349,7 +349,7 @@
 		{
 			name: "a success without a signature",
 			server: func(t *testing.T) string {
-				return backend(t, func(http.ResponseWriter, *http.Request) {})
+				return startServer(t, func(http.ResponseWriter, *http.Request) {})
 			},
 			want:   messenger.AttemptBroken,
 			status: http.StatusBadGateway,
@@ -357,8 +357,8 @@
 		{
 			name: "the server failed, and its answer is passed on",
 			server: func(t *testing.T) string {
-				return backend(t, func(w http.ResponseWriter, r *http.Request) {
-					signed(w, r)
+				return startServer(t, func(w http.ResponseWriter, r *http.Request) {
+					sign(w, r)
 					w.WriteHeader(http.StatusInsufficientStorage)
 				})
 			},
@@ -368,8 +368,8 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			s := newScript(test.server(t))
-			answer := do(t, request(t, http.MethodGet, "http://"+front(t, s)+"/", nil))
+			s := newFakeDecider(test.server(t))
+			answer := do(t, newRequest(t, http.MethodGet, "http://"+startForwarder(t, s)+"/", nil))
 			require.NoError(t, answer.err)
 			require.Equal(t, test.status, answer.status)
 			require.Equal(t, []messenger.AttemptResult{test.want}, s.results())
@@ -380,7 +380,7 @@
 // A connection that was kept closes as the next request arrives on it. The
 // library would send a request without a body once more by itself, which for a
 // booking is once too often.
-func TestLibraryRepeatsNothing(t *testing.T) {
+func TestTransportDoesNotRetry(t *testing.T) {
 	var mu sync.Mutex
 	requests := 0
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -411,11 +411,11 @@
 		}
 	}()
 	address := l.Addr().String()
-	s := newScript(address, address)
-	at := front(t, s)
-	require.Equal(t, http.StatusOK, do(t, request(t, http.MethodGet, "http://"+at+"/", nil)).status)
+	s := newFakeDecider(address, address)
+	forwarderAddress := startForwarder(t, s)
+	require.Equal(t, http.StatusOK, do(t, newRequest(t, http.MethodGet, "http://"+forwarderAddress+"/", nil)).status)
 	s.servers = s.servers[:2]
-	require.Equal(t, http.StatusBadGateway, do(t, request(t, http.MethodGet, "http://"+at+"/", nil)).status)
+	require.Equal(t, http.StatusBadGateway, do(t, newRequest(t, http.MethodGet, "http://"+forwarderAddress+"/", nil)).status)
 	require.Equal(t, []messenger.AttemptResult{messenger.AttemptBroken}, s.results())
 	mu.Lock()
 	defer mu.Unlock()
@@ -425,20 +425,20 @@
 // A model engine dies in the middle of an event. The caller must get each event
 // once, whole and in order: another server goes on behind the last whole one,
 // and what it says again is left out.
-func TestStreamGoesOnElsewhere(t *testing.T) {
-	first := raw(t, func(c net.Conn) {
+func TestStreamResumesOnAnotherServer(t *testing.T) {
+	first := startRawServer(t, func(c net.Conn) {
 		_, _ = fmt.Fprint(c, "HTTP/1.1 200 OK\r\nSignature: first\r\nContent-Type: text/event-stream\r\n\r\n"+
 			"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda")
 	})
 	var after string
-	second := backend(t, func(w http.ResponseWriter, r *http.Request) {
+	second := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		after = r.Header.Get("After")
-		signed(w, r)
+		sign(w, r)
 		_, _ = fmt.Fprint(w, "id: 2\ndata: b\n\nid: 3\ndata: c\n\nid: 4\ndata: d\n\n")
 	})
-	s := newScript(first, second)
+	s := newFakeDecider(first, second)
 	s.route.Stream = true
-	answer := do(t, request(t, http.MethodPost, "http://"+front(t, s)+"/", strings.NewReader("prompt")))
+	answer := do(t, newRequest(t, http.MethodPost, "http://"+startForwarder(t, s)+"/", strings.NewReader("prompt")))
 	require.NoError(t, answer.err)
 	require.Equal(t, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\nid: 4\ndata: d\n\n", answer.body)
 	require.Equal(t, "first", answer.header.Get("Signature"), "the answer keeps the head of its first server")
@@ -449,13 +449,13 @@
 
 // Nobody may go on with a stream that broke off. The caller must see that it is
 // not whole, or it takes half a report for a whole one.
-func TestTornStreamDoesNotLookWhole(t *testing.T) {
-	first := raw(t, func(c net.Conn) {
+func TestTruncatedStreamIsAborted(t *testing.T) {
+	first := startRawServer(t, func(c net.Conn) {
 		_, _ = fmt.Fprint(c, "HTTP/1.1 200 OK\r\nSignature: s\r\n\r\nid: 1\ndata: a\n\nid: 2\nda")
 	})
-	s := newScript(first)
+	s := newFakeDecider(first)
 	s.route.Stream = true
-	answer := do(t, request(t, http.MethodGet, "http://"+front(t, s)+"/", nil))
+	answer := do(t, newRequest(t, http.MethodGet, "http://"+startForwarder(t, s)+"/", nil))
 	require.Equal(t, http.StatusOK, answer.status)
 	require.Equal(t, "id: 1\ndata: a\n\n", answer.body)
 	require.Error(t, answer.err)
@@ -463,7 +463,7 @@
 
 // A server says nothing, or stops saying anything, while its connection stays
 // open. Another takes over after the bound.
-func TestSilentServer(t *testing.T) {
+func TestServerTimeout(t *testing.T) {
 	tests := []struct {
 		name   string
 		before string
@@ -478,21 +478,21 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			silent := backend(t, func(w http.ResponseWriter, r *http.Request) {
-				signed(w, r)
+			silent := startServer(t, func(w http.ResponseWriter, r *http.Request) {
+				sign(w, r)
 				_, _ = io.WriteString(w, test.before)
 				_ = http.NewResponseController(w).Flush()
 				<-r.Context().Done()
 			})
-			second := backend(t, func(w http.ResponseWriter, r *http.Request) {
-				signed(w, r)
+			second := startServer(t, func(w http.ResponseWriter, r *http.Request) {
+				sign(w, r)
 				_, _ = io.WriteString(w, "id: 2\ndata: b\n\n")
 			})
-			s := newScript(silent, second)
+			s := newFakeDecider(silent, second)
 			s.route.Stream = true
-			s.first = 100
-			s.next = 100
-			answer := do(t, request(t, http.MethodGet, "http://"+front(t, s)+"/", nil))
+			s.firstEventTimeout = 100
+			s.nextEventTimeout = 100
+			answer := do(t, newRequest(t, http.MethodGet, "http://"+startForwarder(t, s)+"/", nil))
 			require.NoError(t, answer.err)
 			require.Equal(t, test.before+"id: 2\ndata: b\n\n", answer.body)
 			require.Equal(t, []messenger.AttemptResult{messenger.AttemptTimedOut}, s.results())
@@ -504,29 +504,29 @@
 // server's work ends.
 func TestDeadline(t *testing.T) {
 	stopped := make(chan struct{})
-	server := backend(t, func(_ http.ResponseWriter, r *http.Request) {
+	server := startServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 		close(stopped)
 	})
-	s := newScript(server)
-	s.patience = 100
-	answer := do(t, request(t, http.MethodGet, "http://"+front(t, s)+"/", nil))
+	s := newFakeDecider(server)
+	s.timeLimit = 100
+	answer := do(t, newRequest(t, http.MethodGet, "http://"+startForwarder(t, s)+"/", nil))
 	require.Equal(t, http.StatusGatewayTimeout, answer.status)
 	<-stopped
 	require.Equal(t, messenger.AttemptTimedOut, (<-s.ended).Result)
 }
 
 // The caller leaves in the middle. The server must not go on working for it.
-func TestCallerLeaves(t *testing.T) {
+func TestCallerDisconnects(t *testing.T) {
 	arrived, stopped := make(chan struct{}), make(chan struct{})
-	server := backend(t, func(_ http.ResponseWriter, r *http.Request) {
+	server := startServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		close(arrived)
 		<-r.Context().Done()
 		close(stopped)
 	})
-	s := newScript(server)
+	s := newFakeDecider(server)
 	ctx, leave := context.WithCancel(t.Context())
-	r := request(t, http.MethodGet, "http://"+front(t, s)+"/", nil).WithContext(ctx)
+	r := newRequest(t, http.MethodGet, "http://"+startForwarder(t, s)+"/", nil).WithContext(ctx)
 	go func() {
 		<-arrived
 		leave()
@@ -607,10 +607,10 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			reached := false
-			server := backend(t, func(http.ResponseWriter, *http.Request) { reached = true })
-			s := newScript(server)
+			server := startServer(t, func(http.ResponseWriter, *http.Request) { reached = true })
+			s := newFakeDecider(server)
 			s.refusal = test.refusal
-			c, err := net.Dial("tcp", front(t, s))
+			c, err := net.Dial("tcp", startForwarder(t, s))
 			require.NoError(t, err)
 			defer func() { _ = c.Close() }()
 			_, err = io.WriteString(c, test.raw)
@@ -628,18 +628,18 @@
 
 // A second request hides behind the body of the first, by two contradicting
 // lengths. Only one may reach a server, with one body.
-func TestSmuggledRequest(t *testing.T) {
+func TestRequestSmuggling(t *testing.T) {
 	var mu sync.Mutex
 	var ids []string
-	server := backend(t, func(w http.ResponseWriter, r *http.Request) {
+	server := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		mu.Lock()
 		ids = append(ids, r.Header.Get("Id")+":"+string(body))
 		mu.Unlock()
-		signed(w, r)
+		sign(w, r)
 	})
-	s := newScript(server, server)
-	c, err := net.Dial("tcp", front(t, s))
+	s := newFakeDecider(server, server)
+	c, err := net.Dial("tcp", startForwarder(t, s))
 	require.NoError(t, err)
 	defer func() { _ = c.Close() }()
 	hidden := "GET /hidden HTTP/1.1\r\nHost: a\r\nId: hidden\r\n\r\n"
@@ -656,21 +656,21 @@
 
 // The limit that a server states in any of its answers is reported, that of another's answer is not.
 func TestStatedLimitIsReported(t *testing.T) {
-	foreign := backend(t, func(w http.ResponseWriter, _ *http.Request) {
+	foreign := startServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Id", "another")
 		w.Header().Set("Limit", "1")
 	})
-	full := backend(t, func(w http.ResponseWriter, _ *http.Request) {
+	full := startServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Limit", "1")
 		w.Header().Set("Not-Run", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	whole := backend(t, func(w http.ResponseWriter, r *http.Request) {
+	whole := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Limit", "1")
-		signed(w, r)
+		sign(w, r)
 	})
-	s := newScript(foreign, full, whole)
-	request, err := http.NewRequest(http.MethodGet, "http://"+front(t, s)+"/", nil)
+	s := newFakeDecider(foreign, full, whole)
+	request, err := http.NewRequest(http.MethodGet, "http://"+startForwarder(t, s)+"/", nil)
 	require.NoError(t, err)
 	request.Header.Set("Id", "r")
 	response, err := http.DefaultClient.Do(request)
@@ -684,11 +684,11 @@
 
 // A leaving node makes callers use other connections.
 func TestLeavingClosesConnections(t *testing.T) {
-	server := backend(t, signed)
-	s := newScript(server)
+	server := startServer(t, sign)
+	s := newFakeDecider(server)
 	f := forwarder.New(forwarder.Config{
 		Decider:  s,
-		Protocol: plainProtocol{},
+		Protocol: testProtocol{},
 		Clock:    timekeeper.System{},
 	})
 	f.Leave()
--- a/internal/forwarder/metrics.go
+++ b/internal/forwarder/metrics.go
@@ -15,8 +15,8 @@
 const (
 	// longestLatency and latencyDigits set the histograms' range and
 	// precision: two minutes, to a tenth.
-	longestLatency = int64(2 * timekeeper.Minute)
-	latencyDigits  = 1
+	maxLatency    = int64(2 * timekeeper.Minute)
+	latencyDigits = 1
 )
 
 // Metrics counts exchanges. It is safe for concurrent use.
@@ -26,9 +26,9 @@
 	results  expvar.Map
 	statuses expvar.Map
 	// limits counts the answers that state a limit of their server.
-	limits expvar.Int
-	firsts latencies
-	whole  latencies
+	statedLimits expvar.Int
+	firstEvents  latencyHistogram
+	totals       latencyHistogram
 }
 
 // NewMetrics returns Metrics that have counted nothing.
@@ -36,14 +36,14 @@
 	m := &Metrics{vars: new(expvar.Map).Init()}
 	m.results.Init()
 	m.statuses.Init()
-	m.firsts.init()
-	m.whole.init()
+	m.firstEvents.init()
+	m.totals.init()
 	m.vars.Set("requests", &m.requests)
 	m.vars.Set("results", &m.results)
 	m.vars.Set("statuses", &m.statuses)
-	m.vars.Set("server_limits", &m.limits)
-	m.vars.Set("first_event_ms", &m.firsts)
-	m.vars.Set("whole_ms", &m.whole)
+	m.vars.Set("server_limits", &m.statedLimits)
+	m.vars.Set("first_event_ms", &m.firstEvents)
+	m.vars.Set("whole_ms", &m.totals)
 	return m
 }
 
@@ -52,35 +52,35 @@
 
 func (m *Metrics) received() { m.requests.Add(1) }
 
-func (m *Metrics) limited() { m.limits.Add(1) }
+func (m *Metrics) limitStated() { m.statedLimits.Add(1) }
 
-func (m *Metrics) first(d timekeeper.Duration) { m.firsts.record(d) }
+func (m *Metrics) recordFirstEvent(d timekeeper.Duration) { m.firstEvents.record(d) }
 
 func (m *Metrics) ended(status int, result messenger.AttemptResult, took timekeeper.Duration) {
 	m.statuses.Add(strconv.Itoa(status), 1)
 	m.results.Add(string(result), 1)
-	m.whole.record(took)
+	m.totals.record(took)
 }
 
 // latencies is a histogram as a variable: its quantiles in milliseconds.
-type latencies struct {
+type latencyHistogram struct {
 	mu sync.Mutex
 	h  *hdrhistogram.Histogram
 }
 
-var _ expvar.Var = (*latencies)(nil)
+var _ expvar.Var = (*latencyHistogram)(nil)
 
-func (l *latencies) init() { l.h = hdrhistogram.New(1, longestLatency, latencyDigits) }
+func (l *latencyHistogram) init() { l.h = hdrhistogram.New(1, maxLatency, latencyDigits) }
 
-func (l *latencies) record(d timekeeper.Duration) {
+func (l *latencyHistogram) record(d timekeeper.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	// Out of range are only times beyond every bound, which count as that.
-	_ = l.h.RecordValue(min(max(int64(d), 1), longestLatency))
+	_ = l.h.RecordValue(min(max(int64(d), 1), maxLatency))
 }
 
 // String returns count and quantiles as JSON.
-func (l *latencies) String() string {
+func (l *latencyHistogram) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	text, err := json.Marshal(map[string]int64{
--- a/internal/forwarder/request.go
+++ b/internal/forwarder/request.go
@@ -29,30 +29,30 @@
 	// resumed tells that an attempt goes on behind it.
 	lastEvent string
 	// answering tells that the head of the answer went to the caller.
-	answering bool
+	headSent bool
 	// failure is a server's own answer that it failed, for the caller if
 	// nothing better comes.
-	failure *held
+	serverFailure *bufferedAnswer
 	// limit is what the server of the last attempt states to accept.
-	limit  messenger.StatedLimit
-	began  bool
-	status int
+	statedLimit   messenger.StatedLimit
+	responseBegan bool
+	status        int
 	// basis is what the last decision was made on.
-	basis messenger.DecisionInputs
+	inputs messenger.DecisionInputs
 	// first is the time to the first byte or event, lastAt when the last event
 	// arrived, and gap the longest pause between two events.
-	first  timekeeper.Duration
-	lastAt timekeeper.Time
-	gap    timekeeper.Duration
+	timeToFirst timekeeper.Duration
+	lastEventAt timekeeper.Time
+	longestGap  timekeeper.Duration
 	// events is how many the current attempt brought, the first at eventsFrom.
-	events     int
-	eventsFrom timekeeper.Time
+	eventCount   int
+	firstEventAt timekeeper.Time
 }
 
 // read takes the whole request in, so that a caller that breaks off in the
 // middle leaves nothing at a server. It returns false once the caller is
 // answered.
-func (x *exchange) read() bool {
+func (x *exchange) readRequest() bool {
 	head, err := x.forwarder.config.Protocol.ReadHead(x.r)
 	if err != nil {
 		x.reject(http.StatusBadRequest, err)
@@ -60,22 +60,22 @@
 	}
 	x.head = head
 	x.lastEvent = head.LastEvent
-	most := x.forwarder.maxBody()
-	if x.r.ContentLength > int64(most) {
+	limit := x.forwarder.maxBody()
+	if x.r.ContentLength > int64(limit) {
 		x.reject(http.StatusRequestEntityTooLarge, nil)
 		return false
 	}
-	if x.forwarder.held.Load() > int64(maxHeld) {
-		x.unavailable("bodies_held", refusedAgain)
+	if x.forwarder.bufferedBytes.Load() > int64(maxBufferedBodies) {
+		x.unavailable("bodies_held", refusalRetryAfter)
 		return false
 	}
-	x.body, err = io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, int64(most)))
-	x.forwarder.held.Add(int64(len(x.body)))
+	x.body, err = io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, int64(limit)))
+	x.forwarder.bufferedBytes.Add(int64(len(x.body)))
 	if err == nil {
-		x.content = contentOf(x.r, x.body)
+		x.content = hashContent(x.r, x.body)
 		return true
 	}
-	x.forwarder.held.Add(-int64(len(x.body)))
+	x.forwarder.bufferedBytes.Add(-int64(len(x.body)))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		x.reject(http.StatusRequestEntityTooLarge, err)
@@ -99,8 +99,8 @@
 	return messenger.ExchangeSpec{
 		Exchange:     x.id,
 		Request:      x.head.Request,
-		Host:         hostOf(x.r.Host),
-		Path:         pathOf(x.r),
+		Host:         hostName(x.r.Host),
+		Path:         requestPath(x.r),
 		Key:          x.head.Key,
 		Received:     x.received,
 		TimeLimit:    x.head.TimeLimit,
@@ -116,13 +116,13 @@
 // that asks again sends others: its id, the time left, the last event that it has.
 // So is the query, but for a request without a body, of which it is all that tells
 // it from others on its path.
-func contentOf(r *http.Request, body []byte) identifier.ContentHash {
-	asked := pathOf(r)
+func hashContent(r *http.Request, body []byte) identifier.ContentHash {
+	target := requestPath(r)
 	if len(body) == 0 {
-		asked = r.RequestURI
+		target = r.RequestURI
 	}
 	h := xxhash.New()
-	for _, part := range []string{r.Method, hostOf(r.Host), asked} {
+	for _, part := range []string{r.Method, hostName(r.Host), target} {
 		// Neither write fails.
 		_, _ = h.WriteString(part)
 		_, _ = h.Write([]byte{0})
@@ -139,21 +139,21 @@
 	for {
 		send, ok := decision.(messenger.SendExchange)
 		if !ok {
-			x.close(decision)
+			x.finish(decision)
 			return
 		}
 		x.attempts++
 		x.server = send.Server
-		x.limit = messenger.StatedLimit{}
-		x.basis = send.Inputs
+		x.statedLimit = messenger.StatedLimit{}
+		x.inputs = send.Inputs
 		end := x.attempt(ctx, send)
-		if end.over {
+		if end.done {
 			f.config.Decider.Ended(messenger.ExchangeEnded{
 				Exchange:       x.id,
 				Result:         end.result,
 				ServerEnded:    end.serverEnded,
-				Events:         x.events,
-				EventsDuration: x.lastAt.Sub(x.eventsFrom),
+				Events:         x.eventCount,
+				EventsDuration: x.lastEventAt.Sub(x.firstEventAt),
 			})
 			x.log(end.result, end.reason)
 			if end.abort {
@@ -166,7 +166,7 @@
 			Exchange:    x.id,
 			Attempt:     send.Attempt,
 			Result:      end.result,
-			Streaming:   x.answering,
+			Streaming:   x.headSent,
 			RetryAfter:  end.retryAfter,
 			ServerEnded: end.serverEnded,
 		})
@@ -174,10 +174,10 @@
 }
 
 // close answers the caller where no attempt follows.
-func (x *exchange) close(decision messenger.Effect) {
+func (x *exchange) finish(decision messenger.Effect) {
 	switch d := decision.(type) {
 	case messenger.RefuseExchange:
-		x.basis = d.Inputs
+		x.inputs = d.Inputs
 		x.refuse(d.Refusal)
 	case messenger.EndExchange:
 		x.fail(d.Reason)
@@ -186,6 +186,6 @@
 			x.fail(messenger.ReasonLeaving)
 			return
 		}
-		x.unavailable(string(messenger.ReasonLeaving), refusedAgain)
+		x.unavailable(string(messenger.ReasonLeaving), refusalRetryAfter)
 	}
 }
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -30,25 +30,25 @@
 // stream passes the events of an answer on as they come, whole ones only: a
 // server may break off in the middle of one, and what the caller has must end
 // where another server can go on.
-func (x *exchange) stream(ctx context.Context, s messenger.SendExchange, bound *watch, response *http.Response) ending {
+func (x *exchange) stream(ctx context.Context, s messenger.SendExchange, timer *attemptTimer, response *http.Response) attemptEnd {
 	pooled := buffers.Get().(*[]byte)
 	defer buffers.Put(pooled)
 	pending := (*pooled)[:0]
-	resumed := x.answering
+	resumed := x.headSent
 	started := false
-	x.events = 0
+	x.eventCount = 0
 	for {
-		pending = growing(pending)
+		pending = grow(pending)
 		n, err := response.Body.Read(pending[len(pending):cap(pending)])
 		pending = pending[:len(pending)+n]
-		if cut := wholeEvents(pending); cut > 0 {
+		if cut := completeLength(pending); cut > 0 {
 			if !started {
 				started = true
-				x.beganNow(ctx, s)
+				x.recordBegan(ctx, s)
 			}
-			bound.heard(s.NextEventTimeout)
-			x.heardEvents(pending[:cut])
-			if end, failed := x.passOn(response, pending[:cut], resumed); failed {
+			timer.eventReceived(s.NextEventTimeout)
+			x.recordEvents(pending[:cut])
+			if end, failed := x.passEvents(response, pending[:cut], resumed); failed {
 				return end
 			}
 			pending = pending[:copy(pending, pending[cut:])]
@@ -57,17 +57,17 @@
 			continue
 		}
 		if errors.Is(err, io.EOF) && len(pending) == 0 && started {
-			return ending{
+			return attemptEnd{
 				result: messenger.AttemptComplete,
-				over:   true,
+				done:   true,
 			}
 		}
-		return x.broken(s, bound, wasWritten(), streamError(err))
+		return x.classifyFailure(s, timer, fullyWritten(), streamError(err))
 	}
 }
 
 // growing returns b with room for more.
-func growing(b []byte) []byte {
+func grow(b []byte) []byte {
 	if len(b) < cap(b) {
 		return b
 	}
@@ -92,7 +92,7 @@
 
 // wholeEvents returns the length of the events in b that are whole. An event
 // ends with an empty line.
-func wholeEvents(b []byte) int {
+func completeLength(b []byte) int {
 	end := bytes.LastIndex(b, eventEnd)
 	if crlf := bytes.LastIndex(b, []byte("\r\n\r\n")); crlf >= 0 && crlf+4 > end+2 {
 		return crlf + 4
@@ -105,34 +105,34 @@
 
 // passOn gives events to the caller. Of a stream that goes on at another server
 // the events that the caller has already are left out.
-func (x *exchange) passOn(response *http.Response, events []byte, resumed bool) (ending, bool) {
+func (x *exchange) passEvents(response *http.Response, events []byte, resumed bool) (attemptEnd, bool) {
 	if resumed {
-		events = x.behind(events)
+		events = x.eventsAfterLast(events)
 		if len(events) == 0 {
-			return ending{}, false
+			return attemptEnd{}, false
 		}
 	}
-	if !x.answering {
-		x.answering = true
+	if !x.headSent {
+		x.headSent = true
 		response.Header.Del("Content-Length")
 		x.writeHead(response.StatusCode, response.Header)
 	}
-	if id, ok := lastID(events); ok {
+	if id, ok := lastEventID(events); ok {
 		x.lastEvent = id
 	}
 	if _, err := x.w.Write(events); err != nil {
-		return gone(err), true
+		return callerDisconnected(err), true
 	}
 	if err := http.NewResponseController(x.w).Flush(); err != nil {
-		return gone(err), true
+		return callerDisconnected(err), true
 	}
-	return ending{}, false
+	return attemptEnd{}, false
 }
 
 // behind returns the events of a resumed stream that come after the last one
 // that the caller has.
-func (x *exchange) behind(events []byte) []byte {
-	had, err := strconv.ParseInt(x.lastEvent, 10, 64)
+func (x *exchange) eventsAfterLast(events []byte) []byte {
+	last, err := strconv.ParseInt(x.lastEvent, 10, 64)
 	if err != nil {
 		return events
 	}
@@ -141,8 +141,8 @@
 		if end < 0 {
 			return events
 		}
-		id, ok := lastID(events[:end+2])
-		if n, err := strconv.ParseInt(id, 10, 64); !ok || err != nil || n > had {
+		id, ok := lastEventID(events[:end+2])
+		if n, err := strconv.ParseInt(id, 10, 64); !ok || err != nil || n > last {
 			return events
 		}
 		events = events[end+2:]
@@ -151,11 +151,11 @@
 }
 
 // lastID returns the id of the last of some events that has one.
-func lastID(events []byte) (string, bool) {
-	at := bytes.LastIndex(events, []byte("\nid:"))
+func lastEventID(events []byte) (string, bool) {
+	start := bytes.LastIndex(events, []byte("\nid:"))
 	switch {
-	case at >= 0:
-		events = events[at+len("\nid:"):]
+	case start >= 0:
+		events = events[start+len("\nid:"):]
 	case bytes.HasPrefix(events, []byte("id:")):
 		events = events[len("id:"):]
 	default:
--- a/internal/forwarder/stream_bench_test.go
+++ b/internal/forwarder/stream_bench_test.go
@@ -13,8 +13,8 @@
 // of processor time on the path for requests whose meaning the system knows.
 func BenchmarkStreamEvent(b *testing.B) {
 	event := []byte("id: 1\ndata: a few tokens of an answer, as one event\n\n")
-	server := backend(b, func(w http.ResponseWriter, r *http.Request) {
-		signed(w, r)
+	server := startServer(b, func(w http.ResponseWriter, r *http.Request) {
+		sign(w, r)
 		flush := http.NewResponseController(w)
 		for range b.N {
 			if _, err := w.Write(event); err != nil {
@@ -25,10 +25,10 @@
 			}
 		}
 	})
-	s := newScript(server)
+	s := newFakeDecider(server)
 	s.route.Stream = true
-	s.patience = 600_000
-	r, err := http.NewRequestWithContext(b.Context(), http.MethodGet, "http://"+front(b, s)+"/", nil)
+	s.timeLimit = 600_000
+	r, err := http.NewRequestWithContext(b.Context(), http.MethodGet, "http://"+startForwarder(b, s)+"/", nil)
 	require.NoError(b, err)
 	r.Header.Set("Id", "r-1")
 	b.ResetTimer()
