--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -16,28 +16,29 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// ending is how an attempt ended.
+// attemptEnd is the result of an attempt.
 type attemptEnd struct {
 	result messenger.AttemptResult
 	reason string
-	// over tells that the caller has its final answer, or is gone; with abort
-	// its connection has to be broken, so that the answer does not look whole.
+	// done reports that the caller received its final answer or disconnected. If abort
+	// is set too, the caller's connection must be reset, so that the answer does not
+	// look complete.
 	done       bool
 	abort      bool
 	retryAfter timekeeper.Duration
-	// serverEnded tells that nothing listens at the server's address any more.
+	// serverEnded reports that the server's address refuses connections.
 	serverEnded bool
 }
 
-// held is an answer that was read to its end.
+// bufferedAnswer is an answer that was read to its end.
 type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// watch bounds an attempt: by the end of the exchange and by a server's
-// silence, whichever comes first.
+// attemptTimer cancels an attempt at the deadline of the exchange, or if the server
+// does not send its next event in time.
 type attemptTimer struct {
 	cancel       context.CancelFunc
 	eventTimer   *time.Timer
@@ -64,7 +65,7 @@
 	return ctx, w
 }
 
-// heard begins the wait for the next event.
+// eventReceived starts the timeout for the next event; zero stops it.
 func (w *attemptTimer) eventReceived(next timekeeper.Duration) {
 	if w.eventTimer == nil {
 		return
@@ -84,10 +85,10 @@
 	w.cancel()
 }
 
-// trail follows how far a request came.
+// sendProgress records whether the request's headers were written.
 type sendProgress struct{ written atomic.Bool }
 
-// attempt sends the request to one server and passes its answer on.
+// attempt sends the request to one server and passes on its answer.
 func (x *exchange) attempt(ctx context.Context, s messenger.SendExchange) attemptEnd {
 	ctx, timer := x.startTimer(ctx, s)
 	defer timer.release()
@@ -109,7 +110,7 @@
 	x.reportLimit(ctx, s, sent, reply)
 	switch {
 	case reply.Request != "" && reply.Request != x.head.Request:
-		// The answer of another request, which came late on this connection.
+		// A late answer to another request on this connection.
 		return attemptEnd{
 			result: messenger.AttemptBroken,
 			reason: "answer of another request",
@@ -141,9 +142,9 @@
 	return x.passBuffered(ctx, s, timer, response)
 }
 
-// heardLimit reports the limit that a server states in its answer, or that it states none
-// any more. An answer to another request, or from another server, says nothing of this
-// one, and what a server has not signed may come from something before it.
+// reportLimit reports the limit that a server states in its answer, or that it no
+// longer states one. It ignores answers to another request or from another server. An
+// unsigned answer does not lift a limit, since it may come from an intermediary.
 func (x *exchange) reportLimit(ctx context.Context, s messenger.SendExchange, sent timekeeper.Time, reply Reply) {
 	if reply.Misdirected || reply.Request != "" && reply.Request != x.head.Request {
 		return
@@ -165,7 +166,7 @@
 
 func succeeded(status int) bool { return status >= 200 && status < 300 }
 
-// broken classifies an attempt that brought no answer, or no whole one.
+// classifyFailure returns the end of an attempt that brought no complete answer.
 func (x *exchange) classifyFailure(s messenger.SendExchange, timer *attemptTimer, progress *sendProgress, err error) attemptEnd {
 	e := attemptEnd{
 		result: messenger.AttemptBroken,
@@ -189,9 +190,9 @@
 	return e
 }
 
-// serverEnded reports whether the server's process is gone after an attempt that
-// ended with err. A connection that breaks does not say so by itself: it may have
-// been reset, or the server's answer torn.
+// serverEnded reports whether the server's process ended, after an attempt that failed
+// with err. A broken connection is not enough evidence: it may have been reset, or the
+// answer truncated.
 func (x *exchange) serverEnded(s messenger.SendExchange, result messenger.AttemptResult, err error) bool {
 	switch result {
 	case messenger.AttemptNotSent:
@@ -202,7 +203,7 @@
 	return false
 }
 
-// expire answers a caller whose time, or whose route's, is over.
+// expire ends an exchange whose deadline has passed.
 func (x *exchange) expire() attemptEnd {
 	e := attemptEnd{
 		result: messenger.AttemptTimedOut,
@@ -216,7 +217,7 @@
 	return e
 }
 
-// outgoing returns the request as a server gets it.
+// serverRequest returns the request to send to a server.
 func (x *exchange) serverRequest(ctx context.Context, s messenger.SendExchange, progress *sendProgress) (*http.Request, error) {
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		WroteHeaders: func() { progress.written.Store(true) },
@@ -240,7 +241,7 @@
 		ProtoMinor:    1,
 	}).WithContext(ctx)
 	if strings.HasPrefix(path, "//") || !strings.HasPrefix(path, "/") {
-		// The library would take such a path for an address.
+		// net/http would parse such a path as an authority.
 		request.URL.Opaque = ""
 		request.URL.Path = x.r.URL.Path
 		request.URL.RawPath = x.r.URL.RawPath
@@ -248,20 +249,20 @@
 	remaining := s.Deadline.Sub(x.forwarder.config.Clock.Now())
 	x.forwarder.config.Protocol.WriteHead(request.Header, s, remaining, x.lastEvent)
 	if _, named := request.Header["User-Agent"]; !named {
-		request.Header["User-Agent"] = nil // Else the library names itself.
+		request.Header["User-Agent"] = nil // Otherwise net/http adds its own.
 	}
 	return request, nil
 }
 
-// once is a body that the library can't send again by itself: it would repeat
-// a request whose connection broke, and only the decider may do that.
+// singleUseBody is a body that net/http can't resend. It would otherwise repeat a
+// request whose connection broke, which only the decider may do.
 type singleUseBody struct{ io.Reader }
 
 // Close implements io.Closer.
 func (*singleUseBody) Close() error { return nil }
 
-// whole holds an answer until it is read to its end, so that one that breaks
-// off may still be asked for elsewhere, and passes it on.
+// passBuffered reads an answer to its end before it passes it on, so that a truncated
+// one can still be retried on another server.
 func (x *exchange) passBuffered(ctx context.Context, s messenger.SendExchange, timer *attemptTimer, response *http.Response) attemptEnd {
 	body, err := io.ReadAll(io.LimitReader(response.Body, int64(maxBufferedAnswer)+1))
 	if err != nil {
@@ -290,7 +291,7 @@
 	}
 }
 
-// long passes on an answer that is too long to be held.
+// passUnbuffered passes on an answer that is too long to be buffered.
 func (x *exchange) passUnbuffered(ctx context.Context, s messenger.SendExchange, timer *attemptTimer, response *http.Response, prefix []byte) attemptEnd {
 	timer.eventReceived(0)
 	x.recordBegan(ctx, s)
@@ -313,7 +314,8 @@
 	}
 }
 
-// gone is the end of an exchange whose caller takes nothing any more.
+// callerDisconnected returns the end of an exchange whose caller could not be written
+// to.
 func callerDisconnected(err error) attemptEnd {
 	return attemptEnd{
 		reason: err.Error(),
@@ -322,14 +324,14 @@
 	}
 }
 
-// wasWritten is the trail of a request that was answered.
+// fullyWritten returns the progress of a request whose response has begun.
 func fullyWritten() *sendProgress {
 	progress := &sendProgress{}
 	progress.written.Store(true)
 	return progress
 }
 
-// beganNow notes the first byte, or the first event, of an attempt's answer.
+// recordBegan reports the first byte or event of an attempt's answer to the decider.
 func (x *exchange) recordBegan(ctx context.Context, s messenger.SendExchange) {
 	if !x.responseBegan {
 		x.timeToFirst = x.forwarder.config.Clock.Now().Sub(x.received)
@@ -342,7 +344,7 @@
 	})
 }
 
-// heardEvents notes the pause before events.
+// recordEvents updates the event count and the longest gap between events.
 func (x *exchange) recordEvents(events []byte) {
 	now := x.forwarder.config.Clock.Now()
 	if x.eventCount == 0 {
--- a/internal/forwarder/content_test.go
+++ b/internal/forwarder/content_test.go
@@ -14,9 +14,8 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// A caller asks again under another id, with less time left and behind the last
-// event that it has. Nothing else told the nodes that it was the same request, so
-// that what they had learned of it was lost with each answer.
+// A retry with another id, remaining time and last event must have the same content
+// hash, or what the nodes know about the request is lost.
 func TestContentHashIgnoresRequestID(t *testing.T) {
 	s := newFakeDecider()
 	forwarderAddress := startForwarder(t, s)
@@ -33,11 +32,11 @@
 	require.NotEqual(t, want, content(http.MethodPost, "/report/2?try=1", "prompt", "r-3"))
 	require.NotEqual(t, want, content(http.MethodPost, "/report/1?try=1", "other", "r-4"))
 	require.NotEqual(t, content(http.MethodGet, "/stock?item=1", "", "r-5"),
-		content(http.MethodGet, "/stock?item=2", "", "r-6"), "without a body the query is what is asked")
+		content(http.MethodGet, "/stock?item=2", "", "r-6"), "without a body the query identifies the request")
 }
 
-// endingServer is a server whose process ends when it has a request: the listener is
-// closed before the connection is, or stays where the connection alone breaks.
+// startEndingServer starts a server that writes answer and closes the connection. If
+// ends is set, it closes its listener first.
 func startEndingServer(t *testing.T, ends bool, answer string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -61,9 +60,8 @@
 	return l.Addr().String()
 }
 
-// A server ends under a request. For the caller, and for the node, that looked like a
-// connection that broke: nothing told the two apart until the server's entry lapsed
-// seconds later.
+// A server whose process ended must be told apart from one whose connection broke,
+// since the node otherwise keeps choosing it until its entry expires.
 func TestServerEnded(t *testing.T) {
 	stream := "HTTP/1.1 200 OK\r\nSignature: s\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, test := range []struct {
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -1,17 +1,17 @@
-// Package forwarder passes opaque exchanges between callers and backend
-// servers: a request goes to a server unchanged, and the server's status,
-// headers and bytes are the answer.
+// Package forwarder proxies opaque exchanges between callers and backend servers: a
+// request is sent to a server unchanged, and the server's status, headers and bytes are
+// the answer.
 //
-// The forwarder decides nothing. A Decider is told of each request, and of how
-// each attempt ended, and says what is done next; a Protocol knows the names
-// that callers and servers give to what a request says of itself. What is left
-// is the care that no byte of one exchange ends up in another, that an answer
-// that is not whole never looks whole, and that an end is called by its name:
+// The forwarder makes no decisions. A Decider receives each request and the result of
+// each attempt, and returns what to do next. A Protocol knows the header names that
+// callers and servers use. The forwarder ensures that the bytes of exchanges are never
+// mixed, that a truncated answer never looks complete, and that the result of each
+// attempt is classified correctly:
 //
 //   - request.go reads a whole request before anything is sent on.
-//   - attempt.go sends it to one server and classifies the end.
-//   - stream.go passes on whole events, and lets another server go on behind
-//     the last one.
+//   - attempt.go sends it to one server and classifies the result.
+//   - stream.go passes on complete events, so that another server can resume
+//     after the last one.
 //   - answer.go writes answers and refusals.
 package forwarder
 
@@ -30,35 +30,33 @@
 )
 
 const (
-	// defaultMaxBody bounds a request's body until a configuration says.
+	// defaultMaxBody bounds a request's body if the configuration sets no bound.
 	defaultMaxBody identifier.Bytes = 4 << 20
-	// maxHeld bounds the bodies of all requests together, so that a crowd of
-	// large ones does not take the process's memory.
+	// maxBufferedBodies bounds the total size of all request bodies in memory.
 	maxBufferedBodies identifier.Bytes = 64 << 20
-	// maxAnswer bounds an answer that is held until it is whole; a longer one
-	// is passed on as it comes.
+	// maxBufferedAnswer bounds an answer that is buffered until it is complete; a
+	// longer one is passed on as it arrives.
 	maxBufferedAnswer identifier.Bytes = 1 << 20
 
-	// headerTime bounds the wait for a request's head: the users' own bound is
-	// three seconds, for which they ask no earlier end.
+	// readHeaderTimeout exceeds the callers' own timeout of 3 s for a request's head.
 	readHeaderTimeout = 5 * time.Second
-	// idleTime is how long callers' idle connections are kept. Callers reuse
-	// them up to four fifths of the users' bound of 15 s.
+	// callerIdleTimeout is the time for which callers' idle connections are kept.
+	// Callers reuse connections that were idle for up to 12 s.
 	callerIdleTimeout = 60 * time.Second
-	// maxHeader bounds a request's head, twice the users' bound.
+	// maxHeaderBytes is twice the callers' limit for a request's head.
 	maxHeaderBytes = 32 << 10
 
-	// serverIdleTime is how long idle connections to servers are kept. A
-	// server closes them after some seconds; a request that crosses the close
-	// can't be repeated, so this side closes first.
+	// serverIdleTimeout is the time for which idle connections to servers are kept. It
+	// is shorter than the servers' own timeout, since a request sent while the server
+	// closes the connection can't be repeated.
 	serverIdleTimeout = 4 * time.Second
-	// idlePerServer bounds those connections to each server.
+	// maxIdlePerServer bounds the idle connections to each server.
 	maxIdlePerServer = 16
 )
 
-// Decider decides what becomes of exchanges. Receive and AttemptEnded return
-// the effect that follows: a RefuseExchange, SendExchange or EndExchange, or
-// nil where the node is stopping.
+// Decider decides how exchanges proceed. Receive and AttemptEnded return the next
+// effect: a RefuseExchange, SendExchange or EndExchange, or nil if the node is
+// stopping.
 type Decider interface {
 	Receive(ctx context.Context, spec messenger.ExchangeSpec) messenger.Effect
 	Began(ctx context.Context, e messenger.ExchangeBegan)
@@ -67,7 +65,7 @@
 	LimitReceived(ctx context.Context, e messenger.ServerLimitReceived)
 }
 
-// Head is what a request says of itself.
+// Head holds the metadata from a request's headers.
 type Head struct {
 	Request      identifier.RequestID
 	Key          string
@@ -75,46 +73,46 @@
 	PromptTokens identifier.Tokens
 	MaxTokens    identifier.Tokens
 	Prefix       []messenger.PromptPart
-	// LastEvent is the last event of an earlier answer that the caller has.
+	// LastEvent is the id of the last event that the caller received from an earlier
+	// answer, or empty.
 	LastEvent string
 }
 
-// Reply is what the head of a server's answer says.
+// Reply holds the metadata from the head of a server's answer.
 type Reply struct {
-	// Request is the request that the server answers, where it says so.
+	// Request is the id of the request that the server answers, or empty if not stated.
 	Request identifier.RequestID
-	// NotRun tells that the server did not run the request and won't.
+	// NotRun reports that the server did not run the request and will not.
 	NotRun bool
-	// Misdirected tells that another server than the one that was meant has the
-	// address.
+	// Misdirected reports that the address now belongs to another server.
 	Misdirected bool
 	Signed      bool
 	RetryAfter  timekeeper.Duration
-	// Limit is what the server says of the requests that it accepts.
+	// Limit is the rate limit that the server states.
 	Limit messenger.StatedLimit
 }
 
-// Protocol knows the names that callers and servers use. Its methods are
-// called from many goroutines.
+// Protocol translates the header names that callers and servers use. It is called from
+// many goroutines.
 type Protocol interface {
-	// ReadHead decodes the head of a request. Its error is for the caller.
+	// ReadHead decodes the head of a request. Its error is reported to the caller.
 	ReadHead(r *http.Request) (Head, error)
-	// WriteHead sets what a server is told beside the caller's own headers,
-	// and takes out what only the system may say. left is the time that the
-	// caller has left, lastEvent the event to go on behind.
+	// WriteHead sets the system's headers of a request to a server, and removes those
+	// that a caller must not set. left is the caller's remaining time, lastEvent the
+	// event after which to resume.
 	WriteHead(h http.Header, s messenger.SendExchange, left timekeeper.Duration, lastEvent string)
 	ReadReply(status int, h http.Header) Reply
 	WriteRetryAfter(h http.Header, d timekeeper.Duration)
 }
 
-// Config says what a Forwarder works with.
+// Config holds the dependencies and settings of a Forwarder.
 type Config struct {
 	Decider  Decider
 	Protocol Protocol
 	Clock    timekeeper.Clock
 	Logger   hclog.Logger
 	Metrics  *Metrics
-	// MaxBody returns the bound of a body; nil stands for a default.
+	// MaxBody returns the bound of a request's body; if it is nil, a default applies.
 	MaxBody func() identifier.Bytes
 }
 
@@ -146,8 +144,8 @@
 // Close closes idle connections to servers.
 func (f *Forwarder) Close() { f.transport.CloseIdleConnections() }
 
-// Leave makes callers use other connections from now on: each answer is the
-// last one on its connection.
+// Leave makes callers switch to other connections: each further answer closes its
+// connection.
 func (f *Forwarder) Leave() { f.leaving.Store(true) }
 
 // Server returns the HTTP server for callers.
@@ -168,7 +166,7 @@
 		DialContext:         dialer.New().DialContext,
 		MaxIdleConnsPerHost: maxIdlePerServer,
 		IdleConnTimeout:     serverIdleTimeout,
-		// A coded body is not the server's body.
+		// A decompressed body would differ from the server's body.
 		DisableCompression: true,
 		ReadBufferSize:     4 << 10,
 		WriteBufferSize:    4 << 10,
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -23,12 +23,10 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// script is a decider that sends an exchange to the given servers in turn and
-// notes what it is told.
+// fakeDecider sends an exchange to the given servers in turn and records the calls.
 type fakeDecider struct {
 	servers []string
 	route   catalog.Route
-	// first and next bound a server's silence.
 	firstEventTimeout timekeeper.Duration
 	nextEventTimeout  timekeeper.Duration
 	timeLimit         timekeeper.Duration
@@ -116,13 +114,11 @@
 	return out
 }
 
-// noIDError reports a request without an id.
 type noIDError struct{}
 
 func (*noIDError) Error() string { return "no id" }
 
-// plainProtocol has names of its own, so that the tests show that the
-// forwarder knows none.
+// testProtocol uses its own header names, to show that the forwarder depends on none.
 type testProtocol struct{}
 
 func (testProtocol) ReadHead(r *http.Request) (forwarder.Head, error) {
@@ -155,7 +151,7 @@
 	h.Set("Again", strconv.FormatInt(int64(d), 10))
 }
 
-// front serves a script and returns its address.
+// startForwarder starts a forwarder that uses s and returns its address.
 func startForwarder(t testing.TB, s *fakeDecider) string {
 	t.Helper()
 	f := forwarder.New(forwarder.Config{
@@ -172,7 +168,7 @@
 	return server.Listener.Addr().String()
 }
 
-// backend serves a handler and returns its address.
+// startServer starts a server with the given handler and returns its address.
 func startServer(t testing.TB, h http.HandlerFunc) string {
 	t.Helper()
 	server := httptest.NewServer(h)
@@ -180,7 +176,8 @@
 	return server.Listener.Addr().String()
 }
 
-// raw is a server that writes bytes of its own after it has read a request.
+// startRawServer starts a server that calls answer on the connection after it has read
+// a request, and returns its address.
 func startRawServer(t *testing.T, answer func(net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -216,7 +213,7 @@
 	return r
 }
 
-// got is an answer, and the error that ended its body.
+// reply is an answer, or the error that ended it.
 type reply struct {
 	status int
 	header http.Header
@@ -242,8 +239,7 @@
 	}
 }
 
-// What a server gets is what the caller sent, to the byte, but for what
-// concerns one connection only; and so is the answer.
+// Requests and answers must be passed on byte for byte, except for hop-by-hop headers.
 func TestRequestAndAnswerPassUnchanged(t *testing.T) {
 	var seen *http.Request
 	var seenBody []byte
@@ -280,8 +276,8 @@
 	require.Equal(t, 1, s.began)
 }
 
-// Ends of attempts as the decider must hear of them: what it takes for not run
-// may be sent again, so a wrong word books a slot twice.
+// Attempts must be classified correctly: an attempt that is reported as not run is
+// retried, so a wrong result runs a request twice.
 func TestAttemptResults(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -377,9 +373,8 @@
 	}
 }
 
-// A connection that was kept closes as the next request arrives on it. The
-// library would send a request without a body once more by itself, which for a
-// booking is once too often.
+// A reused connection closes while a request is sent on it. net/http would retry a
+// request without a body by itself, which would run a non-idempotent request twice.
 func TestTransportDoesNotRetry(t *testing.T) {
 	var mu sync.Mutex
 	requests := 0
@@ -422,9 +417,8 @@
 	require.Equal(t, 2, requests)
 }
 
-// A model engine dies in the middle of an event. The caller must get each event
-// once, whole and in order: another server goes on behind the last whole one,
-// and what it says again is left out.
+// A model engine fails in the middle of an event. The caller must receive each event
+// once, complete and in order, although the second server repeats an event.
 func TestStreamResumesOnAnotherServer(t *testing.T) {
 	first := startRawServer(t, func(c net.Conn) {
 		_, _ = fmt.Fprint(c, "HTTP/1.1 200 OK\r\nSignature: first\r\nContent-Type: text/event-stream\r\n\r\n"+
@@ -447,8 +441,8 @@
 	require.True(t, s.ends[0].Streaming)
 }
 
-// Nobody may go on with a stream that broke off. The caller must see that it is
-// not whole, or it takes half a report for a whole one.
+// A truncated stream that no server can resume must be aborted, so that it does not
+// look complete to the caller.
 func TestTruncatedStreamIsAborted(t *testing.T) {
 	first := startRawServer(t, func(c net.Conn) {
 		_, _ = fmt.Fprint(c, "HTTP/1.1 200 OK\r\nSignature: s\r\n\r\nid: 1\ndata: a\n\nid: 2\nda")
@@ -461,8 +455,8 @@
 	require.Error(t, answer.err)
 }
 
-// A server says nothing, or stops saying anything, while its connection stays
-// open. Another takes over after the bound.
+// A server that stops sending while its connection stays open must be replaced after
+// the timeout.
 func TestServerTimeout(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -500,8 +494,8 @@
 	}
 }
 
-// The caller's time, or its route's, is over. It hears so at once, and the
-// server's work ends.
+// A caller whose deadline has passed must be answered at once, and the server's work
+// cancelled.
 func TestDeadline(t *testing.T) {
 	stopped := make(chan struct{})
 	server := startServer(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -516,7 +510,7 @@
 	require.Equal(t, messenger.AttemptTimedOut, (<-s.ended).Result)
 }
 
-// The caller leaves in the middle. The server must not go on working for it.
+// The server's work must be cancelled if the caller disconnects.
 func TestCallerDisconnects(t *testing.T) {
 	arrived, stopped := make(chan struct{}), make(chan struct{})
 	server := startServer(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -536,7 +530,8 @@
 	require.Empty(t, (<-s.ended).Result)
 }
 
-// What is refused before anything is decided, and how a refusal reads.
+// Malformed requests must be rejected before the decider sees them, and refusals mapped
+// to their statuses.
 func TestRefusedRequests(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -626,8 +621,8 @@
 	}
 }
 
-// A second request hides behind the body of the first, by two contradicting
-// lengths. Only one may reach a server, with one body.
+// A second request is hidden behind the body of the first by contradicting lengths.
+// Only one request, with one body, may reach a server.
 func TestRequestSmuggling(t *testing.T) {
 	var mu sync.Mutex
 	var ids []string
@@ -654,7 +649,8 @@
 	}
 }
 
-// The limit that a server states in any of its answers is reported, that of another's answer is not.
+// The limit that a server states in any of its answers must be reported, but not one in
+// an answer to another request.
 func TestStatedLimitIsReported(t *testing.T) {
 	foreign := startServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Id", "another")
@@ -682,7 +678,7 @@
 	require.Len(t, s.limits, 2)
 }
 
-// A leaving node makes callers use other connections.
+// A node that is leaving must make callers use other connections.
 func TestLeavingClosesConnections(t *testing.T) {
 	server := startServer(t, sign)
 	s := newFakeDecider(server)
--- a/internal/forwarder/metrics.go
+++ b/internal/forwarder/metrics.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// longestLatency and latencyDigits set the histograms' range and
-	// precision: two minutes, to a tenth.
+	// maxLatency and latencyDigits set the range and the significant digits of the
+	// histograms.
 	maxLatency    = int64(2 * timekeeper.Minute)
 	latencyDigits = 1
 )
@@ -25,13 +25,13 @@
 	requests expvar.Int
 	results  expvar.Map
 	statuses expvar.Map
-	// limits counts the answers that state a limit of their server.
+	// statedLimits counts the answers that state a limit of their server.
 	statedLimits expvar.Int
 	firstEvents  latencyHistogram
 	totals       latencyHistogram
 }
 
-// NewMetrics returns Metrics that have counted nothing.
+// NewMetrics returns Metrics whose counters are zero.
 func NewMetrics() *Metrics {
 	m := &Metrics{vars: new(expvar.Map).Init()}
 	m.results.Init()
@@ -47,7 +47,7 @@
 	return m
 }
 
-// Var returns the variable to publish.
+// Var returns the variable to publish under expvar.
 func (m *Metrics) Var() expvar.Var { return m.vars }
 
 func (m *Metrics) received() { m.requests.Add(1) }
@@ -62,7 +62,8 @@
 	m.totals.record(took)
 }
 
-// latencies is a histogram as a variable: its quantiles in milliseconds.
+// latencyHistogram is a histogram published as an expvar variable, with quantiles in
+// milliseconds.
 type latencyHistogram struct {
 	mu sync.Mutex
 	h  *hdrhistogram.Histogram
@@ -75,11 +76,11 @@
 func (l *latencyHistogram) record(d timekeeper.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	// Out of range are only times beyond every bound, which count as that.
+	// Values out of range are clamped, so RecordValue can't fail.
 	_ = l.h.RecordValue(min(max(int64(d), 1), maxLatency))
 }
 
-// String returns count and quantiles as JSON.
+// String returns the count and quantiles as JSON.
 func (l *latencyHistogram) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/forwarder/request.go
+++ b/internal/forwarder/request.go
@@ -12,7 +12,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// exchange is one request and its answer.
+// exchange is the state of one request and its answer.
 type exchange struct {
 	forwarder *Forwarder
 	id        identifier.ExchangeID
@@ -25,33 +25,33 @@
 
 	attempts int
 	server   identifier.VMID
-	// lastEvent is the last event that the caller has, over all attempts, and
-	// resumed tells that an attempt goes on behind it.
+	// lastEvent is the id of the last event that the caller received, over all
+	// attempts.
 	lastEvent string
-	// answering tells that the head of the answer went to the caller.
+	// headSent reports that the head of the answer was sent to the caller.
 	headSent bool
-	// failure is a server's own answer that it failed, for the caller if
-	// nothing better comes.
+	// serverFailure is a server's error answer, passed on if no later attempt succeeds.
 	serverFailure *bufferedAnswer
-	// limit is what the server of the last attempt states to accept.
+	// statedLimit is the limit that the server of the last attempt stated.
 	statedLimit   messenger.StatedLimit
 	responseBegan bool
 	status        int
-	// basis is what the last decision was made on.
+	// inputs are those of the last decision, for the log.
 	inputs messenger.DecisionInputs
-	// first is the time to the first byte or event, lastAt when the last event
-	// arrived, and gap the longest pause between two events.
+	// timeToFirst is the time until the first byte or event, lastEventAt the time of
+	// the last event, and longestGap the longest time between two events.
 	timeToFirst timekeeper.Duration
 	lastEventAt timekeeper.Time
 	longestGap  timekeeper.Duration
-	// events is how many the current attempt brought, the first at eventsFrom.
+	// eventCount is the number of events of the current attempt, the first at
+	// firstEventAt.
 	eventCount   int
 	firstEventAt timekeeper.Time
 }
 
-// read takes the whole request in, so that a caller that breaks off in the
-// middle leaves nothing at a server. It returns false once the caller is
-// answered.
+// readRequest reads the whole request before anything is sent, so that no server
+// receives part of a request if the caller disconnects. It returns false if the caller
+// has been answered.
 func (x *exchange) readRequest() bool {
 	head, err := x.forwarder.config.Protocol.ReadHead(x.r)
 	if err != nil {
@@ -81,7 +81,7 @@
 		x.reject(http.StatusRequestEntityTooLarge, err)
 		return false
 	}
-	// The caller broke off, or sent what is no body.
+	// The caller disconnected, or sent a malformed body.
 	x.reject(http.StatusBadRequest, err)
 	return false
 }
@@ -112,10 +112,10 @@
 	}
 }
 
-// contentOf stands for what a request asks. Headers are left out, since a caller
-// that asks again sends others: its id, the time left, the last event that it has.
-// So is the query, but for a request without a body, of which it is all that tells
-// it from others on its path.
+// hashContent returns a hash by which a repeated request is recognized. It omits the
+// headers, since a caller that retries sends another id, remaining time and last event.
+// It includes the query only if there is no body, since the query then distinguishes
+// requests with the same path.
 func hashContent(r *http.Request, body []byte) identifier.ContentHash {
 	target := requestPath(r)
 	if len(body) == 0 {
@@ -123,7 +123,7 @@
 	}
 	h := xxhash.New()
 	for _, part := range []string{r.Method, hostName(r.Host), target} {
-		// Neither write fails.
+		// Writes to a hash never fail.
 		_, _ = h.WriteString(part)
 		_, _ = h.Write([]byte{0})
 	}
@@ -131,7 +131,7 @@
 	return identifier.ContentHash(h.Sum64())
 }
 
-// run carries out what the decider says until the caller is answered.
+// run executes the decider's effects until the caller is answered.
 func (x *exchange) run() {
 	f := x.forwarder
 	ctx := x.r.Context()
@@ -173,7 +173,7 @@
 	}
 }
 
-// close answers the caller where no attempt follows.
+// finish answers the caller after an effect that starts no attempt.
 func (x *exchange) finish(decision messenger.Effect) {
 	switch d := decision.(type) {
 	case messenger.RefuseExchange:
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -13,13 +13,13 @@
 	"github.com/dotterelhollow/dotterelhollow/internal/messenger"
 )
 
-// streamBuffer is the size of a read. An event is some hundred bytes.
+// streamBuffer is the size of a read. A typical event is a few hundred bytes.
 const streamBuffer = 8 << 10
 
-// maxEvent bounds one event.
+// maxEvent bounds one event, in bytes.
 const maxEvent = 1 << 20
 
-// eventEnd stands between two events.
+// eventEnd separates two events.
 var eventEnd = []byte("\n\n")
 
 var buffers = sync.Pool{New: func() any {
@@ -27,9 +27,9 @@
 	return &b
 }}
 
-// stream passes the events of an answer on as they come, whole ones only: a
-// server may break off in the middle of one, and what the caller has must end
-// where another server can go on.
+// stream passes on the events of an answer as they arrive, complete ones only. The
+// server may fail in the middle of an event, and the caller must be left at a point
+// where another server can resume.
 func (x *exchange) stream(ctx context.Context, s messenger.SendExchange, timer *attemptTimer, response *http.Response) attemptEnd {
 	pooled := buffers.Get().(*[]byte)
 	defer buffers.Put(pooled)
@@ -66,7 +66,7 @@
 	}
 }
 
-// growing returns b with room for more.
+// grow returns b with free capacity.
 func grow(b []byte) []byte {
 	if len(b) < cap(b) {
 		return b
@@ -74,7 +74,8 @@
 	return append(b, make([]byte, cap(b)+streamBuffer)...)[:len(b)]
 }
 
-// streamError names what ended a stream before its end.
+// streamError returns the error with which a stream ended early. EOF within an event is
+// a *TruncatedStreamError, as is an event that is too long.
 func streamError(err error) error {
 	if err == nil || errors.Is(err, io.EOF) {
 		return &TruncatedStreamError{}
@@ -84,13 +85,13 @@
 
 var _ error = (*TruncatedStreamError)(nil)
 
-// TornEventError reports a stream that ended within an event, or before the
-// first one.
+// TruncatedStreamError reports a stream that ended within an event or before the first
+// one, or whose event exceeds the size limit.
 type TruncatedStreamError struct{}
 
 func (e *TruncatedStreamError) Error() string { return "the stream ended within an event" }
 
-// wholeEvents returns the length of the events in b that are whole. An event
+// completeLength returns the length of the complete events at the start of b. An event
 // ends with an empty line.
 func completeLength(b []byte) int {
 	end := bytes.LastIndex(b, eventEnd)
@@ -103,8 +104,8 @@
 	return end + 2
 }
 
-// passOn gives events to the caller. Of a stream that goes on at another server
-// the events that the caller has already are left out.
+// passEvents writes events to the caller. If the stream was resumed on another server,
+// it skips events that the caller already received.
 func (x *exchange) passEvents(response *http.Response, events []byte, resumed bool) (attemptEnd, bool) {
 	if resumed {
 		events = x.eventsAfterLast(events)
@@ -129,8 +130,7 @@
 	return attemptEnd{}, false
 }
 
-// behind returns the events of a resumed stream that come after the last one
-// that the caller has.
+// eventsAfterLast returns the events that follow the last one that the caller received.
 func (x *exchange) eventsAfterLast(events []byte) []byte {
 	last, err := strconv.ParseInt(x.lastEvent, 10, 64)
 	if err != nil {
@@ -150,7 +150,7 @@
 	return nil
 }
 
-// lastID returns the id of the last of some events that has one.
+// lastEventID returns the id of the last event that has one.
 func lastEventID(events []byte) (string, bool) {
 	start := bytes.LastIndex(events, []byte("\nid:"))
 	switch {
--- a/internal/forwarder/stream_bench_test.go
+++ b/internal/forwarder/stream_bench_test.go
@@ -8,9 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkStreamEvent passes the events of one stream on, one write of the
-// server each. An event of a model engine's stream cost a node 0.54 to 0.67 ms
-// of processor time on the path for requests whose meaning the system knows.
+// BenchmarkStreamEvent measures passing on one event of a stream that the server
+// flushes event by event.
 func BenchmarkStreamEvent(b *testing.B) {
 	event := []byte("id: 1\ndata: a few tokens of an answer, as one event\n\n")
 	server := startServer(b, func(w http.ResponseWriter, r *http.Request) {
