--- a/cmd/dotterelhollow/gateway.go
+++ b/cmd/dotterelhollow/gateway.go
@@ -53,7 +53,7 @@
 
 // serveGateway runs such a node until it is stopped.
 func serveGateway(path string, s *starter.Settings) error {
-	debug.SetMemoryLimit(int64(memoryShare * s.Gateway.MemoryLimit * megabyte))
+	debug.SetMemoryLimit(int64(memoryShare * s.Gateway.MemoryLimitMB * megabyte))
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	defer signal.Stop(signals)
@@ -62,7 +62,7 @@
 	go lines.Run(ctx)
 	defer func() {
 		cancel()
-		<-lines.Ended()
+		<-lines.Done()
 	}()
 	g := newGateway(path, s, lines)
 	expvar.Publish("dotterelhollow", g.runner.Metrics().Var())
@@ -98,7 +98,7 @@
 		Logger:      g.logger,
 	})
 	cloud := platform.NewCloud(platform.CloudConfig{
-		Address: s.Gateway.Cloud.String(),
+		Address: s.Gateway.CloudAddress.String(),
 		Self:    s.VM,
 		Logger:  g.logger,
 	})
@@ -163,9 +163,9 @@
 		LogRetention:  s.Gateway.LogRetention,
 		Safeguards:    conductor.AllSafeguards(),
 		Gateway: &reducer.GatewayConfig{
-			LeaderTasks: s.Gateway.Cloud.IsValid(),
+			LeaderTasks: s.Gateway.CloudAddress.IsValid(),
 			UsageWindow: s.Gateway.UsageWindow,
-			UsageLate:   s.Gateway.UsageLate,
+			UsageLate:   s.Gateway.MaxUsageDelay,
 			Share:       s.Gateway.ExposureShare,
 			Slack:       s.Gateway.ExposureSlack,
 		},
@@ -177,7 +177,7 @@
 // with a quarter of a megabit a second.
 func capacity(g *starter.Gateway) uint32 {
 	const linkPerThousandth = 0.25
-	return uint32(min(g.CPU*1000, g.Link/linkPerThousandth))
+	return uint32(min(g.CPUCores*1000, g.LinkMbps/linkPerThousandth))
 }
 
 // portsOf returns the ports. The one of callers comes first: it is closed
--- a/cmd/dotterelhollow/gateway_test.go
+++ b/cmd/dotterelhollow/gateway_test.go
@@ -135,17 +135,17 @@
 		TimelineCapacity: 64,
 		LogLevel:         "error",
 		Gateway: &starter.Gateway{
-			Directory:   in.port(),
-			Readiness:   in.port(),
-			Metrics:     in.port(),
-			Cloud:       netip.MustParseAddrPort(in.cloudAddress),
-			UsageWindow: timekeeper.Second,
-			UsageLate:   10 * timekeeper.Second,
+			Directory:     in.port(),
+			Readiness:     in.port(),
+			Metrics:       in.port(),
+			CloudAddress:  netip.MustParseAddrPort(in.cloudAddress),
+			UsageWindow:   timekeeper.Second,
+			MaxUsageDelay: 10 * timekeeper.Second,
 			// What the roll-outs of versions are judged by.
 			ExposureShare: 0.1,
 			ExposureSlack: 50,
 			LogRetention:  5 * timekeeper.Minute,
-			MemoryLimit:   284,
+			MemoryLimitMB: 284,
 		},
 	}
 	if seed.IsValid() {
@@ -453,7 +453,7 @@
 	require.NoError(t, os.WriteFile(path, []byte(least), 0o600))
 	settings, err = starter.Load(path)
 	require.NoError(t, err, "a platform without duties is served too")
-	require.False(t, settings.Gateway.Cloud.IsValid())
+	require.False(t, settings.Gateway.CloudAddress.IsValid())
 	require.Zero(t, capacity(settings.Gateway))
 
 	broken := strings.NewReplacer("usage_window = 5s", "usage_window = soon", "10.1.0.14:8220", "nowhere").Replace(text)
--- a/internal/dialer/dialer.go
+++ b/internal/dialer/dialer.go
@@ -1,8 +1,8 @@
-// Package dialer opens connections whose other end may vanish without a word: a
-// VM that is taken away or cut off sends nothing, and a connection that
-// something between the two ends has lost track of stays open for good. Written
-// bytes have to be acknowledged in time, and idle connections are probed, so
-// that either shows as an error in about two seconds.
+// Package dialer opens TCP connections that detect an unresponsive remote end. A
+// VM that is reclaimed or partitioned closes no connections, and a middlebox may
+// drop the state of a connection without notice. Written bytes must be
+// acknowledged in time, and idle connections are probed, so that both cases
+// cause an error within about two seconds.
 package dialer
 
 import (
@@ -11,25 +11,25 @@
 )
 
 const (
-	// connectTime bounds a new connection within a region, which takes some
-	// milliseconds; an end that is gone answers nothing.
-	connectTime = 400 * time.Millisecond
-	// probeIdle, probeEvery and probeCount find idle connections whose other
-	// end is gone. The kernel counts whole seconds.
-	probeIdle  = 1 * time.Second
-	probeEvery = 1 * time.Second
-	probeCount = 2
+	// connectTimeout is generous for a connection within a region, which takes
+	// a few milliseconds.
+	connectTimeout = 400 * time.Millisecond
+	// The kernel accepts keep-alive times in whole seconds only.
+	keepAliveIdle     = 1 * time.Second
+	keepAliveInterval = 1 * time.Second
+	keepAliveCount    = 2
 )
 
-// New returns a dialer of such connections.
+// New returns a dialer with a connect timeout, keep-alive probes and, on Linux, a
+// bound on unacknowledged data.
 func New() *net.Dialer {
 	return &net.Dialer{
-		Timeout: connectTime,
+		Timeout: connectTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
-			Idle:     probeIdle,
-			Interval: probeEvery,
-			Count:    probeCount,
+			Idle:     keepAliveIdle,
+			Interval: keepAliveInterval,
+			Count:    keepAliveCount,
 		},
 		Control: boundUnacked,
 	}
--- a/internal/dialer/refused.go
+++ b/internal/dialer/refused.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// refusedTime bounds the question whether a process still listens, which a VM of
-// the region answers within some milliseconds either way. One that is gone with its
-// VM, or cut off, says nothing.
-const refusedTime = 50 * time.Millisecond
+// probeTimeout bounds the connection attempt of RefusedAt. A running VM in the
+// region accepts or refuses a connection within a few milliseconds.
+const probeTimeout = 50 * time.Millisecond
 
-// Refused reports whether err tells that nothing listens at the address that was
-// dialled, though its VM answers: the process there has ended.
+// Refused reports whether err is a refused connection: the VM is reachable, but no
+// process listens at the address.
 func Refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// RefusedAt dials an address to learn whether a process still listens there. It
-// returns false also where that can't be learned in time.
+// RefusedAt dials an address and reports whether the connection is refused. It
+// returns false if there is no result in time.
 //
-// A process that ends closes its connections as one that closes a single one does,
-// and its entry in the platform's store lapses three seconds later. The kernel of
-// its VM refuses the next connection at once.
+// This detects the end of a process early. A closed connection alone does not show
+// whether its process ended, and the entry of an ended process in the platform's
+// store expires only three seconds later, but the kernel of its VM refuses new
+// connections immediately.
 func RefusedAt(ctx context.Context, address string) bool {
-	ctx, done := context.WithTimeout(ctx, refusedTime)
+	ctx, done := context.WithTimeout(ctx, probeTimeout)
 	defer done()
 	c, err := New().DialContext(ctx, "tcp", address)
 	if err != nil {
 		return Refused(err)
 	}
-	// Nothing was sent, so that nothing can be lost by closing.
+	// Nothing was sent, so closing loses no data.
 	_ = c.Close()
 	return false
 }
--- a/internal/dialer/socket_linux.go
+++ b/internal/dialer/socket_linux.go
@@ -8,22 +8,22 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// unackedTime is how long written bytes may stay unacknowledged. Round trips
-// take milliseconds, and a packet that was lost is sent again after 200 ms and
-// then 400 ms.
-const unackedTime = 900 * timekeeper.Millisecond
+// maxUnackedTime is the time for which written bytes may stay unacknowledged.
+// Round trips take milliseconds, and a lost packet is retransmitted after 200 ms
+// and again after 400 ms.
+const maxUnackedTime = 900 * timekeeper.Millisecond
 
-// boundUnacked makes a connection fail whose other end does not acknowledge.
+// boundUnacked sets TCP_USER_TIMEOUT, so that a connection fails if the remote end
+// does not acknowledge written bytes.
 //
-// A server that goes dark leaves its connections open. Without the bound the
-// kernel sends a request again for minutes, and the caller waits for as long
-// as it is willing to, though for a repeatable request another server could
-// answer. An acknowledgement says nothing of how long an answer takes, so a
-// server that is only slow keeps its requests.
+// Without it the kernel retransmits a request to an unreachable server for
+// minutes, during which a repeatable request can't be retried elsewhere. The
+// kernel acknowledges independently of the process, so a server that is merely
+// slow keeps its requests.
 func boundUnacked(_, _ string, c syscall.RawConn) error {
 	var failed error
 	err := c.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTime))
+		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(maxUnackedTime))
 	})
 	if err != nil {
 		return err
--- a/internal/dialer/socket_other.go
+++ b/internal/dialer/socket_other.go
@@ -4,6 +4,6 @@
 
 import "syscall"
 
-// boundUnacked does nothing where the kernel has no such bound; keep-alive
-// probes and callers' own patience are what is left.
+// boundUnacked does nothing on systems without TCP_USER_TIMEOUT. Unreachable
+// remote ends are then detected by keep-alive probes and request timeouts.
 func boundUnacked(_, _ string, _ syscall.RawConn) error { return nil }
--- a/internal/historian/entry.go
+++ b/internal/historian/entry.go
@@ -9,16 +9,16 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Stamp is an instant of the hybrid logical clock of a node.
+// Stamp is a timestamp of a node's hybrid logical clock.
 type Stamp struct {
 	Time  timekeeper.Time `json:"time_ms"`
 	Count uint32          `json:"count"`
-	// VM is the node that made the stamp.
+	// VM is the node that issued the stamp.
 	VM identifier.VMID `json:"node"`
 }
 
-// Compare orders stamps: it returns a negative number where s comes before t,
-// a positive one where it comes after. Ties are broken by VM.
+// Compare returns a negative number if s is before t, a positive one if it is
+// after t, and 0 if they are equal. Equal times and counts are ordered by VM.
 func (s Stamp) Compare(t Stamp) int {
 	return cmp.Or(
 		cmp.Compare(s.Time, t.Time),
@@ -27,28 +27,28 @@
 	)
 }
 
-// Entry is an event on the time line.
+// Entry is an event on the timeline.
 type Entry struct {
 	Stamp   `json:"stamp"`
 	Kind    messenger.TimelineKind   `json:"kind"`
 	Request identifier.RequestID     `json:"request,omitempty"`
 	Attempt identifier.AttemptNumber `json:"attempt,omitempty"`
-	// VM is the VM that the event is about; Stamp.VM is the node that saw it.
+	// VM is the subject of the event; Stamp.VM is the node that recorded it.
 	VM     identifier.VMID `json:"vm,omitempty"`
 	Detail string          `json:"detail,omitempty"`
 }
 
-// Filter chooses entries. Zero fields let everything through.
+// Filter selects entries. A zero field matches every entry.
 type Filter struct {
 	Request identifier.RequestID
-	// VM is the VM that the event is about, or the node that saw it.
+	// VM matches the subject of the event or the node that recorded it.
 	VM   identifier.VMID
 	Kind messenger.TimelineKind
-	// After leaves out entries up to and with this stamp.
+	// After excludes entries up to and including this stamp.
 	After Stamp
 }
 
-// Match reports whether f lets e through.
+// Match reports whether e meets all conditions of f.
 func (f Filter) Match(e Entry) bool {
 	switch {
 	case f.Request != "" && f.Request != e.Request:
@@ -63,18 +63,19 @@
 	return true
 }
 
-func (f Filter) appendTo(found, entries []Entry) []Entry {
+func (f Filter) appendMatches(matches, entries []Entry) []Entry {
 	for _, e := range entries {
 		if f.Match(e) {
-			found = append(found, e)
+			matches = append(matches, e)
 		}
 	}
-	return found
+	return matches
 }
 
-// Merge returns the entries of several time lines in causal order, each once.
-func Merge(lines [][]Entry) []Entry {
-	all := slices.Concat(lines...)
+// Merge returns the entries of several timelines in causal order, without
+// duplicates.
+func Merge(timelines [][]Entry) []Entry {
+	all := slices.Concat(timelines...)
 	slices.SortStableFunc(all, func(a, b Entry) int { return a.Stamp.Compare(b.Stamp) })
 	return slices.CompactFunc(all, func(a, b Entry) bool { return a.Stamp == b.Stamp })
 }
--- a/internal/historian/historian.go
+++ b/internal/historian/historian.go
@@ -1,13 +1,13 @@
-// Package historian keeps the time line of events of one node and merges the
-// time lines of several nodes in causal order.
+// Package historian records a timeline of the events of one node and merges
+// the timelines of several nodes in causal order.
 //
-// Every entry bears a stamp of a hybrid logical clock: wall time, and a count
-// that breaks ties. Nodes put their stamp on each message to a peer, and the
-// receiver moves its clock past it, so an entry that was caused by another
-// has the larger stamp, even where the wall clocks of the two VMs differ.
+// Every entry has a stamp of a hybrid logical clock: wall time, and a counter
+// that breaks ties. Nodes add a stamp to each message to a peer, and the
+// receiver advances its clock past it. An entry that was caused by another
+// therefore has the larger stamp, even if the wall clocks of the two VMs differ.
 //
-// The time line is a ring of fixed size. It forgets the oldest entries and
-// counts them.
+// The timeline is a ring buffer of fixed size. It overwrites the oldest entries
+// and counts how many were lost.
 package historian
 
 import (
@@ -19,35 +19,36 @@
 )
 
 const (
-	// DefaultCapacity is the number of entries kept when the Config names none.
+	// DefaultCapacity is the number of entries kept if Config.Capacity is not
+	// positive.
 	DefaultCapacity = 4096
-	// MaxAhead is how far ahead of the own clock a peer's stamp may be.
-	MaxAhead = timekeeper.Minute
+	// MaxClockSkew bounds how far a peer's stamp may be ahead of the local clock.
+	MaxClockSkew = timekeeper.Minute
 )
 
-// Config says whose time line a Historian keeps.
+// Config holds the parameters of New.
 type Config struct {
 	Self  identifier.VMID
 	Clock timekeeper.Clock
-	// Capacity is the number of entries kept.
+	// Capacity is the number of entries kept. The default is DefaultCapacity.
 	Capacity int
 }
 
-// Historian keeps the time line of one node. It is safe for concurrent use.
+// Historian records the timeline of one node. It is safe for concurrent use.
 type Historian struct {
 	self  identifier.VMID
 	clock timekeeper.Clock
 
-	mu      sync.Mutex
-	last    Stamp
-	ring    []Entry
-	next    int
-	full    bool
-	dropped uint64
-	ahead   uint64
+	mu       sync.Mutex
+	last     Stamp
+	ring     []Entry
+	next     int
+	full     bool
+	dropped  uint64
+	rejected uint64
 }
 
-// New returns an empty time line.
+// New returns a Historian without entries.
 func New(c Config) *Historian {
 	if c.Capacity <= 0 {
 		c.Capacity = DefaultCapacity
@@ -59,7 +60,7 @@
 	}
 }
 
-// Record puts an event on the time line and returns the entry made of it.
+// Record adds an event to the timeline and returns its stamped entry.
 func (h *Historian) Record(n messenger.TimelineEntry) Entry {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -83,23 +84,24 @@
 	return e
 }
 
-// Stamp returns a fresh stamp, for a message that is about to leave.
+// Stamp advances the clock and returns a stamp for an outgoing message.
 func (h *Historian) Stamp() Stamp {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.advance()
 }
 
-// Observe moves the clock past the stamp of a message that arrived.
+// Observe advances the clock to the stamp of a received message, so that later
+// local stamps are larger.
 //
-// A stamp far in the future is left out. Otherwise one VM with a wrong wall
-// clock would drag the time lines of all nodes along for good; left out, only
-// the order towards that VM is lost.
+// A stamp more than MaxClockSkew ahead is ignored. Otherwise one VM with a wrong
+// wall clock would permanently advance the clocks of all nodes. Ignoring it only
+// loses the causal order relative to that VM.
 func (h *Historian) Observe(s Stamp) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if s.Time.After(h.clock.Now().Add(MaxAhead)) {
-		h.ahead++
+	if s.Time.After(h.clock.Now().Add(MaxClockSkew)) {
+		h.rejected++
 		return
 	}
 	if s.Time.After(h.last.Time) || s.Time == h.last.Time && s.Count > h.last.Count {
@@ -108,32 +110,32 @@
 	}
 }
 
-// Entries returns the entries that f lets through, oldest first.
+// Entries returns the entries that match f, oldest first.
 func (h *Historian) Entries(f Filter) []Entry {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var found []Entry
+	var matches []Entry
 	if h.full {
-		found = f.appendTo(found, h.ring[h.next:])
+		matches = f.appendMatches(matches, h.ring[h.next:])
 	}
-	return f.appendTo(found, h.ring[:h.next])
+	return f.appendMatches(matches, h.ring[:h.next])
 }
 
-// Counts tells what a time line left out.
+// Counts holds the numbers of entries and stamps that were discarded.
 type Counts struct {
-	// Dropped entries were the oldest when the ring was full.
-	Dropped uint64 `json:"dropped"`
-	// Ahead stamps of peers were too far in the future to be observed.
-	Ahead uint64 `json:"ahead"`
+	// DroppedEntries is the number of entries overwritten by newer ones.
+	DroppedEntries uint64 `json:"dropped"`
+	// RejectedStamps is the number of peers' stamps that exceeded MaxClockSkew.
+	RejectedStamps uint64 `json:"ahead"`
 }
 
-// Counts returns what the time line has left out so far.
+// Counts returns the totals since the Historian was created.
 func (h *Historian) Counts() Counts {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return Counts{
-		Dropped: h.dropped,
-		Ahead:   h.ahead,
+		DroppedEntries: h.dropped,
+		RejectedStamps: h.rejected,
 	}
 }
 
--- a/internal/historian/historian_test.go
+++ b/internal/historian/historian_test.go
@@ -11,7 +11,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-func line(self identifier.VMID, now timekeeper.Time, capacity int) *Historian {
+func newTimeline(self identifier.VMID, now timekeeper.Time, capacity int) *Historian {
 	return New(Config{
 		Self:     self,
 		Clock:    timekeeper.NewManual(now),
@@ -27,13 +27,11 @@
 	return ks
 }
 
-// An operator reads the merged time line of two nodes whose wall clocks differ
-// by 30 s. The slow node acts on a message of the fast one, and the fast one on
-// the slow one's answer. By wall time alone the effect would stand before its
-// cause.
+// The wall clocks of two nodes differ by 30 s. Sorted by wall time alone, an
+// effect on the slow node would precede its cause on the fast one.
 func TestMergeKeepsCauseBeforeEffect(t *testing.T) {
-	fast := line("fast", 40_000, 8)
-	slow := line("slow", 10_000, 8)
+	fast := newTimeline("fast", 40_000, 8)
+	slow := newTimeline("slow", 10_000, 8)
 
 	fast.Record(messenger.TimelineEntry{Kind: "sent"})
 	slow.Observe(fast.Stamp())
@@ -45,29 +43,28 @@
 	require.Equal(t, []messenger.TimelineKind{"sent", "received", "answered"}, kinds(merged))
 }
 
-// One VM's wall clock stands a day ahead. Its stamps must not drag the clocks
-// of its peers along.
+// A VM whose wall clock is a day ahead must not advance the clocks of its peers.
 func TestObserveLeavesOutStampsFarAhead(t *testing.T) {
-	h := line("a", 1000, 8)
+	h := newTimeline("a", 1000, 8)
 	h.Observe(Stamp{
 		Time: 1000 + timekeeper.Time(24*timekeeper.Hour),
 		VM:   "wrong",
 	})
 	require.Equal(t, timekeeper.Time(1000), h.Stamp().Time)
-	require.Equal(t, uint64(1), h.Counts().Ahead)
+	require.Equal(t, uint64(1), h.Counts().RejectedStamps)
 }
 
 func TestRingDropsOldest(t *testing.T) {
-	h := line("a", 1000, 2)
+	h := newTimeline("a", 1000, 2)
 	for _, k := range []messenger.TimelineKind{"one", "two", "three"} {
 		h.Record(messenger.TimelineEntry{Kind: k})
 	}
 	require.Equal(t, []messenger.TimelineKind{"two", "three"}, kinds(h.Entries(Filter{})))
-	require.Equal(t, uint64(1), h.Counts().Dropped)
+	require.Equal(t, uint64(1), h.Counts().DroppedEntries)
 }
 
 func TestFilter(t *testing.T) {
-	h := line("node", 1000, 8)
+	h := newTimeline("node", 1000, 8)
 	first := h.Record(messenger.TimelineEntry{
 		Kind:    "sent",
 		Request: "r1",
@@ -121,7 +118,7 @@
 }
 
 func TestEntryJSON(t *testing.T) {
-	e := line("node", 1000, 1).Record(messenger.TimelineEntry{
+	e := newTimeline("node", 1000, 1).Record(messenger.TimelineEntry{
 		Kind:    "sent",
 		Request: "r1",
 		Attempt: 2,
--- a/internal/logwriter/logwriter.go
+++ b/internal/logwriter/logwriter.go
@@ -1,10 +1,9 @@
-// Package logwriter writes log lines without ever keeping the process waiting.
+// Package logwriter writes log lines without blocking the process.
 //
-// A process that writes its log straight to a pipe stops when nobody reads the
-// other end, and callers wait with it. A Writer takes each line into a bounded
-// queue, from which one goroutine writes; a line that finds no room, or comes
-// faster than the bound on lines, is counted, and the count is written as a
-// line of its own as soon as there is room.
+// A process that writes its log directly to a pipe blocks when the reader stops
+// reading. A Writer adds each line to a bounded queue, from which one goroutine
+// writes. A line that exceeds the rate limit or finds the queue full is dropped,
+// and the number of dropped lines is logged before the next line.
 package logwriter
 
 import (
@@ -19,38 +18,38 @@
 )
 
 const (
-	// queueLines bounds the lines that wait: two seconds of linesPerSecond.
-	queueLines = 2000
-	// linesPerSecond and burstLines bound the lines that are taken. A node
-	// answers some hundred requests a second with a line or two each.
+	// maxQueuedLines is two seconds of output at linesPerSecond.
+	maxQueuedLines = 2000
+	// linesPerSecond and burstLines configure the rate limit. A node serves a
+	// few hundred requests per second and logs one or two lines for each.
 	linesPerSecond = 1000
 	burstLines     = 2000
 )
 
-// Writer is an io.Writer that never blocks. Each call of Write is one line. It
-// is safe for concurrent use.
+// Writer is an io.Writer that never blocks. Each call of Write must pass one
+// whole line. It is safe for concurrent use.
 type Writer struct {
 	out     io.Writer
 	lines   chan []byte
 	limit   *rate.Limiter
 	dropped atomic.Int64
-	ended   chan struct{}
+	done    chan struct{}
 }
 
 var _ io.Writer = (*Writer)(nil)
 
-// New returns a Writer to out. Nothing is written until Run.
+// New returns a Writer to out. Lines are queued until Run is called.
 func New(out io.Writer) *Writer {
 	return &Writer{
 		out:   out,
-		lines: make(chan []byte, queueLines),
+		lines: make(chan []byte, maxQueuedLines),
 		limit: rate.NewLimiter(linesPerSecond, burstLines),
-		ended: make(chan struct{}),
+		done:  make(chan struct{}),
 	}
 }
 
-// Write implements io.Writer. It reports every line as written: a caller could
-// do nothing else with one that is dropped.
+// Write implements io.Writer. It also reports success for a dropped line, since
+// the caller could not handle the error.
 func (w *Writer) Write(line []byte) (int, error) {
 	if !w.limit.Allow() {
 		w.dropped.Add(1)
@@ -64,14 +63,14 @@
 	return len(line), nil
 }
 
-// Run writes lines until ctx ends, and then those that wait. Ended is closed
-// when it returns.
+// Run writes lines until ctx is cancelled, and then those still queued. It must
+// be called only once.
 func (w *Writer) Run(ctx context.Context) {
-	defer close(w.ended)
+	defer close(w.done)
 	for {
 		select {
 		case line := <-w.lines:
-			w.put(line)
+			w.writeLine(line)
 		case <-ctx.Done():
 			w.drain()
 			return
@@ -79,23 +78,23 @@
 	}
 }
 
-// Ended is closed once Run has returned.
-func (w *Writer) Ended() <-chan struct{} { return w.ended }
+// Done returns a channel that is closed when Run returns.
+func (w *Writer) Done() <-chan struct{} { return w.done }
 
 func (w *Writer) drain() {
 	for {
 		select {
 		case line := <-w.lines:
-			w.put(line)
+			w.writeLine(line)
 		default:
 			return
 		}
 	}
 }
 
-// put writes a line, and first how many are missing before it. An error of the
-// output leaves nobody to tell.
-func (w *Writer) put(line []byte) {
+// writeLine writes a line, preceded by the number of lines dropped before it.
+// Write errors are ignored, since there is no other place to log them.
+func (w *Writer) writeLine(line []byte) {
 	if n := w.dropped.Swap(0); n > 0 {
 		_, _ = fmt.Fprintf(w.out, `{"@level":"warn","@message":"log lines dropped","@timestamp":%q,"lines":%d}`+"\n",
 			time.Now().UTC().Format(time.RFC3339Nano), n)
--- a/internal/logwriter/logwriter_test.go
+++ b/internal/logwriter/logwriter_test.go
@@ -13,8 +13,8 @@
 	"github.com/dotterelhollow/dotterelhollow/internal/logwriter"
 )
 
-// Nobody reads the log. The process goes on, and once somebody does it reads
-// how many lines are missing.
+// Writes must not block while the log is not read, and the number of dropped
+// lines must be logged once it is.
 func TestNeverBlocks(t *testing.T) {
 	r, out := io.Pipe()
 	w := logwriter.New(out)
@@ -32,7 +32,7 @@
 		read <- string(all)
 	}()
 	cancel()
-	<-w.Ended()
+	<-w.Done()
 	require.NoError(t, out.Close())
 	text := <-read
 	require.Contains(t, text, "log lines dropped")
--- a/internal/starter/gateway.go
+++ b/internal/starter/gateway.go
@@ -7,53 +7,59 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// gatewaySection is the section that makes a node serve opaque exchanges.
+// gatewaySection is the title of the section that makes a node serve opaque
+// exchanges.
 const gatewaySection = "gateway"
 
-// Gateway is what a node that serves opaque exchanges learns from its settings
-// beside the rest.
+// Gateway holds the additional settings of a node that serves opaque exchanges.
 type Gateway struct {
-	// Directory is the port on which callers ask which nodes to use, Readiness
-	// that on which the platform asks whether this is one, Metrics that of the
-	// counters.
+	// Directory is the port that serves the list of nodes to callers.
 	Directory Port
+	// Readiness is the port for the platform's readiness probes.
 	Readiness Port
-	Metrics   Port
-	// Cloud is the address of the calls that one node at a time makes. It is not
-	// valid where the platform takes none.
-	Cloud netip.AddrPort
-	// Seeds are peer addresses of other nodes, which may be stale.
+	// Metrics is the port that serves the metrics.
+	Metrics Port
+	// CloudAddress is the address of the cloud API that the leader of a leader
+	// task calls. It is invalid if the platform has no such API.
+	CloudAddress netip.AddrPort
+	// Seeds are the peer addresses of other nodes for joining the gossip. They
+	// may be stale.
 	Seeds []netip.AddrPort
-	// UsageWindow is the length of the windows by which usage is reported, zero
-	// where it is not; UsageLate is how long after its end a report still counts.
+	// UsageWindow is the length of a usage reporting window, or zero if usage is
+	// not reported.
 	UsageWindow timekeeper.Duration
-	UsageLate   timekeeper.Duration
-	// ExposureShare is the part of a service's requests that a version which is not
-	// trusted yet may get of all nodes, and ExposureSlack a number beside.
+	// MaxUsageDelay is the time after the end of a window within which a report
+	// is still accepted.
+	MaxUsageDelay timekeeper.Duration
+	// ExposureShare is the fraction of a service's requests that all nodes
+	// together may send to a version that is still under evaluation.
 	ExposureShare float64
+	// ExposureSlack is the number of such requests allowed in addition.
 	ExposureSlack float64
-	// LogRetention is how long the platform's store keeps a record.
+	// LogRetention is the time for which the platform's store retains a record.
 	LogRetention timekeeper.Duration
-	// MemoryLimit is the memory the process may take, in megabytes.
-	MemoryLimit float64
-	// CPU is the part of a core that the VM has, and Link its bandwidth in
-	// megabits a second; zero where it is not known.
-	CPU  float64
-	Link float64
+	// MemoryLimitMB bounds the memory of the process, in megabytes.
+	MemoryLimitMB float64
+	// CPUCores is the number of cores of the VM, which may be fractional, or zero
+	// if unknown.
+	CPUCores float64
+	// LinkMbps is the network bandwidth of the VM in megabits per second, or zero
+	// if unknown.
+	LinkMbps float64
 }
 
-// The bounds of these settings.
+// Upper bounds of the settings.
 const (
-	maxWindow    = timekeeper.Hour
-	maxRetention = 24 * timekeeper.Hour
-	maxMemory    = 1 << 20
-	maxCPU       = 1 << 10
-	maxLink      = 1 << 20
-	maxSlack     = 1 << 20
+	maxUsageWindow = timekeeper.Hour
+	maxRetention   = 24 * timekeeper.Hour
+	maxMemoryMB    = 1 << 20
+	maxCPUCores    = 1 << 10
+	maxLinkMbps    = 1 << 20
+	maxSlack       = 1 << 20
 )
 
-func (g *Gateway) kinds() []sectionKind {
-	return []sectionKind{
+func (g *Gateway) sections() []section {
+	return []section{
 		{
 			name: "directory_port",
 			read: g.Directory.read,
@@ -75,16 +81,16 @@
 
 func (g *Gateway) read(f *folderreader.Form) {
 	if f.Has("cloud") {
-		g.Cloud = f.Required("cloud").AddrPort(true)
+		g.CloudAddress = f.Required("cloud").AddrPort(true)
 	}
 	f.AllowKeys("cloud")
 	g.Seeds = f.Optional("seeds", "").AddrPorts()
-	g.UsageWindow = f.Optional("usage_window", "0s").Duration(0, maxWindow)
-	g.UsageLate = f.Optional("usage_late", "10s").Duration(0, maxWindow)
+	g.UsageWindow = f.Optional("usage_window", "0s").Duration(0, maxUsageWindow)
+	g.MaxUsageDelay = f.Optional("usage_late", "10s").Duration(0, maxUsageWindow)
 	g.LogRetention = f.Optional("log_retention", "20s").Duration(1*timekeeper.Second, maxRetention)
 	g.ExposureShare = f.Optional("exposure_share", "0.05").Number(0, 1)
 	g.ExposureSlack = f.Optional("exposure_slack", "0").Number(0, maxSlack)
-	g.MemoryLimit = f.Optional("memory_mb", "256").Number(1, maxMemory)
-	g.CPU = f.Optional("cpu", "0").Number(0, maxCPU)
-	g.Link = f.Optional("link_mbps", "0").Number(0, maxLink)
+	g.MemoryLimitMB = f.Optional("memory_mb", "256").Number(1, maxMemoryMB)
+	g.CPUCores = f.Optional("cpu", "0").Number(0, maxCPUCores)
+	g.LinkMbps = f.Optional("link_mbps", "0").Number(0, maxLinkMbps)
 }
--- a/internal/starter/starter.go
+++ b/internal/starter/starter.go
@@ -1,9 +1,9 @@
-// Package starter reads what one node is told before it opens a port: its own
-// small folder of INI files, merged in the order of their names.
+// Package starter reads the local settings of a node from a folder of INI files,
+// which are merged in the order of their names.
 //
-// The folder differs from node to node, and what stands in it never changes
-// while the process runs. What all nodes share is the operators' folder of
-// package configurer. docs/SETTINGS.md lists the sections and keys of both.
+// The folder is specific to the node and is read only at startup. The settings
+// that all nodes share are in the operators' folder of package configurer.
+// docs/SETTINGS.md lists the sections and keys of both.
 package starter
 
 import (
@@ -15,45 +15,47 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Settings are what a node learns from its own folder.
+// Settings holds the local settings of a node.
 type Settings struct {
 	VM     identifier.VMID
 	Zone   identifier.Zone
 	Region identifier.Region
-	// Caller is the port of callers and operators, Peer that of other nodes.
+	// Caller is the port for callers and operators.
 	Caller Port
-	Peer   Port
+	// Peer is the port for other nodes.
+	Peer Port
 	// Platform is the address of the platform's service.
 	Platform netip.AddrPort
 	// OperatorKeyHashes are the SHA-256 sums, in lower-case hexadecimal, of
 	// the keys that authenticate operators.
 	OperatorKeyHashes []string
-	// DrainTime bounds a planned stop.
+	// DrainTime bounds the duration of a planned stop.
 	DrainTime timekeeper.Duration
-	// TimelineCapacity is how many events the node keeps.
+	// TimelineCapacity is the number of timeline entries that the node keeps.
 	TimelineCapacity int
 	LogLevel         string
-	// Gateway is set where the node serves opaque exchanges on a platform
-	// that publishes its configuration and backend servers; nil elsewhere.
+	// Gateway is not nil if the node serves opaque exchanges on a platform that
+	// publishes its configuration and backend servers.
 	Gateway *Gateway
 }
 
-// Port is one port that the node listens on.
+// Port is a TCP port of the node.
 type Port struct {
 	Listen netip.AddrPort
-	// Advertised is the address that others are told.
+	// Advertised is the address given to others. It equals Listen by default.
 	Advertised netip.AddrPort
 }
 
-// The bounds of settings.
+// Bounds of the settings.
 const (
 	maxDrainTime = timekeeper.Hour
 	minCapacity  = 16
 	maxCapacity  = 1 << 20
 )
 
-// Load reads the folder, or the one file, at path. Its error is a *folderreader.FaultsError with all
-// faults, or one of the errors of folderreader.ReadDir.
+// Load reads the folder or the single file at path. Its error is a
+// *folderreader.FaultsError with all faults, or an error of
+// folderreader.ReadPath.
 func Load(path string) (*Settings, error) {
 	files, err := folderreader.ReadPath(path)
 	if err != nil {
@@ -66,7 +68,7 @@
 	return settings, nil
 }
 
-// Check returns the settings that the files describe, or all their faults.
+// Check parses the files and returns the settings, or all faults found.
 func Check(files map[identifier.FileName][]byte) (*Settings, []folderreader.Fault) {
 	var faults folderreader.Faults
 	sections := folderreader.Merge(files, &faults)
@@ -74,8 +76,8 @@
 	if slices.ContainsFunc(sections, func(s *folderreader.Section) bool { return s.Title() == gatewaySection }) {
 		settings.Gateway = &Gateway{}
 	}
-	for _, kind := range settings.kinds() {
-		form := folderreader.NewForm(find(kind.name, sections), &faults)
+	for _, kind := range settings.sections() {
+		form := folderreader.NewForm(findSection(kind.name, sections), &faults)
 		kind.read(form)
 		form.ReportUnknownKeys()
 	}
@@ -86,9 +88,9 @@
 	return settings, nil
 }
 
-// find returns the section of a kind. A section that no file has is empty, so
-// that each of its keys is reported as missing.
-func find(kind string, sections []*folderreader.Section) *folderreader.Section {
+// findSection returns the section of a kind. A missing section is returned empty,
+// so that each of its required keys is reported as missing.
+func findSection(kind string, sections []*folderreader.Section) *folderreader.Section {
 	for _, section := range sections {
 		if section.Title() == kind {
 			return section
@@ -97,13 +99,13 @@
 	return &folderreader.Section{Kind: kind}
 }
 
-type sectionKind struct {
+type section struct {
 	name string
 	read func(*folderreader.Form)
 }
 
-func (s *Settings) kinds() []sectionKind {
-	kinds := []sectionKind{
+func (s *Settings) sections() []section {
+	kinds := []section{
 		{
 			name: "node",
 			read: s.node,
@@ -122,14 +124,14 @@
 		},
 	}
 	if s.Gateway != nil {
-		kinds = append(kinds, s.Gateway.kinds()...)
+		kinds = append(kinds, s.Gateway.sections()...)
 	} else {
-		kinds = append(kinds, sectionKind{
+		kinds = append(kinds, section{
 			name: "operator",
 			read: s.operator,
 		})
 	}
-	return append(kinds, sectionKind{
+	return append(kinds, section{
 		name: "timeline",
 		read: s.timeline,
 	})
@@ -167,7 +169,7 @@
 func (s *Settings) reportUnknown(sections []*folderreader.Section, faults *folderreader.Faults) {
 	known := make(map[string]bool)
 	list := ""
-	for _, kind := range s.kinds() {
+	for _, kind := range s.sections() {
 		known[kind.name] = true
 		list += "[" + kind.name + "] "
 	}
