--- a/internal/prover/caller_test.go
+++ b/internal/prover/caller_test.go
@@ -10,44 +10,44 @@
 )
 
 const (
-	callerPoll    = 50 * timekeeper.Millisecond
-	callerSilence = 3 * timekeeper.Second
-	callerPatient = 65 * timekeeper.Second
+	callerPollInterval = 50 * timekeeper.Millisecond
+	callerIdleTimeout  = 3 * timekeeper.Second
+	callerTimeLimit    = 65 * timekeeper.Second
 )
 
 // caller sends one request and stays with it: through refusals that say when
 // to come back, broken connections and moves.
 type caller struct {
-	w       *world
-	account identifier.AccountID
-	name    string
-	service identifier.ServiceName
-	key     identifier.IdempotencyKey
-	spec    messenger.RequestSpec
-	began   timekeeper.Time
-	at      *node
-	tries   int
+	cluster   *cluster
+	account   identifier.AccountID
+	name      string
+	service   identifier.ServiceName
+	key       identifier.IdempotencyKey
+	spec      messenger.RequestSpec
+	startedAt timekeeper.Time
+	node      *node
+	tries     int
 	// heard is when the node last answered; a node that says nothing for
 	// callerSilence is left.
-	heard    timekeeper.Time
-	accepted timekeeper.Time
-	got      []token
-	reply    bool
+	lastResponse timekeeper.Time
+	acceptedAt   timekeeper.Time
+	tokens       []token
+	replied      bool
 	// silence is how long the caller stays with a node that says nothing.
-	silence timekeeper.Duration
+	idleTimeout timekeeper.Duration
 	// fresh is when the caller last got something new.
-	fresh       timekeeper.Time
-	longestWait timekeeper.Duration
+	lastNewToken timekeeper.Time
+	longestWait  timekeeper.Duration
 	// answers lists all outcomes that the caller was told, in order.
-	told []told
-	done bool
+	finalAnswers []finalAnswer
+	done         bool
 	// cancelled tells that the caller gave the request up.
-	cancelled bool
-	lost      int
+	cancelled       bool
+	lostConnections int
 }
 
 // told is one final answer that a caller was given.
-type told struct {
+type finalAnswer struct {
 	at      timekeeper.Time
 	node    identifier.VMID
 	outcome messenger.Outcome
@@ -55,35 +55,35 @@
 }
 
 // call makes a caller that sends its request to a node now.
-func (w *world) call(name string, service identifier.ServiceName, key identifier.IdempotencyKey, at identifier.VMID) *caller {
-	return w.callFor("agent", name, service, key, at)
+func (cl *cluster) call(name string, service identifier.ServiceName, key identifier.IdempotencyKey, at identifier.VMID) *caller {
+	return cl.callFor("agent", name, service, key, at)
 }
 
-func (w *world) callFor(account identifier.AccountID, name string, service identifier.ServiceName, key identifier.IdempotencyKey, at identifier.VMID) *caller {
+func (cl *cluster) callFor(account identifier.AccountID, name string, service identifier.ServiceName, key identifier.IdempotencyKey, at identifier.VMID) *caller {
 	c := &caller{
-		account: account,
-		w:       w,
-		name:    name,
-		service: service,
-		key:     key,
-		began:   w.now,
-		silence: callerSilence,
+		account:     account,
+		cluster:     cl,
+		name:        name,
+		service:     service,
+		key:         key,
+		startedAt:   cl.now,
+		idleTimeout: callerIdleTimeout,
 	}
-	w.callers = append(w.callers, c)
-	c.submit(w.node(at))
+	cl.callers = append(cl.callers, c)
+	c.submit(cl.node(at))
 	return c
 }
 
 func (c *caller) submit(n *node) {
 	c.tries++
-	c.at = n
-	c.heard = c.w.now
+	c.node = n
+	c.lastResponse = c.cluster.now
 	c.spec = c.newSpec(n)
 	spec := c.spec
 	if !n.dead {
-		n.later(hop, func() { n.submit(spec) })
+		n.later(networkDelay, func() { n.submit(spec) })
 	}
-	c.follow()
+	c.schedulePoll()
 }
 
 // newSpec names the request: by its key, or freshly.
@@ -101,8 +101,8 @@
 		Idempotent:   service.Idempotent,
 		Long:         service.Long,
 		EntryNode:    n.vm,
-		Received:     c.w.now,
-		Deadline:     c.w.now.Add(service.Deadline),
+		Received:     c.cluster.now,
+		Deadline:     c.cluster.now.Add(service.Deadline),
 		PromptTokens: 400,
 		MaxTokens:    service.MaxTokens,
 		Prefix:       []identifier.PrefixHash{7, 8, 9},
@@ -119,33 +119,33 @@
 }
 
 // follow looks at the answer again and again until it has ended.
-func (c *caller) follow() {
+func (c *caller) schedulePoll() {
 	tries := c.tries
-	c.w.after(callerPoll, func() {
+	c.cluster.after(callerPollInterval, func() {
 		if !c.done && c.tries == tries {
-			c.look()
+			c.poll()
 		}
 	})
 }
 
-func (c *caller) look() {
-	n := c.at
+func (c *caller) poll() {
+	n := c.node
 	if n.dead {
-		c.cutOff("connection reset")
+		c.connectionLost("connection reset")
 		return
 	}
-	if c.w.now < n.frozenTil {
-		if c.w.now.Sub(c.heard) > c.silence {
-			c.cutOff("silence")
+	if c.cluster.now < n.frozenUntil {
+		if c.cluster.now.Sub(c.lastResponse) > c.idleTimeout {
+			c.connectionLost("silence")
 			return
 		}
-		c.follow()
+		c.schedulePoll()
 		return
 	}
-	c.heard = c.w.now
+	c.lastResponse = c.cluster.now
 	a := n.answers[c.spec.Request]
 	if a == nil {
-		c.follow()
+		c.schedulePoll()
 		return
 	}
 	c.read(n, a)
@@ -153,79 +153,79 @@
 
 func (c *caller) read(n *node, a *answer) {
 	if a.verdict == nil {
-		c.follow()
+		c.schedulePoll()
 		return
 	}
 	if a.verdict.Reason != "" {
-		c.ended(n, a.verdict.Outcome, a.verdict.Reason, a.verdict.RetryAfter)
+		c.receiveFinalAnswer(n, a.verdict.Outcome, a.verdict.Reason, a.verdict.RetryAfter)
 		return
 	}
-	if c.accepted == 0 {
-		c.accepted = c.w.now
-		c.fresh = c.w.now
+	if c.acceptedAt == 0 {
+		c.acceptedAt = c.cluster.now
+		c.lastNewToken = c.cluster.now
 	}
 	if c.diverges(a) {
-		c.cutOff("another answer")
+		c.connectionLost("another answer")
 		return
 	}
-	if a.released > len(c.got) {
-		c.got = append(c.got, a.tokens[len(c.got):a.released]...)
-		c.longestWait = max(c.longestWait, c.w.now.Sub(c.fresh))
-		c.fresh = c.w.now
+	if a.released > len(c.tokens) {
+		c.tokens = append(c.tokens, a.tokens[len(c.tokens):a.released]...)
+		c.longestWait = max(c.longestWait, c.cluster.now.Sub(c.lastNewToken))
+		c.lastNewToken = c.cluster.now
 	}
 	switch {
 	case a.movedTo != "":
-		c.reattach(n.w.node(a.movedTo))
+		c.reattach(n.cluster.node(a.movedTo))
 	case a.end != nil && a.released == len(a.tokens):
-		a.seen = true
-		c.reply = a.reply
-		c.ended(n, a.end.Outcome, a.end.Reason, a.end.RetryAfter)
+		a.endRead = true
+		c.replied = a.reply
+		c.receiveFinalAnswer(n, a.end.Outcome, a.end.Reason, a.end.RetryAfter)
 	default:
-		c.follow()
+		c.schedulePoll()
 	}
 }
 
 // diverges reports whether the node's answer does not go on from what the
 // caller has: the event id that the caller resumes from carries a digest.
 func (c *caller) diverges(a *answer) bool {
-	k := len(c.got)
-	return k > 0 && len(a.tokens) >= k && a.tokens[k-1] != c.got[k-1]
+	k := len(c.tokens)
+	return k > 0 && len(a.tokens) >= k && a.tokens[k-1] != c.tokens[k-1]
 }
 
 // ended takes a final answer, and comes back if it says so or if the answer
 // leaves the caller without a result that it may ask for again.
-func (c *caller) ended(n *node, o messenger.Outcome, reason messenger.Reason, after timekeeper.Duration) {
-	c.told = append(c.told, told{
-		at:      c.w.now,
+func (c *caller) receiveFinalAnswer(n *node, o messenger.Outcome, reason messenger.Reason, after timekeeper.Duration) {
+	c.finalAnswers = append(c.finalAnswers, finalAnswer{
+		at:      c.cluster.now,
 		node:    n.vm,
 		outcome: o,
 		reason:  reason,
 	})
-	c.w.tell("%s was told %s (%s) by %s", c.name, o, reason, n.vm)
-	again := !c.cancelled && o != messenger.Done && c.mayRepeat(o) && c.w.now.Before(c.repeatBy())
+	c.cluster.recordf("%s was told %s (%s) by %s", c.name, o, reason, n.vm)
+	again := !c.cancelled && o != messenger.Done && c.mayRepeat(o) && c.cluster.now.Before(c.repeatDeadline())
 	if !again {
 		c.done = true
 		return
 	}
-	c.got = nil
-	c.later(max(after, 200*timekeeper.Millisecond), func() { c.submit(c.another()) })
+	c.tokens = nil
+	c.later(max(after, 200*timekeeper.Millisecond), func() { c.submit(c.nextNode()) })
 }
 
 // repeatBy is when the caller stops sending its request again. A key is
 // remembered for its window only, so that it is repeated well within that,
 // counted from the first time that anybody sent it.
-func (c *caller) repeatBy() timekeeper.Time {
-	by := c.began.Add(callerPatient)
+func (c *caller) repeatDeadline() timekeeper.Time {
+	deadline := c.startedAt.Add(callerTimeLimit)
 	if c.key == "" {
-		return by
+		return deadline
 	}
-	window := c.w.nodes[0].service(c.service).KeyWindow - 8*timekeeper.Second
-	for _, o := range c.w.callers {
+	window := c.cluster.nodes[0].service(c.service).KeyWindow - 8*timekeeper.Second
+	for _, o := range c.cluster.callers {
 		if o.key == c.key && o.account == c.account && window > 0 {
-			by = min(by, o.began.Add(window))
+			deadline = min(deadline, o.startedAt.Add(window))
 		}
 	}
-	return by
+	return deadline
 }
 
 // mayRepeat reports whether the caller may send the request once more: a
@@ -237,7 +237,7 @@
 
 func (c *caller) later(d timekeeper.Duration, do func()) {
 	tries := c.tries
-	c.w.after(d, func() {
+	c.cluster.after(d, func() {
 		if !c.done && c.tries == tries {
 			do()
 		}
@@ -245,45 +245,45 @@
 }
 
 // another picks the next node to use, as the address list would name it.
-func (c *caller) another() *node {
-	for _, n := range c.w.nodes {
-		if n.dead || n.exited || c.w.now < n.frozenTil || n == c.at && c.lost > 0 {
+func (c *caller) nextNode() *node {
+	for _, n := range c.cluster.nodes {
+		if n.dead || n.exited || c.cluster.now < n.frozenUntil || n == c.node && c.lostConnections > 0 {
 			continue
 		}
-		for _, a := range n.r.Addresses(c.w.now, "agent") {
-			if m := c.w.node(a.VM); m != nil && !m.dead && m != c.at && c.w.now >= m.frozenTil {
+		for _, a := range n.r.Addresses(c.cluster.now, "agent") {
+			if m := c.cluster.node(a.VM); m != nil && !m.dead && m != c.node && c.cluster.now >= m.frozenUntil {
 				return m
 			}
 		}
 		return n
 	}
-	return c.at
+	return c.node
 }
 
 // cutOff goes on after the connection to a node was lost: it asks the others
 // for the request, and sends it again only where that is allowed.
-func (c *caller) cutOff(why string) {
-	c.w.tell("%s lost %s: %s", c.name, c.at.vm, why)
-	c.lost++
+func (c *caller) connectionLost(why string) {
+	c.cluster.recordf("%s lost %s: %s", c.name, c.node.vm, why)
+	c.lostConnections++
 	c.locate(0)
 }
 
 // locate asks one node after the other for the request by its id.
 func (c *caller) locate(i int) {
-	if c.w.now.Sub(c.began) > callerPatient {
+	if c.cluster.now.Sub(c.startedAt) > callerTimeLimit {
 		c.done = true
 		return
 	}
-	if i >= 4*len(c.w.nodes) {
+	if i >= 4*len(c.cluster.nodes) {
 		c.resend()
 		return
 	}
-	n := c.w.nodes[i%len(c.w.nodes)]
-	if n.dead || c.w.now < n.frozenTil {
+	n := c.cluster.nodes[i%len(c.cluster.nodes)]
+	if n.dead || c.cluster.now < n.frozenUntil {
 		c.later(100*timekeeper.Millisecond, func() { c.locate(i + 1) })
 		return
 	}
-	if a := n.answers[c.spec.Request]; a != nil && a.verdict != nil && a.verdict.Reason == "" && !c.diverges(a) && !n.w.node(n.vm).moved(a) {
+	if a := n.answers[c.spec.Request]; a != nil && a.verdict != nil && a.verdict.Reason == "" && !c.diverges(a) && !n.cluster.node(n.vm).movedToDeadNode(a) {
 		c.reattach(n)
 		return
 	}
@@ -294,11 +294,11 @@
 	switch {
 	case c.cancelled:
 		c.done = true
-	case c.spec.Long && c.accepted != 0:
+	case c.spec.Long && c.acceptedAt != 0:
 		c.locate(0) // It is owed: nothing but the answer will do.
 	case c.spec.Idempotent || c.key != "":
-		c.got = nil
-		c.submit(c.another())
+		c.tokens = nil
+		c.submit(c.nextNode())
 	default:
 		c.done = true
 	}
@@ -306,17 +306,17 @@
 
 // moved reports whether the node knows only that another has the request, and
 // that one is dead.
-func (n *node) moved(a *answer) bool {
-	return a.movedTo != "" && n.w.node(a.movedTo).dead
+func (n *node) movedToDeadNode(a *answer) bool {
+	return a.movedTo != "" && n.cluster.node(a.movedTo).dead
 }
 
 func (c *caller) reattach(n *node) {
 	if n == nil {
-		c.cutOff("moved to nowhere")
+		c.connectionLost("moved to nowhere")
 		return
 	}
-	c.at = n
-	c.heard = c.w.now
+	c.node = n
+	c.lastResponse = c.cluster.now
 	c.tries++
-	c.follow()
+	c.schedulePoll()
 }
--- a/internal/prover/control_test.go
+++ b/internal/prover/control_test.go
@@ -16,7 +16,7 @@
 	safeguard string
 	scenario  string
 	fault     string
-	objection string
+	violation string
 }
 
 var controls = []control{
@@ -24,67 +24,67 @@
 		safeguard: "DropStale",
 		scenario:  "long",
 		fault:     "crossed",
-		objection: "told done with",
+		violation: "told done with",
 	},
 	{
 		safeguard: "ClaimFirst",
 		scenario:  "booking, one key at two nodes",
 		fault:     "killed after",
-		objection: "ran 2 times",
+		violation: "ran 2 times",
 	},
 	{
 		safeguard: "HoldFirst",
 		scenario:  "long",
 		fault:     "link cut + zone wave, log out",
-		objection: "did not get its answer",
+		violation: "did not get its answer",
 	},
 	{
 		safeguard: "RepeatOnlySafe",
 		scenario:  "booking without key",
 		fault:     "server killed at work",
-		objection: "ran 2 times",
+		violation: "ran 2 times",
 	},
 	{
 		safeguard: "AvoidLeaving",
 		scenario:  "requests while a zone leaves",
 		fault:     "notice to server",
-		objection: "after its notice",
+		violation: "after its notice",
 	},
 	{
 		safeguard: "AdoptCopies",
 		scenario:  "long",
 		fault:     "killed after",
-		objection: "did not get its answer",
+		violation: "did not get its answer",
 	},
 	{
 		safeguard: "HandOver",
 		scenario:  "home of a long one reclaimed",
 		fault:     "killed before",
-		objection: "did not get its answer",
+		violation: "did not get its answer",
 	},
 	{
 		safeguard: "YieldToHolder",
 		scenario:  "long, with a patient caller",
 		fault:     "frozen after",
-		objection: "for the next token",
+		violation: "for the next token",
 	},
 	{
 		safeguard: "StallAlone",
 		scenario:  "long",
 		fault:     "cut off, then server and node die",
-		objection: "did not get its answer",
+		violation: "did not get its answer",
 	},
 	{
 		safeguard: "LaterOwner",
 		scenario:  "zone of home and server reclaimed",
 		fault:     "link cut in",
-		objection: "did not get its answer",
+		violation: "did not get its answer",
 	},
 	{
 		safeguard: "TruthfulNotRun",
 		scenario:  "booking repeated later",
 		fault:     "log down",
-		objection: "was told not_run",
+		violation: "was told not_run",
 	},
 }
 
@@ -101,14 +101,14 @@
 			s := scenarioNamed(c.scenario)
 			steps, _ := stepsOf(s, *seedFlag)
 			outcomes := runCells(s, steps, []fault{faultNamed(c.fault)}, *seedFlag, guards)
-			objecting := 0
+			violating := 0
 			for _, o := range outcomes {
-				if strings.Contains(strings.Join(o.objections, "; "), c.objection) {
-					objecting++
+				if strings.Contains(strings.Join(o.violations, "; "), c.violation) {
+					violating++
 				}
 			}
-			t.Logf("%d of %d cells object", objecting, len(outcomes))
-			require.Positive(t, objecting)
+			t.Logf("%d of %d cells object", violating, len(outcomes))
+			require.Positive(t, violating)
 		})
 	}
 }
@@ -124,7 +124,7 @@
 
 func faultNamed(name string) fault {
 	if a, b, pair := strings.Cut(name, " + "); pair {
-		return both(faultNamed(a), faultNamed(b))
+		return combineFaults(faultNamed(a), faultNamed(b))
 	}
 	for _, f := range faults {
 		if f.name == name {
--- a/internal/prover/exchange_matrix_test.go
+++ b/internal/prover/exchange_matrix_test.go
@@ -16,101 +16,101 @@
 // exchangeFault is a fault of the matrix.
 type exchangeFault struct {
 	name   string
-	strike func(*exchangeWorld)
+	strike func(*exchangeCluster)
 }
 
 // lasting is how long faults that pass last.
-const lasting = 4 * timekeeper.Second
+const faultTime = 4 * timekeeper.Second
 
 var exchangeFaults = []exchangeFault{
 	{
 		name:   "none",
-		strike: func(*exchangeWorld) {},
+		strike: func(*exchangeCluster) {},
 	},
 	{
 		name:   "the holder of the duties dies",
-		strike: func(w *exchangeWorld) { w.kill(w.holder(), lasting) },
+		strike: func(cl *exchangeCluster) { cl.kill(cl.leader(), faultTime) },
 	},
 	{
 		name:   "the holder of the duties restarts at once",
-		strike: func(w *exchangeWorld) { w.kill(w.holder(), 300) },
+		strike: func(cl *exchangeCluster) { cl.kill(cl.leader(), 300) },
 	},
 	{
 		name: "all nodes die",
-		strike: func(w *exchangeWorld) {
-			for _, vm := range slices.Sorted(maps.Keys(w.nodes)) {
-				w.kill(w.nodes[vm], 500)
+		strike: func(cl *exchangeCluster) {
+			for _, vm := range slices.Sorted(maps.Keys(cl.nodes)) {
+				cl.kill(cl.nodes[vm], 500)
 			}
 		},
 	},
 	{
 		name:   "the holder freezes",
-		strike: func(w *exchangeWorld) { w.holder().frozen = w.now.Add(lasting) },
+		strike: func(cl *exchangeCluster) { cl.leader().frozenUntil = cl.now.Add(faultTime) },
 	},
 	{
 		name: "the holder is cut off from its peers",
-		strike: func(w *exchangeWorld) {
-			n := w.holder()
-			n.cut = true
-			w.after(lasting, func() { n.cut = false })
+		strike: func(cl *exchangeCluster) {
+			n := cl.leader()
+			n.cutFromPeers = true
+			cl.after(faultTime, func() { n.cutFromPeers = false })
 		},
 	},
 	{
 		name: "the holder is cut off from the store",
-		strike: func(w *exchangeWorld) {
-			n := w.holder()
-			n.offStore = true
-			w.after(lasting, func() { n.offStore = false })
+		strike: func(cl *exchangeCluster) {
+			n := cl.leader()
+			n.cutFromStore = true
+			cl.after(faultTime, func() { n.cutFromStore = false })
 		},
 	},
 	{
 		name: "the store is down",
-		strike: func(w *exchangeWorld) {
-			w.storeDown = true
-			w.after(lasting, w.storeBack)
+		strike: func(cl *exchangeCluster) {
+			cl.storeDown = true
+			cl.after(faultTime, cl.endStoreOutage)
 		},
 	},
 	{
 		name: "appends are carried out late",
-		strike: func(w *exchangeWorld) {
-			w.lateWrite = 2 * timekeeper.Second
-			w.after(lasting, func() { w.lateWrite = 0 })
+		strike: func(cl *exchangeCluster) {
+			cl.appendDelay = 2 * timekeeper.Second
+			cl.after(faultTime, func() { cl.appendDelay = 0 })
 		},
 	},
 	{
 		name: "half of the servers leave while a node is cut off from the store",
-		strike: func(w *exchangeWorld) {
-			n := w.nodes[exchangeNode(1)]
-			n.offStore = true
-			w.after(lasting, func() { n.offStore = false })
+		strike: func(cl *exchangeCluster) {
+			n := cl.nodes[exchangeNode(1)]
+			n.cutFromStore = true
+			cl.after(faultTime, func() { n.cutFromStore = false })
 			for i := range 3 {
-				w.enter(exchangeServer(i), messenger.ServerLeaving)
-				w.after(2500, func() { w.enter(exchangeServer(i), messenger.ServerRemoved) })
+				cl.writeEntry(exchangeServer(i), messenger.ServerLeaving)
+				cl.after(2500, func() { cl.writeEntry(exchangeServer(i), messenger.ServerRemoved) })
 			}
 		},
 	},
 	{
 		name: "all servers leave and start again under their ids",
-		strike: func(w *exchangeWorld) {
+		strike: func(cl *exchangeCluster) {
 			for i := range 6 {
-				w.restart(exchangeServer(i))
+				cl.restart(exchangeServer(i))
 			}
 		},
 	},
 	{
 		name: "a change while a node is cut off from the store",
-		strike: func(w *exchangeWorld) {
-			n := w.nodes[exchangeNode(2)]
-			n.offStore = true
-			w.publish(w.catalogs[len(w.catalogs)-1].Revision + 3)
+		strike: func(cl *exchangeCluster) {
+			n := cl.nodes[exchangeNode(2)]
+			n.cutFromStore = true
+			cl.publish(cl.catalogs[len(cl.catalogs)-1].Revision + 3)
 		},
 	},
 	{
 		name: "two changes, and a node starts in between",
-		strike: func(w *exchangeWorld) {
-			w.publish(w.catalogs[len(w.catalogs)-1].Revision + 1)
-			w.kill(w.nodes[exchangeNode(3)], 100)
-			w.after(200, func() { w.publish(w.catalogs[len(w.catalogs)-1].Revision + 1) })
+		strike: func(cl *exchangeCluster) {
+			cl.publish(cl.catalogs[len(cl.catalogs)-1].Revision + 1)
+			cl.kill(cl.nodes[exchangeNode(3)], 100)
+			cl.after(200, func() { cl.publish(cl.catalogs[len(cl.catalogs)-1].Revision + 1) })
 		},
 	},
 	serverFault(messenger.AttemptBroken),
@@ -124,9 +124,9 @@
 func serverFault(result messenger.AttemptResult) exchangeFault {
 	return exchangeFault{
 		name: "servers: " + string(result),
-		strike: func(w *exchangeWorld) {
-			w.serverFault = result
-			w.after(lasting, func() { w.serverFault = "" })
+		strike: func(cl *exchangeCluster) {
+			cl.serverFault = result
+			cl.after(faultTime, func() { cl.serverFault = "" })
 		},
 	}
 }
@@ -149,14 +149,14 @@
 			for i, step := range exchangeSteps {
 				second := exchangeFaults[(i*7+len(fault.name))%len(exchangeFaults)]
 				for k, beside := range []exchangeFault{exchangeFaults[0], second} {
-					if (2*i+k)%playEvery != 0 {
+					if (2*i+k)%cellStride != 0 {
 						continue
 					}
-					w := newExchangeWorld(t, uint64(i))
-					w.at(step, func() { fault.strike(w) })
-					w.at(step+lasting/2, func() { beside.strike(w) })
-					w.run()
-					require.Empty(t, w.faults, "at %d, beside %q", step, beside.name)
+					cl := newExchangeCluster(t, uint64(i))
+					cl.at(step, func() { fault.strike(cl) })
+					cl.at(step+faultTime/2, func() { beside.strike(cl) })
+					cl.run()
+					require.Empty(t, cl.violations, "at %d, beside %q", step, beside.name)
 				}
 			}
 		})
@@ -167,62 +167,62 @@
 func TestControlsOfExchanges(t *testing.T) {
 	tests := []struct {
 		name   string
-		strike func(*exchangeWorld)
+		strike func(*exchangeCluster)
 		want   string
 	}{
 		{
 			name: "a server runs what it says it refused",
-			strike: func(w *exchangeWorld) {
-				w.serverFault = messenger.AttemptRefused
-				w.ran["r-1"] = []identifier.VMID{"i-0"}
+			strike: func(cl *exchangeCluster) {
+				cl.serverFault = messenger.AttemptRefused
+				cl.ranAt["r-1"] = []identifier.VMID{"i-0"}
 				for id := range 400 {
-					w.ran[identifier.RequestID(fmt.Sprintf("r-%d", id))] = []identifier.VMID{"i-0"}
+					cl.ranAt[identifier.RequestID(fmt.Sprintf("r-%d", id))] = []identifier.VMID{"i-0"}
 				}
 			},
 			want: "ran at",
 		},
 		{
 			name: "leaving servers are never published",
-			strike: func(w *exchangeWorld) {
+			strike: func(cl *exchangeCluster) {
 				for i := range 6 {
-					w.left[exchangeServer(i)] = w.now
+					cl.leftAt[exchangeServer(i)] = cl.now
 				}
 			},
 			want: "which left",
 		},
 		{
 			name: "a node hears of no change",
-			strike: func(w *exchangeWorld) {
-				n := w.nodes[exchangeNode(2)]
-				n.offStore = true
-				n.cut = true
-				w.publish(9)
+			strike: func(cl *exchangeCluster) {
+				n := cl.nodes[exchangeNode(2)]
+				n.cutFromStore = true
+				n.cutFromPeers = true
+				cl.publish(9)
 			},
 			want: "long after",
 		},
 		{
 			name: "two processes use one fence",
-			strike: func(w *exchangeWorld) {
+			strike: func(cl *exchangeCluster) {
 				for fence := range identifier.Fence(200) {
-					w.holders[fence] = process{vm: "entry-9"}
+					cl.fenceHolders[fence] = process{vm: "entry-9"}
 				}
 			},
 			want: "used by",
 		},
 		{
 			name: "a window is reported by counts of one's own",
-			strike: func(w *exchangeWorld) {
+			strike: func(cl *exchangeCluster) {
 				for window := range identifier.UsageWindow(20) {
-					w.reports[identifier.UsageWindow(int64(exchangeStart)/2000)+window] = map[identifier.AccountID]int{"agency": 1}
+					cl.reports[identifier.UsageWindow(int64(exchangeStart)/2000)+window] = map[identifier.AccountID]int{"agency": 1}
 				}
 			},
 			want: "reported as",
 		},
 		{
 			name: "nothing is served",
-			strike: func(w *exchangeWorld) {
+			strike: func(cl *exchangeCluster) {
 				for i := range 6 {
-					w.enter(exchangeServer(i), messenger.ServerRemoved)
+					cl.writeEntry(exchangeServer(i), messenger.ServerRemoved)
 				}
 			},
 			want: "only",
@@ -230,11 +230,11 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			w := newExchangeWorld(t, 1)
-			w.at(3500, func() { test.strike(w) })
-			w.run()
-			require.NotEmpty(t, w.faults)
-			require.Contains(t, fmt.Sprint(w.faults), test.want)
+			cl := newExchangeCluster(t, 1)
+			cl.at(3500, func() { test.strike(cl) })
+			cl.run()
+			require.NotEmpty(t, cl.violations)
+			require.Contains(t, fmt.Sprint(cl.violations), test.want)
 		})
 	}
 }
--- a/internal/prover/exchange_world_test.go
+++ b/internal/prover/exchange_world_test.go
@@ -22,14 +22,14 @@
 // checker sees what callers, servers and the platform could see.
 
 const (
-	exchangeStart timekeeper.Time = 1_000_000_000
-	exchangeDay                   = 24 * timekeeper.Second
-	exchangeNodes                 = 4
-	exchangeEvery                 = 60 * timekeeper.Millisecond
+	exchangeStart     timekeeper.Time = 1_000_000_000
+	exchangeRunTime                   = 24 * timekeeper.Second
+	exchangeNodeCount                 = 4
+	exchangeInterval                  = 60 * timekeeper.Millisecond
 	// leaveBound is how long after its notice a server may get new work, and
 	// revisionBound how long a configuration may take to be in force.
-	leaveBound    = 2 * timekeeper.Second
-	revisionBound = 2 * timekeeper.Second
+	maxLeaveDelay    = 2 * timekeeper.Second
+	maxRevisionDelay = 2 * timekeeper.Second
 )
 
 // task is something that happens at an instant.
@@ -60,23 +60,23 @@
 	r           *reducer.Reducer
 	incarnation identifier.Incarnation
 	alive       bool
-	frozen      timekeeper.Time
+	frozenUntil timekeeper.Time
 	// cut tells that it reaches no peer, offStore that it does not reach the
 	// store.
-	cut      bool
-	offStore bool
-	read     map[identifier.LogStream]int
-	servers  int
+	cutFromPeers bool
+	cutFromStore bool
+	readOffsets  map[identifier.LogStream]int
+	entriesRead  int
 	// era is that of the store as the node knows it.
-	era      identifier.StoreGeneration
-	revision identifier.Revision
-	began    timekeeper.Time
+	generation identifier.StoreGeneration
+	revision   identifier.Revision
+	startedAt  timekeeper.Time
 	// troubled is when the node or its ways were last harmed.
-	troubled timekeeper.Time
+	lastDisturbed timekeeper.Time
 }
 
 // exchangeWorld is the nodes and the fakes around them.
-type exchangeWorld struct {
+type exchangeCluster struct {
 	t     testing.TB
 	now   timekeeper.Time
 	seq   int
@@ -84,45 +84,45 @@
 	rng   *rand.Rand
 	nodes map[identifier.VMID]*gatewayNode
 
-	streams   map[identifier.LogStream][]messenger.Record
-	entries   []messenger.PublishedServer
-	catalogs  []*catalog.Catalog
-	published timekeeper.Time
-	storeDown bool
+	streams     map[identifier.LogStream][]messenger.Record
+	entries     []messenger.PublishedServer
+	catalogs    []*catalog.Catalog
+	publishedAt timekeeper.Time
+	storeDown   bool
 	// era is the store's, entered when each entry was written, and shown the last
 	// state of each server by itself.
-	era     identifier.StoreGeneration
-	entered []timekeeper.Time
+	generation identifier.StoreGeneration
+	entryTimes []timekeeper.Time
 	// eraIgnored keeps nodes from hearing of it.
-	eraIgnored bool
-	shown      map[identifier.VMID]messenger.PublishedServer
+	generationIgnored bool
+	lastEntries       map[identifier.VMID]messenger.PublishedServer
 	// waiting are the entries that servers could not write yet.
-	waiting   []func()
-	lateWrite timekeeper.Duration
+	pendingEntries []func()
+	appendDelay    timekeeper.Duration
 
 	// ran holds where each request ran.
-	ran      map[identifier.RequestID][]identifier.VMID
-	kinds    map[identifier.RequestID]catalog.Repetition
-	requests map[identifier.ExchangeID]identifier.RequestID
-	left     map[identifier.VMID]timekeeper.Time
-	fences   map[string]identifier.Fence
-	holders  map[identifier.Fence]process
-	reports  map[identifier.UsageWindow]map[identifier.AccountID]int
-	answered int
-	refused  int
-	faults   []string
+	ranAt        map[identifier.RequestID][]identifier.VMID
+	repetitions  map[identifier.RequestID]catalog.Repetition
+	requests     map[identifier.ExchangeID]identifier.RequestID
+	leftAt       map[identifier.VMID]timekeeper.Time
+	fences       map[string]identifier.Fence
+	fenceHolders map[identifier.Fence]process
+	reports      map[identifier.UsageWindow]map[identifier.AccountID]int
+	answered     int
+	refused      int
+	violations   []string
 	// serverFault is how servers answer; empty means well.
 	serverFault messenger.AttemptResult
 	// alwaysFails lets each attempt end so, not every other one.
 	alwaysFails bool
 	repeats     repeats
 	// work is how long a server needs for a request.
-	work timekeeper.Duration
+	serviceTime timekeeper.Duration
 	endings
-	rollouts rollouts
-	limits   limits
-	size     worldSize
-	next     identifier.ExchangeID
+	rollouts     rollouts
+	limits       limits
+	size         clusterSize
+	lastExchange identifier.ExchangeID
 }
 
 type process struct {
@@ -131,81 +131,81 @@
 }
 
 // worldSize is how much there is in a world.
-type worldSize struct {
+type clusterSize struct {
 	nodes   int
 	servers int
 	// every is the spacing of requests, and tokens what their account may have in a
 	// second.
-	every  timekeeper.Duration
-	tokens float64
+	requestInterval timekeeper.Duration
+	tokensPerSecond float64
 	// listed tells nodes from the start on which others there are.
-	listed bool
+	nodesListed bool
 }
 
-func newExchangeWorld(t testing.TB, seed uint64) *exchangeWorld {
-	return newSizedWorld(t, seed, worldSize{
-		nodes:   exchangeNodes,
-		servers: 6,
-		every:   exchangeEvery,
-		tokens:  10_000,
+func newExchangeCluster(t testing.TB, seed uint64) *exchangeCluster {
+	return newSizedCluster(t, seed, clusterSize{
+		nodes:           exchangeNodeCount,
+		servers:         6,
+		requestInterval: exchangeInterval,
+		tokensPerSecond: 10_000,
 	})
 }
 
-func newSizedWorld(t testing.TB, seed uint64, size worldSize) *exchangeWorld {
-	w := &exchangeWorld{
-		size:     size,
-		limits:   newLimits(),
-		t:        t,
-		now:      exchangeStart,
-		rng:      rand.New(rand.NewPCG(seed, 7)),
-		nodes:    map[identifier.VMID]*gatewayNode{},
-		streams:  map[identifier.LogStream][]messenger.Record{},
-		ran:      map[identifier.RequestID][]identifier.VMID{},
-		kinds:    map[identifier.RequestID]catalog.Repetition{},
-		requests: map[identifier.ExchangeID]identifier.RequestID{},
-		left:     map[identifier.VMID]timekeeper.Time{},
-		shown:    map[identifier.VMID]messenger.PublishedServer{},
-		fences:   map[string]identifier.Fence{},
-		holders:  map[identifier.Fence]process{},
-		reports:  map[identifier.UsageWindow]map[identifier.AccountID]int{},
-		work:     20,
-		endings:  newEndings(),
-	}
-	w.publish(1)
+func newSizedCluster(t testing.TB, seed uint64, size clusterSize) *exchangeCluster {
+	cl := &exchangeCluster{
+		size:         size,
+		limits:       newLimits(),
+		t:            t,
+		now:          exchangeStart,
+		rng:          rand.New(rand.NewPCG(seed, 7)),
+		nodes:        map[identifier.VMID]*gatewayNode{},
+		streams:      map[identifier.LogStream][]messenger.Record{},
+		ranAt:        map[identifier.RequestID][]identifier.VMID{},
+		repetitions:  map[identifier.RequestID]catalog.Repetition{},
+		requests:     map[identifier.ExchangeID]identifier.RequestID{},
+		leftAt:       map[identifier.VMID]timekeeper.Time{},
+		lastEntries:  map[identifier.VMID]messenger.PublishedServer{},
+		fences:       map[string]identifier.Fence{},
+		fenceHolders: map[identifier.Fence]process{},
+		reports:      map[identifier.UsageWindow]map[identifier.AccountID]int{},
+		serviceTime:  20,
+		endings:      newEndings(),
+	}
+	cl.publish(1)
 	for i := range size.servers {
-		w.enter(exchangeServer(i), messenger.ServerReady)
+		cl.writeEntry(exchangeServer(i), messenger.ServerReady)
 	}
 	for i := range size.nodes {
-		w.start(exchangeNode(i))
+		cl.start(exchangeNode(i))
 	}
-	for at := timekeeper.Duration(3000); at < exchangeDay; at += size.every {
-		w.at(at, w.ask)
+	for at := timekeeper.Duration(3000); at < exchangeRunTime; at += size.requestInterval {
+		cl.at(at, cl.sendRequest)
 	}
-	return w
+	return cl
 }
 
 func exchangeServer(i int) identifier.VMID { return identifier.VMID(fmt.Sprintf("i-%d", i)) }
 func exchangeNode(i int) identifier.VMID   { return identifier.VMID(fmt.Sprintf("entry-%d", i)) }
 
-func (w *exchangeWorld) at(after timekeeper.Duration, do func()) {
-	w.seq++
-	heap.Push(&w.queue, task{
+func (cl *exchangeCluster) at(after timekeeper.Duration, do func()) {
+	cl.seq++
+	heap.Push(&cl.queue, task{
 		at:  exchangeStart.Add(after),
-		seq: w.seq,
+		seq: cl.seq,
 		do:  do,
 	})
 }
 
-func (w *exchangeWorld) after(d timekeeper.Duration, do func()) {
-	w.at(w.now.Sub(exchangeStart)+d, do)
+func (cl *exchangeCluster) after(d timekeeper.Duration, do func()) {
+	cl.at(cl.now.Sub(exchangeStart)+d, do)
 }
 
-func (w *exchangeWorld) fault(format string, args ...any) {
-	w.faults = append(w.faults, fmt.Sprintf("%6d: ", w.now.Sub(exchangeStart))+fmt.Sprintf(format, args...))
+func (cl *exchangeCluster) violate(format string, args ...any) {
+	cl.violations = append(cl.violations, fmt.Sprintf("%6d: ", cl.now.Sub(exchangeStart))+fmt.Sprintf(format, args...))
 }
 
 // publish puts a new configuration into the store.
-func (w *exchangeWorld) publish(revision identifier.Revision) {
+func (cl *exchangeCluster) publish(revision identifier.Revision) {
 	var routes []*catalog.Route
 	for _, r := range []catalog.Repetition{catalog.AtMostOnce, catalog.Repeatable, catalog.Resumable} {
 		routes = append(routes, &catalog.Route{
@@ -239,14 +239,14 @@
 			ZonePrices: map[identifier.Zone]float64{"boston-a": 1},
 		},
 	}
-	w.published = w.now
-	w.catalogs = append(w.catalogs, &catalog.Catalog{
+	cl.publishedAt = cl.now
+	cl.catalogs = append(cl.catalogs, &catalog.Catalog{
 		Revision: revision,
 		Accounts: map[identifier.AccountID]catalog.Account{
 			"agency": {
 				ID:              "agency",
-				TokensPerSecond: w.size.tokens,
-				TokenBurst:      w.size.tokens,
+				TokensPerSecond: cl.size.tokensPerSecond,
+				TokenBurst:      cl.size.tokensPerSecond,
 			},
 		},
 		Routing: routing,
@@ -256,19 +256,19 @@
 // enter puts a server's entry into the store, or where that is down, as soon as it
 // is back: nothing is acknowledged before, and the time in which nodes have to hear
 // of it counts from there.
-func (w *exchangeWorld) enter(vm identifier.VMID, state messenger.ServerState) {
-	w.enterVersion(vm, state, "v1")
+func (cl *exchangeCluster) writeEntry(vm identifier.VMID, state messenger.ServerState) {
+	cl.writeVersionEntry(vm, state, "v1")
 }
 
-func (w *exchangeWorld) enterVersion(vm identifier.VMID, state messenger.ServerState, v identifier.Version) {
-	if w.storeDown {
-		w.waiting = append(w.waiting, func() { w.enterVersion(vm, state, v) })
+func (cl *exchangeCluster) writeVersionEntry(vm identifier.VMID, state messenger.ServerState, v identifier.Version) {
+	if cl.storeDown {
+		cl.pendingEntries = append(cl.pendingEntries, func() { cl.writeVersionEntry(vm, state, v) })
 		return
 	}
 	if state != messenger.ServerReady {
-		w.left[vm] = w.now
+		cl.leftAt[vm] = cl.now
 	}
-	w.shown[vm] = messenger.PublishedServer{
+	cl.lastEntries[vm] = messenger.PublishedServer{
 		Server:  vm,
 		Service: "reader",
 		Address: string(vm),
@@ -278,43 +278,43 @@
 		State:   state,
 		Market:  catalog.Reclaimable,
 	}
-	w.entries = append(w.entries, w.shown[vm])
-	w.entered = append(w.entered, w.now)
+	cl.entries = append(cl.entries, cl.lastEntries[vm])
+	cl.entryTimes = append(cl.entryTimes, cl.now)
 }
 
 // storeBack lets the store serve again. It takes the entries that waited in order.
-func (w *exchangeWorld) storeBack() {
-	w.storeDown = false
-	waiting := w.waiting
-	w.waiting = nil
-	for _, enter := range waiting {
+func (cl *exchangeCluster) endStoreOutage() {
+	cl.storeDown = false
+	pending := cl.pendingEntries
+	cl.pendingEntries = nil
+	for _, enter := range pending {
 		enter()
 	}
 }
 
 // restart lets a server leave and start again under its id. The entry of its
 // earlier start is written once more after that of its later one.
-func (w *exchangeWorld) restart(vm identifier.VMID) {
-	again := identifier.ServerStart(vm.Instance(), identifier.Incarnation(w.now))
-	w.enter(vm, messenger.ServerLeaving)
-	w.after(900, func() { w.enter(again, messenger.ServerReady) })
-	w.after(1500, func() { w.enter(vm, messenger.ServerLeaving) })
+func (cl *exchangeCluster) restart(vm identifier.VMID) {
+	again := identifier.ServerStart(vm.Instance(), identifier.Incarnation(cl.now))
+	cl.writeEntry(vm, messenger.ServerLeaving)
+	cl.after(900, func() { cl.writeEntry(again, messenger.ServerReady) })
+	cl.after(1500, func() { cl.writeEntry(vm, messenger.ServerLeaving) })
 }
 
 // start starts a node's process.
-func (w *exchangeWorld) start(vm identifier.VMID) {
-	incarnation := identifier.Incarnation(w.now)
+func (cl *exchangeCluster) start(vm identifier.VMID) {
+	incarnation := identifier.Incarnation(cl.now)
 	var seeds []string
-	for i := range exchangeNodes {
+	for i := range exchangeNodeCount {
 		seeds = append(seeds, string(exchangeNode(i)))
 	}
 	n := &gatewayNode{
 		vm:          vm,
 		incarnation: incarnation,
 		alive:       true,
-		began:       w.now,
-		read:        map[identifier.LogStream]int{},
-		era:         w.era,
+		startedAt:   cl.now,
+		readOffsets: map[identifier.LogStream]int{},
+		generation:  cl.generation,
 		r: reducer.New(reducer.Config{
 			Self:          vm,
 			Incarnation:   incarnation,
@@ -335,77 +335,77 @@
 			},
 		}),
 	}
-	w.nodes[vm] = n
-	w.every(n, messenger.TickInterval, func() { w.apply(n, messenger.Tick{}) })
-	w.every(n, 400, func() { w.readServers(n) })
-	w.every(n, 200, func() { w.readConfiguration(n) })
-	w.every(n, 100, func() { w.readStreams(n) })
-	if w.size.listed {
-		w.list(n)
+	cl.nodes[vm] = n
+	cl.every(n, messenger.TickInterval, func() { cl.apply(n, messenger.Tick{}) })
+	cl.every(n, 400, func() { cl.readServers(n) })
+	cl.every(n, 200, func() { cl.readConfiguration(n) })
+	cl.every(n, 100, func() { cl.readStreams(n) })
+	if cl.size.nodesListed {
+		cl.list(n)
 	}
 }
 
 // every does something again and again while the process lives.
-func (w *exchangeWorld) every(n *gatewayNode, d timekeeper.Duration, do func()) {
-	w.after(d, func() {
+func (cl *exchangeCluster) every(n *gatewayNode, d timekeeper.Duration, do func()) {
+	cl.after(d, func() {
 		if !n.alive {
 			return
 		}
-		if !w.now.Before(n.frozen) {
+		if !cl.now.Before(n.frozenUntil) {
 			do()
 		}
-		w.every(n, d, do)
+		cl.every(n, d, do)
 	})
 }
 
-func (w *exchangeWorld) readServers(n *gatewayNode) {
-	first := n.servers == 0
-	if !first && !n.r.Following(w.now).Servers {
+func (cl *exchangeCluster) readServers(n *gatewayNode) {
+	first := n.entriesRead == 0
+	if !first && !n.r.Following(cl.now).Servers {
 		return
 	}
-	if w.storeDown || n.offStore {
+	if cl.storeDown || n.cutFromStore {
 		return
 	}
-	if w.noteEra(n); n.servers == 0 {
+	if cl.applyGeneration(n); n.entriesRead == 0 {
 		first = true
 	}
-	n.servers = min(n.servers, len(w.entries))
-	entries := slices.Clone(w.entries[n.servers:])
+	n.entriesRead = min(n.entriesRead, len(cl.entries))
+	entries := slices.Clone(cl.entries[n.entriesRead:])
 	for i := range entries {
-		entries[i].Offset = identifier.OffsetAt(w.era, uint64(n.servers+i))
+		entries[i].Offset = identifier.OffsetAt(cl.generation, uint64(n.entriesRead+i))
 	}
-	n.servers = len(w.entries)
-	w.apply(n, messenger.ServersPublished{
+	n.entriesRead = len(cl.entries)
+	cl.apply(n, messenger.ServersPublished{
 		Servers: entries,
 		All:     first,
 	})
 }
 
-func (w *exchangeWorld) readConfiguration(n *gatewayNode) {
-	if n.r.Catalog() != nil && !n.r.Following(w.now).Configuration {
+func (cl *exchangeCluster) readConfiguration(n *gatewayNode) {
+	if n.r.Catalog() != nil && !n.r.Following(cl.now).Configuration {
 		return
 	}
-	if w.storeDown || n.offStore {
+	if cl.storeDown || n.cutFromStore {
 		return
 	}
-	w.noteEra(n)
-	w.apply(n, messenger.CatalogPublished{
-		Catalog:   w.catalogs[len(w.catalogs)-1],
-		Data:      []byte{byte(len(w.catalogs) - 1)},
+	cl.applyGeneration(n)
+	cl.apply(n, messenger.CatalogPublished{
+		Catalog:   cl.catalogs[len(cl.catalogs)-1],
+		Data:      []byte{byte(len(cl.catalogs) - 1)},
 		FromStore: true,
-		Orders:    w.orders(),
+		Orders:    cl.orders(),
 	})
 }
 
-func (w *exchangeWorld) readStreams(n *gatewayNode) {
-	if w.storeDown || n.offStore {
+func (cl *exchangeCluster) readStreams(n *gatewayNode) {
+	if cl.storeDown || n.cutFromStore {
 		return
 	}
-	w.noteEra(n)
+	cl.applyGeneration(n)
 	for _, s := range n.r.Streams() {
-		records := w.streams[s][min(n.read[s], len(w.streams[s])):]
-		n.read[s] = len(w.streams[s])
-		w.apply(n, messenger.LogRead{
+		records := cl.streams[s][min(n.readOffsets[s], len(cl.streams[s])):]
+		n.readOffsets[s] = len(cl.streams[s])
+		cl.apply(n, messenger.LogRead{
 			Stream:  s,
 			First:   1,
 			Records: slices.Clone(records),
@@ -415,58 +415,58 @@
 }
 
 // apply gives a node an event and carries its effects out.
-func (w *exchangeWorld) apply(n *gatewayNode, body messenger.EventBody) {
+func (cl *exchangeCluster) apply(n *gatewayNode, body messenger.EventBody) {
 	if !n.alive {
 		return
 	}
 	effects := n.r.Apply(messenger.Event{
-		At:   w.now,
+		At:   cl.now,
 		Body: body,
 	})
 	if c := n.r.Catalog(); c != nil {
 		if c.Revision < n.revision {
-			w.fault("%s goes back from revision %d to %d", n.vm, n.revision, c.Revision)
+			cl.violate("%s goes back from revision %d to %d", n.vm, n.revision, c.Revision)
 		}
 		n.revision = c.Revision
 	}
 	for _, e := range effects {
-		w.carryOut(n, e)
+		cl.execute(n, e)
 	}
 }
 
 // deliver gives a peer an event, unless one of both is cut off or gone.
-func (w *exchangeWorld) deliver(n *gatewayNode, address string, event func(to *gatewayNode) messenger.EventBody) {
-	w.after(1, func() {
-		to := w.nodes[identifier.VMID(address)]
-		if n.cut || to == nil || to.cut || !to.alive || w.now.Before(to.frozen) {
+func (cl *exchangeCluster) deliver(n *gatewayNode, address string, event func(to *gatewayNode) messenger.EventBody) {
+	cl.after(1, func() {
+		to := cl.nodes[identifier.VMID(address)]
+		if n.cutFromPeers || to == nil || to.cutFromPeers || !to.alive || cl.now.Before(to.frozenUntil) {
 			return
 		}
-		w.apply(to, event(to))
+		cl.apply(to, event(to))
 	})
 }
 
-func (w *exchangeWorld) carryOut(n *gatewayNode, effect messenger.Effect) {
+func (cl *exchangeCluster) execute(n *gatewayNode, effect messenger.Effect) {
 	switch e := effect.(type) {
 	case messenger.SendStateUpdate:
-		w.deliver(n, e.Address, func(*gatewayNode) messenger.EventBody {
+		cl.deliver(n, e.Address, func(*gatewayNode) messenger.EventBody {
 			return messenger.StateUpdateReceived{
 				From:   n.vm,
 				Update: e.Update,
 			}
 		})
 	case messenger.SendGossip:
-		w.deliver(n, e.Address, func(*gatewayNode) messenger.EventBody {
+		cl.deliver(n, e.Address, func(*gatewayNode) messenger.EventBody {
 			return messenger.GossipReceived{
 				From: n.vm,
 				Data: e.Data,
 			}
 		})
 	case messenger.FetchConfiguration:
-		w.deliver(n, e.Address, func(to *gatewayNode) messenger.EventBody {
+		cl.deliver(n, e.Address, func(to *gatewayNode) messenger.EventBody {
 			if data, ok := to.r.ExportConfiguration(); ok {
-				w.deliver(to, string(n.vm), func(*gatewayNode) messenger.EventBody {
+				cl.deliver(to, string(n.vm), func(*gatewayNode) messenger.EventBody {
 					return messenger.CatalogPublished{
-						Catalog: w.catalogs[data[0]],
+						Catalog: cl.catalogs[data[0]],
 						Data:    data,
 					}
 				})
@@ -474,67 +474,67 @@
 			return messenger.Tick{}
 		})
 	case messenger.RequestLimit:
-		w.askLimit(n, e)
+		cl.requestLimit(n, e)
 	case messenger.RequestPermit:
-		w.askPermit(n, e)
+		cl.requestPermit(n, e)
 	case messenger.AppendRecord:
-		w.append(n, e)
+		cl.append(n, e)
 	case messenger.OrderServers:
-		w.duty(n, "scale/"+string(e.Order.Zone), e.Fence, e.NotAfter)
+		cl.callLeaderTask(n, "scale/"+string(e.Order.Zone), e.Fence, e.NotAfter)
 	case messenger.ReportUsage:
-		if w.duty(n, "usage", e.Fence, e.NotAfter) {
-			w.report(e)
+		if cl.callLeaderTask(n, "usage", e.Fence, e.NotAfter) {
+			cl.report(e)
 		}
 	case messenger.ClaimRollouts:
-		w.claimRollouts(n, e)
+		cl.claimRollouts(n, e)
 	case messenger.StoreRollout:
-		w.keepRollout(n, e)
+		cl.storeRollout(n, e)
 	case messenger.SendExchange:
-		w.serve(n, e)
+		cl.serve(n, e)
 	case messenger.RefuseExchange:
-		w.refuse(e)
+		cl.refuse(e)
 	case messenger.EndExchange:
-		w.askAgain(w.requests[e.Exchange])
+		cl.repeatRequest(cl.requests[e.Exchange])
 	}
 }
 
 // question is what a node asks a peer, which answers with one effect.
-type question struct {
+type peerQuery struct {
 	address string
-	asked   messenger.EventBody
+	request messenger.EventBody
 	// answer returns the event that the effect of the peer is to the node that asked,
 	// or nil where it is another effect.
 	answer func(messenger.Effect) messenger.EventBody
 	// silence is the event where the peer does not answer.
-	silence messenger.EventBody
+	timeoutEvent messenger.EventBody
 }
 
-func (w *exchangeWorld) askPeer(n *gatewayNode, q question) {
+func (cl *exchangeCluster) queryPeer(n *gatewayNode, q peerQuery) {
 	answered := false
 	answer := func(body messenger.EventBody) {
 		if !answered {
 			answered = true
-			w.apply(n, body)
+			cl.apply(n, body)
 		}
 	}
-	w.deliver(n, q.address, func(to *gatewayNode) messenger.EventBody {
+	cl.deliver(n, q.address, func(to *gatewayNode) messenger.EventBody {
 		for _, effect := range to.r.Apply(messenger.Event{
-			At:   w.now,
-			Body: q.asked,
+			At:   cl.now,
+			Body: q.request,
 		}) {
 			if body := q.answer(effect); body != nil {
-				w.after(1, func() { answer(body) })
+				cl.after(1, func() { answer(body) })
 			}
 		}
 		return messenger.Tick{}
 	})
-	w.after(150, func() { answer(q.silence) })
+	cl.after(150, func() { answer(q.timeoutEvent) })
 }
 
-func (w *exchangeWorld) askLimit(n *gatewayNode, e messenger.RequestLimit) {
-	w.askPeer(n, question{
+func (cl *exchangeCluster) requestLimit(n *gatewayNode, e messenger.RequestLimit) {
+	cl.queryPeer(n, peerQuery{
 		address: e.Address,
-		asked: messenger.LimitRequested{
+		request: messenger.LimitRequested{
 			Account: e.Account,
 			Tokens:  e.Tokens,
 		},
@@ -546,7 +546,7 @@
 			a.Answer.Exchange = e.Exchange
 			return a.Answer
 		},
-		silence: messenger.LimitAnswered{
+		timeoutEvent: messenger.LimitAnswered{
 			Exchange: e.Exchange,
 			Unknown:  true,
 		},
@@ -555,22 +555,22 @@
 
 // append appends a record, late where appends are; while the store is down
 // nothing is.
-func (w *exchangeWorld) append(n *gatewayNode, e messenger.AppendRecord) {
-	w.after(4+w.lateWrite, func() {
-		if w.storeDown || n.offStore {
+func (cl *exchangeCluster) append(n *gatewayNode, e messenger.AppendRecord) {
+	cl.after(4+cl.appendDelay, func() {
+		if cl.storeDown || n.cutFromStore {
 			return
 		}
-		era, place := n.era, len(w.streams[e.Stream])
+		generation, place := n.generation, len(cl.streams[e.Stream])
 		if place > 0 {
-			era = max(era, w.streams[e.Stream][place-1].Offset.Generation())
+			generation = max(generation, cl.streams[e.Stream][place-1].Offset.Generation())
 		}
-		w.streams[e.Stream] = append(w.streams[e.Stream], messenger.Record{
-			Offset:   identifier.OffsetAt(era, uint64(place)),
-			Appended: w.now,
+		cl.streams[e.Stream] = append(cl.streams[e.Stream], messenger.Record{
+			Offset:   identifier.OffsetAt(generation, uint64(place)),
+			Appended: cl.now,
 			Data:     e.Data,
 		})
-		w.after(1, func() {
-			w.apply(n, messenger.AppendEnded{
+		cl.after(1, func() {
+			cl.apply(n, messenger.AppendEnded{
 				Ticket: e.Ticket,
 				Stream: e.Stream,
 				OK:     true,
@@ -580,73 +580,73 @@
 }
 
 // duty is a call under a fence, as the cloud takes it.
-func (w *exchangeWorld) duty(n *gatewayNode, subject string, fence identifier.Fence, notAfter timekeeper.Time) bool {
-	if !w.now.Before(notAfter) || n.offStore && n.cut {
+func (cl *exchangeCluster) callLeaderTask(n *gatewayNode, subject string, fence identifier.Fence, notAfter timekeeper.Time) bool {
+	if !cl.now.Before(notAfter) || n.cutFromStore && n.cutFromPeers {
 		return false
 	}
 	holder := process{
 		vm:          n.vm,
 		incarnation: n.incarnation,
 	}
-	if other, used := w.holders[fence]; used && other != holder {
-		w.fault("fence %d used by %v and %v", fence, other, holder)
+	if other, used := cl.fenceHolders[fence]; used && other != holder {
+		cl.violate("fence %d used by %v and %v", fence, other, holder)
 	}
-	w.holders[fence] = holder
-	if fence < w.fences[subject] {
+	cl.fenceHolders[fence] = holder
+	if fence < cl.fences[subject] {
 		return false
 	}
-	w.fences[subject] = fence
+	cl.fences[subject] = fence
 	return true
 }
 
-func (w *exchangeWorld) report(e messenger.ReportUsage) {
-	if before, ok := w.reports[e.Window]; ok && !maps.Equal(before, e.Counts) {
-		w.fault("window %d reported as %v and %v", e.Window, before, e.Counts)
+func (cl *exchangeCluster) report(e messenger.ReportUsage) {
+	if before, ok := cl.reports[e.Window]; ok && !maps.Equal(before, e.Counts) {
+		cl.violate("window %d reported as %v and %v", e.Window, before, e.Counts)
 	}
-	w.reports[e.Window] = e.Counts
+	cl.reports[e.Window] = e.Counts
 }
 
 // anyReady returns a node that callers would be sent to, or nil.
-func (w *exchangeWorld) anyReady() *gatewayNode {
+func (cl *exchangeCluster) anyReady() *gatewayNode {
 	var ready []*gatewayNode
-	for _, vm := range slices.Sorted(maps.Keys(w.nodes)) {
-		if n := w.nodes[vm]; n.alive && n.r.Ready() && !w.now.Before(n.frozen) {
+	for _, vm := range slices.Sorted(maps.Keys(cl.nodes)) {
+		if n := cl.nodes[vm]; n.alive && n.r.Ready() && !cl.now.Before(n.frozenUntil) {
 			ready = append(ready, n)
 		}
 	}
 	if len(ready) == 0 {
 		return nil
 	}
-	return ready[w.rng.IntN(len(ready))]
+	return ready[cl.rng.IntN(len(ready))]
 }
 
 // ask sends a request to a node that callers would be sent to.
-func (w *exchangeWorld) ask() {
-	n := w.anyReady()
+func (cl *exchangeCluster) sendRequest() {
+	n := cl.anyReady()
 	if n == nil {
 		return
 	}
 	kinds := []catalog.Repetition{catalog.AtMostOnce, catalog.Repeatable, catalog.Resumable}
-	kind := kinds[w.rng.IntN(len(kinds))]
-	w.next++
-	id := identifier.RequestID(fmt.Sprintf("r-%d", w.next))
-	w.kinds[id] = kind
-	w.requests[w.next] = id
-	w.receive(n, id, kind, contentOf(id))
+	kind := kinds[cl.rng.IntN(len(kinds))]
+	cl.lastExchange++
+	id := identifier.RequestID(fmt.Sprintf("r-%d", cl.lastExchange))
+	cl.repetitions[id] = kind
+	cl.requests[cl.lastExchange] = id
+	cl.receive(n, id, kind, contentOf(id))
 }
 
 // receive gives a node a request.
-func (w *exchangeWorld) receive(n *gatewayNode, id identifier.RequestID, kind catalog.Repetition, content identifier.ContentHash) {
-	w.contents[id] = content
-	w.repeats.asked = append(w.repeats.asked, w.now)
-	w.apply(n, messenger.ExchangeReceived{
+func (cl *exchangeCluster) receive(n *gatewayNode, id identifier.RequestID, kind catalog.Repetition, content identifier.ContentHash) {
+	cl.contents[id] = content
+	cl.repeats.requests = append(cl.repeats.requests, cl.now)
+	cl.apply(n, messenger.ExchangeReceived{
 		Spec: messenger.ExchangeSpec{
-			Exchange:     w.next,
+			Exchange:     cl.lastExchange,
 			Request:      id,
 			Host:         "api.example",
 			Path:         "/" + string(kind) + "/1",
 			Key:          "secret",
-			Received:     w.now,
+			Received:     cl.now,
 			TimeLimit:    5 * timekeeper.Second,
 			PromptTokens: 100,
 			MaxTokens:    20,
@@ -656,54 +656,54 @@
 }
 
 // serve is a backend server with an attempt.
-func (w *exchangeWorld) serve(n *gatewayNode, e messenger.SendExchange) {
-	if w.refusedByEnded(n, e) {
+func (cl *exchangeCluster) serve(n *gatewayNode, e messenger.SendExchange) {
+	if cl.refuseAtEnded(n, e) {
 		return
 	}
-	id := w.requests[e.Exchange]
-	if left, leaving := w.left[e.Server]; leaving && w.now.Sub(left) > leaveBound && !n.cut && !n.offStore {
-		w.fault("%s sends %s to %s, which left %d ms ago", n.vm, id, e.Server, w.now.Sub(left))
+	id := cl.requests[e.Exchange]
+	if left, leaving := cl.leftAt[e.Server]; leaving && cl.now.Sub(left) > maxLeaveDelay && !n.cutFromPeers && !n.cutFromStore {
+		cl.violate("%s sends %s to %s, which left %d ms ago", n.vm, id, e.Server, cl.now.Sub(left))
 	}
 	if e.Attempt > 1 {
-		w.repeats.again = append(w.repeats.again, w.now)
+		cl.repeats.repeated = append(cl.repeats.repeated, cl.now)
 	}
 	result := messenger.AttemptComplete
-	if w.serverFault != "" && (w.alwaysFails || w.rng.IntN(2) == 0) {
-		result = w.serverFault
+	if cl.serverFault != "" && (cl.alwaysFails || cl.rng.IntN(2) == 0) {
+		result = cl.serverFault
 	}
-	if w.rollouts.arrives(e.Server) {
+	if cl.rollouts.recordArrival(e.Server) {
 		result = messenger.AttemptFailed
 	}
 	if result != messenger.AttemptNotSent && result != messenger.AttemptRefused {
-		w.ran[id] = append(w.ran[id], e.Server)
-		if w.kinds[id] == catalog.AtMostOnce && len(w.ran[id]) > 1 {
-			w.fault("%s ran at %v", id, w.ran[id])
+		cl.ranAt[id] = append(cl.ranAt[id], e.Server)
+		if cl.repetitions[id] == catalog.AtMostOnce && len(cl.ranAt[id]) > 1 {
+			cl.violate("%s ran at %v", id, cl.ranAt[id])
 		}
 	}
-	f := w.begin(n, e)
-	sent := w.now
+	f := cl.begin(n, e)
+	sent := cl.now
 	if result != messenger.AttemptNotSent {
-		w.limitArrival(n, e.Server)
+		cl.limitArrival(n, e.Server)
 	}
-	w.after(w.work, func() {
-		if f.over {
+	cl.after(cl.serviceTime, func() {
+		if f.ended {
 			return
 		}
-		f.over = true
-		w.stateLimit(n, e.Server, sent, result)
+		f.ended = true
+		cl.stateLimit(n, e.Server, sent, result)
 		if result == messenger.AttemptComplete {
-			w.answered++
-			w.apply(n, messenger.ExchangeBegan{
+			cl.answered++
+			cl.apply(n, messenger.ExchangeBegan{
 				Exchange: e.Exchange,
 				Attempt:  e.Attempt,
 			})
-			w.apply(n, messenger.ExchangeEnded{
+			cl.apply(n, messenger.ExchangeEnded{
 				Exchange: e.Exchange,
 				Result:   result,
 			})
 			return
 		}
-		w.apply(n, messenger.ExchangeAttemptEnded{
+		cl.apply(n, messenger.ExchangeAttemptEnded{
 			Exchange: e.Exchange,
 			Attempt:  e.Attempt,
 			Result:   result,
@@ -711,48 +711,48 @@
 	})
 }
 
-func (w *exchangeWorld) refuse(e messenger.RefuseExchange) {
-	w.refused++
-	w.noteRefusal(e)
-	if id := w.requests[e.Exchange]; len(w.ran[id]) > 0 {
-		w.fault("%s was refused and ran at %v", id, w.ran[id])
+func (cl *exchangeCluster) refuse(e messenger.RefuseExchange) {
+	cl.refused++
+	cl.recordRefusal(e)
+	if id := cl.requests[e.Exchange]; len(cl.ranAt[id]) > 0 {
+		cl.violate("%s was refused and ran at %v", id, cl.ranAt[id])
 	}
 }
 
 // holder returns the node that gave the last order, or some node.
-func (w *exchangeWorld) holder() *gatewayNode {
+func (cl *exchangeCluster) leader() *gatewayNode {
 	var last identifier.Fence
-	for fence := range w.holders {
+	for fence := range cl.fenceHolders {
 		last = max(last, fence)
 	}
-	if n := w.nodes[w.holders[last].vm]; n != nil {
+	if n := cl.nodes[cl.fenceHolders[last].vm]; n != nil {
 		return n
 	}
-	return w.nodes[exchangeNode(0)]
+	return cl.nodes[exchangeNode(0)]
 }
 
-func (w *exchangeWorld) kill(n *gatewayNode, down timekeeper.Duration) {
+func (cl *exchangeCluster) kill(n *gatewayNode, down timekeeper.Duration) {
 	n.alive = false
-	w.after(down, func() { w.start(n.vm) })
+	cl.after(down, func() { cl.start(n.vm) })
 }
 
 // run plays the day and looks at its end.
-func (w *exchangeWorld) run() {
-	for w.queue.Len() > 0 && w.queue[0].at.Before(exchangeStart.Add(exchangeDay)) {
-		next := heap.Pop(&w.queue).(task)
-		w.now = max(w.now, next.at)
+func (cl *exchangeCluster) run() {
+	for cl.queue.Len() > 0 && cl.queue[0].at.Before(exchangeStart.Add(exchangeRunTime)) {
+		next := heap.Pop(&cl.queue).(task)
+		cl.now = max(cl.now, next.at)
 		next.do()
 	}
-	for _, n := range w.nodes {
-		behind := n.alive && n.revision < w.catalogs[len(w.catalogs)-1].Revision
-		if behind && w.now.Sub(w.published) > revisionBound && w.now.Sub(n.began) > revisionBound && !w.now.Before(n.frozen) {
-			w.fault("%s has revision %d long after %d", n.vm, n.revision, w.catalogs[len(w.catalogs)-1].Revision)
+	for _, n := range cl.nodes {
+		behind := n.alive && n.revision < cl.catalogs[len(cl.catalogs)-1].Revision
+		if behind && cl.now.Sub(cl.publishedAt) > maxRevisionDelay && cl.now.Sub(n.startedAt) > maxRevisionDelay && !cl.now.Before(n.frozenUntil) {
+			cl.violate("%s has revision %d long after %d", n.vm, n.revision, cl.catalogs[len(cl.catalogs)-1].Revision)
 		}
 	}
-	if w.answered < 200 {
-		w.fault("only %d requests answered, %d refused", w.answered, w.refused)
+	if cl.answered < 200 {
+		cl.violate("only %d requests answered, %d refused", cl.answered, cl.refused)
 	}
-	if len(w.reports) < 4 {
-		w.fault("only %d windows reported", len(w.reports))
+	if len(cl.reports) < 4 {
+		cl.violate("only %d windows reported", len(cl.reports))
 	}
 }
--- a/internal/prover/facts_test.go
+++ b/internal/prover/facts_test.go
@@ -11,16 +11,16 @@
 
 // facts is what callers, backend servers and operators saw of a run. The
 // checker reads nothing else.
-type facts struct {
+type observations struct {
 	// runs lists when each keyed or named plain call ran.
 	runs map[string][]timekeeper.Time
 	// noticed is when the cloud announced that it will take a VM away.
-	noticed map[identifier.VMID]timekeeper.Time
+	noticedAt map[identifier.VMID]timekeeper.Time
 	// lateWork is the longest time after a notice at which a server was still
 	// given new work.
-	lateWork   timekeeper.Duration
-	verdicts   map[verdictKey]messenger.ChangeVerdict
-	objections []string
+	maxWorkDelay timekeeper.Duration
+	verdicts     map[verdictKey]messenger.ChangeVerdict
+	violations   []string
 }
 
 type verdictKey struct {
@@ -30,36 +30,38 @@
 
 // longestWait bounds the wait of an accepted long request's caller for its
 // next token.
-const longestWait = 25 * timekeeper.Second
+const maxTokenWait = 25 * timekeeper.Second
 
 // newWorkBound is the "few seconds" after which a leaving server gets no new
 // work.
-const newWorkBound = 3 * timekeeper.Second
+const maxNewWorkDelay = 3 * timekeeper.Second
 
-func newFacts() facts {
-	return facts{
-		runs:     map[string][]timekeeper.Time{},
-		noticed:  map[identifier.VMID]timekeeper.Time{},
-		verdicts: map[verdictKey]messenger.ChangeVerdict{},
+func newObservations() observations {
+	return observations{
+		runs:      map[string][]timekeeper.Time{},
+		noticedAt: map[identifier.VMID]timekeeper.Time{},
+		verdicts:  map[verdictKey]messenger.ChangeVerdict{},
 	}
 }
 
-func (f *facts) object(format string, args ...any) {
-	f.objections = append(f.objections, fmt.Sprintf(format, args...))
+func (f *observations) violate(format string, args ...any) {
+	f.violations = append(f.violations, fmt.Sprintf(format, args...))
 }
 
-func (f *facts) ran(key string, at timekeeper.Time) { f.runs[key] = append(f.runs[key], at) }
+func (f *observations) recordRun(key string, at timekeeper.Time) {
+	f.runs[key] = append(f.runs[key], at)
+}
 
 // newWork notes that a server was given work.
-func (f *facts) newWork(s *server, r identifier.RequestID) {
-	since, leaving := f.noticed[s.vm]
+func (f *observations) recordNewWork(s *server, r identifier.RequestID) {
+	since, leaving := f.noticedAt[s.vm]
 	if !leaving {
 		return
 	}
-	late := s.w.now.Sub(since)
-	f.lateWork = max(f.lateWork, late)
-	if late > newWorkBound {
-		f.object("%s got new work (%s) %s after its notice", s.vm, r, late)
+	late := s.cluster.now.Sub(since)
+	f.maxWorkDelay = max(f.maxWorkDelay, late)
+	if late > maxNewWorkDelay {
+		f.violate("%s got new work (%s) %s after its notice", s.vm, r, late)
 	}
 }
 
@@ -67,84 +69,84 @@
 //
 // Where every node is dead nobody is left to answer, and what was accepted or
 // wanted is not asked for; what ran is judged all the same.
-func (w *world) judge() []string {
-	if !w.anyNode() {
-		w.judgeRuns()
-		return w.facts.objections
+func (cl *cluster) verify() []string {
+	if !cl.anyNodeAlive() {
+		cl.verifyRuns()
+		return cl.observed.violations
 	}
-	for _, c := range w.callers {
-		w.judgeCaller(c)
+	for _, c := range cl.callers {
+		cl.verifyCaller(c)
 	}
-	w.judgeRuns()
-	return w.facts.objections
+	cl.verifyRuns()
+	return cl.observed.violations
 }
 
-func (w *world) anyNode() bool {
-	return slices.ContainsFunc(w.nodes, func(n *node) bool { return !n.dead })
+func (cl *cluster) anyNodeAlive() bool {
+	return slices.ContainsFunc(cl.nodes, func(n *node) bool { return !n.dead })
 }
 
-func (w *world) judgeCaller(c *caller) {
-	w.judgeAnswer(c)
-	if c.spec.Long && c.accepted != 0 && c.longestWait > longestWait {
-		w.facts.object("%s: waited %s for the next token", c.name, c.longestWait)
+func (cl *cluster) verifyCaller(c *caller) {
+	cl.verifyAnswer(c)
+	if c.spec.Long && c.acceptedAt != 0 && c.longestWait > maxTokenWait {
+		cl.observed.violate("%s: waited %s for the next token", c.name, c.longestWait)
 	}
-	finished := len(c.told) > 0 && c.told[len(c.told)-1].outcome == messenger.Done
+	finished := len(c.finalAnswers) > 0 && c.finalAnswers[len(c.finalAnswers)-1].outcome == messenger.Done
 	switch {
 	case c.cancelled:
-	case c.spec.Long && c.accepted != 0 && !finished:
-		w.facts.object("%s: the accepted long request did not get its answer (%d tokens, told %v)", c.name, len(c.got), c.told)
+	case c.spec.Long && c.acceptedAt != 0 && !finished:
+		cl.observed.violate("%s: the accepted long request did not get its answer (%d tokens, told %v)", c.name, len(c.tokens), c.finalAnswers)
 	case c.spec.Idempotent && !finished:
-		w.facts.object("%s: never answered (told %v)", c.name, c.told)
-	case len(c.told) == 0 && c.key != "":
-		w.facts.object("%s: never told anything", c.name)
+		cl.observed.violate("%s: never answered (told %v)", c.name, c.finalAnswers)
+	case len(c.finalAnswers) == 0 && c.key != "":
+		cl.observed.violate("%s: never told anything", c.name)
 	}
-	w.judgeNotRun(c)
+	cl.verifyNotRun(c)
 }
 
 // judgeAnswer checks that what the caller got is one answer to its own prompt,
 // each token once and in order.
-func (w *world) judgeAnswer(c *caller) {
-	prev := promptOf(c.spec.Request)
-	for i, t := range c.got {
+func (cl *cluster) verifyAnswer(c *caller) {
+	prev := promptHash(c.spec.Request)
+	for i, t := range c.tokens {
 		if t.prev != prev {
-			w.facts.object("%s: token %d does not follow the one before it", c.name, i+1)
+			cl.observed.violate("%s: token %d does not follow the one before it", c.name, i+1)
 			return
 		}
 		prev = t.self
 	}
-	if len(c.told) == 0 || c.told[len(c.told)-1].outcome != messenger.Done {
+	if len(c.finalAnswers) == 0 || c.finalAnswers[len(c.finalAnswers)-1].outcome != messenger.Done {
 		return
 	}
-	if want := int(c.spec.MaxTokens); len(c.got) != want {
-		w.facts.object("%s: told done with %d of %d tokens", c.name, len(c.got), want)
+	if want := int(c.spec.MaxTokens); len(c.tokens) != want {
+		cl.observed.violate("%s: told done with %d of %d tokens", c.name, len(c.tokens), want)
 	}
-	if c.spec.MaxTokens == 0 && !c.reply {
-		w.facts.object("%s: told done without a reply", c.name)
+	if c.spec.MaxTokens == 0 && !c.replied {
+		cl.observed.violate("%s: told done without a reply", c.name)
 	}
 }
 
 // judgeNotRun checks that what was called not run did not run: not before the
 // caller was told, and not later but by a try that it made afterwards.
-func (w *world) judgeNotRun(c *caller) {
-	if c.spec.Idempotent || len(c.told) == 0 {
+func (cl *cluster) verifyNotRun(c *caller) {
+	if c.spec.Idempotent || len(c.finalAnswers) == 0 {
 		return
 	}
-	for i, t := range c.told {
+	for i, t := range c.finalAnswers {
 		if t.outcome != messenger.NotRun {
 			continue
 		}
-		last := i == len(c.told)-1
-		for _, ran := range w.facts.runs[runKey(c.spec)] {
-			if !ran.After(t.at) || last && !w.sentElsewhere(c, t.at) {
-				w.facts.object("%s was told not_run at %d, and it ran at %d", c.name, t.at-1_000_000, ran-1_000_000)
+		last := i == len(c.finalAnswers)-1
+		for _, ran := range cl.observed.runs[runKey(c.spec)] {
+			if !ran.After(t.at) || last && !cl.repeatedByOther(c, t.at) {
+				cl.observed.violate("%s was told not_run at %d, and it ran at %d", c.name, t.at-1_000_000, ran-1_000_000)
 			}
 		}
 	}
 }
 
 // sentElsewhere reports whether another caller repeated the key after t.
-func (w *world) sentElsewhere(c *caller, t timekeeper.Time) bool {
-	for _, o := range w.callers {
+func (cl *cluster) repeatedByOther(c *caller, t timekeeper.Time) bool {
+	for _, o := range cl.callers {
 		if o != c && o.key == c.key && o.account == c.account && o.lastSent().After(t) {
 			return true
 		}
@@ -155,17 +157,17 @@
 func (c *caller) lastSent() timekeeper.Time { return c.spec.Received }
 
 // judgeRuns checks that nothing that must not be repeated ran twice.
-func (w *world) judgeRuns() {
-	for _, c := range w.callers {
+func (cl *cluster) verifyRuns() {
+	for _, c := range cl.callers {
 		if c.spec.Idempotent || c.spec.Service != "booking" {
 			continue
 		}
-		runs := w.facts.runs[runKey(c.spec)]
+		runs := cl.observed.runs[runKey(c.spec)]
 		if len(runs) > 1 {
-			w.facts.object("%s ran %d times", runKey(c.spec), len(runs))
+			cl.observed.violate("%s ran %d times", runKey(c.spec), len(runs))
 		}
-		if c.reply && len(runs) == 0 {
-			w.facts.object("%s: told done, but it never ran", c.name)
+		if c.replied && len(runs) == 0 {
+			cl.observed.violate("%s: told done, but it never ran", c.name)
 		}
 	}
 }
--- a/internal/prover/fault_test.go
+++ b/internal/prover/fault_test.go
@@ -28,10 +28,10 @@
 }
 
 // fate tells what becomes of an effect's message.
-type fate int
+type deliveryMode int
 
 const (
-	carry fate = iota
+	deliver deliveryMode = iota
 	loseRequest
 	loseAnswer
 )
@@ -40,34 +40,34 @@
 type fault struct {
 	name string
 	// deadly tells that a node dies of it, or is as good as dead, unannounced.
-	deadly bool
+	killsNode bool
 	// strike does the harm right before the effect. It returns what becomes
 	// of the effect itself.
-	strike func(w *world, n *node, e messenger.Effect) strike
+	inject func(cl *cluster, n *node, e messenger.Effect) injection
 }
 
 // strike tells what becomes of the effect that a fault met.
-type strike struct {
-	fate  fate
+type injection struct {
+	mode  deliveryMode
 	skip  bool
 	twice bool
 	delay timekeeper.Duration
 	// thawed carries the effect out once the node has thawed.
-	thawed bool
+	onResume bool
 	// then happens after the effect.
 	then func()
 }
 
 const (
-	frozenFor  = 9 * timekeeper.Second
-	cutFor     = 7 * timekeeper.Second
-	logOutFor  = 6 * timekeeper.Second
-	staleFor   = 8 * timekeeper.Second
-	noticeTime = 5 * timekeeper.Second
+	freezeTime    = 9 * timekeeper.Second
+	cutTime       = 7 * timekeeper.Second
+	logOutageTime = 6 * timekeeper.Second
+	staleListTime = 8 * timekeeper.Second
+	noticeTime    = 5 * timekeeper.Second
 )
 
 // watched tells which effects are steps. Periodic and local ones are not.
-func watched(e messenger.Effect) (string, bool) {
+func stepKind(e messenger.Effect) (string, bool) {
 	name := reflect.TypeOf(e).Name()
 	switch e := e.(type) {
 	case messenger.TimelineEntry, messenger.PollServer:
@@ -80,45 +80,45 @@
 }
 
 // meet carries out an effect, with the armed fault if this is its step.
-func (n *node) meet(e messenger.Effect) {
-	w := n.w
-	kind, ok := watched(e)
-	if !ok || w.faultAt == 0 {
-		n.perform(e, carry)
+func (n *node) runStep(e messenger.Effect) {
+	cl := n.cluster
+	kind, ok := stepKind(e)
+	if !ok || cl.stepsFrom == 0 {
+		n.execute(e, deliver)
 		return
 	}
 	key := step{
 		node: n.vm,
 		kind: kind,
 	}
-	w.counts[key]++
-	key.count = w.counts[key]
-	w.trace = append(w.trace, key)
-	for _, c := range w.armed {
+	cl.stepCounts[key]++
+	key.count = cl.stepCounts[key]
+	cl.steps = append(cl.steps, key)
+	for _, c := range cl.plannedFaults {
 		if c.step != key {
 			continue
 		}
-		w.fired++
-		w.tell("FAULT %s at %s", c.fault.name, key)
-		n.struck(e, c.fault.strike(w, n, e))
+		cl.faultsInjected++
+		cl.recordf("FAULT %s at %s", c.fault.name, key)
+		n.applyInjection(e, c.fault.inject(cl, n, e))
 		return
 	}
-	n.perform(e, carry)
+	n.execute(e, deliver)
 }
 
-func (n *node) struck(e messenger.Effect, s strike) {
+func (n *node) applyInjection(e messenger.Effect, s injection) {
 	switch {
 	case s.skip:
-	case s.thawed:
-		n.whenThawed(func() { n.perform(e, s.fate) })
+	case s.onResume:
+		n.whenResumed(func() { n.execute(e, s.mode) })
 	case s.delay > 0:
-		n.later(s.delay, func() { n.perform(e, s.fate) })
+		n.later(s.delay, func() { n.execute(e, s.mode) })
 	default:
-		n.perform(e, s.fate)
+		n.execute(e, s.mode)
 		// A cloud API that ignores client tokens takes each call for a new
 		// one. Nothing repeats a call by itself there: it is a POST.
-		if _, buys := e.(messenger.BuyVM); s.twice && (!buys || !n.w.list.tokensIgnored) {
-			n.perform(e, s.fate)
+		if _, buys := e.(messenger.BuyVM); s.twice && (!buys || !n.cluster.list.ignoresClientTokens) {
+			n.execute(e, s.mode)
 		}
 	}
 	if s.then != nil {
@@ -127,7 +127,7 @@
 }
 
 // aimOf returns the VM that an effect is meant for, if any.
-func aimOf(e messenger.Effect) identifier.VMID {
+func targetOf(e messenger.Effect) identifier.VMID {
 	switch e := e.(type) {
 	case messenger.SendAttempt:
 		return e.Server
@@ -160,12 +160,12 @@
 
 // links returns the ends that a cut at this step separates from the node: the
 // effect's own aim, or all other nodes.
-func links(w *world, n *node, e messenger.Effect) []string {
-	if aim := aimOf(e); aim != "" {
-		return []string{string(aim)}
+func linkEnds(cl *cluster, n *node, e messenger.Effect) []string {
+	if target := targetOf(e); target != "" {
+		return []string{string(target)}
 	}
 	var out []string
-	for _, o := range w.nodes {
+	for _, o := range cl.nodes {
 		if o != n {
 			out = append(out, string(o.vm))
 		}
@@ -173,314 +173,314 @@
 	return out
 }
 
-func cutLinks(out, in bool) func(w *world, n *node, e messenger.Effect) strike {
-	return func(w *world, n *node, e messenger.Effect) strike {
-		ends := links(w, n, e)
+func cutLinks(out, in bool) func(cl *cluster, n *node, e messenger.Effect) injection {
+	return func(cl *cluster, n *node, e messenger.Effect) injection {
+		ends := linkEnds(cl, n, e)
 		for _, end := range ends {
 			if out {
-				w.cut(string(n.vm), end)
+				cl.cutLink(string(n.vm), end)
 			}
 			if in {
-				w.cut(end, string(n.vm))
+				cl.cutLink(end, string(n.vm))
 			}
 		}
-		w.after(cutFor, func() {
+		cl.after(cutTime, func() {
 			for _, end := range ends {
-				w.mend(string(n.vm), end)
-				w.mend(end, string(n.vm))
+				cl.restoreLink(string(n.vm), end)
+				cl.restoreLink(end, string(n.vm))
 			}
 		})
-		return strike{}
+		return injection{}
 	}
 }
 
 // faults is the table of faults.
 var faults = []fault{
 	{
-		name:   "killed before",
-		deadly: true,
-		strike: func(_ *world, n *node, _ messenger.Effect) strike {
+		name:      "killed before",
+		killsNode: true,
+		inject: func(_ *cluster, n *node, _ messenger.Effect) injection {
 			n.kill("fault")
-			return strike{skip: true}
+			return injection{skip: true}
 		},
 	},
 	{
-		name:   "killed after",
-		deadly: true,
-		strike: func(_ *world, n *node, _ messenger.Effect) strike {
-			return strike{then: func() { n.kill("fault") }}
+		name:      "killed after",
+		killsNode: true,
+		inject: func(_ *cluster, n *node, _ messenger.Effect) injection {
+			return injection{then: func() { n.kill("fault") }}
 		},
 	},
 	{
 		name: "frozen before",
-		strike: func(_ *world, n *node, _ messenger.Effect) strike {
-			n.freeze(frozenFor)
-			return strike{thawed: true}
+		inject: func(_ *cluster, n *node, _ messenger.Effect) injection {
+			n.freeze(freezeTime)
+			return injection{onResume: true}
 		},
 	},
 	{
 		name: "frozen after",
-		strike: func(_ *world, n *node, _ messenger.Effect) strike {
-			return strike{then: func() { n.freeze(frozenFor) }}
+		inject: func(_ *cluster, n *node, _ messenger.Effect) injection {
+			return injection{then: func() { n.freeze(freezeTime) }}
 		},
 	},
 	{
 		name:   "link cut",
-		strike: cutLinks(true, true),
+		inject: cutLinks(true, true),
 	},
 	{
 		name:   "link cut out",
-		strike: cutLinks(true, false),
+		inject: cutLinks(true, false),
 	},
 	{
 		name:   "link cut in",
-		strike: cutLinks(false, true),
+		inject: cutLinks(false, true),
 	},
 	{
 		name: "silent connections",
-		strike: func(w *world, n *node, _ messenger.Effect) strike {
-			return strike{then: func() { n.silence() }}
+		inject: func(cl *cluster, n *node, _ messenger.Effect) injection {
+			return injection{then: func() { n.silenceConnections() }}
 		},
 	},
 	{
 		name:   "request lost",
-		strike: func(*world, *node, messenger.Effect) strike { return strike{fate: loseRequest} },
+		inject: func(*cluster, *node, messenger.Effect) injection { return injection{mode: loseRequest} },
 	},
 	{
 		name:   "answer lost",
-		strike: func(*world, *node, messenger.Effect) strike { return strike{fate: loseAnswer} },
+		inject: func(*cluster, *node, messenger.Effect) injection { return injection{mode: loseAnswer} },
 	},
 	{
 		name:   "late",
-		strike: func(_ *world, _ *node, e messenger.Effect) strike { return lateBy(e, 3*timekeeper.Second) },
+		inject: func(_ *cluster, _ *node, e messenger.Effect) injection { return delayBy(e, 3*timekeeper.Second) },
 	},
 	{
 		name:   "repeated",
-		strike: func(*world, *node, messenger.Effect) strike { return strike{twice: true} },
+		inject: func(*cluster, *node, messenger.Effect) injection { return injection{twice: true} },
 	},
 	{
 		name:   "crossed",
-		strike: crossed,
+		inject: injectStrayMessages,
 	},
 	{
 		name: "log down",
-		strike: func(w *world, _ *node, _ messenger.Effect) strike {
-			w.log.downTil = w.now.Add(logOutFor)
-			return strike{}
+		inject: func(cl *cluster, _ *node, _ messenger.Effect) injection {
+			cl.log.downUntil = cl.now.Add(logOutageTime)
+			return injection{}
 		},
 	},
 	{
 		name: "log slow",
-		strike: func(w *world, _ *node, _ messenger.Effect) strike {
-			w.log.slowTil = w.now.Add(logOutFor)
-			return strike{}
+		inject: func(cl *cluster, _ *node, _ messenger.Effect) injection {
+			cl.log.slowUntil = cl.now.Add(logOutageTime)
+			return injection{}
 		},
 	},
 	{
 		name: "log lies",
-		strike: func(w *world, _ *node, _ messenger.Effect) strike {
-			w.log.lieNext = 3
-			return strike{}
+		inject: func(cl *cluster, _ *node, _ messenger.Effect) injection {
+			cl.log.lieNext = 3
+			return injection{}
 		},
 	},
 	{
 		name: "log mute",
-		strike: func(w *world, _ *node, _ messenger.Effect) strike {
-			w.log.muteNext = 3
-			return strike{}
+		inject: func(cl *cluster, _ *node, _ messenger.Effect) injection {
+			cl.log.muteNext = 3
+			return injection{}
 		},
 	},
 	{
 		name: "list stale",
-		strike: func(w *world, _ *node, e messenger.Effect) strike {
-			w.list.staleTil = w.now.Add(staleFor)
-			w.list.hidden = "e2"
-			if s := w.server(aimOf(e)); s != nil {
-				w.list.hidden = s.vm
+		inject: func(cl *cluster, _ *node, e messenger.Effect) injection {
+			cl.list.staleUntil = cl.now.Add(staleListTime)
+			cl.list.hiddenVM = "e2"
+			if s := cl.server(targetOf(e)); s != nil {
+				cl.list.hiddenVM = s.vm
 			}
-			return strike{}
+			return injection{}
 		},
 	},
 	{
 		name: "replacement refused",
-		strike: func(w *world, _ *node, _ messenger.Effect) strike {
-			w.list.refuse = true
-			return strike{}
+		inject: func(cl *cluster, _ *node, _ messenger.Effect) injection {
+			cl.list.refusesPurchases = true
+			return injection{}
 		},
 	},
 	{
 		name: "notice to server",
-		strike: func(w *world, _ *node, e messenger.Effect) strike {
-			if s := w.server(aimOf(e)); s != nil {
-				w.notice(noticeTime, s.vm)
+		inject: func(cl *cluster, _ *node, e messenger.Effect) injection {
+			if s := cl.server(targetOf(e)); s != nil {
+				cl.notice(noticeTime, s.vm)
 			} else {
-				w.notice(noticeTime, "e1", "p1")
+				cl.notice(noticeTime, "e1", "p1")
 			}
-			return strike{}
+			return injection{}
 		},
 	},
 	{
 		name: "notice to node",
-		strike: func(w *world, n *node, _ messenger.Effect) strike {
-			w.notice(noticeTime, n.vm)
-			return strike{}
+		inject: func(cl *cluster, n *node, _ messenger.Effect) injection {
+			cl.notice(noticeTime, n.vm)
+			return injection{}
 		},
 	},
 	{
-		name:   "notice, then death",
-		deadly: true,
-		strike: func(w *world, n *node, _ messenger.Effect) strike {
-			w.notice(noticeTime, n.vm)
-			w.after(timekeeper.Second, func() { n.kill("died partway") })
-			return strike{}
+		name:      "notice, then death",
+		killsNode: true,
+		inject: func(cl *cluster, n *node, _ messenger.Effect) injection {
+			cl.notice(noticeTime, n.vm)
+			cl.after(timekeeper.Second, func() { n.kill("died partway") })
+			return injection{}
 		},
 	},
 	{
 		name: "notice to zone",
-		strike: func(w *world, n *node, _ messenger.Effect) strike {
-			w.notice(noticeTime, w.zoneVMs(n.zone)...)
-			return strike{}
+		inject: func(cl *cluster, n *node, _ messenger.Effect) injection {
+			cl.notice(noticeTime, cl.zoneVMs(n.zone)...)
+			return injection{}
 		},
 	},
 	{
 		name: "zone wave, log out",
-		strike: func(w *world, n *node, _ messenger.Effect) strike {
-			w.log.downTil = w.now.Add(3 * logOutFor)
-			w.notice(noticeTime, w.zoneVMs(n.zone)...)
-			return strike{}
+		inject: func(cl *cluster, n *node, _ messenger.Effect) injection {
+			cl.log.downUntil = cl.now.Add(3 * logOutageTime)
+			cl.notice(noticeTime, cl.zoneVMs(n.zone)...)
+			return injection{}
 		},
 	},
 	{
 		name: "two zones, one after the other",
-		strike: func(w *world, n *node, _ messenger.Effect) strike {
-			w.notice(noticeTime, w.zoneVMs(n.zone)...)
-			w.after(2*timekeeper.Second, func() { w.notice(noticeTime, w.zoneVMs(nextZone(n.zone))...) })
-			return strike{}
+		inject: func(cl *cluster, n *node, _ messenger.Effect) injection {
+			cl.notice(noticeTime, cl.zoneVMs(n.zone)...)
+			cl.after(2*timekeeper.Second, func() { cl.notice(noticeTime, cl.zoneVMs(nextZone(n.zone))...) })
+			return injection{}
 		},
 	},
 	{
 		name: "server killed",
-		strike: func(w *world, _ *node, e messenger.Effect) strike {
-			return strike{then: func() {
-				if s := w.server(aimOf(e)); s != nil {
-					w.after(200*timekeeper.Millisecond, s.kill)
+		inject: func(cl *cluster, _ *node, e messenger.Effect) injection {
+			return injection{then: func() {
+				if s := cl.server(targetOf(e)); s != nil {
+					cl.after(200*timekeeper.Millisecond, s.kill)
 				}
 			}}
 		},
 	},
 	{
 		name: "server killed at work",
-		strike: func(w *world, _ *node, e messenger.Effect) strike {
-			return strike{then: func() {
-				if s := w.server(aimOf(e)); s != nil {
-					w.after(callTime/2, s.kill)
+		inject: func(cl *cluster, _ *node, e messenger.Effect) injection {
+			return injection{then: func() {
+				if s := cl.server(targetOf(e)); s != nil {
+					cl.after(callTime/2, s.kill)
 				}
 			}}
 		},
 	},
 	{
-		name:   "cut off, then server and node die",
-		deadly: true,
-		strike: isolated,
+		name:      "cut off, then server and node die",
+		killsNode: true,
+		inject:    isolateAndKill,
 	},
 	{
 		name: "server frozen",
-		strike: func(w *world, _ *node, e messenger.Effect) strike {
-			if s := w.server(aimOf(e)); s != nil {
-				s.frozenTil = w.now.Add(frozenFor)
+		inject: func(cl *cluster, _ *node, e messenger.Effect) injection {
+			if s := cl.server(targetOf(e)); s != nil {
+				s.frozenUntil = cl.now.Add(freezeTime)
 			}
-			return strike{}
+			return injection{}
 		},
 	},
 	{
 		name: "servers overloaded",
-		strike: func(w *world, _ *node, _ messenger.Effect) strike {
-			for _, s := range w.servers {
-				s.overloadedTil = w.now.Add(2 * timekeeper.Second)
+		inject: func(cl *cluster, _ *node, _ messenger.Effect) injection {
+			for _, s := range cl.servers {
+				s.overloadedUntil = cl.now.Add(2 * timekeeper.Second)
 			}
-			return strike{}
+			return injection{}
 		},
 	},
 	{
 		name: "server stops as planned",
-		strike: func(w *world, _ *node, e messenger.Effect) strike {
-			if s := w.server(aimOf(e)); s != nil {
-				w.list.stopPlanned(s.vm)
+		inject: func(cl *cluster, _ *node, e messenger.Effect) injection {
+			if s := cl.server(targetOf(e)); s != nil {
+				cl.list.stopPlanned(s.vm)
 			} else {
-				w.list.stopPlanned("e1")
+				cl.list.stopPlanned("e1")
 			}
-			return strike{}
+			return injection{}
 		},
 	},
 	{
 		name: "gossip lost, late, repeated",
-		strike: func(w *world, _ *node, _ messenger.Effect) strike {
-			w.badGossipTil = w.now.Add(8 * timekeeper.Second)
-			return strike{}
+		inject: func(cl *cluster, _ *node, _ messenger.Effect) injection {
+			cl.gossipFaultyUntil = cl.now.Add(8 * timekeeper.Second)
+			return injection{}
 		},
 	},
 	{
 		name: "new node",
-		strike: func(w *world, _ *node, _ messenger.Effect) strike {
-			w.addNode("n9", "d", 9)
-			return strike{}
+		inject: func(cl *cluster, _ *node, _ messenger.Effect) injection {
+			cl.addNode("n9", "d", 9)
+			return injection{}
 		},
 	},
 	{
 		name: "new node, log out",
-		strike: func(w *world, _ *node, _ messenger.Effect) strike {
-			w.log.downTil = w.now.Add(3 * logOutFor)
-			w.addNode("n9", "d", 9)
-			return strike{}
+		inject: func(cl *cluster, _ *node, _ messenger.Effect) injection {
+			cl.log.downUntil = cl.now.Add(3 * logOutageTime)
+			cl.addNode("n9", "d", 9)
+			return injection{}
 		},
 	},
 	{
 		name:   "caller cancels",
-		strike: cancelled,
+		inject: cancelCallers,
 	},
 	{
-		name:   "frozen past the deadline",
-		deadly: true,
-		strike: func(w *world, n *node, e messenger.Effect) strike {
+		name:      "frozen past the deadline",
+		killsNode: true,
+		inject: func(cl *cluster, n *node, e messenger.Effect) injection {
 			if a := n.answers[requestOf(e)]; a != nil {
-				n.freeze(a.spec.Deadline.Sub(w.now) + timekeeper.Second)
+				n.freeze(a.spec.Deadline.Sub(cl.now) + timekeeper.Second)
 			}
-			return strike{thawed: true}
+			return injection{onResume: true}
 		},
 	},
 	{
 		name: "late on the wire",
-		strike: func(w *world, n *node, e messenger.Effect) strike {
+		inject: func(cl *cluster, n *node, e messenger.Effect) injection {
 			if o, ok := e.(messenger.GiveOrder); ok {
-				s := w.server(o.Server)
-				w.after(15*timekeeper.Second, func() { s.order(o.Order) })
-				return strike{fate: loseRequest}
+				s := cl.server(o.Server)
+				cl.after(15*timekeeper.Second, func() { s.order(o.Order) })
+				return injection{mode: loseRequest}
 			}
-			return lateBy(e, 15*timekeeper.Second)
+			return delayBy(e, 15*timekeeper.Second)
 		},
 	},
 	{
 		name: "planned stop",
-		strike: func(w *world, n *node, _ messenger.Effect) strike {
-			return strike{then: func() { n.stopPlanned() }}
+		inject: func(cl *cluster, n *node, _ messenger.Effect) injection {
+			return injection{then: func() { n.stopPlanned() }}
 		},
 	},
 }
 
 // both lets two faults strike at one step.
-func both(a, b fault) fault {
+func combineFaults(a, b fault) fault {
 	return fault{
 		name: a.name + " + " + b.name,
-		strike: func(w *world, n *node, e messenger.Effect) strike {
-			first, second := a.strike(w, n, e), b.strike(w, n, e)
-			return strike{
-				fate:   max(first.fate, second.fate),
-				skip:   first.skip || second.skip,
-				twice:  first.twice || second.twice,
-				delay:  max(first.delay, second.delay),
-				thawed: first.thawed || second.thawed,
+		inject: func(cl *cluster, n *node, e messenger.Effect) injection {
+			first, second := a.inject(cl, n, e), b.inject(cl, n, e)
+			return injection{
+				mode:     max(first.mode, second.mode),
+				skip:     first.skip || second.skip,
+				twice:    first.twice || second.twice,
+				delay:    max(first.delay, second.delay),
+				onResume: first.onResume || second.onResume,
 				then: func() {
-					for _, s := range []strike{first, second} {
+					for _, s := range []injection{first, second} {
 						if s.then != nil {
 							s.then()
 						}
@@ -492,28 +492,28 @@
 }
 
 // cancelled lets all callers of the request give it up.
-func cancelled(w *world, n *node, e messenger.Effect) strike {
+func cancelCallers(cl *cluster, n *node, e messenger.Effect) injection {
 	id := requestOf(e)
-	return strike{then: func() {
-		for _, c := range w.callers {
+	return injection{then: func() {
+		for _, c := range cl.callers {
 			if c.spec.Request == id {
 				c.cancelled = true
 			}
 		}
-		n.later(hop, func() { n.apply(messenger.RequestCancelled{Request: id}) })
+		n.later(networkDelay, func() { n.apply(messenger.RequestCancelled{Request: id}) })
 	}}
 }
 
 // lateBy delays an effect that travels. The others are carried out within the
 // process, in their order; a push travels after its Hold and is not delayed
 // here either, since the effect only names the holder.
-func lateBy(e messenger.Effect, d timekeeper.Duration) strike {
+func delayBy(e messenger.Effect, d timekeeper.Duration) injection {
 	switch e.(type) {
 	case messenger.Refuse, messenger.Accept, messenger.Finish, messenger.Redirect, messenger.Adopt,
 		messenger.Forget, messenger.Hold, messenger.Exit, messenger.ReplyOperator:
-		return strike{}
+		return injection{}
 	}
-	return strike{delay: d}
+	return injection{delay: d}
 }
 
 func nextZone(z identifier.Zone) identifier.Zone {
@@ -524,27 +524,27 @@
 
 // isolated cuts a node off from all other nodes. Its engine dies, it goes on
 // elsewhere by itself, and then dies too.
-func isolated(w *world, n *node, _ messenger.Effect) strike {
-	for _, end := range links(w, n, messenger.Exit{}) {
-		w.cut(string(n.vm), end)
-		w.cut(end, string(n.vm))
+func isolateAndKill(cl *cluster, n *node, _ messenger.Effect) injection {
+	for _, end := range linkEnds(cl, n, messenger.Exit{}) {
+		cl.cutLink(string(n.vm), end)
+		cl.cutLink(end, string(n.vm))
 	}
-	return strike{then: func() {
-		w.after(timekeeper.Second, func() {
+	return injection{then: func() {
+		cl.after(timekeeper.Second, func() {
 			for _, a := range n.answers {
-				if s := w.server(a.place.Server); s != nil && a.end == nil {
+				if s := cl.server(a.attempt.Server); s != nil && a.end == nil {
 					s.kill()
 				}
 			}
 		})
-		w.after(8*timekeeper.Second, func() { n.kill("cut off") })
+		cl.after(8*timekeeper.Second, func() { n.kill("cut off") })
 	}}
 }
 
 // silence makes every open connection of the node go silent for good, while
 // new ones work.
-func (n *node) silence() {
-	for _, s := range n.w.servers {
+func (n *node) silenceConnections() {
+	for _, s := range n.cluster.servers {
 		for _, c := range s.conns {
 			if c.n == n {
 				c.silent = true
@@ -554,38 +554,38 @@
 }
 
 func (n *node) stopPlanned() {
-	n.later(hop, func() {
-		n.apply(messenger.DrainStarted{Deadline: n.w.now.Add(20 * timekeeper.Second)})
+	n.later(networkDelay, func() {
+		n.apply(messenger.DrainStarted{Deadline: n.cluster.now.Add(20 * timekeeper.Second)})
 	})
 }
 
 // crossed brings the node messages of attempts that are not the current one:
 // earlier ones of the request itself and those of all other requests; and
 // messages of peers that are not the chosen holder or successor.
-func crossed(w *world, n *node, e messenger.Effect) strike {
+func injectStrayMessages(cl *cluster, n *node, e messenger.Effect) injection {
 	r := requestOf(e)
 	if r == "" {
-		return strike{}
+		return injection{}
 	}
-	return strike{then: func() {
-		for _, d := range []timekeeper.Duration{hop, 300 * timekeeper.Millisecond, 2 * timekeeper.Second, 6 * timekeeper.Second} {
-			n.later(d, func() { n.cross(r) })
+	return injection{then: func() {
+		for _, d := range []timekeeper.Duration{networkDelay, 300 * timekeeper.Millisecond, 2 * timekeeper.Second, 6 * timekeeper.Second} {
+			n.later(d, func() { n.applyStrayMessages(r) })
 		}
 	}}
 }
 
-func (n *node) cross(r identifier.RequestID) {
+func (n *node) applyStrayMessages(r identifier.RequestID) {
 	a := n.answers[r]
 	if a == nil {
 		return
 	}
-	for attempt := range n.w.attemptsBut(a.place.Attempt) {
-		for _, body := range strayAttempt(r, attempt) {
+	for attempt := range n.cluster.otherAttempts(a.attempt.Attempt) {
+		for _, body := range strayAttemptEvents(r, attempt) {
 			n.apply(body)
 		}
 	}
-	for _, peer := range n.w.nodes {
-		for _, body := range strayPeer(r, peer.vm) {
+	for _, peer := range n.cluster.nodes {
+		for _, body := range strayPeerEvents(r, peer.vm) {
 			if peer.vm != a.holder && peer.vm != a.successor {
 				n.apply(body)
 			}
@@ -595,9 +595,9 @@
 
 // attemptsBut yields the numbers of all attempts of all requests so far, and
 // the neighbours of the current one, but not the current one itself.
-func (w *world) attemptsBut(current identifier.AttemptNumber) iter.Seq[identifier.AttemptNumber] {
+func (cl *cluster) otherAttempts(current identifier.AttemptNumber) iter.Seq[identifier.AttemptNumber] {
 	return func(yield func(identifier.AttemptNumber) bool) {
-		for _, k := range append([]identifier.AttemptNumber{current - 1, current + 1}, w.attempts...) {
+		for _, k := range append([]identifier.AttemptNumber{current - 1, current + 1}, cl.attempts...) {
 			if k != current && !yield(k) {
 				return
 			}
@@ -605,7 +605,7 @@
 	}
 }
 
-func strayAttempt(r identifier.RequestID, attempt identifier.AttemptNumber) []messenger.EventBody {
+func strayAttemptEvents(r identifier.RequestID, attempt identifier.AttemptNumber) []messenger.EventBody {
 	return []messenger.EventBody{
 		messenger.AttemptStarted{
 			Request: r,
@@ -636,7 +636,7 @@
 	}
 }
 
-func strayPeer(r identifier.RequestID, peer identifier.VMID) []messenger.EventBody {
+func strayPeerEvents(r identifier.RequestID, peer identifier.VMID) []messenger.EventBody {
 	return []messenger.EventBody{
 		messenger.HoldAcked{
 			Request: r,
--- a/internal/prover/hold_test.go
+++ b/internal/prover/hold_test.go
@@ -28,22 +28,22 @@
 	}
 	a.pushing = true
 	holder, count := a.holder, len(a.tokens)
-	to := n.w.node(holder)
-	image := a.copyOf()
-	taken := false
-	n.w.rpc(n, to, carry, func() { taken = to.keepCopy(n.vm, image) }, func(ok bool) {
+	to := n.cluster.node(holder)
+	snapshot := a.copyOf()
+	ownedByHolder := false
+	n.cluster.rpc(n, to, deliver, func() { ownedByHolder = to.storeCopy(n.vm, snapshot) }, func(ok bool) {
 		if a.holder != holder {
 			return
 		}
 		a.pushing = false
-		n.pushEnded(a, holder, count, ok, taken)
+		n.pushEnded(a, holder, count, ok, ownedByHolder)
 	})
 }
 
-func (n *node) pushEnded(a *answer, holder identifier.VMID, count int, ok, taken bool) {
+func (n *node) pushEnded(a *answer, holder identifier.VMID, count int, ok, ownedByHolder bool) {
 	id := a.spec.Request
 	switch {
-	case taken && ok:
+	case ownedByHolder && ok:
 		n.apply(messenger.HoldRefused{
 			Request: id,
 			Holder:  holder,
@@ -53,11 +53,11 @@
 		a.blocked = false
 		n.release(a)
 	case !ok:
-		to := n.w.node(holder)
+		to := n.cluster.node(holder)
 		n.apply(messenger.HoldFailed{
 			Request:     id,
 			Holder:      holder,
-			HolderEnded: to.dead && n.w.passes(string(n.vm), string(to.vm)),
+			HolderEnded: to.dead && n.cluster.linkUp(string(n.vm), string(to.vm)),
 		})
 	default:
 		first := !a.acked
@@ -77,22 +77,22 @@
 // keepCopy is the holder's side of a push. It reports whether the holder owns
 // the request itself, with a larger epoch or, of two equal ones, the smaller
 // name.
-func (n *node) keepCopy(owner identifier.VMID, image *answer) bool {
-	id := image.spec.Request
+func (n *node) storeCopy(owner identifier.VMID, snapshot *answer) bool {
+	id := snapshot.spec.Request
 	if own := n.answers[id]; own != nil && own.movedTo == "" && own.verdict != nil && own.verdict.Reason == "" {
-		if !n.w.guards.LaterOwner || own.epoch > image.epoch || own.epoch == image.epoch && n.vm < owner || own.end != nil {
+		if !n.cluster.guards.LaterOwner || own.epoch > snapshot.epoch || own.epoch == snapshot.epoch && n.vm < owner || own.end != nil {
 			return true
 		}
 	}
-	n.copies[id] = image
+	n.copies[id] = snapshot
 	n.apply(messenger.CopyHeld{
-		Spec:      image.spec,
-		Epoch:     image.epoch,
+		Spec:      snapshot.spec,
+		Epoch:     snapshot.epoch,
 		Owner:     owner,
-		Attempt:   image.place.Attempt,
-		Server:    image.place.Server,
-		Stream:    image.place.Stream,
-		Delivered: identifier.Tokens(len(image.tokens)),
+		Attempt:   snapshot.attempt.Attempt,
+		Server:    snapshot.attempt.Server,
+		Stream:    snapshot.attempt.Stream,
+		Delivered: identifier.Tokens(len(snapshot.tokens)),
 	})
 	return false
 }
@@ -102,7 +102,7 @@
 func (n *node) unhold(e messenger.Unhold) {
 	a := n.answers[e.Request]
 	if a != nil && e.Holder != "" && a.holder == e.Holder && a.end != nil && a.end.Outcome == messenger.Done {
-		n.farewell(a, e, n.w.now.Add(30*timekeeper.Second))
+		n.unholdAfterRead(a, e, n.cluster.now.Add(30*timekeeper.Second))
 		return
 	}
 	if a != nil && (e.Holder == "" || a.end != nil) {
@@ -113,25 +113,25 @@
 	if a != nil && a.end == nil && a.holder == e.Holder {
 		a.holder = "" // It stays blocked until the next Hold or Unhold.
 	}
-	n.tellUnhold(e)
+	n.sendUnhold(e)
 }
 
-func (n *node) farewell(a *answer, e messenger.Unhold, patience timekeeper.Time) {
+func (n *node) unholdAfterRead(a *answer, e messenger.Unhold, giveUpAt timekeeper.Time) {
 	n.later(200*timekeeper.Millisecond, func() {
-		if !a.seen && n.w.now < patience {
-			n.farewell(a, e, patience)
+		if !a.endRead && n.cluster.now < giveUpAt {
+			n.unholdAfterRead(a, e, giveUpAt)
 			return
 		}
 		a.holder = ""
 		a.blocked = false
 		n.release(a)
-		n.tellUnhold(e)
+		n.sendUnhold(e)
 	})
 }
 
-func (n *node) tellUnhold(e messenger.Unhold) {
-	to := n.w.node(e.Holder)
-	n.w.rpc(n, to, carry, func() {
+func (n *node) sendUnhold(e messenger.Unhold) {
+	to := n.cluster.node(e.Holder)
+	n.cluster.rpc(n, to, deliver, func() {
 		if to.copies[e.Request] != nil {
 			delete(to.copies, e.Request)
 			to.apply(messenger.CopyDropped{Request: e.Request})
@@ -141,16 +141,16 @@
 
 // handOver gives a request to a successor. Nothing more goes to callers until
 // it is known who has it.
-func (n *node) handOver(e messenger.HandOver, fate fate) {
+func (n *node) handOver(e messenger.HandOver, mode deliveryMode) {
 	a := n.answers[e.Request]
 	if a == nil {
 		return
 	}
 	a.paused = true
 	a.successor = e.Successor
-	image := a.copyOf()
-	to := n.w.node(e.Successor)
-	n.w.rpcLater(n, to, fate, func(answer func()) { to.takeOver(n.vm, e, image, answer) }, func(ok bool) {
+	snapshot := a.copyOf()
+	to := n.cluster.node(e.Successor)
+	n.cluster.rpcAsync(n, to, mode, func(answer func()) { to.receiveHandover(n.vm, e, snapshot, answer) }, func(ok bool) {
 		if ok {
 			n.apply(messenger.HandoverAcked{
 				Request:   e.Request,
@@ -158,20 +158,20 @@
 			})
 			return
 		}
-		gone := to.dead && n.w.passes(string(n.vm), string(to.vm))
-		if gone {
+		nodeDead := to.dead && n.cluster.linkUp(string(n.vm), string(to.vm))
+		if nodeDead {
 			a.paused = false
 			n.release(a)
 		}
 		n.apply(messenger.HandoverFailed{
 			Request:   e.Request,
 			Successor: e.Successor,
-			NotTaken:  gone,
+			NotTaken:  nodeDead,
 		})
 	})
 }
 
-func (n *node) takeOver(from identifier.VMID, e messenger.HandOver, image *answer, answer func()) {
+func (n *node) receiveHandover(from identifier.VMID, e messenger.HandOver, snapshot *answer, answer func()) {
 	own := n.answers[e.Request]
 	if own != nil && own.end != nil {
 		answer()
@@ -180,17 +180,17 @@
 	n.unconfirmed[e.Request] = append(n.unconfirmed[e.Request], answer)
 	if own == nil || own.movedTo != "" {
 		delete(n.copies, e.Request)
-		image.epoch = e.Epoch + 1
-		n.own(image)
+		snapshot.epoch = e.Epoch + 1
+		n.takeOwnership(snapshot)
 	}
 	n.apply(messenger.RequestHandedOver{
-		Spec:      image.spec,
+		Spec:      snapshot.spec,
 		Epoch:     e.Epoch,
 		From:      from,
 		Attempt:   e.Attempt,
 		Server:    e.Server,
 		Stream:    e.Stream,
-		Delivered: identifier.Tokens(len(image.tokens)),
+		Delivered: identifier.Tokens(len(snapshot.tokens)),
 	})
 }
 
@@ -201,17 +201,17 @@
 		return
 	}
 	if e.Recorded != nil {
-		n.endAs(a, e.Recorded.Outcome)
+		n.finishAs(a, e.Recorded.Outcome)
 		return
 	}
-	n.askWinner(a, e)
+	n.queryWinner(a, e)
 }
 
-func (n *node) askWinner(a *answer, e messenger.AnswerFrom) {
-	to := n.w.node(e.Winner)
+func (n *node) queryWinner(a *answer, e messenger.AnswerFrom) {
+	to := n.cluster.node(e.Winner)
 	var end *messenger.Finish
 	known := false
-	n.w.rpc(n, to, carry, func() {
+	n.cluster.rpc(n, to, deliver, func() {
 		if theirs := to.answers[e.Request]; theirs != nil {
 			known = true
 			end = theirs.end
@@ -219,16 +219,16 @@
 	}, func(ok bool) {
 		switch {
 		case ok && end != nil:
-			n.endAs(a, end.Outcome)
-		case ok && known && n.w.now < a.spec.Deadline && to != n:
-			n.later(500*timekeeper.Millisecond, func() { n.askWinner(a, e) })
+			n.finishAs(a, end.Outcome)
+		case ok && known && n.cluster.now < a.spec.Deadline && to != n:
+			n.later(500*timekeeper.Millisecond, func() { n.queryWinner(a, e) })
 		default:
-			n.endAs(a, messenger.Unknown)
+			n.finishAs(a, messenger.Unknown)
 		}
 	})
 }
 
-func (n *node) endAs(a *answer, o messenger.Outcome) {
+func (n *node) finishAs(a *answer, o messenger.Outcome) {
 	a.verdict = &messenger.Refusal{}
 	a.end = &messenger.Finish{
 		Request: a.spec.Request,
--- a/internal/prover/limit_test.go
+++ b/internal/prover/limit_test.go
@@ -15,13 +15,13 @@
 // after it first did, in any limitSpan limitFactor times what that allows and limitSlack
 // requests, of the nodes that passed on an answer with the limit limitKnown earlier.
 const (
-	limitSettles = 3 * timekeeper.Second
-	limitSpan    = 4 * timekeeper.Second
-	limitFactor  = 1.5
-	limitSlack   = 5
-	limitKnown   = 500 * timekeeper.Millisecond
+	limitSettleTime = 3 * timekeeper.Second
+	limitSpan       = 4 * timekeeper.Second
+	limitFactor     = 1.5
+	limitSlack      = 5
+	limitDelay      = 500 * timekeeper.Millisecond
 	// excusedFor is how long after its end a restart, freeze or cut excuses a node.
-	excusedFor = 3 * timekeeper.Second
+	excuseTime = 3 * timekeeper.Second
 
 	// Servers state a limit from limitFrom to limitUntil.
 	limitFrom  = 7 * timekeeper.Second
@@ -30,84 +30,84 @@
 
 // limits is what the world knows of servers that state a limit.
 type limits struct {
-	rates map[identifier.VMID]identifier.RequestRate
-	first map[identifier.VMID]timekeeper.Time
+	rates    map[identifier.VMID]identifier.RequestRate
+	statedAt map[identifier.VMID]timekeeper.Time
 	// passed is when each node first passed on an answer of a server with a limit.
-	passed map[identifier.VMID]map[identifier.VMID]timekeeper.Time
+	firstForwarded map[identifier.VMID]map[identifier.VMID]timekeeper.Time
 	// arrivals are those that count, and all those of all nodes that are not excused
 	// since the limit settled.
-	arrivals map[identifier.VMID][]timekeeper.Time
-	all      map[identifier.VMID][]timekeeper.Time
-	harmed   map[identifier.VMID]timekeeper.Time
+	arrivals    map[identifier.VMID][]timekeeper.Time
+	allArrivals map[identifier.VMID][]timekeeper.Time
+	lastHarmed  map[identifier.VMID]timekeeper.Time
 	// worst is the largest part of what is allowed that arrived in some span.
-	worst float64
+	maxRatio float64
 }
 
 func newLimits() limits {
 	return limits{
-		rates:    map[identifier.VMID]identifier.RequestRate{},
-		first:    map[identifier.VMID]timekeeper.Time{},
-		passed:   map[identifier.VMID]map[identifier.VMID]timekeeper.Time{},
-		arrivals: map[identifier.VMID][]timekeeper.Time{},
-		all:      map[identifier.VMID][]timekeeper.Time{},
-		harmed:   map[identifier.VMID]timekeeper.Time{},
+		rates:          map[identifier.VMID]identifier.RequestRate{},
+		statedAt:       map[identifier.VMID]timekeeper.Time{},
+		firstForwarded: map[identifier.VMID]map[identifier.VMID]timekeeper.Time{},
+		arrivals:       map[identifier.VMID][]timekeeper.Time{},
+		allArrivals:    map[identifier.VMID][]timekeeper.Time{},
+		lastHarmed:     map[identifier.VMID]timekeeper.Time{},
 	}
 }
 
 // limit lets a server state a limit for a while.
-func (w *exchangeWorld) limit(server identifier.VMID, rate identifier.RequestRate) {
-	w.at(limitFrom, func() {
-		w.limits.rates[server] = rate
-		w.limits.first[server] = w.now
-		w.limits.passed[server] = map[identifier.VMID]timekeeper.Time{}
+func (cl *exchangeCluster) limit(server identifier.VMID, rate identifier.RequestRate) {
+	cl.at(limitFrom, func() {
+		cl.limits.rates[server] = rate
+		cl.limits.statedAt[server] = cl.now
+		cl.limits.firstForwarded[server] = map[identifier.VMID]timekeeper.Time{}
 	})
-	w.at(limitUntil, func() { delete(w.limits.rates, server) })
+	cl.at(limitUntil, func() { delete(cl.limits.rates, server) })
 }
 
 // limitArrival counts a request that reaches a server. The users count those of nodes that
 // passed on the limit; the limit is one for all nodes, which have heard of it once it
 // settled.
-func (w *exchangeWorld) limitArrival(n *gatewayNode, server identifier.VMID) {
-	l := &w.limits
+func (cl *exchangeCluster) limitArrival(n *gatewayNode, server identifier.VMID) {
+	l := &cl.limits
 	rate, limited := l.rates[server]
-	if !limited || w.now.Sub(max(n.began, l.harmed[n.vm])) < excusedFor {
+	if !limited || cl.now.Sub(max(n.startedAt, l.lastHarmed[n.vm])) < excuseTime {
 		return
 	}
-	settled := w.now.Sub(l.first[server]) >= limitSettles
+	settled := cl.now.Sub(l.statedAt[server]) >= limitSettleTime
 	if settled {
-		l.all[server] = append(l.all[server], w.now)
-		w.checkLimit(server, rate, l.all[server])
+		l.allArrivals[server] = append(l.allArrivals[server], cl.now)
+		cl.checkLimit(server, rate, l.allArrivals[server])
 	}
-	passed, known := l.passed[server][n.vm]
-	if !known || w.now.Sub(passed) < limitKnown {
+	passed, known := l.firstForwarded[server][n.vm]
+	if !known || cl.now.Sub(passed) < limitDelay {
 		return
 	}
-	l.arrivals[server] = append(l.arrivals[server], w.now)
+	l.arrivals[server] = append(l.arrivals[server], cl.now)
 	if settled {
-		w.checkLimit(server, rate, l.arrivals[server])
+		cl.checkLimit(server, rate, l.arrivals[server])
 	}
 }
 
-func (w *exchangeWorld) checkLimit(server identifier.VMID, rate identifier.RequestRate, arrivals []timekeeper.Time) {
-	count := within(arrivals, w.now.Add(1-limitSpan), limitSpan)
+func (cl *exchangeCluster) checkLimit(server identifier.VMID, rate identifier.RequestRate, arrivals []timekeeper.Time) {
+	count := countWithin(arrivals, cl.now.Add(1-limitSpan), limitSpan)
 	allowed := limitFactor*float64(rate)*limitSpan.Seconds() + limitSlack
-	w.limits.worst = max(w.limits.worst, float64(count)/allowed)
+	cl.limits.maxRatio = max(cl.limits.maxRatio, float64(count)/allowed)
 	if float64(count) > allowed {
-		w.fault("%s, with a limit of %g a second, gets %d requests in %s", server, rate, count, limitSpan)
+		cl.violate("%s, with a limit of %g a second, gets %d requests in %s", server, rate, count, limitSpan)
 	}
 }
 
 // stateLimit tells a node what a server's answer states.
-func (w *exchangeWorld) stateLimit(n *gatewayNode, server identifier.VMID, sent timekeeper.Time, result messenger.AttemptResult) {
+func (cl *exchangeCluster) stateLimit(n *gatewayNode, server identifier.VMID, sent timekeeper.Time, result messenger.AttemptResult) {
 	answered := result == messenger.AttemptComplete || result == messenger.AttemptFailed || result == messenger.AttemptRefused
 	if !answered {
 		return
 	}
-	rate, limited := w.limits.rates[server]
-	if _, passed := w.limits.passed[server][n.vm]; limited && !passed {
-		w.limits.passed[server][n.vm] = w.now
+	rate, limited := cl.limits.rates[server]
+	if _, passed := cl.limits.firstForwarded[server][n.vm]; limited && !passed {
+		cl.limits.firstForwarded[server][n.vm] = cl.now
 	}
-	w.apply(n, messenger.ServerLimitReceived{
+	cl.apply(n, messenger.ServerLimitReceived{
 		Server: server,
 		Sent:   sent,
 		Limit: messenger.StatedLimit{
@@ -118,69 +118,69 @@
 }
 
 // watchHarm notes which nodes are cut off or frozen.
-func (w *exchangeWorld) watchHarm() {
-	for _, n := range w.nodes {
-		if n.cut || w.now.Before(n.frozen) {
-			w.limits.harmed[n.vm] = w.now
+func (cl *exchangeCluster) recordExcused() {
+	for _, n := range cl.nodes {
+		if n.cutFromPeers || cl.now.Before(n.frozenUntil) {
+			cl.limits.lastHarmed[n.vm] = cl.now
 		}
 	}
-	w.after(20, w.watchHarm)
+	cl.after(20, cl.recordExcused)
 }
 
 // list tells a node which nodes there are, as the platform's list does.
-func (w *exchangeWorld) list(n *gatewayNode) {
-	w.after(100, func() {
-		listed := messenger.ListRead{AsOf: w.now}
-		for i := range w.size.nodes {
+func (cl *exchangeCluster) list(n *gatewayNode) {
+	cl.after(100, func() {
+		listed := messenger.ListRead{AsOf: cl.now}
+		for i := range cl.size.nodes {
 			listed.VMs = append(listed.VMs, messenger.VMState{
 				VM:      exchangeNode(i),
 				Address: string(exchangeNode(i)),
 			})
 		}
-		w.apply(n, listed)
+		cl.apply(n, listed)
 	})
 }
 
 // limitDay is a day on which servers state a limit.
-type limitDay struct {
+type limitCase struct {
 	name string
-	size worldSize
+	size clusterSize
 	// limited is how many servers do, the first ones.
 	limited int
 	rate    identifier.RequestRate
 }
 
-func (d limitDay) world(t testing.TB, seed uint64) *exchangeWorld {
-	w := newSizedWorld(t, seed, d.size)
+func (d limitCase) newCluster(t testing.TB, seed uint64) *exchangeCluster {
+	cl := newSizedCluster(t, seed, d.size)
 	for i := range d.limited {
-		w.limit(exchangeServer(i), d.rate)
+		cl.limit(exchangeServer(i), d.rate)
 	}
-	w.watchHarm()
-	return w
+	cl.recordExcused()
+	return cl
 }
 
 // fewNodes has more requests than servers may take, of nodes that all meet each server.
-var fewNodes = worldSize{
-	nodes:   6,
-	servers: 6,
-	every:   15,
-	tokens:  1e6,
+var fewNodes = clusterSize{
+	nodes:           6,
+	servers:         6,
+	requestInterval: 15,
+	tokensPerSecond: 1e6,
 }
 
 // manyNodes returns a world in which each node has few requests.
-func manyNodes(nodes int) worldSize {
-	return worldSize{
-		nodes:   nodes,
-		servers: 6,
-		every:   2,
-		tokens:  1e6,
-		listed:  true,
+func manyNodes(nodes int) clusterSize {
+	return clusterSize{
+		nodes:           nodes,
+		servers:         6,
+		requestInterval: 2,
+		tokensPerSecond: 1e6,
+		nodesListed:     true,
 	}
 }
 
 // Servers state a limit that holds for all nodes together, and each node sends as if it were alone.
 func TestServersGetNoMoreThanTheLimitTheyState(t *testing.T) {
-	for _, day := range []limitDay{
+	for _, day := range []limitCase{
 		{
 			name:    "one server of six",
 			size:    fewNodes,
@@ -224,14 +224,14 @@
 			rate:    1,
 		},
 	} {
-		if day.size.nodes > mostNodes {
+		if day.size.nodes > maxNodes {
 			continue
 		}
 		t.Run(day.name, func(t *testing.T) {
-			w := day.world(t, 1)
-			w.run()
-			require.Empty(t, w.faults)
-			t.Logf("worst %.2f of what is allowed, %d answered, %d refused", w.limits.worst, w.answered, w.refused)
+			cl := day.newCluster(t, 1)
+			cl.run()
+			require.Empty(t, cl.violations)
+			t.Logf("worst %.2f of what is allowed, %d answered, %d refused", cl.limits.maxRatio, cl.answered, cl.refused)
 		})
 	}
 }
@@ -243,18 +243,18 @@
 		t.Run(fault.name, func(t *testing.T) {
 			for i, step := range steps {
 				for _, limited := range []int{2, 6} {
-					if (2*i+limited/6)%playEvery != 0 {
+					if (2*i+limited/6)%cellStride != 0 {
 						continue
 					}
-					day := limitDay{
+					day := limitCase{
 						size:    fewNodes,
 						limited: limited,
 						rate:    1,
 					}
-					w := day.world(t, uint64(i))
-					w.at(step, func() { fault.strike(w) })
-					w.run()
-					require.Empty(t, w.faults, "at %d, %d servers", step, limited)
+					cl := day.newCluster(t, uint64(i))
+					cl.at(step, func() { fault.strike(cl) })
+					cl.run()
+					require.Empty(t, cl.violations, "at %d, %d servers", step, limited)
 				}
 			}
 		})
@@ -262,10 +262,10 @@
 }
 
 // askPermit asks a peer for a permit, and passes its answer on.
-func (w *exchangeWorld) askPermit(n *gatewayNode, e messenger.RequestPermit) {
-	w.askPeer(n, question{
+func (cl *exchangeCluster) requestPermit(n *gatewayNode, e messenger.RequestPermit) {
+	cl.queryPeer(n, peerQuery{
 		address: e.Address,
-		asked:   messenger.PermitRequested{Limits: e.Limits},
+		request: messenger.PermitRequested{Limits: e.Limits},
 		answer: func(effect messenger.Effect) messenger.EventBody {
 			a, ok := effect.(messenger.AnswerPermit)
 			if !ok {
@@ -274,7 +274,7 @@
 			a.Answer.Exchange = e.Exchange
 			return a.Answer
 		},
-		silence: messenger.PermitAnswered{
+		timeoutEvent: messenger.PermitAnswered{
 			Exchange: e.Exchange,
 			Unknown:  true,
 		},
@@ -282,33 +282,33 @@
 }
 
 // arrived returns how many requests reached servers in each second of settled limits.
-func (w *exchangeWorld) arrived() float64 {
+func (cl *exchangeCluster) arrivalRate() float64 {
 	sum := 0
-	for _, arrivals := range w.limits.all {
+	for _, arrivals := range cl.limits.allArrivals {
 		sum += len(arrivals)
 	}
-	return float64(sum) / (limitUntil - limitFrom - limitSettles).Seconds()
+	return float64(sum) / (limitUntil - limitFrom - limitSettleTime).Seconds()
 }
 
 // Callers are refused while their servers have room left within the limits.
 func TestLimitsAreUsed(t *testing.T) {
 	for _, nodes := range []int{6, 69, 300} {
-		if nodes > mostNodes {
+		if nodes > maxNodes {
 			continue
 		}
 		t.Run(fmt.Sprintf("%d nodes", nodes), func(t *testing.T) {
 			size := manyNodes(nodes)
 			size.servers = 4
-			day := limitDay{
+			day := limitCase{
 				size:    size,
 				limited: 4,
 				rate:    8,
 			}
-			w := day.world(t, 1)
-			w.run()
-			require.Empty(t, w.faults)
-			t.Logf("%.1f requests a second of %g", w.arrived(), float64(day.limited)*float64(day.rate))
-			require.Greater(t, w.arrived(), 0.7*float64(day.limited)*float64(day.rate))
+			cl := day.newCluster(t, 1)
+			cl.run()
+			require.Empty(t, cl.violations)
+			t.Logf("%.1f requests a second of %g", cl.arrivalRate(), float64(day.limited)*float64(day.rate))
+			require.Greater(t, cl.arrivalRate(), 0.7*float64(day.limited)*float64(day.rate))
 		})
 	}
 }
@@ -317,17 +317,17 @@
 func TestLiftedLimitFreesServer(t *testing.T) {
 	for _, rate := range []identifier.RequestRate{0, 1} {
 		t.Run(fmt.Sprintf("%g a second", rate), func(t *testing.T) {
-			day := limitDay{
+			day := limitCase{
 				size:    fewNodes,
 				limited: 6,
 				rate:    rate,
 			}
-			w := day.world(t, 1)
+			cl := day.newCluster(t, 1)
 			refused := 0
-			w.at(exchangeDay-1, func() { refused = w.refused - refused })
-			w.at(exchangeDay-2000, func() { refused = w.refused })
-			w.run()
-			require.Empty(t, w.faults)
+			cl.at(exchangeRunTime-1, func() { refused = cl.refused - refused })
+			cl.at(exchangeRunTime-2000, func() { refused = cl.refused })
+			cl.run()
+			require.Empty(t, cl.violations)
 			require.Zero(t, refused, "in the last two seconds")
 		})
 	}
--- a/internal/prover/matrix_test.go
+++ b/internal/prover/matrix_test.go
@@ -24,29 +24,29 @@
 const (
 	workers = 6
 	// stepsOfKind bounds how many steps of one kind at one node get cells.
-	stepsOfKind = 2
+	maxStepsPerKind = 2
 )
 
 // play runs a scenario, with a fault at a step where one is armed.
-func play(s scenario, armed []cell, seed uint64, guards conductor.Safeguards) *world {
-	w := newWorld(seed, guards, s)
-	w.armed = armed
-	start := w.now.Add(bootTime)
-	w.run(start, never)
-	w.faultAt = start
-	s.start(w)
-	end := start.Add(max(s.lasts, settled))
-	w.run(start.Add(max(horizon, s.lasts+timekeeper.Second)), func() bool { return w.now.After(end) && w.settledDown() })
-	w.judge()
-	if s.check != nil && w.anyNode() {
-		s.check(w)
+func runScenario(s scenario, plannedFaults []cell, seed uint64, guards conductor.Safeguards) *cluster {
+	cl := newCluster(seed, guards, s)
+	cl.plannedFaults = plannedFaults
+	start := cl.now.Add(bootTime)
+	cl.run(start, never)
+	cl.stepsFrom = start
+	s.start(cl)
+	end := start.Add(max(s.minDuration, minRunTime))
+	cl.run(start.Add(max(maxRunTime, s.minDuration+timekeeper.Second)), func() bool { return cl.now.After(end) && cl.callersDone() })
+	cl.verify()
+	if s.check != nil && cl.anyNodeAlive() {
+		s.check(cl)
 	}
-	return w
+	return cl
 }
 
 // settledDown reports whether all callers are done.
-func (w *world) settledDown() bool {
-	for _, c := range w.callers {
+func (cl *cluster) callersDone() bool {
+	for _, c := range cl.callers {
 		if !c.done {
 			return false
 		}
@@ -55,25 +55,25 @@
 }
 
 // stepsOf lists the steps of a scenario, from a run without faults.
-func stepsOf(s scenario, seed uint64) ([]step, *world) {
-	w := play(s, nil, seed, conductor.AllSafeguards())
+func stepsOf(s scenario, seed uint64) ([]step, *cluster) {
+	cl := runScenario(s, nil, seed, conductor.AllSafeguards())
 	var out []step
-	for _, st := range w.trace {
-		if st.count <= stepsOfKind && s.keeps(st) {
+	for _, st := range cl.steps {
+		if st.count <= maxStepsPerKind && s.isStep(st) {
 			out = append(out, st)
 		}
 	}
-	return out, w
+	return out, cl
 }
 
 type outcome struct {
-	cells      []cell
-	scenario   scenario
-	objections []string
-	story      []string
-	lateWork   timekeeper.Duration
-	fired      int
-	skipped    bool
+	cells          []cell
+	scenario       scenario
+	violations     []string
+	runLog         []string
+	maxWorkDelay   timekeeper.Duration
+	faultsInjected int
+	skipped        bool
 }
 
 func (o outcome) name() string {
@@ -105,7 +105,7 @@
 	for k := range workers {
 		wg.Go(func() {
 			for i := k; i < len(runs); i += workers {
-				if i%playEvery != 0 && len(runs) > len(faults) {
+				if i%cellStride != 0 && len(runs) > len(faults) {
 					out[i] = outcome{
 						cells:    runs[i],
 						scenario: s,
@@ -122,14 +122,14 @@
 }
 
 func runCell(s scenario, cells []cell, seed uint64, guards conductor.Safeguards) outcome {
-	w := play(s, cells, seed, guards)
+	cl := runScenario(s, cells, seed, guards)
 	return outcome{
-		cells:      cells,
-		scenario:   s,
-		objections: w.facts.objections,
-		story:      w.story,
-		lateWork:   w.facts.lateWork,
-		fired:      w.fired,
+		cells:          cells,
+		scenario:       s,
+		violations:     cl.observed.violations,
+		runLog:         cl.runLog,
+		maxWorkDelay:   cl.observed.maxWorkDelay,
+		faultsInjected: cl.faultsInjected,
 	}
 }
 
@@ -141,17 +141,17 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			steps, base := stepsOf(s, *seedFlag)
-			require.Empty(t, base.facts.objections, "without any fault\n%s", strings.Join(base.story, "\n"))
+			require.Empty(t, base.observed.violations, "without any fault\n%s", strings.Join(base.runLog, "\n"))
 			require.NotEmpty(t, steps)
 			outcomes := runCells(s, steps, faults, *seedFlag, conductor.AllSafeguards())
 			report(t, s, steps, outcomes)
 			tables.WriteString("\n" + table(s, steps, outcomes))
 			for _, o := range outcomes {
-				worst = max(worst, o.lateWork)
+				worst = max(worst, o.maxWorkDelay)
 				if !o.skipped {
 					total++
 				}
-				require.True(t, o.skipped || o.fired > 0, "%s: the fault never struck", o.name())
+				require.True(t, o.skipped || o.faultsInjected > 0, "%s: the fault never struck", o.name())
 			}
 		})
 	}
@@ -168,10 +168,10 @@
 	}
 	for _, o := range outcomes {
 		if *onlyCell != "" && strings.Contains(o.name(), *onlyCell) {
-			t.Logf("%s\n%s\n=> %v", o.name(), strings.Join(o.story, "\n"), o.objections)
+			t.Logf("%s\n%s\n=> %v", o.name(), strings.Join(o.runLog, "\n"), o.violations)
 		}
-		if len(o.objections) > 0 {
-			t.Errorf("%s: %s", o.name(), strings.Join(o.objections, "; "))
+		if len(o.violations) > 0 {
+			t.Errorf("%s: %s", o.name(), strings.Join(o.violations, "; "))
 		}
 	}
 }
@@ -191,7 +191,7 @@
 			switch o := outcomes[i*len(faults)+j]; {
 			case o.skipped:
 				mark = ""
-			case len(o.objections) > 0:
+			case len(o.violations) > 0:
 				mark = "X"
 			}
 			fmt.Fprintf(&b, "%3s", mark)
--- a/internal/prover/node_test.go
+++ b/internal/prover/node_test.go
@@ -12,18 +12,18 @@
 
 // node is a reducer with a small fake of its runner.
 type node struct {
-	w         *world
-	vm        identifier.VMID
-	zone      identifier.Zone
-	r         *reducer.Reducer
-	answers   map[identifier.RequestID]*answer
-	copies    map[identifier.RequestID]*answer
-	dead      bool
-	birth     timekeeper.Time
-	exited    bool
-	frozenTil timekeeper.Time
-	revision  identifier.Revision
-	tails     map[identifier.LogStream]identifier.Offset
+	cluster     *cluster
+	vm          identifier.VMID
+	zone        identifier.Zone
+	r           *reducer.Reducer
+	answers     map[identifier.RequestID]*answer
+	copies      map[identifier.RequestID]*answer
+	dead        bool
+	startedAt   timekeeper.Time
+	exited      bool
+	frozenUntil timekeeper.Time
+	revision    identifier.Revision
+	tails       map[identifier.LogStream]identifier.Offset
 	// unconfirmed are the handovers that wait for ConfirmHandover.
 	unconfirmed map[identifier.RequestID][]func()
 }
@@ -36,7 +36,7 @@
 	tokens   []token
 	released int
 	conn     *conn
-	place    messenger.SendAttempt
+	attempt  messenger.SendAttempt
 	holder   identifier.VMID
 	// successor is the node that was last asked to take the request over.
 	successor identifier.VMID
@@ -48,16 +48,16 @@
 	verdict   *messenger.Refusal // a zero Refusal accepts
 	end       *messenger.Finish
 	movedTo   identifier.VMID
-	seen      bool
+	endRead   bool
 	reply     bool
 }
 
-func (w *world) addNode(vm identifier.VMID, z identifier.Zone, seed uint64) *node {
+func (cl *cluster) addNode(vm identifier.VMID, z identifier.Zone, seed uint64) *node {
 	n := &node{
-		w:           w,
+		cluster:     cl,
 		vm:          vm,
 		zone:        z,
-		birth:       w.now,
+		startedAt:   cl.now,
 		answers:     map[identifier.RequestID]*answer{},
 		copies:      map[identifier.RequestID]*answer{},
 		tails:       map[identifier.LogStream]identifier.Offset{},
@@ -65,18 +65,18 @@
 	}
 	n.r = reducer.New(reducer.Config{
 		Self:          vm,
-		Incarnation:   identifier.Incarnation(w.now),
+		Incarnation:   identifier.Incarnation(cl.now),
 		Zone:          z,
 		Region:        "r",
 		PeerAddress:   string(vm),
 		CallerAddress: string(vm),
-		Seed:          seed + uint64(len(w.nodes)),
+		Seed:          seed + uint64(len(cl.nodes)),
 		LogRetention:  timekeeper.Hour,
 		LoadTime:      2 * timekeeper.Second,
-		Safeguards:    w.guards,
+		Safeguards:    cl.guards,
 	})
-	w.nodes = append(w.nodes, n)
-	n.ticks(timekeeper.Duration(len(w.nodes)))
+	cl.nodes = append(cl.nodes, n)
+	n.ticks(timekeeper.Duration(len(cl.nodes)))
 	for _, stream := range n.r.Streams() {
 		n.tail(stream)
 	}
@@ -86,14 +86,14 @@
 // later does something at this node after a while: when it is frozen, after
 // it thaws; when it is dead, never.
 func (n *node) later(d timekeeper.Duration, do func()) {
-	n.w.after(d, func() { n.whenThawed(do) })
+	n.cluster.after(d, func() { n.whenResumed(do) })
 }
 
-func (n *node) whenThawed(do func()) {
+func (n *node) whenResumed(do func()) {
 	switch {
 	case n.dead:
-	case n.w.now < n.frozenTil:
-		n.w.queue.add(n.frozenTil, func() { n.whenThawed(do) })
+	case n.cluster.now < n.frozenUntil:
+		n.cluster.queue.add(n.frozenUntil, func() { n.whenResumed(do) })
 	default:
 		do()
 	}
@@ -102,25 +102,25 @@
 func (n *node) ticks(d timekeeper.Duration) {
 	n.later(d, func() {
 		n.apply(messenger.Tick{})
-		n.ticks(tickEvery)
+		n.ticks(tickInterval)
 	})
 }
 
 // tail follows one stream of the log by long polls: a read returns when the
 // stream grows, which the log sees to, or when its wait is over.
 func (n *node) tail(stream identifier.LogStream) {
-	n.later(pollWait, func() {
+	n.later(logPollTimeout, func() {
 		n.readLog(stream)
 		n.tail(stream)
 	})
 }
 
 func (n *node) readLog(stream identifier.LogStream) {
-	if n.w.log.down() {
+	if n.cluster.log.down() {
 		n.apply(messenger.LogUnavailable{Stream: stream})
 		return
 	}
-	read := n.w.log.read(stream, n.tails[stream]+1)
+	read := n.cluster.log.read(stream, n.tails[stream]+1)
 	if k := len(read.Records); k > 0 {
 		n.tails[stream] = read.Records[k-1].Offset
 	}
@@ -132,7 +132,7 @@
 		return
 	}
 	n.dead = true
-	n.w.tell("DEAD %s %s", n.vm, why)
+	n.cluster.recordf("DEAD %s %s", n.vm, why)
 	for _, a := range n.answers {
 		if a.conn != nil {
 			a.conn.closed = true
@@ -141,8 +141,8 @@
 }
 
 func (n *node) freeze(d timekeeper.Duration) {
-	n.frozenTil = n.w.now.Add(d)
-	n.w.tell("FROZEN %s until %d", n.vm, n.frozenTil-1_000_000)
+	n.frozenUntil = n.cluster.now.Add(d)
+	n.cluster.recordf("FROZEN %s until %d", n.vm, n.frozenUntil-1_000_000)
 }
 
 // apply gives the reducer an event and carries out its effects.
@@ -151,7 +151,7 @@
 		return
 	}
 	effects := n.r.Apply(messenger.Event{
-		At:   n.w.now,
+		At:   n.cluster.now,
 		Body: body,
 	})
 	n.watchRevision()
@@ -159,7 +159,7 @@
 		if n.dead {
 			return
 		}
-		n.whenThawed(func() { n.meet(e) })
+		n.whenResumed(func() { n.runStep(e) })
 	}
 }
 
@@ -170,13 +170,13 @@
 		return
 	}
 	if c.Revision < n.revision {
-		n.w.facts.object("configuration of %s reverted from %d to %d", n.vm, n.revision, c.Revision)
+		n.cluster.observed.violate("configuration of %s reverted from %d to %d", n.vm, n.revision, c.Revision)
 	}
 	n.revision = c.Revision
 }
 
 // perform carries out an effect.
-func (n *node) perform(e messenger.Effect, fate fate) {
+func (n *node) execute(e messenger.Effect, mode deliveryMode) {
 	switch e := e.(type) {
 	case messenger.Refuse:
 		n.refused(e)
@@ -195,26 +195,26 @@
 			a.movedTo = e.To
 		}
 	case messenger.SendAttempt:
-		n.sendAttempt(e, fate)
+		n.sendAttempt(e, mode)
 	case messenger.StopAttempt:
-		n.stopAttempt(e, fate)
+		n.stopAttempt(e, mode)
 	case messenger.MoveKV:
-		n.moveKV(e, fate)
+		n.moveKV(e, mode)
 	case messenger.PollServer:
 		n.poll(e)
 	case messenger.GiveOrder:
-		n.giveOrder(e, fate)
+		n.giveOrder(e, mode)
 	case messenger.Hold:
 		n.hold(e)
 	case messenger.Unhold:
 		n.unhold(e)
 	case messenger.HandOver:
-		n.handOver(e, fate)
+		n.handOver(e, mode)
 	case messenger.Adopt:
 		if c := n.copies[e.Request]; c != nil {
 			delete(n.copies, e.Request)
 			c.epoch = e.Epoch
-			n.own(c)
+			n.takeOwnership(c)
 		}
 	case messenger.ConfirmHandover:
 		for _, tell := range n.unconfirmed[e.Request] {
@@ -224,27 +224,27 @@
 	case messenger.Forget:
 		delete(n.copies, e.Request)
 	case messenger.SendGossip:
-		n.gossip(e, fate)
+		n.gossip(e, mode)
 	case messenger.AppendRecord:
-		n.appendRecord(e.Ticket, e.Stream, e.Data, fate)
+		n.appendRecord(e.Ticket, e.Stream, e.Data, mode)
 	case messenger.AppendOutcome:
 		data := claimer.OutcomeRecord(e.Account, e.Key, e.Request, e.Nonce, e.Outcome, 200, nil)
-		n.appendRecord(0, e.Stream, data, fate)
+		n.appendRecord(0, e.Stream, data, mode)
 	case messenger.BuyVM:
-		n.buy(e, fate)
+		n.buy(e, mode)
 	case messenger.ReleaseVM:
-		if n.w.now < e.NotAfter {
-			n.w.list.release(e.VM)
+		if n.cluster.now < e.NotAfter {
+			n.cluster.list.release(e.VM)
 		}
 	case messenger.ReplyOperator:
-		n.w.facts.verdicts[verdictKey{
+		n.cluster.observed.verdicts[verdictKey{
 			node:   n.vm,
 			ticket: e.Ticket,
 		}] = e.Verdict
 	case messenger.FetchConfiguration:
 		n.fetchConfiguration(e)
 	case messenger.TimelineEntry:
-		n.w.tell("%s %-16s %s #%d %s %s", n.vm, e.Kind, e.Request, e.Attempt, e.VM, e.Detail)
+		n.cluster.recordf("%s %-16s %s #%d %s %s", n.vm, e.Kind, e.Request, e.Attempt, e.VM, e.Detail)
 	case messenger.Exit:
 		n.exit()
 	}
@@ -261,14 +261,14 @@
 	n.exited = true
 	for id, a := range n.answers {
 		if a.end == nil && a.movedTo == "" && a.verdict != nil && a.verdict.Reason == "" {
-			n.w.facts.object("%s stopped as planned with %s in flight", n.vm, id)
+			n.cluster.observed.violate("%s stopped as planned with %s in flight", n.vm, id)
 		}
 	}
 	n.later(timekeeper.Second, func() { n.kill("stopped as planned") })
 }
 
 // own makes a copy, or a request handed over, this node's own answer.
-func (n *node) own(a *answer) *answer {
+func (n *node) takeOwnership(a *answer) *answer {
 	a.verdict = &messenger.Refusal{}
 	a.holder = ""
 	a.blocked = false
@@ -280,39 +280,39 @@
 // copyOf returns what a peer gets of an answer.
 func (a *answer) copyOf() *answer {
 	return &answer{
-		spec:   a.spec,
-		epoch:  a.epoch,
-		root:   a.root,
-		tokens: append([]token(nil), a.tokens...),
-		place:  a.place,
+		spec:    a.spec,
+		epoch:   a.epoch,
+		root:    a.root,
+		tokens:  append([]token(nil), a.tokens...),
+		attempt: a.attempt,
 	}
 }
 
 // submit takes a request from a caller, as the runner's Submit does.
 func (n *node) submit(spec messenger.RequestSpec) {
-	if a := n.answers[spec.Request]; a != nil && !startsAnew(a) {
+	if a := n.answers[spec.Request]; a != nil && !mayRestart(a) {
 		return
 	}
 	n.answers[spec.Request] = &answer{
 		spec: spec,
-		root: promptOf(spec.Request),
+		root: promptHash(spec.Request),
 	}
 	n.apply(messenger.RequestReceived{Spec: spec})
 }
 
-func startsAnew(a *answer) bool {
+func mayRestart(a *answer) bool {
 	if a.verdict != nil && a.verdict.Reason != "" {
 		return true
 	}
 	return a.end != nil && (a.end.Outcome == messenger.NotRun || a.spec.Idempotent && a.end.Outcome != messenger.Done)
 }
 
-func (n *node) appendRecord(t identifier.Ticket, stream identifier.LogStream, data []byte, fate fate) {
-	if fate == loseRequest {
+func (n *node) appendRecord(t identifier.Ticket, stream identifier.LogStream, data []byte, mode deliveryMode) {
+	if mode == loseRequest {
 		return
 	}
-	n.w.log.append(n, stream, data, func(ok bool) {
-		if fate == loseAnswer {
+	n.cluster.log.append(n, stream, data, func(ok bool) {
+		if mode == loseAnswer {
 			return
 		}
 		n.apply(messenger.AppendEnded{
@@ -323,12 +323,12 @@
 	})
 }
 
-func (n *node) gossip(e messenger.SendGossip, fate fate) {
-	to := n.w.node(e.Peer)
-	if to == nil || fate == loseRequest || !n.w.passes(string(n.vm), string(to.vm)) {
+func (n *node) gossip(e messenger.SendGossip, mode deliveryMode) {
+	to := n.cluster.node(e.Peer)
+	if to == nil || mode == loseRequest || !n.cluster.linkUp(string(n.vm), string(to.vm)) {
 		return
 	}
-	for _, d := range n.w.gossipDelays() {
+	for _, d := range n.cluster.gossipDelays() {
 		to.later(d, func() {
 			to.apply(messenger.GossipReceived{
 				From: n.vm,
@@ -339,18 +339,18 @@
 }
 
 // gossipDelays tells when a message arrives: never, once or twice.
-func (w *world) gossipDelays() []timekeeper.Duration {
+func (cl *cluster) gossipDelays() []timekeeper.Duration {
 	late := 2 * timekeeper.Second
-	if w.now < w.badGossipTil {
-		return [][]timekeeper.Duration{{}, {late}, {hop, late}, {hop}}[w.rng.IntN(4)]
+	if cl.now < cl.gossipFaultyUntil {
+		return [][]timekeeper.Duration{{}, {late}, {networkDelay, late}, {networkDelay}}[cl.rng.IntN(4)]
 	}
-	return []timekeeper.Duration{hop}
+	return []timekeeper.Duration{networkDelay}
 }
 
 func (n *node) fetchConfiguration(e messenger.FetchConfiguration) {
-	to := n.w.node(e.Peer)
+	to := n.cluster.node(e.Peer)
 	var data []byte
-	n.w.rpc(n, to, carry, func() { data, _ = to.r.ExportConfiguration() }, func(ok bool) {
+	n.cluster.rpc(n, to, deliver, func() { data, _ = to.r.ExportConfiguration() }, func(ok bool) {
 		if ok && data != nil {
 			n.apply(messenger.ConfigurationReceived{
 				From: e.Peer,
@@ -360,48 +360,48 @@
 	})
 }
 
-func (n *node) buy(e messenger.BuyVM, fate fate) {
-	if n.w.now >= e.NotAfter || fate == loseRequest {
+func (n *node) buy(e messenger.BuyVM, mode deliveryMode) {
+	if n.cluster.now >= e.NotAfter || mode == loseRequest {
 		n.apply(messenger.BuyEnded{
 			Ticket:    e.Ticket,
 			Ambiguous: true,
 		})
 		return
 	}
-	vm, ok := n.w.list.buy(e)
+	vm, ok := n.cluster.list.buy(e)
 	n.later(50*timekeeper.Millisecond, func() {
 		n.apply(messenger.BuyEnded{
 			Ticket:    e.Ticket,
 			VM:        vm,
 			Refused:   !ok,
-			Ambiguous: fate == loseAnswer,
+			Ambiguous: mode == loseAnswer,
 		})
 	})
 }
 
-func (n *node) giveOrder(e messenger.GiveOrder, fate fate) {
-	s := n.w.server(e.Server)
-	sent := n.w.now < e.NotAfter && fate != loseRequest && s != nil && !s.dead && n.w.passes(string(n.vm), string(s.vm))
+func (n *node) giveOrder(e messenger.GiveOrder, mode deliveryMode) {
+	s := n.cluster.server(e.Server)
+	sent := n.cluster.now < e.NotAfter && mode != loseRequest && s != nil && !s.dead && n.cluster.linkUp(string(n.vm), string(s.vm))
 	stale := sent && s.order(e.Order)
 	n.later(600*timekeeper.Millisecond, func() {
 		n.apply(messenger.OrderEnded{
 			Ticket: e.Ticket,
 			Server: e.Server,
-			OK:     sent && !stale && fate != loseAnswer,
+			OK:     sent && !stale && mode != loseAnswer,
 			Stale:  stale,
 		})
 	})
 }
 
 func (n *node) poll(e messenger.PollServer) {
-	s := n.w.server(e.Server)
-	deaf := s == nil || s.dead || s.frozen() || !n.w.passes(string(n.vm), string(s.vm)) || !n.w.passes(string(s.vm), string(n.vm))
+	s := n.cluster.server(e.Server)
+	deaf := s == nil || s.dead || s.frozen() || !n.cluster.linkUp(string(n.vm), string(s.vm)) || !n.cluster.linkUp(string(s.vm), string(n.vm))
 	if deaf {
 		n.later(300*timekeeper.Millisecond, func() { n.apply(messenger.LoadMissed{Server: e.Server}) })
 		return
 	}
 	load := s.load()
-	n.later(2*hop, func() {
+	n.later(2*networkDelay, func() {
 		n.apply(messenger.LoadReported{
 			Server: e.Server,
 			Load:   load,
--- a/internal/prover/pair_test.go
+++ b/internal/prover/pair_test.go
@@ -86,8 +86,8 @@
 func survivable(s scenario, pair []cell) bool {
 	reclaims := strings.Contains(s.name, "reclaimed")
 	for _, c := range pair {
-		gone := c.fault.deadly || reclaims && strings.HasPrefix(c.fault.name, "frozen")
-		if !gone {
+		kills := c.fault.killsNode || reclaims && strings.HasPrefix(c.fault.name, "frozen")
+		if !kills {
 			return true
 		}
 	}
@@ -110,17 +110,17 @@
 
 func reportPairs(t *testing.T, outcomes []outcome) {
 	t.Helper()
-	struck := 0
+	injected := 0
 	for _, o := range outcomes {
-		struck += o.fired
+		injected += o.faultsInjected
 		if *onlyCell != "" && strings.Contains(o.name(), *onlyCell) {
-			t.Logf("%s\n%s\n=> %v", o.name(), strings.Join(o.story, "\n"), o.objections)
+			t.Logf("%s\n%s\n=> %v", o.name(), strings.Join(o.runLog, "\n"), o.violations)
 		}
-		if len(o.objections) > 0 {
-			t.Errorf("seed %d: %s: %s", *seedFlag, o.name(), strings.Join(o.objections, "; "))
+		if len(o.violations) > 0 {
+			t.Errorf("seed %d: %s: %s", *seedFlag, o.name(), strings.Join(o.violations, "; "))
 		}
 	}
-	t.Logf("seed %d: %d runs, %d faults struck", *seedFlag, len(outcomes), struck)
+	t.Logf("seed %d: %d runs, %d faults struck", *seedFlag, len(outcomes), injected)
 }
 
 // TestSameStory plays cells twice and requires the same story: a verdict that
@@ -134,12 +134,12 @@
 				step:  steps[i%len(steps)],
 				fault: f,
 			}}
-			if i%(4*playEvery) != 0 {
+			if i%(4*cellStride) != 0 {
 				continue
 			}
-			once := runCell(s, cells, *seedFlag, conductor.AllSafeguards())
-			twice := runCell(s, cells, *seedFlag, conductor.AllSafeguards())
-			require.Equal(t, once.story, twice.story, once.name())
+			first := runCell(s, cells, *seedFlag, conductor.AllSafeguards())
+			second := runCell(s, cells, *seedFlag, conductor.AllSafeguards())
+			require.Equal(t, first.runLog, second.runLog, first.name())
 		}
 	}
 }
--- a/internal/prover/platform_test.go
+++ b/internal/prover/platform_test.go
@@ -15,19 +15,19 @@
 const (
 	// readTime is how long a record takes to a node that waits for it, and
 	// pollWait how long a read waits for a record.
-	readTime = 15 * timekeeper.Millisecond
-	pollWait = 250 * timekeeper.Millisecond
+	logReadDelay   = 15 * timekeeper.Millisecond
+	logPollTimeout = 250 * timekeeper.Millisecond
 )
 
 // fakeLog is the platform's log: records in one order, and the faults that
 // the brief names.
 type fakeLog struct {
-	w       *world
-	next    identifier.Offset
-	first   identifier.Offset
-	streams map[identifier.LogStream][]messenger.Record
-	downTil timekeeper.Time
-	slowTil timekeeper.Time
+	cluster   *cluster
+	next      identifier.Offset
+	first     identifier.Offset
+	streams   map[identifier.LogStream][]messenger.Record
+	downUntil timekeeper.Time
+	slowUntil timekeeper.Time
 	// lieNext counts appends that take effect and are answered "failed";
 	// muteNext counts those whose answer never comes.
 	lieNext  int
@@ -36,19 +36,19 @@
 	retention timekeeper.Duration
 }
 
-func newFakeLog(w *world) *fakeLog {
+func newFakeLog(cl *cluster) *fakeLog {
 	return &fakeLog{
-		w:       w,
+		cluster: cl,
 		next:    1,
 		first:   1,
 		streams: map[identifier.LogStream][]messenger.Record{},
 	}
 }
 
-func (l *fakeLog) down() bool { return l.w.now < l.downTil }
+func (l *fakeLog) down() bool { return l.cluster.now < l.downUntil }
 
 func (l *fakeLog) latency() timekeeper.Duration {
-	if l.w.now < l.slowTil {
+	if l.cluster.now < l.slowUntil {
 		return 1500 * timekeeper.Millisecond
 	}
 	return 4 * timekeeper.Millisecond
@@ -57,23 +57,23 @@
 // append appends for a node and answers it.
 func (l *fakeLog) append(n *node, stream identifier.LogStream, data []byte, done func(ok bool)) {
 	if l.down() {
-		n.later(hop, func() { done(false) })
+		n.later(networkDelay, func() { done(false) })
 		return
 	}
-	l.w.after(l.latency()/2, func() {
+	l.cluster.after(l.latency()/2, func() {
 		if l.down() {
-			n.later(hop, func() { done(false) })
+			n.later(networkDelay, func() { done(false) })
 			return
 		}
 		l.put(stream, data)
 		switch {
 		case l.lieNext > 0:
 			l.lieNext--
-			n.later(hop, func() { done(false) })
+			n.later(networkDelay, func() { done(false) })
 		case l.muteNext > 0:
 			l.muteNext--
 		default:
-			n.later(hop, func() { done(true) })
+			n.later(networkDelay, func() { done(true) })
 		}
 	})
 }
@@ -81,12 +81,12 @@
 func (l *fakeLog) put(stream identifier.LogStream, data []byte) {
 	l.streams[stream] = append(l.streams[stream], messenger.Record{
 		Offset:   l.next,
-		Appended: l.w.now,
+		Appended: l.cluster.now,
 		Data:     slices.Clone(data),
 	})
 	l.next++
-	for _, n := range l.w.nodes {
-		n.later(readTime+l.latency()/2, func() { n.readLog(stream) })
+	for _, n := range l.cluster.nodes {
+		n.later(logReadDelay+l.latency()/2, func() { n.readLog(stream) })
 	}
 }
 
@@ -112,7 +112,7 @@
 		return
 	}
 	for name, records := range l.streams {
-		for len(records) > 0 && l.w.now.Sub(records[0].Appended) > l.retention {
+		for len(records) > 0 && l.cluster.now.Sub(records[0].Appended) > l.retention {
 			l.first = max(l.first, records[0].Offset+1)
 			records = records[1:]
 		}
@@ -122,22 +122,22 @@
 
 // fakeList is the platform's lagging list of VMs and its cloud API.
 type fakeList struct {
-	w *world
+	cluster *cluster
 	// stale keeps a leaving VM live, and one live VM missing, on the list.
-	staleTil timekeeper.Time
-	hidden   identifier.VMID
-	refuse   bool
+	staleUntil       timekeeper.Time
+	hiddenVM         identifier.VMID
+	refusesPurchases bool
 	// tokensIgnored sells one VM for each call; sold counts them.
-	tokensIgnored bool
-	sold          map[string]int
-	leaving       map[identifier.VMID]timekeeper.Time
-	bought        map[string]identifier.VMID
-	released      map[identifier.VMID]bool
+	ignoresClientTokens bool
+	sold                map[string]int
+	leaving             map[identifier.VMID]timekeeper.Time
+	bought              map[string]identifier.VMID
+	released            map[identifier.VMID]bool
 }
 
-func newFakeList(w *world) *fakeList {
+func newFakeList(cl *cluster) *fakeList {
 	return &fakeList{
-		w:        w,
+		cluster:  cl,
 		leaving:  map[identifier.VMID]timekeeper.Time{},
 		bought:   map[string]identifier.VMID{},
 		released: map[identifier.VMID]bool{},
@@ -150,26 +150,26 @@
 // refresh shows the list, as it was a while ago, to all nodes.
 func (l *fakeList) refresh() {
 	var vms []messenger.VMState
-	for _, n := range l.w.nodes {
+	for _, n := range l.cluster.nodes {
 		if !n.dead {
 			vms = append(vms, l.state(n.vm, n.zone, ""))
 		}
 	}
-	for _, s := range l.w.servers {
+	for _, s := range l.cluster.servers {
 		if !s.dead && s.vm != l.hiddenNow() {
 			vms = append(vms, l.state(s.vm, s.zone, s.pool))
 		}
 	}
 	read := messenger.ListRead{
-		AsOf: l.w.now,
+		AsOf: l.cluster.now,
 		VMs:  vms,
 	}
-	l.w.after(listLag, func() { l.w.broadcast(read) })
+	l.cluster.after(listLag, func() { l.cluster.broadcast(read) })
 }
 
 func (l *fakeList) hiddenNow() identifier.VMID {
-	if l.w.now < l.staleTil {
-		return l.hidden
+	if l.cluster.now < l.staleUntil {
+		return l.hiddenVM
 	}
 	return ""
 }
@@ -183,7 +183,7 @@
 		Market:  catalog.Reclaimable,
 		Pool:    pool,
 		Address: string(vm),
-		Leaving: leaving && l.w.now >= l.staleTil,
+		Leaving: leaving && l.cluster.now >= l.staleUntil,
 	}
 }
 
@@ -194,13 +194,13 @@
 		return
 	}
 	l.leaving[vm] = deadline
-	l.w.facts.noticed[vm] = l.w.now
-	l.w.tell("NOTICE %s until %d", vm, deadline-1_000_000)
-	l.w.broadcast(messenger.NoticeReceived{
+	l.cluster.observed.noticedAt[vm] = l.cluster.now
+	l.cluster.recordf("NOTICE %s until %d", vm, deadline-1_000_000)
+	l.cluster.broadcast(messenger.NoticeReceived{
 		VM:       vm,
 		Deadline: deadline,
 	})
-	l.w.queue.add(deadline, func() { l.w.takeAway(vm) })
+	l.cluster.queue.add(deadline, func() { l.cluster.takeAway(vm) })
 }
 
 // stopPlanned takes a VM away without a notice: only the list says so.
@@ -208,41 +208,41 @@
 	if _, known := l.leaving[vm]; known {
 		return
 	}
-	deadline := l.w.now.Add(15 * timekeeper.Second)
+	deadline := l.cluster.now.Add(15 * timekeeper.Second)
 	l.leaving[vm] = deadline
-	l.w.facts.noticed[vm] = l.w.now
-	l.w.tell("STOP %s planned for %d", vm, deadline-1_000_000)
-	l.w.queue.add(deadline, func() { l.w.takeAway(vm) })
+	l.cluster.observed.noticedAt[vm] = l.cluster.now
+	l.cluster.recordf("STOP %s planned for %d", vm, deadline-1_000_000)
+	l.cluster.queue.add(deadline, func() { l.cluster.takeAway(vm) })
 }
 
 // takeAway ends a VM without further ado.
-func (w *world) takeAway(vm identifier.VMID) {
-	if n := w.node(vm); n != nil {
+func (cl *cluster) takeAway(vm identifier.VMID) {
+	if n := cl.node(vm); n != nil {
 		n.kill("reclaimed")
 	}
-	if s := w.server(vm); s != nil {
+	if s := cl.server(vm); s != nil {
 		s.kill()
 	}
 }
 
 // buy sells a VM for a client token, once.
 func (l *fakeList) buy(e messenger.BuyVM) (identifier.VMID, bool) {
-	if vm, known := l.bought[e.ClientToken]; known && !l.tokensIgnored {
+	if vm, known := l.bought[e.ClientToken]; known && !l.ignoresClientTokens {
 		return vm, true
 	}
-	if l.refuse {
+	if l.refusesPurchases {
 		return "", false
 	}
 	l.sold[e.ClientToken]++
-	vm := l.w.addServer(identifier.VMID(fmt.Sprintf("x%s-%d", e.ClientToken, l.sold[e.ClientToken])), e.Zone, e.Pool).vm
+	vm := l.cluster.addServer(identifier.VMID(fmt.Sprintf("x%s-%d", e.ClientToken, l.sold[e.ClientToken])), e.Zone, e.Pool).vm
 	l.bought[e.ClientToken] = vm
-	l.w.tell("BOUGHT %s", vm)
+	l.cluster.recordf("BOUGHT %s", vm)
 	return vm, true
 }
 
 func (l *fakeList) release(vm identifier.VMID) {
 	l.released[vm] = true
-	l.w.takeAway(vm)
+	l.cluster.takeAway(vm)
 }
 
 // settings is the operators' folder of the world, as one file.
@@ -336,14 +336,14 @@
 // bootConfig puts the settings into the log before the nodes start, as an
 // operator's accepted change. Settings with faults would be rejected by all
 // nodes, and the scenario play without a configuration.
-func (w *world) bootConfig() {
-	files := map[identifier.FileName][]byte{"10-world.ini": []byte(w.settings)}
+func (cl *cluster) bootConfig() {
+	files := map[identifier.FileName][]byte{"10-world.ini": []byte(cl.settings)}
 	if _, faults := configurer.Check(files); len(faults) > 0 {
 		panic(&folderreader.FaultsError{Faults: faults})
 	}
 	state := configurer.New(configurer.Config{})
-	state.ApplyRecords(w.now, w.log.read("config", 1))
-	record, err := state.Propose(w.now, messenger.ChangeProposed{
+	state.ApplyRecords(cl.now, cl.log.read("config", 1))
+	record, err := state.Propose(cl.now, messenger.ChangeProposed{
 		Ticket:  1,
 		File:    "10-world.ini",
 		Content: files["10-world.ini"],
@@ -351,5 +351,5 @@
 	if err != nil {
 		panic(err)
 	}
-	w.log.put("config", record)
+	cl.log.put("config", record)
 }
--- a/internal/prover/query_test.go
+++ b/internal/prover/query_test.go
@@ -17,11 +17,11 @@
 	// endsAllowed is how many servers may end under one request. knownAfter is the
 	// users' bound for all nodes to know of the last of these, and strays the sends
 	// that they bear after it.
-	endsAllowed = 3
-	knownAfter  = 3 * timekeeper.Second
-	strays      = 3
+	maxServersEnded = 3
+	quarantineDelay = 3 * timekeeper.Second
+	maxLateSends    = 3
 	// endsAfter is how long a query of death runs before its server ends.
-	endsAfter = 60 * timekeeper.Millisecond
+	crashDelay = 60 * timekeeper.Millisecond
 	// restartTime is when a server that ended is there again, under a new id, and
 	// lapseTime when the entry of its earlier start lapses.
 	restartTime = 1 * timekeeper.Second
@@ -35,41 +35,41 @@
 	// deadly are the contents that end each server that runs them.
 	deadly map[identifier.ContentHash]bool
 	// ended are the servers whose process is gone, and flights what runs where.
-	ended   map[identifier.VMID]bool
-	flights map[identifier.VMID][]*running
+	ended    map[identifier.VMID]bool
+	attempts map[identifier.VMID][]*serverAttempt
 	// under counts the servers that ended under a content, third is when the last
 	// of those allowed did, and late counts the sends after all have to know.
-	under map[identifier.ContentHash]int
-	third map[identifier.ContentHash]timekeeper.Time
-	late  map[identifier.ContentHash]int
+	endsByContent map[identifier.ContentHash]int
+	maxReachedAt  map[identifier.ContentHash]timekeeper.Time
+	lateSends     map[identifier.ContentHash]int
 	// quarantined counts the refusals of a content for the servers that ended
 	// under it.
 	quarantined map[identifier.ContentHash]int
 	booted      int
 	// persistent callers ask again after a failure, so many times; asked counts the
 	// tries of a content.
-	persistent int
-	asked      map[identifier.ContentHash]int
+	maxRepeats       int
+	repeatsByContent map[identifier.ContentHash]int
 }
 
 // running is an attempt at a server.
-type running struct {
-	n    *gatewayNode
-	e    messenger.SendExchange
-	over bool
+type serverAttempt struct {
+	n     *gatewayNode
+	e     messenger.SendExchange
+	ended bool
 }
 
 func newEndings() endings {
 	return endings{
-		contents:    map[identifier.RequestID]identifier.ContentHash{},
-		deadly:      map[identifier.ContentHash]bool{},
-		ended:       map[identifier.VMID]bool{},
-		flights:     map[identifier.VMID][]*running{},
-		under:       map[identifier.ContentHash]int{},
-		third:       map[identifier.ContentHash]timekeeper.Time{},
-		late:        map[identifier.ContentHash]int{},
-		quarantined: map[identifier.ContentHash]int{},
-		asked:       map[identifier.ContentHash]int{},
+		contents:         map[identifier.RequestID]identifier.ContentHash{},
+		deadly:           map[identifier.ContentHash]bool{},
+		ended:            map[identifier.VMID]bool{},
+		attempts:         map[identifier.VMID][]*serverAttempt{},
+		endsByContent:    map[identifier.ContentHash]int{},
+		maxReachedAt:     map[identifier.ContentHash]timekeeper.Time{},
+		lateSends:        map[identifier.ContentHash]int{},
+		quarantined:      map[identifier.ContentHash]int{},
+		repeatsByContent: map[identifier.ContentHash]int{},
 	}
 }
 
@@ -79,12 +79,12 @@
 }
 
 // refusedByEnded answers an attempt at a server whose process is gone.
-func (w *exchangeWorld) refusedByEnded(n *gatewayNode, e messenger.SendExchange) bool {
-	if !w.ended[e.Server] {
+func (cl *exchangeCluster) refuseAtEnded(n *gatewayNode, e messenger.SendExchange) bool {
+	if !cl.ended[e.Server] {
 		return false
 	}
-	w.after(1, func() {
-		w.apply(n, messenger.ExchangeAttemptEnded{
+	cl.after(1, func() {
+		cl.apply(n, messenger.ExchangeAttemptEnded{
 			Exchange:    e.Exchange,
 			Attempt:     e.Attempt,
 			Result:      messenger.AttemptNotSent,
@@ -96,130 +96,130 @@
 
 // begin notes an attempt that a server runs, and lets the server end under it where
 // its content is deadly.
-func (w *exchangeWorld) begin(n *gatewayNode, e messenger.SendExchange) *running {
-	f := &running{
+func (cl *exchangeCluster) begin(n *gatewayNode, e messenger.SendExchange) *serverAttempt {
+	f := &serverAttempt{
 		n: n,
 		e: e,
 	}
-	w.flights[e.Server] = append(w.flights[e.Server], f)
-	content := w.contents[w.requests[e.Exchange]]
-	if !w.deadly[content] {
+	cl.attempts[e.Server] = append(cl.attempts[e.Server], f)
+	content := cl.contents[cl.requests[e.Exchange]]
+	if !cl.deadly[content] {
 		return f
 	}
-	if third := w.third[content]; third != 0 && w.now.Sub(third) > knownAfter && w.inTouch(n) {
-		w.late[content]++
-		if w.late[content] == strays+1 {
-			w.fault("%s sends a request under which %d servers had ended, once too often since all know", n.vm, endsAllowed)
+	if reachedAt := cl.maxReachedAt[content]; reachedAt != 0 && cl.now.Sub(reachedAt) > quarantineDelay && cl.undisturbed(n) {
+		cl.lateSends[content]++
+		if cl.lateSends[content] == maxLateSends+1 {
+			cl.violate("%s sends a request under which %d servers had ended, once too often since all know", n.vm, maxServersEnded)
 		}
 	}
-	w.after(endsAfter, func() {
-		if f.over {
+	cl.after(crashDelay, func() {
+		if f.ended {
 			return
 		}
-		w.under[content]++
-		if w.under[content] == endsAllowed {
-			w.third[content] = w.now
+		cl.endsByContent[content]++
+		if cl.endsByContent[content] == maxServersEnded {
+			cl.maxReachedAt[content] = cl.now
 		}
-		w.end(e.Server)
+		cl.endServer(e.Server)
 	})
 	return f
 }
 
 // end ends a server's process: its connections break, and it starts again.
-func (w *exchangeWorld) end(vm identifier.VMID) {
-	if w.ended[vm] {
+func (cl *exchangeCluster) endServer(vm identifier.VMID) {
+	if cl.ended[vm] {
 		return
 	}
-	w.ended[vm] = true
-	for _, f := range w.flights[vm] {
-		if f.over {
+	cl.ended[vm] = true
+	for _, f := range cl.attempts[vm] {
+		if f.ended {
 			continue
 		}
-		f.over = true
-		w.apply(f.n, messenger.ExchangeAttemptEnded{
+		f.ended = true
+		cl.apply(f.n, messenger.ExchangeAttemptEnded{
 			Exchange:    f.e.Exchange,
 			Attempt:     f.e.Attempt,
 			Result:      messenger.AttemptBroken,
 			ServerEnded: true,
 		})
 	}
-	delete(w.flights, vm)
-	w.after(restartTime, func() {
-		w.booted++
-		w.enter(exchangeServer(100+w.booted), messenger.ServerReady)
+	delete(cl.attempts, vm)
+	cl.after(restartTime, func() {
+		cl.booted++
+		cl.writeEntry(exchangeServer(100+cl.booted), messenger.ServerReady)
 	})
-	w.after(lapseTime, func() { w.enter(vm, messenger.ServerRemoved) })
+	cl.after(lapseTime, func() { cl.writeEntry(vm, messenger.ServerRemoved) })
 }
 
 // inTouch reports whether nothing has harmed a node, its ways or the store for so
 // long that the users' bounds hold for it.
-func (w *exchangeWorld) inTouch(n *gatewayNode) bool {
-	return w.now.Sub(max(n.began, n.troubled)) >= knownAfter
+func (cl *exchangeCluster) undisturbed(n *gatewayNode) bool {
+	return cl.now.Sub(max(n.startedAt, n.lastDisturbed)) >= quarantineDelay
 }
 
 // watchTrouble notes which nodes are harmed.
-func (w *exchangeWorld) watchTrouble() {
-	for _, n := range w.nodes {
-		if n.cut || n.offStore || w.now.Before(n.frozen) || w.storeDown || w.lateWrite > 0 {
-			n.troubled = w.now
+func (cl *exchangeCluster) recordDisturbances() {
+	for _, n := range cl.nodes {
+		if n.cutFromPeers || n.cutFromStore || cl.now.Before(n.frozenUntil) || cl.storeDown || cl.appendDelay > 0 {
+			n.lastDisturbed = cl.now
 		}
 	}
-	w.after(20, w.watchTrouble)
+	cl.after(20, cl.recordDisturbances)
 }
 
-func (w *exchangeWorld) noteRefusal(e messenger.RefuseExchange) {
-	content := w.contents[w.requests[e.Exchange]]
+func (cl *exchangeCluster) recordRefusal(e messenger.RefuseExchange) {
+	content := cl.contents[cl.requests[e.Exchange]]
 	if e.Refusal.Reason != messenger.ReasonServersEnded {
 		return
 	}
-	w.quarantined[content]++
+	cl.quarantined[content]++
 	if e.Refusal.Outcome != messenger.NotRun || e.Refusal.RetryAfter < timekeeper.Minute {
-		w.fault("a query of death is told %v", e.Refusal)
+		cl.violate("a query of death is told %v", e.Refusal)
 	}
 }
 
 // returns lets a caller send the same request again and again, each time under
 // another id and to any node.
-func (w *exchangeWorld) returns(content identifier.ContentHash, kind catalog.Repetition, from, until, spacing timekeeper.Duration) {
+func (cl *exchangeCluster) sendRepeatedly(content identifier.ContentHash, kind catalog.Repetition, from, until, spacing timekeeper.Duration) {
 	for at := from; at < until; at += spacing {
-		w.at(at, func() { w.askContent(content, kind) })
+		cl.at(at, func() { cl.sendContent(content, kind) })
 	}
 }
 
 // askContent sends a request with some content under an id of its own.
-func (w *exchangeWorld) askContent(content identifier.ContentHash, kind catalog.Repetition) {
-	n := w.anyReady()
+func (cl *exchangeCluster) sendContent(content identifier.ContentHash, kind catalog.Repetition) {
+	n := cl.anyReady()
 	if n == nil {
 		return
 	}
-	w.next++
-	id := identifier.RequestID(fmt.Sprintf("q-%d-%d", content, w.next))
-	w.kinds[id] = kind
-	w.requests[w.next] = id
-	w.receive(n, id, kind, content)
+	cl.lastExchange++
+	id := identifier.RequestID(fmt.Sprintf("q-%d-%d", content, cl.lastExchange))
+	cl.repetitions[id] = kind
+	cl.requests[cl.lastExchange] = id
+	cl.receive(n, id, kind, content)
 }
 
 // askAgain lets the caller of a request that failed send it again, where callers do.
-func (w *exchangeWorld) askAgain(id identifier.RequestID) {
-	content := w.contents[id]
-	if w.deadly[content] || w.asked[content] >= w.persistent {
+func (cl *exchangeCluster) repeatRequest(id identifier.RequestID) {
+	content := cl.contents[id]
+	if cl.deadly[content] || cl.repeatsByContent[content] >= cl.maxRepeats {
 		return
 	}
-	w.asked[content]++
-	w.after(100, func() { w.askContent(content, w.kinds[id]) })
+	cl.repeatsByContent[content]++
+	cl.after(100, func() { cl.sendContent(content, cl.repetitions[id]) })
 }
 
 // blameless counts the requests that were refused for servers that ended for others,
 // and those that were asked.
-func (w *exchangeWorld) blameless() (refused, asked int) {
+func (cl *exchangeCluster) unrelatedRequests() (refused, asked int) {
 	contents := map[identifier.ContentHash]bool{}
-	for _, content := range w.contents {
-		if !w.deadly[content] {
+	for _, content := range cl.contents {
+		if !cl.deadly[content] {
 			contents[content] = true
 		}
 	}
 	for content := range contents {
-		if w.quarantined[content] > 0 {
+		if cl.quarantined[content] > 0 {
 			refused++
 		}
 	}
@@ -228,11 +228,11 @@
 
 // newQueryWorld is a world in which servers need some time for a request, so that
 // others run beside a query of death when its server ends.
-func newQueryWorld(t testing.TB, seed uint64) *exchangeWorld {
-	w := newExchangeWorld(t, seed)
-	w.work = 150
-	w.watchTrouble()
-	return w
+func newQueryCluster(t testing.TB, seed uint64) *exchangeCluster {
+	cl := newExchangeCluster(t, seed)
+	cl.serviceTime = 150
+	cl.recordDisturbances()
+	return cl
 }
 
 // A caller's request ends each server that begins to run it. The caller gets 502 and
@@ -248,20 +248,20 @@
 	for _, fault := range exchangeFaults {
 		t.Run(fault.name, func(t *testing.T) {
 			for i, step := range steps {
-				w := newQueryWorld(t, uint64(i))
+				cl := newQueryCluster(t, uint64(i))
 				kinds := []catalog.Repetition{catalog.Resumable, catalog.AtMostOnce, catalog.Repeatable}
 				for k, kind := range kinds {
 					content := identifier.ContentHash(k + 1)
-					w.deadly[content] = true
-					w.returns(content, kind, 4000+timekeeper.Duration(700*k), exchangeDay, 500)
+					cl.deadly[content] = true
+					cl.sendRepeatedly(content, kind, 4000+timekeeper.Duration(700*k), exchangeRunTime, 500)
 				}
-				w.at(step, func() { fault.strike(w) })
-				w.run()
-				require.Empty(t, w.faults, "at %d", step)
+				cl.at(step, func() { fault.strike(cl) })
+				cl.run()
+				require.Empty(t, cl.violations, "at %d", step)
 				for k := range kinds {
 					content := identifier.ContentHash(k + 1)
-					require.GreaterOrEqual(t, w.under[content], endsAllowed)
-					require.Positive(t, w.quarantined[content])
+					require.GreaterOrEqual(t, cl.endsByContent[content], maxServersEnded)
+					require.Positive(t, cl.quarantined[content])
 				}
 			}
 		})
@@ -269,69 +269,69 @@
 }
 
 // crashDay is a day on which servers end under queries of death, or by themselves.
-type crashDay struct {
+type crashCase struct {
 	name string
 	// queries is how many queries of death come, twice a second each.
 	queries int
 	// each is the spacing of ends of servers by themselves; zero for none.
-	each timekeeper.Duration
+	endInterval timekeeper.Duration
 }
 
 // crashDays is how many days of a kind are played; the race detector, which finds
 // nothing in one that it has not in the next, plays a part of them.
-const crashDays = 100 / playEvery
+const crashRuns = 100 / cellStride
 
 // play plays such days and returns how many blameless requests were refused of those
 // that were asked, and how many servers ended under each query. Callers send again
 // what failed, up to five times.
-func (d crashDay) play(t testing.TB) (refused, asked int, taken float64) {
+func (d crashCase) run(t testing.TB) (refused, asked int, endedPerQuery float64) {
 	ends := 0
-	for seed := range uint64(crashDays) {
-		w := newQueryWorld(t, seed)
-		w.persistent = 5
+	for seed := range uint64(crashRuns) {
+		cl := newQueryCluster(t, seed)
+		cl.maxRepeats = 5
 		for k := range d.queries {
-			w.deadly[identifier.ContentHash(k+1)] = true
-			w.returns(identifier.ContentHash(k+1), catalog.Resumable, 4000+timekeeper.Duration(170*k), exchangeDay, 500)
+			cl.deadly[identifier.ContentHash(k+1)] = true
+			cl.sendRepeatedly(identifier.ContentHash(k+1), catalog.Resumable, 4000+timekeeper.Duration(170*k), exchangeRunTime, 500)
 		}
-		for at := timekeeper.Duration(4000); d.each > 0 && at < exchangeDay; at += d.each {
-			w.at(at, w.endAny)
+		for at := timekeeper.Duration(4000); d.endInterval > 0 && at < exchangeRunTime; at += d.endInterval {
+			cl.at(at, cl.endAnyServer)
 		}
-		w.run()
-		r, a := w.blameless()
+		cl.run()
+		r, a := cl.unrelatedRequests()
 		refused += r
 		asked += a
 		for k := range d.queries {
-			ends += w.under[identifier.ContentHash(k+1)]
+			ends += cl.endsByContent[identifier.ContentHash(k+1)]
 		}
 	}
-	return refused, asked, float64(ends) / float64(max(crashDays*d.queries, 1))
+	return refused, asked, float64(ends) / float64(max(crashRuns*d.queries, 1))
 }
 
 // Callers whose requests run beside a query of death, or on servers that end by
 // themselves, send them again and meet the next server that ends. Were each request
 // refused that met three of them theirs would be, for minutes.
 func TestBlamelessRequestsAreServed(t *testing.T) {
-	for _, day := range []crashDay{
+	for _, day := range []crashCase{
 		{
 			name:    "beside a query of death",
 			queries: 1,
 		},
 		{
-			name: "one server in a second ends by itself",
-			each: 1000,
+			name:        "one server in a second ends by itself",
+			endInterval: 1000,
 		},
 		{
-			name: "half of the servers end by themselves in each second",
-			each: 330,
+			name:        "half of the servers end by themselves in each second",
+			endInterval: 330,
 		},
 		{
-			name:    "both",
-			queries: 1,
-			each:    1000,
+			name:        "both",
+			queries:     1,
+			endInterval: 1000,
 		},
 	} {
 		t.Run(day.name, func(t *testing.T) {
-			refused, asked, _ := day.play(t)
+			refused, asked, _ := day.run(t)
 			require.Zero(t, refused, "of %d", asked)
 		})
 	}
@@ -344,20 +344,20 @@
 // what explains an end. With one more server in a second that ends by itself they are
 // 18 and 3, and 3.7 and 3.8.
 func BenchmarkThreeQueriesAtOnce(b *testing.B) {
-	for _, day := range []crashDay{
+	for _, day := range []crashCase{
 		{
 			name:    "alone",
 			queries: 3,
 		},
 		{
-			name:    "servers end by themselves too",
-			queries: 3,
-			each:    1000,
+			name:        "servers end by themselves too",
+			queries:     3,
+			endInterval: 1000,
 		},
 	} {
 		b.Run(day.name, func(b *testing.B) {
 			for b.Loop() {
-				refused, asked, taken := day.play(b)
+				refused, asked, taken := day.run(b)
 				b.ReportMetric(1e4*float64(refused)/float64(asked), "refused/10000")
 				b.ReportMetric(taken, "servers/query")
 			}
@@ -366,14 +366,14 @@
 }
 
 // endAny lets a server end that has not ended yet.
-func (w *exchangeWorld) endAny() {
+func (cl *exchangeCluster) endAnyServer() {
 	var live []identifier.VMID
-	for _, e := range w.entries {
-		if e.State == messenger.ServerReady && !w.ended[e.Server] {
+	for _, e := range cl.entries {
+		if e.State == messenger.ServerReady && !cl.ended[e.Server] {
 			live = append(live, e.Server)
 		}
 	}
 	if len(live) > 0 {
-		w.end(live[w.rng.IntN(len(live))])
+		cl.endServer(live[cl.rng.IntN(len(live))])
 	}
 }
--- a/internal/prover/restored_test.go
+++ b/internal/prover/restored_test.go
@@ -16,60 +16,60 @@
 const (
 	// copyAge is how old the copy is from which the store comes back, and writtenAgain
 	// when servers have written their entries there again.
-	copyAge      = 3 * timekeeper.Second
-	writtenAgain = 1200 * timekeeper.Millisecond
+	backupAge    = 3 * timekeeper.Second
+	rewriteDelay = 1200 * timekeeper.Millisecond
 )
 
 // restore lets the store come back from a copy some seconds old: what was written since
 // is gone, and its places are given out again. Servers write their entries again.
-func (w *exchangeWorld) restore() {
-	w.era++
-	since := w.now.Add(-copyAge)
-	for s, records := range w.streams {
-		w.streams[s] = slices.DeleteFunc(slices.Clone(records), func(r messenger.Record) bool { return r.Appended.After(since) })
+func (cl *exchangeCluster) restore() {
+	cl.generation++
+	since := cl.now.Add(-backupAge)
+	for s, records := range cl.streams {
+		cl.streams[s] = slices.DeleteFunc(slices.Clone(records), func(r messenger.Record) bool { return r.Appended.After(since) })
 	}
-	for len(w.entered) > 0 && w.entered[len(w.entered)-1].After(since) {
-		w.entries = w.entries[:len(w.entries)-1]
-		w.entered = w.entered[:len(w.entered)-1]
+	for len(cl.entryTimes) > 0 && cl.entryTimes[len(cl.entryTimes)-1].After(since) {
+		cl.entries = cl.entries[:len(cl.entries)-1]
+		cl.entryTimes = cl.entryTimes[:len(cl.entryTimes)-1]
 	}
-	r := &w.rollouts
-	before := keptState{kept: map[identifier.ServiceName]messenger.Rollout{}}
+	r := &cl.rollouts
+	restored := storedState{stored: map[identifier.ServiceName]messenger.Rollout{}}
 	for _, h := range r.history {
 		if !h.at.After(since) {
-			before = h
+			restored = h
 		}
 	}
-	r.kept = maps.Clone(before.kept)
-	r.claimed = before.claimed
-	r.lost = r.lost || r.final != "" && !before.kept["reader"].Phase.Final()
-	w.after(writtenAgain, func() {
-		for _, vm := range slices.Sorted(maps.Keys(w.shown)) {
-			if s := w.shown[vm]; s.State != messenger.ServerRemoved && !w.ended[vm] {
-				w.enterAgain(s)
+	r.stored = maps.Clone(restored.stored)
+	r.maxFence = restored.maxFence
+	r.finalLost = r.finalLost || r.final != "" && !restored.stored["reader"].Phase.Final()
+	cl.after(rewriteDelay, func() {
+		for _, vm := range slices.Sorted(maps.Keys(cl.lastEntries)) {
+			if s := cl.lastEntries[vm]; s.State != messenger.ServerRemoved && !cl.ended[vm] {
+				cl.rewriteEntry(s)
 			}
 		}
 	})
 }
 
 // enterAgain writes an entry that says nothing new.
-func (w *exchangeWorld) enterAgain(s messenger.PublishedServer) {
-	if w.storeDown {
-		w.waiting = append(w.waiting, func() { w.enterAgain(s) })
+func (cl *exchangeCluster) rewriteEntry(s messenger.PublishedServer) {
+	if cl.storeDown {
+		cl.pendingEntries = append(cl.pendingEntries, func() { cl.rewriteEntry(s) })
 		return
 	}
-	w.entries = append(w.entries, w.shown[s.Server])
-	w.entered = append(w.entered, w.now)
+	cl.entries = append(cl.entries, cl.lastEntries[s.Server])
+	cl.entryTimes = append(cl.entryTimes, cl.now)
 }
 
 // noteEra tells a node that reaches the store that it came back.
-func (w *exchangeWorld) noteEra(n *gatewayNode) {
-	if n.era == w.era || w.eraIgnored {
+func (cl *exchangeCluster) applyGeneration(n *gatewayNode) {
+	if n.generation == cl.generation || cl.generationIgnored {
 		return
 	}
-	n.era = w.era
-	clear(n.read)
-	n.servers = 0
-	w.apply(n, messenger.StoreRestored{Generation: w.era})
+	n.generation = cl.generation
+	clear(n.readOffsets)
+	n.entriesRead = 0
+	cl.apply(n, messenger.StoreRestored{Generation: cl.generation})
 }
 
 // The store comes back from a copy at any step, beside each other fault and while a version
@@ -80,17 +80,17 @@
 	for _, fault := range exchangeFaults {
 		t.Run(fault.name, func(t *testing.T) {
 			for i, step := range []timekeeper.Duration{2300, 4100, 6300, 9001, 12500} {
-				if i%playEvery != 0 {
+				if i%cellStride != 0 {
 					continue
 				}
 				for _, beside := range []timekeeper.Duration{-600, 150, 1700} {
-					w := newExchangeWorld(t, uint64(i))
-					w.at(rolloutOrdered, func() { w.order(i%2 == 0) })
-					w.at(step, w.restore)
-					w.at(step+beside, func() { fault.strike(w) })
-					w.run()
-					w.checkRollout(false)
-					require.Empty(t, w.faults, "at %d, %d", step, beside)
+					cl := newExchangeCluster(t, uint64(i))
+					cl.at(rolloutOrdered, func() { cl.orderRollout(i%2 == 0) })
+					cl.at(step, cl.restore)
+					cl.at(step+beside, func() { fault.strike(cl) })
+					cl.run()
+					cl.checkRollout(false)
+					require.Empty(t, cl.violations, "at %d, %d", step, beside)
 				}
 			}
 		})
@@ -100,30 +100,30 @@
 // Two drills within a lease.
 func TestTwoCopiesWithinALease(t *testing.T) {
 	for seed := range uint64(4) {
-		w := newExchangeWorld(t, seed)
-		w.at(5000, w.restore)
-		w.at(6400, w.restore)
-		w.at(7000, func() { w.kill(w.holder(), 300) })
-		w.run()
-		require.Empty(t, w.faults)
+		cl := newExchangeCluster(t, seed)
+		cl.at(5000, cl.restore)
+		cl.at(6400, cl.restore)
+		cl.at(7000, func() { cl.kill(cl.leader(), 300) })
+		cl.run()
+		require.Empty(t, cl.violations)
 	}
 }
 
 // Were the era ignored, the checks would show it: a lease is granted at a place of the log
 // that was given out before.
 func TestControlsOfCopies(t *testing.T) {
-	found := ""
+	allFaults := ""
 	for step := timekeeper.Duration(2000); step < 6000; step += 200 {
-		w := newExchangeWorld(t, 1)
-		w.eraIgnored = true
-		w.at(step, func() {
-			holder := w.holder()
-			w.restore()
-			w.era = 0
-			w.kill(holder, lasting)
+		cl := newExchangeCluster(t, 1)
+		cl.generationIgnored = true
+		cl.at(step, func() {
+			holder := cl.leader()
+			cl.restore()
+			cl.generation = 0
+			cl.kill(holder, faultTime)
 		})
-		w.run()
-		found += fmt.Sprint(w.faults)
+		cl.run()
+		allFaults += fmt.Sprint(cl.violations)
 	}
-	require.Contains(t, found, "used by")
+	require.Contains(t, allFaults, "used by")
 }
--- a/internal/prover/retry_test.go
+++ b/internal/prover/retry_test.go
@@ -19,30 +19,30 @@
 	repeatSpan  = 10 * timekeeper.Second
 	repeatShare = 0.2
 	// repeatSlack is that for the nodes of an exchangeWorld: 40 and two a node.
-	repeatSlack = 40 + 2*exchangeNodes
+	repeatSlack = 40 + 2*exchangeNodeCount
 )
 
 // repeats are the instants of requests, and of arrivals beyond the first of each.
 type repeats struct {
-	asked []timekeeper.Time
-	again []timekeeper.Time
+	requests []timekeeper.Time
+	repeated []timekeeper.Time
 }
 
 // excess returns by how much the repeats of some span exceed the bound at the most.
 func (r repeats) excess() float64 {
 	worst := -1e9
-	for _, from := range r.again {
+	for _, from := range r.repeated {
 		allowed := repeatSlack + repeatShare*float64(max(
-			within(r.asked, from, repeatSpan),
-			within(r.asked, from.Add(-repeatSpan), repeatSpan),
-			within(r.asked, from.Add(-repeatSpan/2), repeatSpan),
+			countWithin(r.requests, from, repeatSpan),
+			countWithin(r.requests, from.Add(-repeatSpan), repeatSpan),
+			countWithin(r.requests, from.Add(-repeatSpan/2), repeatSpan),
 		))
-		worst = max(worst, float64(within(r.again, from, repeatSpan))-allowed)
+		worst = max(worst, float64(countWithin(r.repeated, from, repeatSpan))-allowed)
 	}
 	return worst
 }
 
-func within(all []timekeeper.Time, from timekeeper.Time, span timekeeper.Duration) int {
+func countWithin(all []timekeeper.Time, from timekeeper.Time, span timekeeper.Duration) int {
 	n := 0
 	for _, at := range all {
 		if !at.Before(from) && at.Before(from.Add(span)) {
@@ -60,26 +60,26 @@
 	for _, test := range []struct {
 		name   string
 		every  timekeeper.Duration
-		strike func(*exchangeWorld)
+		strike func(*exchangeCluster)
 	}{
 		{
 			name:   "few requests",
 			every:  250,
-			strike: func(*exchangeWorld) {},
+			strike: func(*exchangeCluster) {},
 		},
 		{
 			name:   "many requests",
 			every:  10,
-			strike: func(*exchangeWorld) {},
+			strike: func(*exchangeCluster) {},
 		},
 		{
 			name:  "all nodes are killed twice",
 			every: 60,
-			strike: func(w *exchangeWorld) {
+			strike: func(cl *exchangeCluster) {
 				for _, at := range []timekeeper.Duration{11_000, 14_000} {
-					w.at(at, func() {
-						for _, n := range w.nodes {
-							w.kill(n, 300)
+					cl.at(at, func() {
+						for _, n := range cl.nodes {
+							cl.kill(n, 300)
 						}
 					})
 				}
@@ -87,18 +87,18 @@
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			w := newExchangeWorld(t, 1)
-			for at := timekeeper.Duration(3030); at < exchangeDay; at += test.every {
-				w.at(at, w.ask)
+			cl := newExchangeCluster(t, 1)
+			for at := timekeeper.Duration(3030); at < exchangeRunTime; at += test.every {
+				cl.at(at, cl.sendRequest)
 			}
-			test.strike(w)
-			w.at(8000, func() {
-				w.serverFault = messenger.AttemptBroken
-				w.alwaysFails = true
+			test.strike(cl)
+			cl.at(8000, func() {
+				cl.serverFault = messenger.AttemptBroken
+				cl.alwaysFails = true
 			})
-			w.run()
-			require.Greater(t, len(w.repeats.again), repeatSlack/2)
-			require.LessOrEqual(t, w.repeats.excess(), 0.0)
+			cl.run()
+			require.Greater(t, len(cl.repeats.repeated), repeatSlack/2)
+			require.LessOrEqual(t, cl.repeats.excess(), 0.0)
 		})
 	}
 }
@@ -107,19 +107,19 @@
 // servers, and go on at others: were retries earned by requests alone, a node's first
 // six would not, and their callers would have half an answer.
 func TestFirstRequestsAreSentAgain(t *testing.T) {
-	w := newExchangeWorld(t, 1)
-	w.at(2999, func() {
-		w.serverFault = messenger.AttemptBroken
-		w.alwaysFails = true
+	cl := newExchangeCluster(t, 1)
+	cl.at(2999, func() {
+		cl.serverFault = messenger.AttemptBroken
+		cl.alwaysFails = true
 	})
 	const until = 3200
-	w.at(until, func() { w.serverFault = "" })
-	w.run()
+	cl.at(until, func() { cl.serverFault = "" })
+	cl.run()
 	repeatable := 0
-	for id := range w.kinds {
-		if w.kinds[id] != catalog.AtMostOnce && slices.Contains([]identifier.RequestID{"r-1", "r-2", "r-3", "r-4"}, id) {
+	for id := range cl.repetitions {
+		if cl.repetitions[id] != catalog.AtMostOnce && slices.Contains([]identifier.RequestID{"r-1", "r-2", "r-3", "r-4"}, id) {
 			repeatable++
-			require.Greater(t, len(w.ran[id]), 1, "%s", id)
+			require.Greater(t, len(cl.ranAt[id]), 1, "%s", id)
 		}
 	}
 	require.Positive(t, repeatable)
--- a/internal/prover/server_test.go
+++ b/internal/prover/server_test.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	prefillTime = 300 * timekeeper.Millisecond
-	decodeEvery = 100 * timekeeper.Millisecond
-	decodeStep  = 2 // tokens each time: 20 a second
-	callTime    = 60 * timekeeper.Millisecond
-	exportTime  = 400 * timekeeper.Millisecond
+	prefillTime     = 300 * timekeeper.Millisecond
+	decodeInterval  = 100 * timekeeper.Millisecond
+	tokensPerDecode = 2 // tokens each time: 20 a second
+	callTime        = 60 * timekeeper.Millisecond
+	exportTime      = 400 * timekeeper.Millisecond
 )
 
 // token is a token of an answer. Each is bound to the one before it and to the
@@ -27,9 +27,9 @@
 	self uint64
 }
 
-func promptOf(r identifier.RequestID) uint64 { return xxhash.Sum64String("prompt " + string(r)) }
+func promptHash(r identifier.RequestID) uint64 { return xxhash.Sum64String("prompt " + string(r)) }
 
-func (s *stream) mint() {
+func (s *stream) appendToken() {
 	prev := s.root
 	if len(s.tokens) > 0 {
 		prev = s.tokens[len(s.tokens)-1].self
@@ -42,58 +42,58 @@
 
 // stream is an engine's stream. It goes on without a reader.
 type stream struct {
-	root   uint64
-	salt   string
-	tokens []token
-	want   int
-	ready  timekeeper.Time
-	ended  bool
+	root         uint64
+	salt         string
+	tokens       []token
+	targetTokens int
+	ready        timekeeper.Time
+	ended        bool
 }
 
 // server is a backend server: an engine or a plain server.
 type server struct {
-	w         *world
-	vm        identifier.VMID
-	zone      identifier.Zone
-	pool      identifier.PoolName
-	dead      bool
-	frozenTil timekeeper.Time
+	cluster     *cluster
+	vm          identifier.VMID
+	zone        identifier.Zone
+	pool        identifier.PoolName
+	dead        bool
+	frozenUntil timekeeper.Time
 	// overloaded refuses new work, and says that it did not run.
-	overloadedTil timekeeper.Time
-	streams       map[identifier.StreamName]*stream
-	imported      map[identifier.StreamName]*stream
-	conns         []*conn
-	model         identifier.ModelName
-	fence         identifier.Fence
-	birth         timekeeper.Time
+	overloadedUntil timekeeper.Time
+	streams         map[identifier.StreamName]*stream
+	imported        map[identifier.StreamName]*stream
+	conns           []*conn
+	model           identifier.ModelName
+	fence           identifier.Fence
+	startedAt       timekeeper.Time
 }
 
-func (w *world) addServer(vm identifier.VMID, z identifier.Zone, pool identifier.PoolName) *server {
+func (cl *cluster) addServer(vm identifier.VMID, z identifier.Zone, pool identifier.PoolName) *server {
 	s := &server{
-		w:        w,
-		vm:       vm,
-		zone:     z,
-		pool:     pool,
-		streams:  map[identifier.StreamName]*stream{},
-		imported: map[identifier.StreamName]*stream{},
-		model:    "reader",
-		birth:    w.now,
-	}
-	w.servers = append(w.servers, s)
-	w.every(decodeEvery, s.decode)
+		cluster:   cl,
+		vm:        vm,
+		zone:      z,
+		pool:      pool,
+		streams:   map[identifier.StreamName]*stream{},
+		imported:  map[identifier.StreamName]*stream{},
+		model:     "reader",
+		startedAt: cl.now,
+	}
+	cl.servers = append(cl.servers, s)
+	cl.every(decodeInterval, s.decode)
 	return s
 }
 
-func (s *server) frozen() bool { return s.w.now < s.frozenTil }
+func (s *server) frozen() bool { return s.cluster.now < s.frozenUntil }
 
 func (s *server) kill() {
 	if s.dead {
 		return
 	}
 	s.dead = true
-	s.w.tell("GONE %s", s.vm)
+	s.cluster.recordf("GONE %s", s.vm)
 	for _, c := range s.conns {
-		c.breakOff()
+		c.closeBroken()
 	}
 	s.conns = nil
 }
@@ -104,12 +104,12 @@
 		return
 	}
 	for _, st := range s.streams {
-		for range decodeStep {
-			if s.w.now >= st.ready && len(st.tokens) < st.want {
-				st.mint()
+		for range tokensPerDecode {
+			if s.cluster.now >= st.ready && len(st.tokens) < st.targetTokens {
+				st.appendToken()
 			}
 		}
-		st.ended = len(st.tokens) >= st.want
+		st.ended = len(st.tokens) >= st.targetTokens
 	}
 	live := s.conns[:0]
 	for _, c := range s.conns {
@@ -130,20 +130,20 @@
 	if e.Mode == messenger.StartResume {
 		return nil, messenger.AttemptBroken
 	}
-	if s.w.now < s.overloadedTil {
+	if s.cluster.now < s.overloadedUntil {
 		return nil, messenger.AttemptRefused
 	}
-	s.w.facts.newWork(s, e.Request)
+	s.cluster.observed.recordNewWork(s, e.Request)
 	st := &stream{
-		root:   root,
-		salt:   fmt.Sprintf("%s@%s", e.Stream, s.vm),
-		tokens: append([]token(nil), given...),
-		want:   want,
-		ready:  s.w.now.Add(prefillTime),
+		root:         root,
+		salt:         fmt.Sprintf("%s@%s", e.Stream, s.vm),
+		tokens:       append([]token(nil), given...),
+		targetTokens: want,
+		ready:        s.cluster.now.Add(prefillTime),
 	}
 	if moved, ok := s.imported[e.Stream]; ok {
 		st.salt = moved.salt
-		st.ready = s.w.now
+		st.ready = s.cluster.now
 		if len(moved.tokens) > len(given) {
 			st.tokens = append([]token(nil), moved.tokens...)
 		}
@@ -154,21 +154,21 @@
 
 // call runs a plain call. The effect stands from this moment on.
 func (s *server) call(e messenger.SendAttempt, key string) messenger.AttemptResult {
-	if s.w.now < s.overloadedTil {
+	if s.cluster.now < s.overloadedUntil {
 		return messenger.AttemptRefused
 	}
-	s.w.facts.newWork(s, e.Request)
-	s.w.facts.ran(key, s.w.now)
+	s.cluster.observed.recordNewWork(s, e.Request)
+	s.cluster.observed.recordRun(key, s.cluster.now)
 	return ""
 }
 
 // order takes an order to load a model. It looks at the fencing number only if
 // the settings of the world say so, and then reports an order that is stale.
 func (s *server) order(o messenger.Order) (stale bool) {
-	if o.Fence < s.fence && strings.Contains(s.w.settings, "checks_fence = true") {
+	if o.Fence < s.fence && strings.Contains(s.cluster.settings, "checks_fence = true") {
 		return true
 	}
-	s.w.after(500*timekeeper.Millisecond, func() {
+	s.cluster.after(500*timekeeper.Millisecond, func() {
 		s.model = o.Model
 		s.fence = max(s.fence, o.Fence)
 	})
@@ -183,7 +183,7 @@
 		}
 	}
 	return messenger.ServerLoad{
-		AsOf:            s.w.now,
+		AsOf:            s.cluster.now,
 		Running:         running,
 		Slots:           8,
 		FreeKVTokens:    100_000,
@@ -195,20 +195,20 @@
 
 // conn is an open connection from a node to a server, for one attempt.
 type conn struct {
-	n       *node
-	s       *server
-	effect  messenger.SendAttempt
-	stream  *stream
-	sent    int
-	closed  bool
-	silent  bool
-	heard   timekeeper.Time
-	started bool
+	n            *node
+	s            *server
+	effect       messenger.SendAttempt
+	stream       *stream
+	sent         int
+	closed       bool
+	silent       bool
+	lastReceived timekeeper.Time
+	started      bool
 }
 
 // push sends the reader what it lacks.
 func (c *conn) push() {
-	if c.silent || c.stream == nil || !c.s.w.passes(string(c.s.vm), string(c.n.vm)) {
+	if c.silent || c.stream == nil || !c.s.cluster.linkUp(string(c.s.vm), string(c.n.vm)) {
 		return
 	}
 	tokens, from := c.stream.tokens, c.sent
@@ -221,13 +221,13 @@
 	fresh := append([]token(nil), tokens[from:]...)
 	c.sent = len(tokens)
 	ended := c.stream.ended
-	c.n.later(hop, func() { c.n.received(c, from, fresh, ended) })
+	c.n.later(networkDelay, func() { c.n.received(c, from, fresh, ended) })
 }
 
 // breakOff ends the connection as the node sees it.
-func (c *conn) breakOff() {
+func (c *conn) closeBroken() {
 	if c.closed {
 		return
 	}
-	c.n.later(hop, func() { c.n.attemptOver(c, messenger.AttemptBroken) })
+	c.n.later(networkDelay, func() { c.n.attemptOver(c, messenger.AttemptBroken) })
 }
--- a/internal/prover/stream_test.go
+++ b/internal/prover/stream_test.go
@@ -8,78 +8,78 @@
 
 // sendAttempt opens a connection and starts or joins the stream, or makes the
 // plain call.
-func (n *node) sendAttempt(e messenger.SendAttempt, fate fate) {
+func (n *node) sendAttempt(e messenger.SendAttempt, mode deliveryMode) {
 	a := n.answers[e.Request]
-	if a == nil || a.place.Attempt >= e.Attempt {
+	if a == nil || a.attempt.Attempt >= e.Attempt {
 		return // The same attempt is never sent twice.
 	}
 	if a.conn != nil {
 		a.conn.closed = true
 	}
-	a.place = e
-	n.w.attempts = append(n.w.attempts, e.Attempt)
+	a.attempt = e
+	n.cluster.attempts = append(n.cluster.attempts, e.Attempt)
 	c := &conn{
-		n:      n,
-		effect: e,
-		s:      n.w.server(e.Server),
-		sent:   len(a.tokens),
-		heard:  n.w.now,
+		n:            n,
+		effect:       e,
+		s:            n.cluster.server(e.Server),
+		sent:         len(a.tokens),
+		lastReceived: n.cluster.now,
 	}
 	a.conn = c
 	if c.s == nil || c.s.dead {
-		n.later(hop, func() { n.attemptOver(c, messenger.AttemptNotSent) })
+		n.later(networkDelay, func() { n.attemptOver(c, messenger.AttemptNotSent) })
 		return
 	}
-	if !n.w.passes(string(n.vm), string(c.s.vm)) {
+	if !n.cluster.linkUp(string(n.vm), string(c.s.vm)) {
 		n.later(500*timekeeper.Millisecond, func() { n.attemptOver(c, messenger.AttemptNotSent) })
 		return
 	}
 	n.watchSilence(c)
-	if fate == loseRequest {
+	if mode == loseRequest {
 		return
 	}
-	n.w.after(hop, func() { c.arrive(a, fate) })
+	n.cluster.after(networkDelay, func() { c.arrive(a, mode) })
 }
 
 // arrive is the attempt at the server.
-func (c *conn) arrive(a *answer, fate fate) {
+func (c *conn) arrive(a *answer, mode deliveryMode) {
 	s := c.s
 	if s.dead {
-		c.breakOff()
+		c.closeBroken()
 		return
 	}
 	if s.frozen() {
-		s.w.queue.add(s.frozenTil, func() { c.arrive(a, fate) })
+		s.cluster.queue.add(s.frozenUntil, func() { c.arrive(a, mode) })
 		return
 	}
 	var refused messenger.AttemptResult
 	if s.pool == "portal" {
-		refused = c.call(a, fate)
+		refused = c.call(a, mode)
 	} else {
 		c.stream, refused = s.start(c.effect, a.root, a.tokens[:min(c.sent, len(a.tokens))], int(a.spec.MaxTokens))
 	}
 	if refused != "" {
-		c.n.later(hop, func() { c.n.attemptOver(c, refused) })
+		c.n.later(networkDelay, func() { c.n.attemptOver(c, refused) })
 		return
 	}
-	if fate == loseAnswer {
+	if mode == loseAnswer {
 		c.silent = true
 		return
 	}
 	s.conns = append(s.conns, c)
-	c.n.later(hop, func() { c.n.started(c) })
+	c.n.later(networkDelay, func() { c.n.started(c) })
 }
 
 // call makes a plain call and brings the reply after its time.
-func (c *conn) call(a *answer, fate fate) messenger.AttemptResult {
+func (c *conn) call(a *answer, mode deliveryMode) messenger.AttemptResult {
 	if refused := c.s.call(c.effect, runKey(a.spec)); refused != "" {
 		return refused
 	}
-	c.s.w.after(callTime, func() {
-		if c.s.dead || c.silent || fate == loseAnswer || !c.s.w.passes(string(c.s.vm), string(c.n.vm)) {
+	c.s.cluster.after(callTime, func() {
+		if c.s.dead || c.silent || mode == loseAnswer || !c.s.cluster.linkUp(string(c.s.vm), string(c.n.vm)) {
 			return
 		}
-		c.n.later(hop, func() {
+		c.n.later(networkDelay, func() {
 			if !c.closed {
 				a.reply = true
 				c.n.attemptOver(c, messenger.AttemptComplete)
@@ -101,7 +101,7 @@
 	if c.closed {
 		return
 	}
-	c.heard = n.w.now
+	c.lastReceived = n.cluster.now
 	c.started = true
 	n.apply(messenger.AttemptStarted{
 		Request: c.effect.Request,
@@ -116,7 +116,7 @@
 	if c.closed || a == nil || a.conn != c {
 		return
 	}
-	c.heard = n.w.now
+	c.lastReceived = n.cluster.now
 	for i, t := range fresh {
 		if from+i == len(a.tokens) {
 			a.tokens = append(a.tokens, t)
@@ -174,7 +174,7 @@
 		if c.sent == 0 || !c.started {
 			bound = c.effect.FirstEventTimeout
 		}
-		if n.w.now.Sub(c.heard) > bound {
+		if n.cluster.now.Sub(c.lastReceived) > bound {
 			n.attemptOver(c, messenger.AttemptTimedOut)
 			return
 		}
@@ -182,22 +182,22 @@
 	})
 }
 
-func (n *node) stopAttempt(e messenger.StopAttempt, fate fate) {
+func (n *node) stopAttempt(e messenger.StopAttempt, mode deliveryMode) {
 	a := n.answers[e.Request]
 	if a != nil && a.conn != nil && a.conn.effect.Attempt == e.Attempt {
 		a.conn.closed = true
 	}
-	s := n.w.server(e.Server)
-	if e.Cancel && fate != loseRequest && s != nil && n.w.passes(string(n.vm), string(s.vm)) {
-		n.w.after(hop, func() { delete(s.streams, e.Stream) })
+	s := n.cluster.server(e.Server)
+	if e.Cancel && mode != loseRequest && s != nil && n.cluster.linkUp(string(n.vm), string(s.vm)) {
+		n.cluster.after(networkDelay, func() { delete(s.streams, e.Stream) })
 	}
 }
 
 // moveKV copies a stream's KV cache and what it has made so far.
-func (n *node) moveKV(e messenger.MoveKV, fate fate) {
-	from, to := n.w.server(identifier.VMID(e.FromAddress)), n.w.server(e.To)
-	n.w.after(exportTime, func() {
-		ok := fate != loseRequest && from != nil && to != nil && !from.dead && !to.dead && !from.frozen() && !to.frozen()
+func (n *node) moveKV(e messenger.MoveKV, mode deliveryMode) {
+	from, to := n.cluster.server(identifier.VMID(e.FromAddress)), n.cluster.server(e.To)
+	n.cluster.after(exportTime, func() {
+		ok := mode != loseRequest && from != nil && to != nil && !from.dead && !to.dead && !from.frozen() && !to.frozen()
 		if ok {
 			if st := from.streams[e.Stream]; st != nil {
 				to.imported[e.Stream] = &stream{
@@ -206,12 +206,12 @@
 				}
 			}
 		}
-		n.later(hop, func() {
+		n.later(networkDelay, func() {
 			n.apply(messenger.KVMoved{
 				Request: e.Request,
 				Attempt: e.Attempt,
 				To:      e.To,
-				OK:      ok && fate != loseAnswer,
+				OK:      ok && mode != loseAnswer,
 			})
 		})
 	})
--- a/internal/prover/whole_test.go
+++ b/internal/prover/whole_test.go
@@ -3,7 +3,7 @@
 package prover
 
 // playEvery plays every cell of the matrix.
-const playEvery = 1
+const cellStride = 1
 
 // mostNodes is the largest world that is played.
-const mostNodes = 300
+const maxNodes = 300
--- a/internal/prover/world_test.go
+++ b/internal/prover/world_test.go
@@ -14,122 +14,122 @@
 
 // The times of the world, one way.
 const (
-	hop        = 1 * timekeeper.Millisecond
-	rpcPatient = 1 * timekeeper.Second
-	tickEvery  = 100 * timekeeper.Millisecond
-	bootTime   = 4 * timekeeper.Second
-	horizon    = 75 * timekeeper.Second
+	networkDelay = 1 * timekeeper.Millisecond
+	rpcTimeout   = 1 * timekeeper.Second
+	tickInterval = 100 * timekeeper.Millisecond
+	bootTime     = 4 * timekeeper.Second
+	maxRunTime   = 75 * timekeeper.Second
 )
 
 // world is everything outside the reducers: the nodes' runners, the platform,
 // the backend servers, the callers and the network between them.
-type world struct {
-	now     timekeeper.Time
-	queue   queue
-	rng     *rand.Rand
-	nodes   []*node
-	servers []*server
-	callers []*caller
-	log     *fakeLog
-	list    *fakeList
-	cuts    map[[2]string]bool
+type cluster struct {
+	now          timekeeper.Time
+	queue        queue
+	rng          *rand.Rand
+	nodes        []*node
+	servers      []*server
+	callers      []*caller
+	log          *fakeLog
+	list         *fakeList
+	blockedLinks map[[2]string]bool
 	// attempts lists the numbers of all attempts that were sent.
 	attempts []identifier.AttemptNumber
 	guards   conductor.Safeguards
 
 	// armed are the faults of this run; counts counts the steps so far and
 	// trace lists them.
-	armed   []cell
-	counts  map[step]int
-	trace   []step
-	fired   int
-	faultAt timekeeper.Time
+	plannedFaults  []cell
+	stepCounts     map[step]int
+	steps          []step
+	faultsInjected int
+	stepsFrom      timekeeper.Time
 
 	// badGossipTil is until when gossip is lost, late or repeated by chance.
-	badGossipTil timekeeper.Time
-	settings     string
-	facts        facts
-	story        []string
+	gossipFaultyUntil timekeeper.Time
+	settings          string
+	observed          observations
+	runLog            []string
 }
 
 // newWorld returns a world whose nodes have just started.
-func newWorld(seed uint64, guards conductor.Safeguards, s scenario) *world {
-	w := &world{
-		now:    1_000_000,
-		rng:    rand.New(rand.NewPCG(seed, 1)),
-		cuts:   map[[2]string]bool{},
-		guards: guards,
-		counts: map[step]int{},
-	}
-	w.log = newFakeLog(w)
-	w.list = newFakeList(w)
-	w.list.tokensIgnored = s.tokensIgnored
-	w.settings = strings.NewReplacer(s.settings...).Replace(settings)
+func newCluster(seed uint64, guards conductor.Safeguards, s scenario) *cluster {
+	cl := &cluster{
+		now:          1_000_000,
+		rng:          rand.New(rand.NewPCG(seed, 1)),
+		blockedLinks: map[[2]string]bool{},
+		guards:       guards,
+		stepCounts:   map[step]int{},
+	}
+	cl.log = newFakeLog(cl)
+	cl.list = newFakeList(cl)
+	cl.list.ignoresClientTokens = s.ignoresClientTokens
+	cl.settings = strings.NewReplacer(s.settingsChanges...).Replace(settings)
 	switch {
-	case slices.Equal(s.settings, shortRetention):
-		w.log.retention = 40 * timekeeper.Second
-	case slices.Equal(s.settings, shortWindow):
-		w.log.retention = 80 * timekeeper.Second
+	case slices.Equal(s.settingsChanges, shortRetention):
+		cl.log.retention = 40 * timekeeper.Second
+	case slices.Equal(s.settingsChanges, shortWindow):
+		cl.log.retention = 80 * timekeeper.Second
 	}
-	w.facts = newFacts()
+	cl.observed = newObservations()
 	zones := []identifier.Zone{"a", "b", "c", "d"}
 	for i := range 6 {
-		w.addNode(identifier.VMID(fmt.Sprintf("n%d", i+1)), zones[i%len(zones)], seed)
+		cl.addNode(identifier.VMID(fmt.Sprintf("n%d", i+1)), zones[i%len(zones)], seed)
 	}
 	for i := range 6 {
-		w.addServer(identifier.VMID(fmt.Sprintf("e%d", i+1)), zones[i%len(zones)], "reading")
+		cl.addServer(identifier.VMID(fmt.Sprintf("e%d", i+1)), zones[i%len(zones)], "reading")
 	}
 	for i := range 3 {
-		w.addServer(identifier.VMID(fmt.Sprintf("p%d", i+1)), zones[i%len(zones)], "portal")
+		cl.addServer(identifier.VMID(fmt.Sprintf("p%d", i+1)), zones[i%len(zones)], "portal")
 	}
-	w.bootConfig()
-	w.every(500*timekeeper.Millisecond, w.list.refresh)
-	return w
+	cl.bootConfig()
+	cl.every(500*timekeeper.Millisecond, cl.list.refresh)
+	return cl
 }
 
 // after does something after a while.
-func (w *world) after(d timekeeper.Duration, do func()) { w.queue.add(w.now.Add(d), do) }
+func (cl *cluster) after(d timekeeper.Duration, do func()) { cl.queue.add(cl.now.Add(d), do) }
 
 // every does something over and over.
-func (w *world) every(d timekeeper.Duration, do func()) {
-	w.after(d, func() {
+func (cl *cluster) every(d timekeeper.Duration, do func()) {
+	cl.after(d, func() {
 		do()
-		w.every(d, do)
+		cl.every(d, do)
 	})
 }
 
 // run lets the world go on until an instant, or until quiet says that nothing
 // more is awaited.
-func (w *world) run(until timekeeper.Time, quiet func() bool) {
-	for len(w.queue.items) > 0 && w.queue.items[0].at <= until {
-		next := w.queue.next()
-		w.now = next.at
+func (cl *cluster) run(until timekeeper.Time, finished func() bool) {
+	for len(cl.queue.items) > 0 && cl.queue.items[0].at <= until {
+		next := cl.queue.next()
+		cl.now = next.at
 		next.do()
-		if quiet() {
+		if finished() {
 			return
 		}
 	}
-	w.now = until
+	cl.now = until
 }
 
 func never() bool { return false }
 
 // tell adds a line to the story of the run, which a failing cell prints.
-func (w *world) tell(format string, args ...any) {
-	if len(w.story) < 4000 {
-		w.story = append(w.story, fmt.Sprintf("%7d ", w.now-1_000_000)+fmt.Sprintf(format, args...))
+func (cl *cluster) recordf(format string, args ...any) {
+	if len(cl.runLog) < 4000 {
+		cl.runLog = append(cl.runLog, fmt.Sprintf("%7d ", cl.now-1_000_000)+fmt.Sprintf(format, args...))
 	}
 }
 
 // cut and mend change one direction of a link. Ends are VM ids.
-func (w *world) cut(from, to string)  { w.cuts[[2]string{from, to}] = true }
-func (w *world) mend(from, to string) { delete(w.cuts, [2]string{from, to}) }
+func (cl *cluster) cutLink(from, to string)     { cl.blockedLinks[[2]string{from, to}] = true }
+func (cl *cluster) restoreLink(from, to string) { delete(cl.blockedLinks, [2]string{from, to}) }
 
 // passes reports whether something sent now arrives.
-func (w *world) passes(from, to string) bool { return !w.cuts[[2]string{from, to}] }
+func (cl *cluster) linkUp(from, to string) bool { return !cl.blockedLinks[[2]string{from, to}] }
 
-func (w *world) node(vm identifier.VMID) *node {
-	for _, n := range w.nodes {
+func (cl *cluster) node(vm identifier.VMID) *node {
+	for _, n := range cl.nodes {
 		if n.vm == vm {
 			return n
 		}
@@ -137,8 +137,8 @@
 	return nil
 }
 
-func (w *world) server(vm identifier.VMID) *server {
-	for _, s := range w.servers {
+func (cl *cluster) server(vm identifier.VMID) *server {
+	for _, s := range cl.servers {
 		if s.vm == vm {
 			return s
 		}
@@ -150,56 +150,56 @@
 // serve runs at the receiver; done runs at the sender, once, with ok false
 // where no answer came in time. The message may have taken effect all the
 // same.
-func (w *world) rpc(from, to *node, fate fate, serve func(), done func(ok bool)) {
-	w.rpcLater(from, to, fate, func(answer func()) {
+func (cl *cluster) rpc(from, to *node, mode deliveryMode, serve func(), done func(ok bool)) {
+	cl.rpcAsync(from, to, mode, func(answer func()) {
 		serve()
 		answer()
 	}, done)
 }
 
 // rpcLater is rpc with an answer that the receiver gives when it is ready.
-func (w *world) rpcLater(from, to *node, fate fate, serve func(answer func()), done func(ok bool)) {
-	over := false
+func (cl *cluster) rpcAsync(from, to *node, mode deliveryMode, serve func(answer func()), done func(ok bool)) {
+	ended := false
 	end := func(ok bool) {
-		if !over {
-			over = true
+		if !ended {
+			ended = true
 			done(ok)
 		}
 	}
-	from.later(rpcPatient, func() { end(false) })
-	if to == nil || fate == loseRequest || !w.passes(string(from.vm), string(to.vm)) {
+	from.later(rpcTimeout, func() { end(false) })
+	if to == nil || mode == loseRequest || !cl.linkUp(string(from.vm), string(to.vm)) {
 		return
 	}
 	if to.dead {
-		from.later(hop, func() { end(false) })
+		from.later(networkDelay, func() { end(false) })
 		return
 	}
-	to.later(hop, func() {
+	to.later(networkDelay, func() {
 		serve(func() {
-			if to.dead || fate == loseAnswer || !w.passes(string(to.vm), string(from.vm)) {
+			if to.dead || mode == loseAnswer || !cl.linkUp(string(to.vm), string(from.vm)) {
 				return
 			}
-			from.later(hop, func() { end(true) })
+			from.later(networkDelay, func() { end(true) })
 		})
 	})
 }
 
 // notice announces that the VMs will be taken away.
-func (w *world) notice(notice timekeeper.Duration, vms ...identifier.VMID) {
+func (cl *cluster) notice(notice timekeeper.Duration, vms ...identifier.VMID) {
 	for _, vm := range vms {
-		w.list.notice(vm, w.now.Add(notice))
+		cl.list.notice(vm, cl.now.Add(notice))
 	}
 }
 
 // zoneVMs returns the VMs of a zone, nodes and servers.
-func (w *world) zoneVMs(z identifier.Zone) []identifier.VMID {
+func (cl *cluster) zoneVMs(z identifier.Zone) []identifier.VMID {
 	var out []identifier.VMID
-	for _, n := range w.nodes {
+	for _, n := range cl.nodes {
 		if n.zone == z && !n.dead {
 			out = append(out, n.vm)
 		}
 	}
-	for _, s := range w.servers {
+	for _, s := range cl.servers {
 		if s.zone == z && !s.dead {
 			out = append(out, s.vm)
 		}
@@ -208,8 +208,8 @@
 }
 
 // broadcast gives an event to all nodes that live.
-func (w *world) broadcast(body messenger.EventBody) {
-	for _, n := range w.nodes {
-		n.later(hop, func() { n.apply(body) })
+func (cl *cluster) broadcast(body messenger.EventBody) {
+	for _, n := range cl.nodes {
+		n.later(networkDelay, func() { n.apply(body) })
 	}
 }
