--- a/internal/server/answer.go
+++ b/internal/server/answer.go
@@ -14,27 +14,26 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// reading says how a caller reads an answer.
-type reading struct {
+// answerOptions controls how an answer is written to its caller.
+type answerOptions struct {
 	stream bool
-	// after is what the caller has of a stream.
-	after position
-	// verdict bounds the wait for the verdict.
-	verdict timekeeper.Duration
+	// after is the position up to which the caller has received a stream.
+	after          position
+	verdictTimeout timekeeper.Duration
 }
 
-// answer gives a caller its answer, or tells why there is none.
-func (s *Server) answer(ctx iris.Context, a *answerer.Answer, r reading) {
-	verdict, err := s.awaitVerdict(ctx, a, r.verdict)
+// writeAnswer writes an answer, or the problem that prevents it, to the caller.
+func (s *Server) writeAnswer(ctx iris.Context, a *answerer.Answer, r answerOptions) {
+	verdict, err := s.awaitVerdict(ctx, a, r.verdictTimeout)
 	switch {
 	case err != nil:
 		s.writeNoVerdict(ctx, a, err)
 	case !verdict.Accepted:
-		problemOf(a.Request(), verdict.Refusal).write(ctx)
+		refusalProblem(a.Request(), verdict.Refusal).write(ctx)
 	case r.stream:
 		s.stream(ctx, a, r.after)
 	default:
-		s.whole(ctx, a)
+		s.writeWhole(ctx, a)
 	}
 }
 
@@ -44,26 +43,27 @@
 	return a.Verdict(bounded)
 }
 
-// writeNoVerdict answers a request whose verdict did not come in time. It may
-// still be accepted, so its outcome is unknown.
+// writeNoVerdict answers a request without a verdict in time. The node may
+// still accept it, so its outcome is unknown.
 func (s *Server) writeNoVerdict(ctx iris.Context, a *answerer.Answer, err error) {
 	if !errors.Is(err, context.DeadlineExceeded) {
-		return // The caller is gone.
+		return // The caller disconnected.
 	}
-	p := refused(http.StatusGatewayTimeout, ReasonNoVerdict, "the request was neither accepted nor refused in time")
+	p := newProblem(http.StatusGatewayTimeout, ReasonNoVerdict, "the request was neither accepted nor refused in time")
 	p.Outcome = messenger.Unknown
 	p.Request = a.Request()
 	p.write(ctx)
 }
 
-// whole answers in one piece. Nothing of the response leaves before the end is
-// known, so that a caller never takes half an answer for a whole one.
-func (s *Server) whole(ctx iris.Context, a *answerer.Answer) {
+// writeWhole writes an answer without streaming. It sends nothing before the
+// answer has ended, so that a caller never mistakes a partial answer for a
+// complete one.
+func (s *Server) writeWhole(ctx iris.Context, a *answerer.Answer) {
 	text, end, err := collect(ctx.Request().Context(), a)
 	if err != nil {
-		return // The caller is gone; the request goes on without it.
+		return // The caller disconnected; the request continues.
 	}
-	s.extendWrites(ctx)
+	s.extendWriteDeadline(ctx)
 	switch {
 	case end.MovedTo != "":
 		redirect(ctx, end.MovedTo, a.Request())
@@ -72,19 +72,19 @@
 	case end.Outcome == messenger.Done:
 		ctx.Header(HeaderRequestID, string(a.Request()))
 		ctx.Header(HeaderOutcome, string(end.Outcome))
-		writeJSON(ctx, wholeCompletion(a, s.clock.Now(), text))
+		writeJSON(ctx, newCompletion(a, s.clock.Now(), text))
 	default:
-		problemOf(a.Request(), refusalOf(end)).write(ctx)
+		refusalProblem(a.Request(), refusalOf(end)).write(ctx)
 	}
 }
 
-// completion is the text of a whole answer and its number of tokens.
+// completion is a complete answer of a model.
 type completion struct {
 	text   string
 	tokens identifier.Tokens
 }
 
-// collect waits for the end of an answer.
+// collect reads an answer until it ends.
 func collect(ctx context.Context, a *answerer.Answer) (completion, *answerer.End, error) {
 	var (
 		text strings.Builder
@@ -108,9 +108,9 @@
 	}
 }
 
-// hopHeaders are the headers of a backend server's reply that are about its
-// own connection, or that this server sets itself.
-var hopHeaders = map[string]bool{
+// unforwardedHeaders are the headers of a backend server's reply that describe
+// its own connection, or that this server sets itself.
+var unforwardedHeaders = map[string]bool{
 	"Connection":        true,
 	"Content-Length":    true,
 	"Date":              true,
@@ -121,10 +121,10 @@
 	HeaderOutcome:       true,
 }
 
-// writeReply passes on the reply of a plain service.
+// writeReply forwards the reply of a plain service.
 func writeReply(ctx iris.Context, request identifier.RequestID, end *answerer.End) {
 	for name, value := range end.Header {
-		if name = http.CanonicalHeaderKey(name); !hopHeaders[name] {
+		if name = http.CanonicalHeaderKey(name); !unforwardedHeaders[name] {
 			ctx.Header(name, value)
 		}
 	}
--- a/internal/server/answer_test.go
+++ b/internal/server/answer_test.go
@@ -18,14 +18,14 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-func always(a *answerer.Answer) func(server.Submission) (*answerer.Answer, error) {
+func submitReturning(a *answerer.Answer) func(server.Submission) (*answerer.Answer, error) {
 	return func(server.Submission) (*answerer.Answer, error) { return a, nil }
 }
 
 const streamChat = `{"model":"report","messages":[{"content":"a ship"}],"max_tokens":9,"stream":true}`
 
 func TestStream(t *testing.T) {
-	b := &fakeBackend{submit: always(finished(newAnswer("r1", "the ", "ship")))}
+	b := &fakeBackend{submit: submitReturning(finish(newAnswer("r1", "the ", "ship")))}
 	address := start(t, b, server.Limits{})
 	response, body := exchange(t, "POST", address, "/v1/chat/completions", streamChat, map[string]string{
 		"Idempotency-Key": "k1",
@@ -45,8 +45,8 @@
 	}}, b.submitted)
 }
 
-// A model is slow. The caller sees heartbeats meanwhile, so that it can tell a
-// slow model from a connection that died.
+// Without heartbeats a caller could not distinguish a slow model from a dead
+// connection.
 func TestHeartbeats(t *testing.T) {
 	a := newAnswer("r1")
 	b := &fakeBackend{answers: map[identifier.RequestID]*answerer.Answer{"r1": a}}
@@ -65,7 +65,7 @@
 		}
 	}
 	a.Append(1, 1, "late")
-	finished(a)
+	finish(a)
 	var rest strings.Builder
 	for lines.Scan() {
 		rest.WriteString(lines.Text())
@@ -74,35 +74,35 @@
 	require.Contains(t, rest.String(), "[DONE]")
 }
 
-// The request is handed to another node in the middle of a stream. The caller
-// gets what was released and then the new address, and goes on there.
+// A request moves to another node during a stream. The caller receives the
+// released tokens and then the new address.
 func TestStreamMoved(t *testing.T) {
 	a := newAnswer("r1", "the ")
 	a.Redirect("entry-9", "127.0.0.9:7001")
-	address := start(t, &fakeBackend{submit: always(a)}, server.Limits{})
+	address := start(t, &fakeBackend{submit: submitReturning(a)}, server.Limits{})
 	_, body := exchange(t, "POST", address, "/v1/chat/completions", streamChat, nil)
 	require.Contains(t, body, "id: 1-b207703ec039cadc\n")
 	require.Contains(t, body, "event: moved\ndata: {\"request_id\":\"r1\",\"address\":\"127.0.0.9:7001\"}\n\n")
 	require.NotContains(t, body, "[DONE]")
 }
 
-// An accepted request fails later. Half a stream must not look whole: it ends
-// with the problem, and without the mark of a whole answer.
+// An accepted request fails. The partial stream must end with the problem and
+// must not look like a complete answer.
 func TestStreamFailed(t *testing.T) {
 	a := newAnswer("r1", "the ")
 	a.Finish(answerer.End{
 		Outcome: messenger.Unknown,
 		Reason:  messenger.ReasonRetriesExhausted,
 	})
-	address := start(t, &fakeBackend{submit: always(a)}, server.Limits{})
+	address := start(t, &fakeBackend{submit: submitReturning(a)}, server.Limits{})
 	_, body := exchange(t, "POST", address, "/v1/chat/completions", streamChat, nil)
 	require.Contains(t, body, "event: error\ndata: {")
 	require.Contains(t, body, `"outcome":"unknown"`)
 	require.NotContains(t, body, "[DONE]")
 }
 
-func TestWhole(t *testing.T) {
-	b := &fakeBackend{submit: always(finished(newAnswer("r1", "the ", "ship")))}
+func TestNonStreamingAnswer(t *testing.T) {
+	b := &fakeBackend{submit: submitReturning(finish(newAnswer("r1", "the ", "ship")))}
 	address := start(t, b, server.Limits{})
 	response, body := exchange(t, "POST", address, "/v1/chat/completions", chat, nil)
 	require.Equal(t, http.StatusOK, response.StatusCode)
@@ -114,13 +114,12 @@
 	require.Equal(t, "the ship", c.Choices[0].Message.Content)
 }
 
-// The request is at another node: after a POST the caller is told to GET it
-// there, after a GET to repeat the GET there.
-func TestWholeMoved(t *testing.T) {
+// A redirect to another node must turn a POST into a GET and repeat a GET.
+func TestNonStreamingAnswerMoved(t *testing.T) {
 	a := newAnswer("r1", "the ")
 	a.Redirect("entry-9", "127.0.0.9:7001")
 	b := &fakeBackend{
-		submit:  always(a),
+		submit:  submitReturning(a),
 		answers: map[identifier.RequestID]*answerer.Answer{"r1": a},
 	}
 	address := start(t, b, server.Limits{})
@@ -132,7 +131,7 @@
 	require.Equal(t, "http://127.0.0.9:7001/v1/requests/r1", response.Header.Get("Location"))
 }
 
-func TestReattachElsewhere(t *testing.T) {
+func TestReattachRedirects(t *testing.T) {
 	b := &fakeBackend{
 		attach: func(request identifier.RequestID) (*answerer.Answer, error) {
 			return nil, &answerer.NotOwnerError{
@@ -149,9 +148,9 @@
 	}
 }
 
-// Another account's request looks like one that does not exist. Either way the
-// outcome is unknown: this node can't tell that no other node ran it.
-func TestOthersRequestIsUnknown(t *testing.T) {
+// The request of another account must be indistinguishable from one that does
+// not exist. The outcome is unknown, since another node may have run it.
+func TestRequestOfOtherAccountIsUnknown(t *testing.T) {
 	b := &fakeBackend{answers: map[identifier.RequestID]*answerer.Answer{"r1": newAnswer("r1", "secret")}}
 	address := start(t, b, server.Limits{})
 	for _, method := range []string{"GET", "DELETE"} {
@@ -202,7 +201,7 @@
 				Outcome:    messenger.NotRun,
 				RetryAfter: 1200,
 			})
-			address := start(t, &fakeBackend{submit: always(a)}, server.Limits{})
+			address := start(t, &fakeBackend{submit: submitReturning(a)}, server.Limits{})
 			response, body := exchange(t, "POST", address, "/v1/chat/completions", streamChat, nil)
 			p := parseProblem(t, response, body)
 			require.Equal(t, test.status, p.Status)
@@ -224,7 +223,7 @@
 		},
 		Body: []byte("queued"),
 	})
-	b := &fakeBackend{submit: always(finished(a))}
+	b := &fakeBackend{submit: submitReturning(finish(a))}
 	address := start(t, b, server.Limits{})
 	response, body := exchange(t, "POST", address, "/v1/services/email/send/now?to=x", "hello",
 		map[string]string{"Content-Type": "text/plain"})
--- a/internal/server/bound.go
+++ b/internal/server/bound.go
@@ -15,8 +15,8 @@
 
 const bearerPrefix = "Bearer "
 
-// bearer returns the key of a request, or "".
-func bearer(r *http.Request) string {
+// bearerToken returns the key of a request, or "" if it has none.
+func bearerToken(r *http.Request) string {
 	value := r.Header.Get("Authorization")
 	if len(value) < len(bearerPrefix) || !strings.EqualFold(value[:len(bearerPrefix)], bearerPrefix) {
 		return ""
@@ -24,40 +24,42 @@
 	return strings.TrimSpace(value[len(bearerPrefix):])
 }
 
-// controller returns the controller of the connection under ctx.
-func controller(ctx iris.Context) *http.ResponseController {
+// responseController returns a controller for the net/http response writer that
+// underlies ctx.
+func responseController(ctx iris.Context) *http.ResponseController {
 	return http.NewResponseController(ctx.ResponseWriter().Naive())
 }
 
-// boundWrites starts the bound on the first write of a response. Without it a
-// caller that stops reading would keep the goroutine and its buffers for good,
-// since the HTTP server has no write timeout.
-func (s *Server) boundWrites(ctx iris.Context) {
-	s.extendWrites(ctx)
+// limitWriteTime sets the deadline for the first write of a response. Without
+// it a caller that stops reading would occupy the goroutine and its buffers
+// indefinitely, since the HTTP server has no write timeout.
+func (s *Server) limitWriteTime(ctx iris.Context) {
+	s.extendWriteDeadline(ctx)
 	ctx.Next()
 }
 
-// extendWrites gives the next write its own full time, so that a stream lives
-// as long as its reader takes each part in time.
-func (s *Server) extendWrites(ctx iris.Context) {
-	// A response writer without deadlines, as in tests without a connection,
-	// has nothing to bound.
-	_ = controller(ctx).SetWriteDeadline(time.Now().Add(s.limits.WriteTimeout.Std()))
+// extendWriteDeadline gives the next write the full timeout, so that a stream
+// stays open as long as the caller reads each part in time.
+func (s *Server) extendWriteDeadline(ctx iris.Context) {
+	// A response writer without a connection, as in tests, does not support
+	// deadlines.
+	_ = responseController(ctx).SetWriteDeadline(time.Now().Add(s.limits.WriteTimeout.Std()))
 }
 
-// writeAll writes data as the rest of the response. A caller that is gone can
-// be told nothing, so the error is dropped.
+// writeAll writes the body of a response. It ignores errors, since they mean
+// that the caller disconnected.
 func writeAll(ctx iris.Context, data []byte) {
 	_, _ = ctx.ResponseWriter().Write(data)
 }
 
-// boundBody bounds the wait for a body before anyone reads it. What a handler
-// leaves of it, as after a bad key, net/http reads itself, before the response
-// and again after it, and without a bound: a caller that sends half would wait
-// for its answer for good and keep a goroutine, whoever it is. With the header
-// net/http lets the response out first, and the deadline ends what it reads
-// afterwards. readBody lifts both once it has the whole body.
-func (s *Server) boundBody(w http.ResponseWriter, r *http.Request) {
+// limitBodyTime sets the deadline for reading a body before any handler runs.
+// If a handler does not read the body, for example after a bad key, net/http
+// reads the rest before and after it sends the response, without a timeout. A
+// caller that sends a partial body would then get no response and would occupy
+// a goroutine indefinitely, even if it is not authenticated. With "Connection:
+// close" net/http sends the response first, and the deadline ends the read
+// after it. readBody reverts both once it has the whole body.
+func (s *Server) limitBodyTime(w http.ResponseWriter, r *http.Request) {
 	if r.ContentLength == 0 {
 		return
 	}
@@ -65,39 +67,39 @@
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(s.limits.BodyTimeout.Std()))
 }
 
-// readBody reads a request's whole body within a bound on its size; boundBody
-// has set the one on its time.
+// readBody reads a request's whole body, up to limit bytes, before the deadline
+// that limitBodyTime set.
 //
-// The time bound is lifted again afterwards: net/http goes on reading the
-// connection to notice a caller that leaves, and a read deadline that passed
-// in the middle of a long answer would look like one.
+// It clears the deadline afterwards. net/http keeps reading the connection to
+// detect that the caller disconnects, and a read deadline that expired during
+// a long answer would look like a disconnect.
 func (s *Server) readBody(ctx iris.Context, limit identifier.Bytes) ([]byte, *Problem) {
 	r := ctx.Request()
 	if r.ContentLength > int64(limit) {
-		return nil, tooLarge(limit)
+		return nil, bodyTooLarge(limit)
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(ctx.ResponseWriter().Naive(), r.Body, int64(limit)))
 	if err != nil {
 		return nil, s.bodyProblem(err, limit)
 	}
-	_ = controller(ctx).SetReadDeadline(time.Time{})
+	_ = responseController(ctx).SetReadDeadline(time.Time{})
 	ctx.ResponseWriter().Header().Del("Connection")
 	return body, nil
 }
 
 func (s *Server) bodyProblem(err error, limit identifier.Bytes) *Problem {
-	var large *http.MaxBytesError
+	var sizeErr *http.MaxBytesError
 	switch {
-	case errors.As(err, &large):
-		return tooLarge(limit)
+	case errors.As(err, &sizeErr):
+		return bodyTooLarge(limit)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return refused(http.StatusRequestTimeout, ReasonBodyIncomplete,
+		return newProblem(http.StatusRequestTimeout, ReasonBodyIncomplete,
 			"the body did not arrive within %s", s.limits.BodyTimeout)
 	}
-	return refused(http.StatusBadRequest, ReasonBodyIncomplete, "the body broke off: %v", err)
+	return newProblem(http.StatusBadRequest, ReasonBodyIncomplete, "the body broke off: %v", err)
 }
 
-func tooLarge(limit identifier.Bytes) *Problem {
-	return refused(http.StatusRequestEntityTooLarge, ReasonBodyTooLarge,
+func bodyTooLarge(limit identifier.Bytes) *Problem {
+	return newProblem(http.StatusRequestEntityTooLarge, ReasonBodyTooLarge,
 		"the body is larger than %d bytes", limit)
 }
--- a/internal/server/bound_test.go
+++ b/internal/server/bound_test.go
@@ -21,8 +21,8 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// sendHalf sends half of a request's body and returns the connection.
-func sendHalf(t *testing.T, address string) net.Conn {
+// sendPartialBody sends a part of a request's body and returns the connection.
+func sendPartialBody(t *testing.T, address string) net.Conn {
 	t.Helper()
 	return send(t, address, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "+
 		harborKey+"\r\nContent-Length: 100\r\n\r\n{\"model\"")
@@ -39,10 +39,10 @@
 	return conn
 }
 
-// readProblem reads the problem that answers what was sent on conn.
+// readProblem reads a response with a problem document from conn.
 func readProblem(t *testing.T, conn net.Conn) server.Problem {
 	t.Helper()
-	require.NoError(t, conn.SetReadDeadline(time.Now().Add(waitLimit)))
+	require.NoError(t, conn.SetReadDeadline(time.Now().Add(waitTimeout)))
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	require.NoError(t, err)
 	defer response.Body.Close()
@@ -51,52 +51,50 @@
 	return parseProblem(t, response, string(data))
 }
 
-// requireSilent fails when anything, the end included, comes on conn before
-// the bound is well past.
-func requireSilent(t *testing.T, conn net.Conn) {
+// requireNoData fails if conn receives data or is closed within afterTimeout.
+func requireNoData(t *testing.T, conn net.Conn) {
 	t.Helper()
-	require.NoError(t, conn.SetReadDeadline(time.Now().Add(wellPast)))
+	require.NoError(t, conn.SetReadDeadline(time.Now().Add(afterTimeout)))
 	_, err := conn.Read(make([]byte, 1))
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 }
 
-// requireClosed fails when conn does not end, or when something comes first.
+// requireClosed fails unless conn is closed without further data.
 func requireClosed(t *testing.T, conn net.Conn) {
 	t.Helper()
-	require.NoError(t, conn.SetReadDeadline(time.Now().Add(waitLimit)))
+	require.NoError(t, conn.SetReadDeadline(time.Now().Add(waitTimeout)))
 	_, err := conn.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// boundTime is the bound that the tests of bounds set, and wellPast a time
-// after which it must have taken effect.
 const (
-	boundTime = 100 * timekeeper.Millisecond
-	wellPast  = 500 * time.Millisecond
+	// shortTimeout is the timeout under test. It must have taken effect after
+	// afterTimeout.
+	shortTimeout = 100 * timekeeper.Millisecond
+	afterTimeout = 500 * time.Millisecond
 )
 
-// A caller sends half of its body and then nothing. It is told so after the
-// bound on the body, and the node never sees the request.
-func TestHalfSentBodyIsBounded(t *testing.T) {
+// A caller sends part of its body and stops. It must receive a problem after
+// the body timeout, and the node must not see the request.
+func TestPartialBodyTimesOut(t *testing.T) {
 	b := &fakeBackend{}
-	conn := sendHalf(t, start(t, b, server.Limits{BodyTimeout: boundTime}))
+	conn := sendPartialBody(t, start(t, b, server.Limits{BodyTimeout: shortTimeout}))
 	p := readProblem(t, conn)
 	require.Equal(t, http.StatusRequestTimeout, p.Status)
 	require.Equal(t, server.ReasonBodyIncomplete, p.Reason)
 	require.Empty(t, b.submitted)
 }
 
-// The control of the bound on the body: without it the connection stays open
-// and silent, with a goroutine behind it.
-func TestHalfSentBodyWithoutTheBound(t *testing.T) {
-	requireSilent(t, sendHalf(t, start(t, &fakeBackend{}, server.Limits{BodyTimeout: timekeeper.Hour})))
+// Control of TestPartialBodyTimesOut: with a long timeout the connection stays
+// open and occupies a goroutine.
+func TestPartialBodyWithLongTimeout(t *testing.T) {
+	requireNoData(t, sendPartialBody(t, start(t, &fakeBackend{}, server.Limits{BodyTimeout: timekeeper.Hour})))
 }
 
-// A caller with a bad key, or one that asks for what needs no body, sends half
-// of a body and then nothing. The handler never reads it, but net/http reads
-// the rest before it lets the response out. The caller gets its answer within
-// the bound on the body; else anyone could keep goroutines for good.
-func TestHalfSentBodyThatNobodyReadsIsBounded(t *testing.T) {
+// A caller sends part of a body that no handler reads. net/http would wait for
+// the rest before it sends the response, so without the body timeout anyone
+// could occupy goroutines indefinitely.
+func TestUnreadPartialBodyTimesOut(t *testing.T) {
 	const half = "Content-Length: 100\r\n\r\nhalf"
 	for name, test := range map[string]struct {
 		request string
@@ -121,7 +119,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			address := start(t, &fakeBackend{}, server.Limits{BodyTimeout: boundTime})
+			address := start(t, &fakeBackend{}, server.Limits{BodyTimeout: shortTimeout})
 			conn := send(t, address, test.request)
 			require.Equal(t, test.reason, readProblem(t, conn).Reason)
 			requireClosed(t, conn)
@@ -129,20 +127,20 @@
 	}
 }
 
-// The control: without the bound on the body the connection outlives the
-// answer, with a goroutine that reads on.
-func TestHalfSentBodyThatNobodyReadsWithoutTheBound(t *testing.T) {
+// Control of TestUnreadPartialBodyTimesOut: with a long timeout the connection
+// stays open after the answer and occupies a goroutine.
+func TestUnreadPartialBodyWithLongTimeout(t *testing.T) {
 	conn := send(t, start(t, &fakeBackend{}, server.Limits{BodyTimeout: timekeeper.Hour}),
 		"POST /nowhere HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\nhalf")
 	require.Equal(t, server.ReasonNotFound, readProblem(t, conn).Reason)
-	requireSilent(t, conn)
+	requireNoData(t, conn)
 }
 
-// A caller sends its body a byte at a time. Each byte is progress, but the
-// bound is on the whole body: a caller that is slow for good is told so.
-func TestSlowWriterIsBounded(t *testing.T) {
+// A caller sends its body one byte at a time. The timeout must apply to the
+// whole body, not to each read.
+func TestSlowBodyTimesOut(t *testing.T) {
 	b := &fakeBackend{}
-	conn := sendHalf(t, start(t, b, server.Limits{BodyTimeout: boundTime}))
+	conn := sendPartialBody(t, start(t, b, server.Limits{BodyTimeout: shortTimeout}))
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
@@ -157,9 +155,10 @@
 	<-ended
 }
 
-// trickle writes a byte now and then until ctx or the connection ends.
+// trickle writes one byte at each poll interval until ctx or the connection
+// ends.
 func trickle(ctx context.Context, conn net.Conn) {
-	ticker := time.NewTicker(waitStep)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		if _, err := conn.Write([]byte(" ")); err != nil {
@@ -169,32 +168,32 @@
 	}
 }
 
-// A body that arrives whole and in time leaves the connection open for the
-// next request, and no bound on it: the answer may take longer than the body.
-func TestWholeBodyKeepsTheConnection(t *testing.T) {
-	address := start(t, &fakeBackend{}, server.Limits{BodyTimeout: boundTime})
+// A complete body must clear the read deadline and keep the connection open for
+// the next request, since an answer may take longer than the body timeout.
+func TestCompleteBodyKeepsConnectionOpen(t *testing.T) {
+	address := start(t, &fakeBackend{}, server.Limits{BodyTimeout: shortTimeout})
 	const body = `{"model":"poem","messages":[{"content":"x"}]}`
 	request := fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\n"+
 		"Content-Length: %d\r\n\r\n%s", harborKey, len(body), body)
 	conn := send(t, address, request)
 	require.Equal(t, messenger.ReasonUnknownService, readProblem(t, conn).Reason)
-	requireSilent(t, conn)
+	requireNoData(t, conn)
 	_, err := io.WriteString(conn, request)
 	require.NoError(t, err)
 	require.Equal(t, messenger.ReasonUnknownService, readProblem(t, conn).Reason)
 }
 
-// A caller sends half of its headers and then nothing: the connection ends.
-// The control is the same without the bound.
-func TestHalfSentHeadersAreBounded(t *testing.T) {
+// A connection with incomplete headers must be closed after the header timeout.
+// The control uses a long timeout.
+func TestPartialHeadersTimeOut(t *testing.T) {
 	const half = "GET /v1/addresses?service=report HTTP/1.1\r\nHost: x\r\n"
-	requireClosed(t, send(t, start(t, &fakeBackend{}, server.Limits{HeaderTimeout: boundTime}), half))
-	requireSilent(t, send(t, start(t, &fakeBackend{}, server.Limits{HeaderTimeout: timekeeper.Hour}), half))
+	requireClosed(t, send(t, start(t, &fakeBackend{}, server.Limits{HeaderTimeout: shortTimeout}), half))
+	requireNoData(t, send(t, start(t, &fakeBackend{}, server.Limits{HeaderTimeout: timekeeper.Hour}), half))
 }
 
-// Headers over the bound are refused before a handler runs. net/http allows
-// 4 KiB more than its bound; the control is within it.
-func TestHeadersAreBounded(t *testing.T) {
+// Headers over the limit must be rejected before a handler runs. net/http
+// allows 4 KiB more than its limit; the control is below the limit.
+func TestHeaderSizeLimit(t *testing.T) {
 	address := start(t, &fakeBackend{}, server.Limits{MaxHeaderSize: 8 << 10})
 	for size, status := range map[int]int{
 		16 << 10: http.StatusRequestHeaderFieldsTooLarge,
@@ -206,23 +205,23 @@
 	}
 }
 
-// A caller leaves its connection open and asks nothing more: it ends. The
-// control is the same without the bound.
+// A connection without a further request must be closed after the idle timeout.
+// The control uses a long timeout.
 func TestIdleConnectionIsClosed(t *testing.T) {
-	for _, idle := range []timekeeper.Duration{boundTime, timekeeper.Hour} {
+	for _, idle := range []timekeeper.Duration{shortTimeout, timekeeper.Hour} {
 		address := start(t, &fakeBackend{}, server.Limits{IdleTimeout: idle})
 		conn := send(t, address, "GET /v1/nothing HTTP/1.1\r\nHost: x\r\n\r\n")
 		require.Equal(t, server.ReasonNotFound, readProblem(t, conn).Reason)
-		if idle == boundTime {
+		if idle == shortTimeout {
 			requireClosed(t, conn)
 		} else {
-			requireSilent(t, conn)
+			requireNoData(t, conn)
 		}
 	}
 }
 
-// An operator's file over the bound never reaches the log.
-func TestOperatorsFileIsBounded(t *testing.T) {
+// A configuration file over the size limit must not be proposed.
+func TestOperatorFileSizeLimit(t *testing.T) {
 	b := &fakeBackend{}
 	address := start(t, b, server.Limits{})
 	response, body := exchange(t, "PUT", address, "/operator/v1/config/10.ini",
@@ -234,42 +233,41 @@
 	require.Empty(t, b.proposed)
 }
 
-// longAnswer returns a node with an answer that fits into no buffer.
+// longAnswer returns a node with an answer that exceeds all socket buffers.
 func longAnswer() (*fakeBackend, *answerer.Answer) {
 	const tokens = 2000
 	words := make([]string, tokens)
 	for i := range words {
 		words[i] = strings.Repeat("w", 10_000)
 	}
-	a := finished(newAnswer("r1", words...))
-	return &fakeBackend{answers: kept(a)}, a
+	a := finish(newAnswer("r1", words...))
+	return &fakeBackend{answers: answersByID(a)}, a
 }
 
-// openAndStall opens a stream of r1 and stops reading once it has begun.
+// openAndStall opens a stream of r1 and reads only its first byte.
 func openAndStall(t *testing.T, address string) {
 	t.Helper()
 	conn := send(t, address, "GET /v1/requests/r1 HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "+
 		harborKey+"\r\nLast-Event-ID: 0\r\n\r\n")
-	// The first byte shows that the handler runs; from here on nothing is read.
+	// The first byte shows that the handler is running.
 	_, err := conn.Read(make([]byte, 1))
 	require.NoError(t, err)
 }
 
-// alone reports whether no caller is attached to a.
-func alone(a *answerer.Answer) bool {
+// hasNoCaller reports whether no caller is attached to a.
+func hasNoCaller(a *answerer.Answer) bool {
 	defer a.RemoveCaller()
 	return a.AddCaller() == 1
 }
 
-// A caller opens a stream and never reads. The node's write blocks once the
-// buffers are full, and the bound on it must end the handler; else each such
-// caller would keep a goroutine for good. The answer itself stays, so that the
-// caller gets it whole when it reattaches.
-func TestSlowReaderIsCutAndReattaches(t *testing.T) {
+// A caller opens a stream and stops reading. The write timeout must end the
+// handler, or each such caller would occupy a goroutine indefinitely. The
+// answer must remain available for reattachment.
+func TestSlowReaderIsDisconnectedAndReattaches(t *testing.T) {
 	b, a := longAnswer()
-	address := start(t, b, server.Limits{WriteTimeout: boundTime})
+	address := start(t, b, server.Limits{WriteTimeout: shortTimeout})
 	openAndStall(t, address)
-	require.Eventually(t, func() bool { return alone(a) }, waitLimit, waitStep,
+	require.Eventually(t, func() bool { return hasNoCaller(a) }, waitTimeout, pollInterval,
 		"the handler of the slow reader never ended")
 
 	_, body := exchange(t, "GET", address, "/v1/requests/r1", "", map[string]string{"Last-Event-ID": "1990"})
@@ -278,9 +276,10 @@
 	require.True(t, strings.HasSuffix(body, "data: [DONE]\n\n"))
 }
 
-// The control of the bound on writes: without it the handler stays.
-func TestSlowReaderWithoutTheBound(t *testing.T) {
+// Control of TestSlowReaderIsDisconnectedAndReattaches: with a long write
+// timeout the handler does not end.
+func TestSlowReaderWithLongTimeout(t *testing.T) {
 	b, a := longAnswer()
 	openAndStall(t, start(t, b, server.Limits{WriteTimeout: timekeeper.Hour}))
-	require.Never(t, func() bool { return alone(a) }, wellPast, waitStep)
+	require.Never(t, func() bool { return hasNoCaller(a) }, afterTimeout, pollInterval)
 }
--- a/internal/server/caller.go
+++ b/internal/server/caller.go
@@ -17,27 +17,27 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// AddressList is the answer to a caller that asks which nodes to use.
+// AddressList lists the nodes that a caller should use.
 type AddressList struct {
 	Nodes []NodeAddress `json:"nodes"`
-	// Keep is how long the caller may use the list.
+	// MaxAge is the time for which the caller may cache the list.
 	MaxAge timekeeper.Duration `json:"keep_ms"`
 }
 
 func (s *Server) addresses(ctx iris.Context, account identifier.AccountID) {
 	name := identifier.ServiceName(ctx.URLParam("service"))
 	if _, ok := s.backend.Service(name); !ok {
-		unknownService(name).write(ctx)
+		unknownServiceProblem(name).write(ctx)
 		return
 	}
-	nodes, keep := s.backend.Addresses(account, name)
+	nodes, maxAge := s.backend.Addresses(account, name)
 	writeJSON(ctx, AddressList{
 		Nodes:  nodes,
-		MaxAge: keep,
+		MaxAge: maxAge,
 	})
 }
 
-// complete answers a model request.
+// complete handles a request to a model service.
 func (s *Server) complete(ctx iris.Context, account identifier.AccountID) {
 	submission, stream, problem := s.readChat(ctx, account)
 	if problem != nil {
@@ -48,7 +48,7 @@
 }
 
 func (s *Server) readChat(ctx iris.Context, account identifier.AccountID) (Submission, bool, *Problem) {
-	wanted, problem := s.parseTerms(ctx.Request().Header)
+	options, problem := s.parseOptions(ctx.Request().Header)
 	if problem != nil {
 		return Submission{}, false, problem
 	}
@@ -60,24 +60,24 @@
 	if problem != nil {
 		return Submission{}, false, problem
 	}
-	service, problem := s.service(identifier.ServiceName(chat.Model), catalog.ModelService)
+	service, problem := s.lookupService(identifier.ServiceName(chat.Model), catalog.ModelService)
 	if problem != nil {
 		return Submission{}, false, problem
 	}
 	if limit := s.bodyLimit(service); identifier.Bytes(len(body)) > limit {
-		return Submission{}, false, tooLarge(limit)
+		return Submission{}, false, bodyTooLarge(limit)
 	}
 	return Submission{
 		Account:   account,
 		Service:   service.Name,
-		Key:       wanted.key,
-		Remaining: wanted.remaining,
+		Key:       options.key,
+		Remaining: options.remaining,
 		Prompt:    chat.prompt(),
 		MaxTokens: identifier.Tokens(chat.MaxTokens),
 	}, chat.Stream, nil
 }
 
-// call answers a call to a plain service.
+// call handles a call to a plain service.
 func (s *Server) call(ctx iris.Context, account identifier.AccountID) {
 	submission, problem := s.readCall(ctx, account)
 	if problem != nil {
@@ -88,11 +88,11 @@
 }
 
 func (s *Server) readCall(ctx iris.Context, account identifier.AccountID) (Submission, *Problem) {
-	service, problem := s.service(identifier.ServiceName(ctx.Params().Get("service")), catalog.PlainService)
+	service, problem := s.lookupService(identifier.ServiceName(ctx.Params().Get("service")), catalog.PlainService)
 	if problem != nil {
 		return Submission{}, problem
 	}
-	wanted, problem := s.parseTerms(ctx.Request().Header)
+	options, problem := s.parseOptions(ctx.Request().Header)
 	if problem != nil {
 		return Submission{}, problem
 	}
@@ -103,8 +103,8 @@
 	return Submission{
 		Account:     account,
 		Service:     service.Name,
-		Key:         wanted.key,
-		Remaining:   wanted.remaining,
+		Key:         options.key,
+		Remaining:   options.remaining,
 		Method:      ctx.Method(),
 		Path:        callPath(ctx.Params().Get("path"), ctx.Request().URL),
 		ContentType: ctx.GetHeader("Content-Type"),
@@ -120,24 +120,24 @@
 	return path
 }
 
-func (s *Server) service(name identifier.ServiceName, kind catalog.ServiceKind) (catalog.Service, *Problem) {
+func (s *Server) lookupService(name identifier.ServiceName, kind catalog.ServiceKind) (catalog.Service, *Problem) {
 	service, ok := s.backend.Service(name)
 	if !ok {
-		return service, unknownService(name)
+		return service, unknownServiceProblem(name)
 	}
 	if service.Kind != kind {
-		return service, refused(http.StatusBadRequest, ReasonWrongKind,
+		return service, newProblem(http.StatusBadRequest, ReasonWrongKind,
 			"service %q is a %s service", name, service.Kind)
 	}
 	return service, nil
 }
 
-func unknownService(name identifier.ServiceName) *Problem {
-	return refused(http.StatusNotFound, messenger.ReasonUnknownService, "there is no service %q", name)
+func unknownServiceProblem(name identifier.ServiceName) *Problem {
+	return newProblem(http.StatusNotFound, messenger.ReasonUnknownService, "there is no service %q", name)
 }
 
-// bodyLimit returns the bound on a body for service: its own, unless the
-// server's is lower.
+// bodyLimit returns the maximum size of a body for service, which is the lower
+// of the service's and the server's limits.
 func (s *Server) bodyLimit(service catalog.Service) identifier.Bytes {
 	if service.MaxBody > 0 {
 		return min(service.MaxBody, s.limits.MaxBodySize)
@@ -145,22 +145,22 @@
 	return s.limits.MaxBodySize
 }
 
-// submit hands a request to the node and answers it.
+// submit passes a request to the node and writes the answer.
 func (s *Server) submit(ctx iris.Context, submission Submission, stream bool) {
 	answer, err := s.backend.Submit(ctx.Request().Context(), submission)
 	if err != nil {
 		s.writeError(ctx, err)
 		return
 	}
-	s.answer(ctx, answer, reading{
-		stream:  stream,
-		after:   position{},
-		verdict: s.verdictTime(submission),
+	s.writeAnswer(ctx, answer, answerOptions{
+		stream:         stream,
+		after:          position{},
+		verdictTimeout: s.verdictTimeout(submission),
 	})
 }
 
-// verdictTime bounds the wait for a verdict on a request.
-func (s *Server) verdictTime(submission Submission) timekeeper.Duration {
+// verdictTimeout returns the longest wait for a verdict on a request.
+func (s *Server) verdictTimeout(submission Submission) timekeeper.Duration {
 	remaining := submission.Remaining
 	if remaining == 0 {
 		service, _ := s.backend.Service(submission.Service)
@@ -169,8 +169,8 @@
 	return remaining + s.limits.VerdictGrace
 }
 
-// reattach answers a request that was sent earlier, from the token after the
-// last one that its caller has.
+// reattach continues the answer to an earlier request after the last token that
+// the caller received.
 func (s *Server) reattach(ctx iris.Context, account identifier.AccountID) {
 	after, problem := parseLastEvent(ctx.Request().Header)
 	if problem != nil {
@@ -183,10 +183,10 @@
 		s.writeError(ctx, err)
 		return
 	}
-	s.answer(ctx, answer, reading{
-		stream:  wantsStream(ctx.Request().Header),
-		after:   after,
-		verdict: s.limits.MaxDeadline,
+	s.writeAnswer(ctx, answer, answerOptions{
+		stream:         wantsStream(ctx.Request().Header),
+		after:          after,
+		verdictTimeout: s.limits.MaxDeadline,
 	})
 }
 
@@ -203,27 +203,27 @@
 	ctx.StatusCode(http.StatusNoContent)
 }
 
-// writeError answers a request that the node could not take or find.
+// writeError answers a request that the node rejected or could not find.
 func (s *Server) writeError(ctx iris.Context, err error) {
 	var (
-		elsewhere *answerer.NotOwnerError
+		notOwner  *answerer.NotOwnerError
 		unknown   *answerer.UnknownRequestError
-		full      *answerer.StoreFullError
-		stopped   *answerer.NodeStoppingError
+		storeFull *answerer.StoreFullError
+		stopping  *answerer.NodeStoppingError
 	)
 	switch {
-	case errors.As(err, &elsewhere):
-		redirect(ctx, elsewhere.Address, elsewhere.Request)
+	case errors.As(err, &notOwner):
+		redirect(ctx, notOwner.Address, notOwner.Request)
 	case errors.As(err, &unknown):
-		unknownRequest(unknown.Request).write(ctx)
-	case errors.As(err, &full):
-		problemOf("", messenger.Refusal{
+		unknownRequestProblem(unknown.Request).write(ctx)
+	case errors.As(err, &storeFull):
+		refusalProblem("", messenger.Refusal{
 			Reason:     messenger.ReasonOverload,
 			Outcome:    messenger.NotRun,
-			RetryAfter: full.RetryAfter,
+			RetryAfter: storeFull.RetryAfter,
 		}).write(ctx)
-	case errors.As(err, &stopped):
-		problemOf("", messenger.Refusal{
+	case errors.As(err, &stopping):
+		refusalProblem("", messenger.Refusal{
 			Reason:     messenger.ReasonLeaving,
 			Outcome:    messenger.NotRun,
 			RetryAfter: timekeeper.Second,
@@ -233,10 +233,10 @@
 	}
 }
 
-// unknownRequest is never "not run": a node that does not know a request
-// can't tell that no other node ran it.
-func unknownRequest(request identifier.RequestID) *Problem {
-	p := refused(http.StatusNotFound, ReasonUnknownRequest, "no node knows this request of yours")
+// unknownRequestProblem returns a problem with an unknown outcome: a node that
+// does not know a request can't rule out that another node ran it.
+func unknownRequestProblem(request identifier.RequestID) *Problem {
+	p := newProblem(http.StatusNotFound, ReasonUnknownRequest, "no node knows this request of yours")
 	p.Outcome = messenger.Unknown
 	p.Request = request
 	return p
@@ -244,17 +244,17 @@
 
 func (s *Server) writeUnexpected(ctx iris.Context, err error) {
 	if errors.Is(err, context.Canceled) {
-		return // The caller is gone.
+		return // The caller disconnected.
 	}
 	s.logger.Error("request failed", "path", ctx.Path(), "error", err)
-	p := refused(http.StatusInternalServerError, ReasonInternal, "the node failed to handle the request")
+	p := newProblem(http.StatusInternalServerError, ReasonInternal, "the node failed to handle the request")
 	p.Outcome = messenger.Unknown
 	p.write(ctx)
 }
 
-// redirect sends a caller to the node that has its request. After a POST the
-// status is 303, which makes the caller GET the request there; 307 would make
-// it send the body again.
+// redirect redirects a caller to the node that owns its request. The status
+// after a POST is 303, so that the caller sends a GET; with 307 it would send
+// the body again.
 func redirect(ctx iris.Context, address string, request identifier.RequestID) {
 	status := http.StatusTemporaryRedirect
 	if ctx.Method() == http.MethodPost {
@@ -277,7 +277,7 @@
 func writeJSON(ctx iris.Context, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
-		p := refused(http.StatusInternalServerError, ReasonInternal, "encoding the answer: %v", err)
+		p := newProblem(http.StatusInternalServerError, ReasonInternal, "encoding the answer: %v", err)
 		p.Outcome = messenger.Unknown
 		p.write(ctx)
 		return
--- a/internal/server/chunk.go
+++ b/internal/server/chunk.go
@@ -8,7 +8,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// The bodies below have the shape of OpenAI's chat completions.
+// The bodies below follow the format of OpenAI's chat completions.
 
 const (
 	roleAssistant = "assistant"
@@ -38,17 +38,17 @@
 	Object  string                 `json:"object"`
 	Created int64                  `json:"created"`
 	Model   identifier.ServiceName `json:"model"`
-	Choices []wholeChoice          `json:"choices"`
+	Choices []completionChoice     `json:"choices"`
 	Usage   chatUsage              `json:"usage"`
 }
 
-type wholeChoice struct {
-	Index        int          `json:"index"`
-	Message      wholeMessage `json:"message"`
-	FinishReason string       `json:"finish_reason"`
+type completionChoice struct {
+	Index        int               `json:"index"`
+	Message      completionMessage `json:"message"`
+	FinishReason string            `json:"finish_reason"`
 }
 
-type wholeMessage struct {
+type completionMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
@@ -59,8 +59,8 @@
 	TotalTokens      identifier.Tokens `json:"total_tokens"`
 }
 
-// chunkEncoder encodes the chunks of one stream, which differ only in their
-// choice.
+// chunkEncoder encodes the chunks of one stream. The chunks differ only in
+// their choice.
 type chunkEncoder struct{ chunk chatChunk }
 
 func newChunkEncoder(a *answerer.Answer, now timekeeper.Time) chunkEncoder {
@@ -75,8 +75,8 @@
 	}
 }
 
-// token returns the chunk of one token.
-func (e *chunkEncoder) token(text string) []byte {
+// encodeToken returns the chunk of one token.
+func (e *chunkEncoder) encodeToken(text string) []byte {
 	return e.encode(chunkChoice{
 		Index:        0,
 		Delta:        chunkDelta{Content: text},
@@ -84,8 +84,8 @@
 	})
 }
 
-// stop returns the chunk that ends a whole answer.
-func (e *chunkEncoder) stop() []byte {
+// encodeStop returns the chunk with the finish reason of a complete answer.
+func (e *chunkEncoder) encodeStop() []byte {
 	reason := finishStop
 	return e.encode(chunkChoice{
 		Index:        0,
@@ -104,16 +104,16 @@
 	return data
 }
 
-func wholeCompletion(a *answerer.Answer, now timekeeper.Time, c completion) chatCompletion {
+func newCompletion(a *answerer.Answer, now timekeeper.Time, c completion) chatCompletion {
 	prompt := a.Spec().PromptTokens
 	return chatCompletion{
 		ID:      a.Request(),
 		Object:  "chat.completion",
 		Created: now.Std().Unix(),
 		Model:   a.Service(),
-		Choices: []wholeChoice{{
+		Choices: []completionChoice{{
 			Index: 0,
-			Message: wholeMessage{
+			Message: completionMessage{
 				Role:    roleAssistant,
 				Content: c.text,
 			},
--- a/internal/server/diverged_test.go
+++ b/internal/server/diverged_test.go
@@ -15,21 +15,22 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// sink keeps the text of an answer, and tells of tokens and nodes.
+// sink collects the text of an answer and calls a function for each token and
+// each node.
 type sink struct {
 	strings.Builder
-	has      func(caller.Token)
-	attached func(node string)
+	onToken  func(caller.Token)
+	onAttach func(node string)
 	restarts int
 }
 
 var _ caller.AttachObserver = (*sink)(nil)
 
-func (s *sink) Attached(_ identifier.RequestID, node string) { s.attached(node) }
+func (s *sink) Attached(_ identifier.RequestID, node string) { s.onAttach(node) }
 
 func (s *sink) Token(t caller.Token) error {
 	s.WriteString(t.Text)
-	s.has(t)
+	s.onToken(t)
 	return nil
 }
 
@@ -38,11 +39,11 @@
 	return nil
 }
 
-// bareIndex takes the digest off what a caller says it has, which switches
-// the check off.
-type bareIndex struct{}
+// stripDigest removes the digest from the id of the last event, which disables
+// the check of the answer.
+type stripDigest struct{}
 
-func (bareIndex) RoundTrip(r *http.Request) (*http.Response, error) {
+func (stripDigest) RoundTrip(r *http.Request) (*http.Response, error) {
 	if id := r.Header.Get(server.HeaderLastEventID); id != "" {
 		index, _, _ := strings.Cut(id, "-")
 		r = r.Clone(r.Context())
@@ -51,21 +52,22 @@
 	return http.DefaultTransport.RoundTrip(r)
 }
 
-// move is a caller that has "the ship " from one node and then moves on.
-type move struct {
-	// adopter is the answer of the node that the caller is sent to, and third
-	// that of a node that no other names.
-	adopter *answerer.Answer
+// failover is a scenario in which a caller receives "the ship " from one node
+// and is then redirected to another.
+type failover struct {
+	// adopted is the answer on the node that the caller is redirected to, and
+	// third the answer on a node that no redirect names.
+	adopted *answerer.Answer
 	third   *answerer.Answer
-	// moved, where set, runs once the adopter has begun to answer the caller.
-	moved     func()
+	// onAttach, if set, runs once the caller attaches to the adopted answer.
+	onAttach  func()
 	transport http.RoundTripper
 }
 
-func (m move) run(t *testing.T) (*sink, error) {
+func (m failover) run(t *testing.T) (*sink, error) {
 	t.Helper()
 	owner := newAnswer("r1", "the ", "ship ")
-	backends := []*fakeBackend{{submit: always(owner)}, {answers: kept(m.adopter)}, {answers: kept(m.third)}}
+	backends := []*fakeBackend{{submit: submitReturning(owner)}, {answers: answersByID(m.adopted)}, {answers: answersByID(m.third)}}
 	var nodes []server.NodeAddress
 	for _, b := range backends {
 		nodes = append(nodes, server.NodeAddress{Address: start(t, b, server.Limits{HeartbeatInterval: 5})})
@@ -81,14 +83,14 @@
 		config.Nodes = append(config.Nodes, nodes[i].Address)
 	}
 	out := &sink{
-		has: func(token caller.Token) {
+		onToken: func(token caller.Token) {
 			if token.Index == 2 {
 				owner.Redirect("entry-2", nodes[1].Address)
 			}
 		},
-		attached: func(node string) {
-			if node == nodes[1].Address && m.moved != nil {
-				m.moved()
+		onAttach: func(node string) {
+			if node == nodes[1].Address && m.onAttach != nil {
+				m.onAttach()
 			}
 		},
 	}
@@ -99,50 +101,48 @@
 	return out, err
 }
 
-func kept(a *answerer.Answer) map[identifier.RequestID]*answerer.Answer {
+func answersByID(a *answerer.Answer) map[identifier.RequestID]*answerer.Answer {
 	if a == nil {
 		return nil
 	}
 	return map[identifier.RequestID]*answerer.Answer{a.Request(): a}
 }
 
-// The owner of a report was cut off from its peers and streamed on to its
-// caller. Meanwhile its holder adopted the report from an older copy and its
-// engine sampled another continuation. The caller moves to the holder. It must
-// get no token of the other continuation, whether the holder has it already or
-// comes to it only later; it is told that the answers differ.
-func TestNoSpliceOfTwoAnswers(t *testing.T) {
+// A node adopts a request from an older copy while the partitioned owner still
+// streams, and its engine samples a different continuation. The caller must not
+// receive tokens of that continuation after its own.
+func TestDivergedAnswersAreNotJoined(t *testing.T) {
 	t.Run("longer already", func(t *testing.T) {
-		got, err := move{adopter: finished(newAnswer("r1", "the ", "boat ", "sinks"))}.run(t)
+		got, err := failover{adopted: finish(newAnswer("r1", "the ", "boat ", "sinks"))}.run(t)
 		requireDiverged(t, got, err)
 	})
 	t.Run("shorter at first", func(t *testing.T) {
 		adopter := newAnswer("r1", "the ")
-		got, err := move{
-			adopter: adopter,
-			moved: func() {
+		got, err := failover{
+			adopted: adopter,
+			onAttach: func() {
 				adopter.Append(1, 2, "boat ")
 				adopter.Append(1, 3, "sinks")
-				finished(adopter)
+				finish(adopter)
 			},
 		}.run(t)
 		requireDiverged(t, got, err)
 	})
 	t.Run("whole and shorter", func(t *testing.T) {
-		got, err := move{adopter: finished(newAnswer("r1", "ships"))}.run(t)
+		got, err := failover{adopted: finish(newAnswer("r1", "ships"))}.run(t)
 		requireDiverged(t, got, err)
 	})
 	t.Run("other bounds between tokens", func(t *testing.T) {
-		got, err := move{adopter: finished(newAnswer("r1", "the s", "hip ", "sinks"))}.run(t)
+		got, err := failover{adopted: finish(newAnswer("r1", "the s", "hip ", "sinks"))}.run(t)
 		requireDiverged(t, got, err)
 	})
 	t.Run("control: without the check", func(t *testing.T) {
-		got, err := move{
-			adopter:   finished(newAnswer("r1", "the ", "boat ", "sinks")),
-			transport: bareIndex{},
+		got, err := failover{
+			adopted:   finish(newAnswer("r1", "the ", "boat ", "sinks")),
+			transport: stripDigest{},
 		}.run(t)
 		require.NoError(t, err)
-		require.Equal(t, "the ship sinks", got.String(), "the splice that the check prevents")
+		require.Equal(t, "the ship sinks", got.String(), "the check prevents joining two answers")
 	})
 }
 
@@ -155,24 +155,23 @@
 	require.Zero(t, got.restarts)
 }
 
-// The holder's answer differs, but a third node has the caller's own. The
-// caller asks on and gets its answer whole. So it does of a holder that has
-// the same tokens, or fewer at first.
-func TestAnswerGoesOnWhereItIsTheSame(t *testing.T) {
-	own := func() *answerer.Answer { return finished(newAnswer("r1", "the ", "ship ", "sails")) }
-	behind := newAnswer("r1", "the ")
-	for name, m := range map[string]move{
-		"at the holder": {adopter: own()},
+// The caller must continue on any node whose answer matches its tokens, even if
+// that answer is shorter at first or another node's answer differs.
+func TestMatchingAnswerContinues(t *testing.T) {
+	matching := func() *answerer.Answer { return finish(newAnswer("r1", "the ", "ship ", "sails")) }
+	shorter := newAnswer("r1", "the ")
+	for name, m := range map[string]failover{
+		"at the holder": {adopted: matching()},
 		"at a third node": {
-			adopter: finished(newAnswer("r1", "the ", "boat ", "sinks")),
-			third:   own(),
+			adopted: finish(newAnswer("r1", "the ", "boat ", "sinks")),
+			third:   matching(),
 		},
 		"at a holder that is behind": {
-			adopter: behind,
-			moved: func() {
-				behind.Append(1, 2, "ship ")
-				behind.Append(1, 3, "sails")
-				finished(behind)
+			adopted: shorter,
+			onAttach: func() {
+				shorter.Append(1, 2, "ship ")
+				shorter.Append(1, 3, "sails")
+				finish(shorter)
 			},
 		},
 	} {
@@ -236,11 +235,11 @@
 			reason: server.ReasonBadHeader,
 		},
 	}
-	a := finished(newAnswer("r1", "the ", "ship ", "sails"))
+	a := finish(newAnswer("r1", "the ", "ship ", "sails"))
 	digest, ok := a.Digest(2)
 	require.True(t, ok)
 	tests[0].last = "2-" + digest.String()
-	address := start(t, &fakeBackend{answers: kept(a)}, server.Limits{})
+	address := start(t, &fakeBackend{answers: answersByID(a)}, server.Limits{})
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			response, body := exchange(t, "GET", address, "/v1/requests/r1", "",
--- a/internal/server/doc.go
+++ b/internal/server/doc.go
@@ -1,13 +1,13 @@
-// Package server is the HTTP front of a node, for callers and for operators.
+// Package server implements the HTTP interface of a node for callers and
+// operators.
 //
-// Callers ask for addresses, send model requests in the OpenAI shape or calls
-// to plain services, and reattach to a request by its id and the id of the
-// last event they saw. Operators read and change the configuration and look
-// into the node. Package server decides nothing: a Backend does, and the
-// server turns what the Backend says into HTTP.
+// Callers fetch node addresses, send model requests in the OpenAI format or
+// calls to plain services, and reattach to a request by its id and the id of
+// the last event received. Operators read and change the configuration and
+// inspect the node. A Backend makes all decisions; the server translates
+// between it and HTTP.
 //
-// Every refusal is a problem document (RFC 9457) that tells the reason, the
-// outcome, and when coming back makes sense. Every wait for a caller is
-// bounded: for its headers, for its body, and for each write that it is slow
-// to read.
+// Every refusal is a problem document (RFC 9457) that states the reason, the
+// outcome, and when to retry. Reading headers, reading a body, and each write
+// to a caller have timeouts.
 package server
--- a/internal/server/operator.go
+++ b/internal/server/operator.go
@@ -20,16 +20,16 @@
 )
 
 const (
-	// maxFile bounds one file of the configuration.
-	maxFile identifier.Bytes = folderreader.MaxFileBytes
-	// maxFolder bounds a whole folder as JSON, where a byte may take six.
-	maxFolder identifier.Bytes = 6 * folderreader.MaxFolderBytes
-	// proposeTime bounds the wait for the verdict on a change.
-	proposeTime = 15 * timekeeper.Second
+	// maxFileSize is the maximum size of one configuration file.
+	maxFileSize identifier.Bytes = folderreader.MaxFileBytes
+	// maxFolderSize is the maximum size of a configuration folder as JSON,
+	// which needs up to six bytes for one.
+	maxFolderSize identifier.Bytes = 6 * folderreader.MaxFolderBytes
+	// proposeTimeout is the longest wait for the verdict on a change.
+	proposeTimeout = 15 * timekeeper.Second
 )
 
-// ConfigFile is one file of the configuration in force, or of one that was
-// deleted.
+// ConfigFile is one file of the configuration in force, or a deleted file.
 type ConfigFile struct {
 	File     identifier.FileName `json:"file"`
 	Revision identifier.Revision `json:"revision"`
@@ -46,7 +46,7 @@
 // ChangeResult reports an accepted change to an operator.
 type ChangeResult struct {
 	Accepted bool `json:"accepted"`
-	// File is empty for a restore, which is of all files.
+	// File is empty after a restore, which replaces all files.
 	File     identifier.FileName `json:"file,omitempty"`
 	Revision identifier.Revision `json:"revision"`
 }
@@ -77,19 +77,19 @@
 	name := identifier.FileName(ctx.Params().Get("file"))
 	state, ok := s.backend.Files()[name]
 	if !ok {
-		refused(http.StatusNotFound, ReasonNotFound, "the configuration has no file %q", name).write(ctx)
+		newProblem(http.StatusNotFound, ReasonNotFound, "the configuration has no file %q", name).write(ctx)
 		return
 	}
 	writeJSON(ctx, configFile(name, state))
 }
 
 func (s *Server) putFile(ctx iris.Context) {
-	saw, problem := parseSaw(ctx.Request().Header)
+	baseRevision, problem := parseBaseRevision(ctx.Request().Header)
 	if problem != nil {
 		problem.write(ctx)
 		return
 	}
-	content, problem := s.readBody(ctx, maxFile)
+	content, problem := s.readBody(ctx, maxFileSize)
 	if problem != nil {
 		problem.write(ctx)
 		return
@@ -98,12 +98,12 @@
 		File:         identifier.FileName(ctx.Params().Get("file")),
 		Content:      content,
 		Delete:       false,
-		BaseRevision: saw,
+		BaseRevision: baseRevision,
 	})
 }
 
 func (s *Server) deleteFile(ctx iris.Context) {
-	saw, problem := parseSaw(ctx.Request().Header)
+	baseRevision, problem := parseBaseRevision(ctx.Request().Header)
 	if problem != nil {
 		problem.write(ctx)
 		return
@@ -112,7 +112,7 @@
 		File:         identifier.FileName(ctx.Params().Get("file")),
 		Content:      nil,
 		Delete:       true,
-		BaseRevision: saw,
+		BaseRevision: baseRevision,
 	})
 }
 
@@ -121,62 +121,62 @@
 	Files map[identifier.FileName]string `json:"files"`
 }
 
-// restore replaces a configuration that was lost. Whether it was, the node's
-// configuration decides: a whole one rejects the restore.
+// restore proposes a folder to replace a lost configuration. The node rejects
+// it if its configuration is complete.
 func (s *Server) restore(ctx iris.Context) {
-	body, problem := s.readBody(ctx, maxFolder)
+	body, problem := s.readBody(ctx, maxFolderSize)
 	if problem != nil {
 		problem.write(ctx)
 		return
 	}
-	var wanted RestoreRequest
-	if err := json.Unmarshal(body, &wanted); err != nil {
-		refused(http.StatusBadRequest, ReasonBadJSON, "the body is not a folder: %v", err).write(ctx)
+	var request RestoreRequest
+	if err := json.Unmarshal(body, &request); err != nil {
+		newProblem(http.StatusBadRequest, ReasonBadJSON, "the body is not a folder: %v", err).write(ctx)
 		return
 	}
-	if len(wanted.Files) == 0 {
-		refused(http.StatusBadRequest, ReasonBadField, "files is empty").write(ctx)
+	if len(request.Files) == 0 {
+		newProblem(http.StatusBadRequest, ReasonBadField, "files is empty").write(ctx)
 		return
 	}
-	files := make(map[identifier.FileName][]byte, len(wanted.Files))
-	for name, content := range wanted.Files {
+	files := make(map[identifier.FileName][]byte, len(request.Files))
+	for name, content := range request.Files {
 		files[name] = []byte(content)
 	}
 	s.propose(ctx, messenger.ChangeProposed{Restore: files})
 }
 
-// parseSaw reads the revision that a change is based on. It has no default:
-// an operator that left it out would overwrite a colleague's change unseen.
-func parseSaw(h http.Header) (identifier.Revision, *Problem) {
+// parseBaseRevision reads the revision that a change is based on. It is
+// required, so that an operator can't unknowingly overwrite a concurrent change.
+func parseBaseRevision(h http.Header) (identifier.Revision, *Problem) {
 	text := h.Get(HeaderBaseRevision)
 	if text == "" {
-		return 0, refused(http.StatusPreconditionRequired, ReasonBaseRevisionMissing,
+		return 0, newProblem(http.StatusPreconditionRequired, ReasonBaseRevisionMissing,
 			"%s is missing: send the file's revision, or 0 for a new file", HeaderBaseRevision)
 	}
 	value, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, refused(http.StatusBadRequest, ReasonBadHeader,
+		return 0, newProblem(http.StatusBadRequest, ReasonBadHeader,
 			"%s is %q, want a revision", HeaderBaseRevision, text)
 	}
 	return identifier.Revision(value), nil
 }
 
 func (s *Server) propose(ctx iris.Context, change messenger.ChangeProposed) {
-	bounded, cancel := context.WithTimeout(ctx.Request().Context(), proposeTime.Std())
+	bounded, cancel := context.WithTimeout(ctx.Request().Context(), proposeTimeout.Std())
 	defer cancel()
 	verdict, err := s.backend.Propose(bounded, change)
-	s.extendWrites(ctx)
+	s.extendWriteDeadline(ctx)
 	switch {
 	case err != nil && !errors.Is(err, context.DeadlineExceeded):
 		s.writeUnexpected(ctx, err)
 	case err != nil || verdict.Unknown:
-		p := refused(http.StatusGatewayTimeout, ReasonChangeUnsettled,
+		p := newProblem(http.StatusGatewayTimeout, ReasonChangeUnsettled,
 			"the log could not settle the change in time: read the history before repeating it")
 		p.Outcome = messenger.Unknown
 		p.RetryAfter = timekeeper.Second
 		p.write(ctx)
 	case !verdict.Accepted:
-		p := refused(http.StatusConflict, ReasonChangeRejected, "the change was rejected and is not in force")
+		p := newProblem(http.StatusConflict, ReasonChangeRejected, "the change was rejected and is not in force")
 		p.Faults = verdict.Faults
 		p.write(ctx)
 	default:
--- a/internal/server/operator_test.go
+++ b/internal/server/operator_test.go
@@ -37,43 +37,43 @@
 	require.Contains(t, body, "memstats")
 }
 
-// An operator is told the truth about a change: accepted, rejected and not in
-// force, or not settled. A change that names no revision is turned away, since
-// it would overwrite a colleague's change unseen.
+// An operator must be able to distinguish accepted, rejected and undecided
+// changes. A change without a base revision must be rejected, since it could
+// overwrite a concurrent change.
 func TestOperatorChanges(t *testing.T) {
 	tests := []struct {
-		name    string
-		saw     string
-		verdict messenger.ChangeVerdict
-		status  int
-		outcome messenger.Outcome
-		asked   int
+		name          string
+		baseRevision  string
+		verdict       messenger.ChangeVerdict
+		status        int
+		outcome       messenger.Outcome
+		wantProposals int
 	}{
 		{
-			name: "accepted",
-			saw:  "7",
+			name:         "accepted",
+			baseRevision: "7",
 			verdict: messenger.ChangeVerdict{
 				Accepted: true,
 				Revision: 9,
 			},
-			status: 200,
-			asked:  1,
+			status:        200,
+			wantProposals: 1,
 		},
 		{
-			name:    "rejected",
-			saw:     "6",
-			verdict: messenger.ChangeVerdict{Faults: []string{"10-zones.ini is at 7"}},
-			status:  409,
-			outcome: messenger.NotRun,
-			asked:   1,
+			name:          "rejected",
+			baseRevision:  "6",
+			verdict:       messenger.ChangeVerdict{Faults: []string{"10-zones.ini is at 7"}},
+			status:        409,
+			outcome:       messenger.NotRun,
+			wantProposals: 1,
 		},
 		{
-			name:    "unsettled",
-			saw:     "7",
-			verdict: messenger.ChangeVerdict{Unknown: true},
-			status:  504,
-			outcome: messenger.Unknown,
-			asked:   1,
+			name:          "unsettled",
+			baseRevision:  "7",
+			verdict:       messenger.ChangeVerdict{Unknown: true},
+			status:        504,
+			outcome:       messenger.Unknown,
+			wantProposals: 1,
 		},
 		{
 			name:    "no revision",
@@ -81,10 +81,10 @@
 			outcome: messenger.NotRun,
 		},
 		{
-			name:    "bad revision",
-			saw:     "-1",
-			status:  400,
-			outcome: messenger.NotRun,
+			name:         "bad revision",
+			baseRevision: "-1",
+			status:       400,
+			outcome:      messenger.NotRun,
 		},
 	}
 	for _, test := range tests {
@@ -94,9 +94,9 @@
 			}
 			address := start(t, b, server.Limits{})
 			response, body := exchange(t, "PUT", address, "/operator/v1/config/10-zones.ini", "[zone x]",
-				asOperator(map[string]string{"Saw-Revision": test.saw}))
+				asOperator(map[string]string{"Saw-Revision": test.baseRevision}))
 			require.Equal(t, test.status, response.StatusCode, body)
-			require.Len(t, b.proposed, test.asked)
+			require.Len(t, b.proposed, test.wantProposals)
 			if test.status == http.StatusOK {
 				require.JSONEq(t, `{"accepted":true,"file":"10-zones.ini","revision":9}`, body)
 				return
@@ -108,17 +108,16 @@
 	}
 }
 
-// The log has lost the configuration, and an operator sends the whole folder.
-// The node decides whether its configuration is lost, and a folder that says
-// nothing is turned away before it is asked.
+// The node decides whether a restore is accepted. An empty or malformed folder
+// must be rejected without a proposal.
 func TestOperatorRestores(t *testing.T) {
 	const folder = `{"files":{"10-zones.ini":"[zone x]","20-pools.ini":"# none"}}`
 	tests := []struct {
-		name    string
-		body    string
-		verdict messenger.ChangeVerdict
-		status  int
-		asked   int
+		name          string
+		body          string
+		verdict       messenger.ChangeVerdict
+		status        int
+		wantProposals int
 	}{
 		{
 			name: "accepted",
@@ -127,22 +126,22 @@
 				Accepted: true,
 				Revision: 9,
 			},
-			status: 200,
-			asked:  1,
+			status:        200,
+			wantProposals: 1,
 		},
 		{
-			name:    "configuration is whole",
-			body:    folder,
-			verdict: messenger.ChangeVerdict{Faults: []string{"configuration is whole"}},
-			status:  409,
-			asked:   1,
+			name:          "configuration is whole",
+			body:          folder,
+			verdict:       messenger.ChangeVerdict{Faults: []string{"configuration is whole"}},
+			status:        409,
+			wantProposals: 1,
 		},
 		{
-			name:    "unsettled",
-			body:    folder,
-			verdict: messenger.ChangeVerdict{Unknown: true},
-			status:  504,
-			asked:   1,
+			name:          "unsettled",
+			body:          folder,
+			verdict:       messenger.ChangeVerdict{Unknown: true},
+			status:        504,
+			wantProposals: 1,
 		},
 		{
 			name:   "no files",
@@ -163,7 +162,7 @@
 			address := start(t, b, server.Limits{})
 			response, body := exchange(t, "POST", address, "/operator/v1/config/restore", test.body, asOperator(nil))
 			require.Equal(t, test.status, response.StatusCode, body)
-			require.Len(t, b.proposed, test.asked)
+			require.Len(t, b.proposed, test.wantProposals)
 			if test.status == http.StatusOK {
 				require.JSONEq(t, `{"accepted":true,"revision":9}`, body)
 				require.Equal(t, messenger.ChangeProposed{Restore: map[identifier.FileName][]byte{
@@ -176,5 +175,5 @@
 		})
 	}
 	response, _ := exchange(t, "POST", start(t, &fakeBackend{}, server.Limits{}), "/operator/v1/config/restore", folder, nil)
-	require.Equal(t, http.StatusUnauthorized, response.StatusCode, "a caller's key restores nothing")
+	require.Equal(t, http.StatusUnauthorized, response.StatusCode, "a caller's key must not allow a restore")
 }
--- a/internal/server/problem.go
+++ b/internal/server/problem.go
@@ -14,8 +14,8 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// The reasons that the server itself refuses for; the others are those of
-// package messenger.
+// Reasons for refusals by the server itself. Package messenger declares the
+// others.
 const (
 	ReasonUnauthorized        messenger.Reason = "unauthorized"
 	ReasonNotFound            messenger.Reason = "not_found"
@@ -43,21 +43,22 @@
 	Reason messenger.Reason `json:"reason"`
 	Detail string           `json:"detail,omitempty"`
 	Faults []string         `json:"faults,omitempty"`
-	// Outcome tells whether the request ran.
+	// Outcome states whether the request ran.
 	Outcome messenger.Outcome    `json:"outcome"`
 	Request identifier.RequestID `json:"request_id,omitempty"`
-	// RetryAfter is when coming back makes sense; zero means it does not.
+	// RetryAfter is the time to wait before a retry. Zero means that the caller
+	// should not retry.
 	RetryAfter timekeeper.Duration `json:"retry_after_ms,omitempty"`
 }
 
-// problemType is the prefix of the URI that names a kind of problem.
-const problemType = "urn:dotterelhollow:problem:"
+// problemTypePrefix precedes the reason in the URI of a problem type.
+const problemTypePrefix = "urn:dotterelhollow:problem:"
 
-// refused returns the problem of a request that the server turned away before
-// the node saw it: it did not run.
-func refused(status int, reason messenger.Reason, format string, args ...any) *Problem {
+// newProblem returns the problem for a request that the server rejected before
+// it reached the node, so that it did not run.
+func newProblem(status int, reason messenger.Reason, format string, args ...any) *Problem {
 	return &Problem{
-		Type:    problemType + string(reason),
+		Type:    problemTypePrefix + string(reason),
 		Title:   http.StatusText(status),
 		Status:  status,
 		Reason:  reason,
@@ -66,12 +67,12 @@
 	}
 }
 
-// problemOf returns the problem of a request that the node refused or that
-// ended without its answer.
-func problemOf(request identifier.RequestID, r messenger.Refusal) *Problem {
-	status := statusOf(r)
+// refusalProblem returns the problem for a request that the node refused or
+// that ended without an answer.
+func refusalProblem(request identifier.RequestID, r messenger.Refusal) *Problem {
+	status := refusalStatus(r)
 	return &Problem{
-		Type:       problemType + string(r.Reason),
+		Type:       problemTypePrefix + string(r.Reason),
 		Title:      http.StatusText(status),
 		Status:     status,
 		Reason:     r.Reason,
@@ -81,8 +82,8 @@
 	}
 }
 
-// statusOf returns the HTTP status for a refusal.
-func statusOf(r messenger.Refusal) int {
+// refusalStatus returns the HTTP status for a refusal.
+func refusalStatus(r messenger.Refusal) int {
 	switch r.Reason {
 	case messenger.ReasonUnknownService:
 		return http.StatusNotFound
@@ -102,16 +103,16 @@
 	return http.StatusServiceUnavailable
 }
 
-// divergedProblem refuses to go on with an answer of which the caller has
-// another beginning. It says nothing of what ran.
+// divergedProblem returns the problem for a caller whose received tokens differ
+// from the answer on this node. Its outcome is unknown.
 func divergedProblem(request identifier.RequestID) *Problem {
-	p := refused(http.StatusConflict, ReasonAnswerDiverged, "this node's answer differs from what you have of it")
+	p := newProblem(http.StatusConflict, ReasonAnswerDiverged, "this node's answer differs from what you have of it")
 	p.Outcome = messenger.Unknown
 	p.Request = request
 	return p
 }
 
-// write sends p as the whole response. Nothing may have been written before.
+// write sends p as the whole response. It must precede any other write.
 func (p *Problem) write(ctx iris.Context) {
 	header := ctx.ResponseWriter().Header()
 	header.Set("Content-Type", "application/problem+json")
@@ -135,8 +136,7 @@
 	return data
 }
 
-// wholeSeconds rounds up: a caller that came back early would only be refused
-// again.
+// wholeSeconds rounds up, since an early retry would be refused again.
 func wholeSeconds(d timekeeper.Duration) int {
 	return int(math.Ceil(d.Seconds()))
 }
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -13,11 +13,11 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// maxKeyLength bounds an idempotency key.
+// maxKeyLength is the maximum length of an idempotency key in bytes.
 const maxKeyLength = 255
 
-// chatRequest is the part of an OpenAI-shaped body that the system uses. The
-// rest is accepted and ignored, because clients send many more fields.
+// chatRequest holds the fields of an OpenAI chat request that the system uses.
+// Other fields are ignored, because clients send many more.
 type chatRequest struct {
 	Model               string        `json:"model"`
 	Messages            []chatMessage `json:"messages"`
@@ -31,7 +31,7 @@
 	Content chatContent `json:"content"`
 }
 
-// chatContent is a message's text, which clients send as a string or as a
+// chatContent is the text of a message. Clients send it as a string or as a
 // list of parts.
 type chatContent string
 
@@ -40,8 +40,8 @@
 	Text string `json:"text"`
 }
 
-// UnmarshalJSON reads either form. Parts that are not text are refused, since
-// leaving them out would answer another question than was asked.
+// UnmarshalJSON reads either form. It rejects parts that are not text, since
+// ignoring them would change the meaning of the prompt.
 func (c *chatContent) UnmarshalJSON(data []byte) error {
 	if len(data) > 0 && data[0] == '[' {
 		return c.unmarshalParts(data)
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// ContentPartError reports a message part of a type that no model here reads.
+// ContentPartError reports a message part of an unsupported type.
 type ContentPartError struct{ Type string }
 
 func (e *ContentPartError) Error() string {
@@ -83,24 +83,24 @@
 func parseChat(body []byte) (chatRequest, *Problem) {
 	var c chatRequest
 	if err := json.Unmarshal(body, &c); err != nil {
-		return c, refused(http.StatusBadRequest, ReasonBadJSON, "the body is not a chat request: %v", err)
+		return c, newProblem(http.StatusBadRequest, ReasonBadJSON, "the body is not a chat request: %v", err)
 	}
 	if c.MaxTokens == 0 {
 		c.MaxTokens = c.MaxCompletionTokens
 	}
 	switch {
 	case c.Model == "":
-		return c, refused(http.StatusBadRequest, ReasonBadField, "model is missing")
+		return c, newProblem(http.StatusBadRequest, ReasonBadField, "model is missing")
 	case len(c.Messages) == 0:
-		return c, refused(http.StatusBadRequest, ReasonBadField, "messages is empty")
+		return c, newProblem(http.StatusBadRequest, ReasonBadField, "messages is empty")
 	case c.MaxTokens < 0:
-		return c, refused(http.StatusBadRequest, ReasonBadField, "max_tokens is %d, want 1 or more", c.MaxTokens)
+		return c, newProblem(http.StatusBadRequest, ReasonBadField, "max_tokens is %d, want 1 or more", c.MaxTokens)
 	}
 	return c, nil
 }
 
-// prompt returns the messages as one text. A single message is its content;
-// several are told apart by their roles.
+// prompt returns the messages as one text. Each of several messages is preceded
+// by its role.
 func (c chatRequest) prompt() string {
 	if len(c.Messages) == 1 {
 		return string(c.Messages[0].Content)
@@ -115,29 +115,29 @@
 	return text.String()
 }
 
-// terms are what a request's headers ask for.
-type terms struct {
+// requestOptions are the options in a request's headers.
+type requestOptions struct {
 	key       identifier.IdempotencyKey
 	remaining timekeeper.Duration
 }
 
-func (s *Server) parseTerms(h http.Header) (terms, *Problem) {
+func (s *Server) parseOptions(h http.Header) (requestOptions, *Problem) {
 	key := h.Get(HeaderIdempotencyKey)
 	if len(key) > maxKeyLength {
-		return terms{}, refused(http.StatusBadRequest, ReasonBadHeader,
+		return requestOptions{}, newProblem(http.StatusBadRequest, ReasonBadHeader,
 			"%s is longer than %d bytes", HeaderIdempotencyKey, maxKeyLength)
 	}
 	remaining, problem := s.parseDeadline(h.Get(HeaderDeadline))
 	if problem != nil {
-		return terms{}, problem
+		return requestOptions{}, problem
 	}
-	return terms{
+	return requestOptions{
 		key:       identifier.IdempotencyKey(key),
 		remaining: remaining,
 	}, nil
 }
 
-// parseDeadline reads the remaining time of a request; zero means that the
+// parseDeadline reads the remaining time of a request. It returns zero if the
 // caller set none.
 func (s *Server) parseDeadline(text string) (timekeeper.Duration, *Problem) {
 	if text == "" {
@@ -145,11 +145,11 @@
 	}
 	value, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || timekeeper.Duration(value) > s.limits.MaxDeadline {
-		return 0, refused(http.StatusBadRequest, ReasonBadHeader,
+		return 0, newProblem(http.StatusBadRequest, ReasonBadHeader,
 			"%s is %q, want milliseconds up to %d", HeaderDeadline, text, s.limits.MaxDeadline)
 	}
 	if value <= 0 {
-		return 0, problemOf("", messenger.Refusal{
+		return 0, refusalProblem("", messenger.Refusal{
 			Reason:     messenger.ReasonDeadlineExpired,
 			Outcome:    messenger.NotRun,
 			RetryAfter: 0,
@@ -158,38 +158,38 @@
 	return timekeeper.Duration(value), nil
 }
 
-// position is what a caller has of an answer.
+// position is the position up to which a caller has received an answer.
 type position struct {
-	// index is the last token that it has.
+	// index is the index of the last token received.
 	index identifier.Tokens
-	// digest is that of the tokens up to index, where checked is set.
+	// digest covers the tokens up to index. It is valid only if checked is set.
 	digest  answerer.Digest
 	checked bool
 }
 
 var _ fmt.Stringer = position{}
 
-// String returns p as the id of an event.
+// String returns p in the format of an event id.
 func (p position) String() string {
 	index := strconv.FormatInt(int64(p.index), 10)
 	if !p.checked {
 		return index
 	}
-	return index + positionMark + p.digest.String()
+	return index + positionSeparator + p.digest.String()
 }
 
-// positionMark stands between the index and the digest of an event's id.
-const positionMark = "-"
+// positionSeparator separates the index and the digest in an event id.
+const positionSeparator = "-"
 
-// parseLastEvent reads what a caller has of an answer: the id of the last
-// event, or a bare index, which can't be checked.
+// parseLastEvent reads the position of a caller from the id of the last event.
+// An id may also be an index without a digest, which can't be checked.
 func parseLastEvent(h http.Header) (position, *Problem) {
 	text := h.Get(HeaderLastEventID)
 	if text == "" {
 		return position{}, nil
 	}
-	number, sum, checked := strings.Cut(text, positionMark)
-	index, err := strconv.ParseInt(number, 10, 64)
+	indexText, digestText, checked := strings.Cut(text, positionSeparator)
+	index, err := strconv.ParseInt(indexText, 10, 64)
 	if err != nil || index < 0 {
 		return position{}, badLastEvent(text)
 	}
@@ -200,13 +200,13 @@
 	if !checked {
 		return p, nil
 	}
-	if p.digest, err = answerer.ParseDigest(sum); err != nil {
+	if p.digest, err = answerer.ParseDigest(digestText); err != nil {
 		return position{}, badLastEvent(text)
 	}
 	return p, nil
 }
 
 func badLastEvent(text string) *Problem {
-	return refused(http.StatusBadRequest, ReasonBadHeader,
+	return newProblem(http.StatusBadRequest, ReasonBadHeader,
 		"%s is %q, want the id of an event", HeaderLastEventID, text)
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -12,7 +12,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// The headers of the callers' protocol.
+// Headers of the protocol for callers and operators.
 const (
 	HeaderIdempotencyKey = "Idempotency-Key"
 	HeaderDeadline       = "Deadline-Ms"
@@ -72,9 +72,8 @@
 	return s, nil
 }
 
-// newApplication returns an iris application with all that the server does
-// not use switched off: its log, its banner, its redirects of paths with a
-// closing slash, and its own pages for error codes.
+// newApplication returns an iris application without a log, a banner, an
+// interrupt handler, and redirects of paths with a trailing slash.
 func newApplication() *iris.Application {
 	app := iris.New()
 	app.Logger().SetLevel("disable")
@@ -91,13 +90,13 @@
 
 // ServeHTTP answers one request.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.boundBody(w, r)
+	s.limitBodyTime(w, r)
 	s.app.ServeHTTP(w, r)
 }
 
-// HTTPServer returns an HTTP server with s as its handler and all timeouts
+// HTTPServer returns an HTTP server with s as its handler and with the timeouts
 // that s relies on. It has no write timeout for a whole response, because a
-// stream may last for minutes; s bounds each write instead.
+// stream may last for minutes; s sets a deadline for each write instead.
 func (s *Server) HTTPServer() *http.Server {
 	return &http.Server{
 		Handler:           s,
@@ -113,21 +112,21 @@
 
 func (s *Server) route() {
 	s.app.OnErrorCode(http.StatusNotFound, func(ctx iris.Context) {
-		refused(http.StatusNotFound, ReasonNotFound, "no such path").write(ctx)
+		newProblem(http.StatusNotFound, ReasonNotFound, "no such path").write(ctx)
 	})
 	s.app.OnErrorCode(http.StatusMethodNotAllowed, func(ctx iris.Context) {
-		refused(http.StatusMethodNotAllowed, ReasonMethodNotAllowed, "the path has no %s", ctx.Method()).write(ctx)
+		newProblem(http.StatusMethodNotAllowed, ReasonMethodNotAllowed, "the path has no %s", ctx.Method()).write(ctx)
 	})
 
-	callers := s.app.Party("/v1", s.boundWrites)
-	callers.Get("/addresses", s.caller(s.addresses))
-	callers.Post("/chat/completions", s.caller(s.complete))
-	callers.Get("/requests/{request:string}", s.caller(s.reattach))
-	callers.Delete("/requests/{request:string}", s.caller(s.cancel))
-	callers.Get("/services/{service:string}/{path:path}", s.caller(s.call))
-	callers.Post("/services/{service:string}/{path:path}", s.caller(s.call))
+	callers := s.app.Party("/v1", s.limitWriteTime)
+	callers.Get("/addresses", s.authenticated(s.addresses))
+	callers.Post("/chat/completions", s.authenticated(s.complete))
+	callers.Get("/requests/{request:string}", s.authenticated(s.reattach))
+	callers.Delete("/requests/{request:string}", s.authenticated(s.cancel))
+	callers.Get("/services/{service:string}/{path:path}", s.authenticated(s.call))
+	callers.Post("/services/{service:string}/{path:path}", s.authenticated(s.call))
 
-	operators := s.app.Party("/operator/v1", s.boundWrites, s.operatorOnly)
+	operators := s.app.Party("/operator/v1", s.limitWriteTime, s.operatorOnly)
 	operators.Get("/config", s.showConfig)
 	operators.Get("/config/history", s.showHistory)
 	operators.Post("/config/restore", s.restore)
@@ -137,19 +136,19 @@
 	operators.Get("/status", s.status)
 	operators.Get("/timeline", s.timeline)
 	operators.Get("/explain/{request:string}", s.explain)
-	s.app.Get("/debug/vars", s.boundWrites, s.operatorOnly, s.variables)
+	s.app.Get("/debug/vars", s.limitWriteTime, s.operatorOnly, s.variables)
 }
 
-// caller authenticates a request before its body is read.
+// authenticated returns a handler that authenticates a caller before the body
+// is read.
 //
-// A node that has no configuration yet knows no key. It says so, because a
-// caller takes "unauthorized" for final, and would give up on account of a
-// node that has only just started.
-func (s *Server) caller(next func(iris.Context, identifier.AccountID)) iris.Handler {
+// A node without a configuration knows no keys. It answers with a retryable
+// refusal, because callers treat "unauthorized" as final.
+func (s *Server) authenticated(next func(iris.Context, identifier.AccountID)) iris.Handler {
 	return func(ctx iris.Context) {
-		account, ok := s.backend.Authenticate(bearer(ctx.Request()))
+		account, ok := s.backend.Authenticate(bearerToken(ctx.Request()))
 		if !ok && !s.backend.Configured() {
-			problemOf("", messenger.Refusal{
+			refusalProblem("", messenger.Refusal{
 				Reason:     messenger.ReasonNoConfiguration,
 				Outcome:    messenger.NotRun,
 				RetryAfter: timekeeper.Second,
@@ -158,18 +157,18 @@
 		}
 		if !ok {
 			ctx.Header("WWW-Authenticate", "Bearer")
-			refused(http.StatusUnauthorized, ReasonUnauthorized, "no client account has this key").write(ctx)
+			newProblem(http.StatusUnauthorized, ReasonUnauthorized, "no client account has this key").write(ctx)
 			return
 		}
 		next(ctx, account)
 	}
 }
 
-// operatorOnly lets only requests with the operators' key pass.
+// operatorOnly rejects requests without the operators' key.
 func (s *Server) operatorOnly(ctx iris.Context) {
-	if !s.backend.AuthenticateOperator(bearer(ctx.Request())) {
+	if !s.backend.AuthenticateOperator(bearerToken(ctx.Request())) {
 		ctx.Header("WWW-Authenticate", "Bearer")
-		refused(http.StatusUnauthorized, ReasonUnauthorized, "this is not the operators' key").write(ctx)
+		newProblem(http.StatusUnauthorized, ReasonUnauthorized, "this is not the operators' key").write(ctx)
 		return
 	}
 	ctx.Next()
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -29,19 +29,18 @@
 	operatorKey = "operator-key"
 )
 
-// fakeBackend is a node that decides nothing: a test drives the answers.
+// fakeBackend is a node whose answers a test controls.
 type fakeBackend struct {
-	// empty stands for a node without a configuration.
-	empty bool
-	// nodes, where set, replaces the default list.
+	unconfigured bool
+	// nodes, if set, replaces the default list.
 	nodes []server.NodeAddress
 
 	mu        sync.Mutex
 	answers   map[identifier.RequestID]*answerer.Answer
 	submitted []server.Submission
 	proposed  []messenger.ChangeProposed
-	// submit and propose, where set, replace the default.
 	submit  func(server.Submission) (*answerer.Answer, error)
+	// attach, if set, replaces the lookup in answers.
 	attach  func(identifier.RequestID) (*answerer.Answer, error)
 	propose func(messenger.ChangeProposed) (messenger.ChangeVerdict, error)
 }
@@ -49,7 +48,7 @@
 var _ server.Backend = (*fakeBackend)(nil)
 
 func (b *fakeBackend) Authenticate(key string) (identifier.AccountID, bool) {
-	if b.empty {
+	if b.unconfigured {
 		return "", false
 	}
 	account, ok := strings.CutSuffix(key, "-key")
@@ -58,7 +57,7 @@
 
 func (b *fakeBackend) AuthenticateOperator(key string) bool { return key == operatorKey }
 
-func (b *fakeBackend) Configured() bool { return !b.empty }
+func (b *fakeBackend) Configured() bool { return !b.unconfigured }
 
 func (b *fakeBackend) Service(name identifier.ServiceName) (catalog.Service, bool) {
 	services := map[identifier.ServiceName]catalog.Service{
@@ -142,8 +141,9 @@
 
 func (b *fakeBackend) Explain(identifier.RequestID) []historian.Entry { return nil }
 
-// newAnswer returns an accepted answer of harbor with the given tokens.
-func newAnswer(request identifier.RequestID, words ...string) *answerer.Answer {
+// newAnswer returns an accepted answer with the given tokens for the account
+// harbor.
+func newAnswer(request identifier.RequestID, tokens ...string) *answerer.Answer {
 	a := answerer.New(answerer.Config{
 		Spec: messenger.RequestSpec{
 			Request: request,
@@ -153,18 +153,18 @@
 		Accepted: true,
 	})
 	a.Begin(answerer.Placement{Attempt: 1})
-	for i, word := range words {
-		a.Append(1, identifier.Tokens(i+1), word)
+	for i, token := range tokens {
+		a.Append(1, identifier.Tokens(i+1), token)
 	}
 	return a
 }
 
-func finished(a *answerer.Answer) *answerer.Answer {
+func finish(a *answerer.Answer) *answerer.Answer {
 	a.Finish(answerer.End{Outcome: messenger.Done})
 	return a
 }
 
-// start serves b on a loopback port and returns its address.
+// start serves b on a loopback port and returns the address.
 func start(t *testing.T, b server.Backend, l server.Limits) string {
 	t.Helper()
 	s, err := server.New(server.Config{
@@ -214,16 +214,15 @@
 	return p
 }
 
-// waitLimit and waitStep bound a wait for another goroutine.
 const (
-	waitLimit = 10 * time.Second
-	waitStep  = 5 * time.Millisecond
+	waitTimeout  = 10 * time.Second
+	pollInterval = 5 * time.Millisecond
 )
 
 const chat = `{"model":"report","messages":[{"role":"user","content":"a ship"}],"temperature":0.2}`
 
-// Whatever a caller gets wrong, it gets a typed problem at once, and the node
-// never sees the request; so "not_run" is true of each of them.
+// Invalid requests must be answered with a typed problem without reaching the
+// node, so that the outcome "not_run" is correct.
 func TestBadInput(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -442,11 +441,10 @@
 	}
 }
 
-// A node that has just started knows no key yet. A caller that was told
-// "unauthorized" would give up for good; told the truth, it goes elsewhere or
-// comes back.
+// A node without a configuration knows no keys. It must answer with a retryable
+// refusal, because callers treat "unauthorized" as final.
 func TestNodeWithoutConfiguration(t *testing.T) {
-	address := start(t, &fakeBackend{empty: true}, server.Limits{})
+	address := start(t, &fakeBackend{unconfigured: true}, server.Limits{})
 	response, body := exchange(t, "POST", address, "/v1/chat/completions", chat, nil)
 	p := parseProblem(t, response, body)
 	require.Equal(t, http.StatusServiceUnavailable, p.Status)
--- a/internal/server/status.go
+++ b/internal/server/status.go
@@ -11,14 +11,14 @@
 	Node        identifier.VMID        `json:"node"`
 	Incarnation identifier.Incarnation `json:"incarnation"`
 	Zone        identifier.Zone        `json:"zone"`
-	// Now is the node's clock.
+	// Now is the time on the node's clock.
 	Now timekeeper.Time `json:"now_ms"`
-	// Revision is the configuration in force on the node.
+	// Revision is the revision of the configuration in force on the node.
 	Revision identifier.Revision `json:"revision"`
-	// Fault tells why the node can't follow the configuration in the log; it
-	// is empty while it can.
+	// Fault states why the node can't apply the configuration in the log. It is
+	// empty if there is no fault.
 	Fault string `json:"fault,omitempty"`
-	// Draining tells that the node is leaving.
+	// Draining reports whether the node is leaving.
 	Draining bool                  `json:"draining"`
 	Requests RequestCounts         `json:"requests"`
 	Nodes    []NodeStatus          `json:"nodes"`
@@ -26,10 +26,11 @@
 	Leases   []LeaseStatus         `json:"leases"`
 }
 
-// RequestCounts counts the requests that a node has now.
+// RequestCounts holds the current numbers of requests on a node.
 type RequestCounts struct {
 	InFlight int `json:"in_flight"`
-	// Copies counts the requests that the node holds for other nodes.
+	// Copies is the number of copies that the node holds of other nodes'
+	// requests.
 	Copies int `json:"copies"`
 }
 
@@ -39,7 +40,7 @@
 	Zone    identifier.Zone `json:"zone"`
 	State   string          `json:"state"`
 	Address string          `json:"address"`
-	// Revision is the configuration that the node last said it has.
+	// Revision is the configuration revision that the node last reported.
 	Revision identifier.Revision `json:"revision"`
 }
 
--- a/internal/server/stream.go
+++ b/internal/server/stream.go
@@ -16,20 +16,21 @@
 
 const (
 	contentTypeStream = "text/event-stream"
-	// writeSize bounds the events that go into one write, so that a caller
-	// that reattaches to a long answer costs one small buffer.
-	writeSize = 16 << 10
+	// maxWriteBatch is the buffer size, in bytes, at which events are flushed.
+	// It limits the memory for a caller that reattaches to a long answer.
+	maxWriteBatch = 16 << 10
 )
 
-// The names of the events that are not tokens.
+// Event names and data that are not tokens.
 const (
 	EventMoved = "moved"
 	EventError = "error"
-	// DataDone is the data of the last event of a whole answer.
+	// DataDone is the data of the last event of a complete answer.
 	DataDone = "[DONE]"
 )
 
-// Moved is the data of an EventMoved: the node that has the request now.
+// Moved is the data of an EventMoved. It names the node that now owns the
+// request.
 type Moved struct {
 	Request identifier.RequestID `json:"request_id"`
 	Address string               `json:"address"`
@@ -44,8 +45,9 @@
 	buffer bytes.Buffer
 }
 
-// stream answers with server-sent events from the token after the given
-// position. A caller whose tokens are not this answer's gets none of it.
+// stream writes an answer as server-sent events from the token after the given
+// position. If the caller's tokens differ from the answer, it writes a problem
+// instead.
 func (s *Server) stream(ctx iris.Context, a *answerer.Answer, after position) {
 	if after.checked {
 		if _, err := a.Check(after.index, after.digest); err != nil {
@@ -64,8 +66,8 @@
 		answer: a,
 		chunks: newChunkEncoder(a, s.clock.Now()),
 	}
-	// The headers go out at once: they tell the caller its request's id.
-	if w.heartbeat() != nil {
+	// Send the headers at once, since they contain the request id.
+	if w.writeHeartbeat() != nil {
 		return
 	}
 	if err := w.run(after); err != nil {
@@ -74,7 +76,7 @@
 }
 
 func (w *eventWriter) run(from position) error {
-	if err := w.check(from); err != nil {
+	if err := w.awaitMatch(from); err != nil {
 		return err
 	}
 	after := from.index
@@ -83,44 +85,44 @@
 		if err != nil {
 			return err
 		}
-		if err := w.pieces(pieces); err != nil {
+		if err := w.writePieces(pieces); err != nil {
 			return err
 		}
 		if len(pieces) > 0 {
 			after = pieces[len(pieces)-1].Index
 		}
 		if end != nil {
-			return w.end(end)
+			return w.writeEnd(end)
 		}
 	}
 }
 
-// check waits until the answer is as long as what the caller has of it, and
-// ends the stream with a problem where the two differ. A node that adopted the
-// request from an older copy is shorter for a while, and may go on otherwise
-// than the node that the caller comes from.
-func (w *eventWriter) check(from position) error {
+// awaitMatch waits until the answer includes the caller's position, and ends
+// the stream with a problem if the tokens up to it differ. On a node that
+// adopted the request from an older copy, the answer is shorter at first and
+// may continue differently from the one that the caller received.
+func (w *eventWriter) awaitMatch(from position) error {
 	if !from.checked {
 		return nil
 	}
-	err := w.beating(func(ctx context.Context) error {
+	err := w.withHeartbeats(func(ctx context.Context) error {
 		return w.answer.AwaitCheck(ctx, from.index, from.digest)
 	})
 	var diverged *answerer.DivergedError
 	if errors.As(err, &diverged) {
-		w.event(EventError, divergedProblem(w.answer.Request()))
+		w.writeEvent(EventError, divergedProblem(w.answer.Request()))
 		return errors.Join(err, w.flush())
 	}
 	return err
 }
 
-// read waits for more of the answer.
+// read waits for pieces after the given token, or for the end of the answer.
 func (w *eventWriter) read(after identifier.Tokens) ([]answerer.Piece, *answerer.End, error) {
 	var (
 		pieces []answerer.Piece
 		end    *answerer.End
 	)
-	err := w.beating(func(ctx context.Context) error {
+	err := w.withHeartbeats(func(ctx context.Context) error {
 		var err error
 		pieces, end, err = w.answer.Read(ctx, after)
 		return err
@@ -128,11 +130,11 @@
 	return pieces, end, err
 }
 
-// beating repeats a wait until it is over, and meanwhile shows the caller that
-// the connection is alive: between a caller and a node something may lose
-// track of an open connection, and without heartbeats the caller could not
-// tell that from a slow model.
-func (w *eventWriter) beating(wait func(context.Context) error) error {
+// withHeartbeats calls wait until it returns without a timeout, and writes a
+// heartbeat after each timeout. A middlebox may drop the state of an open
+// connection; without heartbeats the caller could not distinguish that from a
+// slow model.
+func (w *eventWriter) withHeartbeats(wait func(context.Context) error) error {
 	caller := w.ctx.Request().Context()
 	for {
 		beat, cancel := context.WithTimeout(caller, w.server.limits.HeartbeatInterval.Std())
@@ -141,18 +143,18 @@
 		if err == nil || caller.Err() != nil || !errors.Is(err, context.DeadlineExceeded) {
 			return err
 		}
-		if err := w.heartbeat(); err != nil {
+		if err := w.writeHeartbeat(); err != nil {
 			return err
 		}
 	}
 }
 
-func (w *eventWriter) heartbeat() error {
+func (w *eventWriter) writeHeartbeat() error {
 	w.buffer.WriteString(": heartbeat\n\n")
 	return w.flush()
 }
 
-func (w *eventWriter) pieces(pieces []answerer.Piece) error {
+func (w *eventWriter) writePieces(pieces []answerer.Piece) error {
 	if len(pieces) == 0 {
 		return nil
 	}
@@ -165,8 +167,8 @@
 			checked: true,
 		}
 		w.buffer.WriteString("id: " + id.String() + "\n")
-		w.data(w.chunks.token(p.Text))
-		if w.buffer.Len() < writeSize {
+		w.writeData(w.chunks.encodeToken(p.Text))
+		if w.buffer.Len() < maxWriteBatch {
 			continue
 		}
 		if err := w.flush(); err != nil {
@@ -176,50 +178,50 @@
 	return w.flush()
 }
 
-func (w *eventWriter) end(end *answerer.End) error {
+func (w *eventWriter) writeEnd(end *answerer.End) error {
 	switch {
 	case end.MovedTo != "":
-		w.event(EventMoved, Moved{
+		w.writeEvent(EventMoved, Moved{
 			Request: w.answer.Request(),
 			Address: end.MovedTo,
 		})
 	case end.Outcome == messenger.Done:
-		w.data(w.chunks.stop())
-		w.data([]byte(DataDone))
+		w.writeData(w.chunks.encodeStop())
+		w.writeData([]byte(DataDone))
 	default:
-		w.event(EventError, problemOf(w.answer.Request(), refusalOf(end)))
+		w.writeEvent(EventError, refusalProblem(w.answer.Request(), refusalOf(end)))
 	}
 	return w.flush()
 }
 
-func (w *eventWriter) event(name string, value any) {
+func (w *eventWriter) writeEvent(name string, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
-		// The values are plain structs of strings and numbers.
+		// All values are structs of strings and numbers, which always encode.
 		data = []byte(`{}`)
 	}
 	w.buffer.WriteString("event: " + name + "\n")
-	w.data(data)
+	w.writeData(data)
 }
 
-func (w *eventWriter) data(data []byte) {
+func (w *eventWriter) writeData(data []byte) {
 	w.buffer.WriteString("data: ")
 	w.buffer.Write(data)
 	w.buffer.WriteString("\n\n")
 }
 
-// flush sends what is in the buffer, within the bound on one write. A caller
-// that reads too slowly is cut off and reattaches by request id: its answer
-// stays whole on the node, and the goroutine does not stay with it.
+// flush sends the buffered events within the write timeout. A caller that reads
+// too slowly is disconnected, which frees the goroutine. The answer remains on
+// the node, and the caller can reattach by request id.
 func (w *eventWriter) flush() error {
 	if w.buffer.Len() == 0 {
 		return nil
 	}
-	w.server.extendWrites(w.ctx)
+	w.server.extendWriteDeadline(w.ctx)
 	_, err := w.ctx.ResponseWriter().Write(w.buffer.Bytes())
 	w.buffer.Reset()
 	if err != nil {
 		return err
 	}
-	return controller(w.ctx).Flush()
+	return responseController(w.ctx).Flush()
 }
