--- a/internal/accountant/accountant.go
+++ b/internal/accountant/accountant.go
@@ -1,18 +1,18 @@
-// Package accountant counts, by windows of wall time, the requests of client
-// accounts that began to run, and decides when a window is reported.
+// Package accountant counts the requests of client accounts that began to run, by
+// windows of wall time, and decides when a window is reported.
 //
-// Each node counts its own requests and tells its peers its counts, so every
-// node knows those of all, and the death of a node loses only what it counted
-// since it last reported. The holder of the lease reports a window some time after
-// its end.
+// Each node counts its own requests and sends its counts to its peers, so every node
+// knows the counts of all nodes, and the failure of a node loses only what it counted
+// since its last message. The leader reports each window some time after the window's
+// end.
 //
-// A window must never be reported with two different counts, also where the
-// holder changes in between or a report is carried out late. So the holder
-// first appends what it is going to report to a stream of the platform's log,
-// and what is sent, by whomever, is the first record of the window in log
-// order: nothing else decides.
+// A window must never be reported with two different counts, even if the leader changes
+// or a report is delayed. The leader therefore first appends the counts to a stream of
+// the platform's log, and every leader reports the first record of the window in log
+// order.
 //
-// Everything is pure: time is an argument. Nothing is safe for concurrent use.
+// The package does no I/O and takes the time as an argument. Its types are not safe for
+// concurrent use.
 package accountant
 
 import (
@@ -25,59 +25,60 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Stream is the stream of the log that holds what is reported.
+// Stream is the log stream of usage records.
 const Stream identifier.LogStream = "usage"
 
 const (
-	// settleTime is how long after a window's end its counts are complete:
-	// peers tell theirs twice a second, and one message may be lost.
+	// settleDelay is the time after a window's end at which its counts are considered
+	// complete: peers send theirs every 500 ms, and a message may be lost.
 	settleDelay = 2 * timekeeper.Second
-	// againAfter is the spacing of repeated appends and reports. Both may be
-	// repeated without harm.
+	// retryInterval is the minimum time between repeated appends or reports of a
+	// window; both are idempotent.
 	retryInterval = 1 * timekeeper.Second
-	// rememberTime is how long after the log came back those that know a window's
-	// record have to write it again.
+	// rewritePeriod is the time that nodes have, after the log was restored, to append
+	// the records again that it lost.
 	rewritePeriod = 1500 * timekeeper.Millisecond
-	// keptWindows bounds the windows that are remembered.
+	// maxWindows bounds the number of past windows in memory.
 	maxWindows = 12
-	// toldWindows is how many windows a node tells its peers of: the present
-	// one, and those that are not yet reported.
+	// sharedWindows is the number of windows, the current one included, whose counts a
+	// node sends to its peers.
 	sharedWindows = 4
 	maxPeers      = 4096
 )
 
-// Config sets up an Accountant. Both spans are the users'.
+// Config holds the settings of an Accountant.
 type Config struct {
 	// Window is the length of a window.
 	Window timekeeper.Duration
-	// Late is how long after its end a report still counts.
+	// MaxReportDelay is the time after a window's end within which it may be reported.
 	MaxReportDelay timekeeper.Duration
 }
 
-// counts is requests by account.
+// counts holds the number of requests by account.
 type counts map[identifier.AccountID]int
 
-// Accountant is the usage as one node knows it.
+// Accountant is one node's view of the usage.
 type Accountant struct {
 	config Config
 	own    map[identifier.UsageWindow]counts
-	// others holds what each process of a peer reported last.
+	// peers holds the highest counts received from each process of a peer.
 	peers map[process]map[identifier.UsageWindow]counts
-	// agreed holds the first record of each window in the log.
+	// firstRecords holds the first record of each window in the log.
 	firstRecords map[identifier.UsageWindow]counts
 	lastSent     map[identifier.UsageWindow]timekeeper.Time
 	finished     map[identifier.UsageWindow]bool
-	// restored is when the log came back from an older copy, zero where it did not,
-	// and written the windows whose record was read since.
+	// restoredAt is the time at which the log was restored from an older copy, or zero.
+	// readSinceRestore holds the windows whose record was read since.
 	restoredAt       timekeeper.Time
 	readSinceRestore map[identifier.UsageWindow]bool
-	// began is the instant of the first read, and lostUntil one before which records
-	// may be gone of which this process never knew.
+	// firstReadAt is the time of the first read. Windows that ended before
+	// recordsLostUntil may have had records that were lost before this process read
+	// them.
 	firstReadAt      timekeeper.Time
 	recordsLostUntil timekeeper.Time
-	// era is that of the last record that was read.
+	// generation is the store generation of the last record.
 	generation identifier.StoreGeneration
-	// ignored counts records that could not be read.
+	// ignored counts malformed records.
 	ignored int
 }
 
@@ -86,7 +87,7 @@
 	incarnation identifier.Incarnation
 }
 
-// New returns an Accountant that has counted nothing.
+// New returns an Accountant whose counts are zero.
 func New(c Config) *Accountant {
 	return &Accountant{
 		config:       c,
@@ -100,26 +101,25 @@
 	}
 }
 
-// Restored takes in that the log came back from an older copy of itself. What was agreed on
-// is written again, since another process would agree on other counts for a window that
-// was reported already.
+// Restored records that the log was restored from an older copy. The first records that
+// it lost must be appended again, or the nodes would agree on other counts for a window
+// that was already reported.
 func (a *Accountant) Restored(now timekeeper.Time) {
 	a.restoredAt = now
 	clear(a.readSinceRestore)
 	clear(a.lastSent)
 }
 
-// window returns the window of an instant.
+// window returns the window that contains now.
 func (a *Accountant) window(now timekeeper.Time) identifier.UsageWindow {
 	return identifier.UsageWindow(int64(now) / int64(a.config.Window))
 }
 
-// end returns the end of a window.
 func (a *Accountant) end(w identifier.UsageWindow) timekeeper.Time {
 	return timekeeper.Time((int64(w) + 1) * int64(a.config.Window))
 }
 
-// Began counts a request that began to run now.
+// RequestBegan counts a request that began to run now.
 func (a *Accountant) RequestBegan(now timekeeper.Time, account identifier.AccountID) {
 	if a.config.Window <= 0 {
 		return
@@ -132,7 +132,7 @@
 	a.own[w][account]++
 }
 
-// forget drops windows that nobody asks for any more.
+// dropOldWindows drops windows that can no longer be reported.
 func (a *Accountant) dropOldWindows(now identifier.UsageWindow) {
 	old := func(w identifier.UsageWindow) bool { return w < now-maxWindows }
 	maps.DeleteFunc(a.own, func(w identifier.UsageWindow, _ counts) bool { return old(w) })
@@ -148,7 +148,7 @@
 	}
 }
 
-// Own returns this node's counts of the last windows, for its peers.
+// OwnCounts returns this node's counts of the last windows, for its peers.
 func (a *Accountant) OwnCounts(now timekeeper.Time) []messenger.UsageCount {
 	if a.config.Window <= 0 {
 		return nil
@@ -166,8 +166,8 @@
 	return out
 }
 
-// PeerCounts takes in the counts of a peer's process. Counts only grow, so of two
-// messages that crossed each other the larger count is the newer.
+// MergePeerCounts merges the counts of a peer's process. Counts only grow, so the
+// larger one is the newer if messages are reordered.
 func (a *Accountant) MergePeerCounts(vm identifier.VMID, i identifier.Incarnation, reported []messenger.UsageCount) {
 	peer := process{
 		vm:          vm,
@@ -188,7 +188,7 @@
 	}
 }
 
-// total returns the counts of a window over all nodes.
+// total returns the counts of a window summed over all nodes.
 func (a *Accountant) total(w identifier.UsageWindow) counts {
 	sum := maps.Clone(a.own[w])
 	if sum == nil {
@@ -202,14 +202,14 @@
 	return sum
 }
 
-// record is one record of the usage stream.
+// record is the JSON form of a record of the usage stream.
 type record struct {
 	Window identifier.UsageWindow `json:"window"`
 	Counts counts                 `json:"counts"`
 }
 
-// Absorb takes in records of the usage stream, in log order. A window that was
-// just agreed on is due at once.
+// ApplyRecords applies records of the usage stream, in log order. A window whose first
+// record was read can be reported at once.
 func (a *Accountant) ApplyRecords(now timekeeper.Time, read messenger.LogRead) {
 	if a.firstReadAt == 0 {
 		a.firstReadAt = now
@@ -230,7 +230,8 @@
 	}
 }
 
-// noteEra notes a record after which older ones may be missing.
+// recordGeneration updates the store generation. A new generation means that older
+// records may be missing.
 func (a *Accountant) recordGeneration(r messenger.Record) {
 	if generation := r.Offset.Generation(); generation > a.generation {
 		a.generation = generation
@@ -238,9 +239,9 @@
 	}
 }
 
-// unsure reports whether a window may have been reported by a record that is gone. Those
-// that know it write it again at once; one of which nobody does is left out, rather than
-// reported with other counts.
+// mayHaveBeenReported reports whether a window may have been reported under a record
+// that was lost. Nodes that know the record append it again within rewritePeriod. If no
+// node knows it, the window is left out, since it could be reported with other counts.
 func (a *Accountant) mayHaveBeenReported(now timekeeper.Time, w identifier.UsageWindow) bool {
 	end := a.end(w)
 	if end < a.restoredAt && now.Sub(a.restoredAt) < rewritePeriod {
@@ -249,8 +250,9 @@
 	return end < a.firstReadAt && (end < a.recordsLostUntil || now.Sub(a.firstReadAt) < rewritePeriod)
 }
 
-// Rewrite returns the records that the log lost and this node knows, to be appended again.
-// Each node that knows them does so, not the holder alone: it may have started just now.
+// RewriteLostRecords returns the records that the log lost and this node knows, to be
+// appended again. Every node does so, not only the leader, which may have started after
+// the loss.
 func (a *Accountant) RewriteLostRecords(now timekeeper.Time) []messenger.Effect {
 	if a.restoredAt == 0 || now.Sub(a.restoredAt) > a.config.MaxReportDelay {
 		return nil
@@ -269,10 +271,10 @@
 	return out
 }
 
-// Ignored returns how many records could not be read.
+// Ignored returns the number of malformed records.
 func (a *Accountant) Ignored() int { return a.ignored }
 
-// Tick returns what the holder of the lease has to append and to report.
+// Tick returns the records to append and the reports to send. Only the leader calls it.
 func (a *Accountant) Tick(now timekeeper.Time, fence identifier.Fence, notAfter timekeeper.Time) []messenger.Effect {
 	if a.config.Window <= 0 {
 		return nil
@@ -286,7 +288,7 @@
 	return out
 }
 
-// due returns what a window needs now, or nil.
+// nextEffect returns the append or the report that a window needs now, or nil.
 func (a *Accountant) nextEffect(now timekeeper.Time, w identifier.UsageWindow, fence identifier.Fence, notAfter timekeeper.Time) messenger.Effect {
 	since := now.Sub(a.end(w))
 	if a.finished[w] || since < settleDelay || since > a.config.MaxReportDelay {
@@ -297,7 +299,7 @@
 	}
 	recorded, ok := a.firstRecords[w]
 	if ok && a.restoredAt != 0 && !a.readSinceRestore[w] {
-		return nil // Until it stands in the log again, see Rewrite.
+		return nil // RewriteLostRecords must append it first.
 	}
 	if ok {
 		a.lastSent[w] = now
@@ -316,14 +318,14 @@
 	return a.appendEffect(w, sum)
 }
 
-// appendCounts writes what is to be reported of a window.
+// appendEffect returns the effect that appends the counts of a window.
 func (a *Accountant) appendEffect(w identifier.UsageWindow, c counts) messenger.Effect {
 	data, err := json.Marshal(record{
 		Window: w,
 		Counts: c,
 	})
 	if err != nil {
-		a.ignored++ // Numbers and names always encode.
+		a.ignored++ // Unreachable: counts always encode.
 		return nil
 	}
 	return messenger.AppendRecord{
@@ -332,7 +334,7 @@
 	}
 }
 
-// Reported takes in the end of a report.
+// ReportEnded records the result of a report. A refused one is not repeated.
 func (a *Accountant) ReportEnded(w identifier.UsageWindow, result messenger.LeaderTaskResult) {
 	if result == messenger.LeaderTaskDone || result == messenger.LeaderTaskRefused {
 		a.finished[w] = true
--- a/internal/accountant/accountant_test.go
+++ b/internal/accountant/accountant_test.go
@@ -13,7 +13,7 @@
 
 const (
 	window = 5 * timekeeper.Second
-	// first is the window that the tests count in, and begins its start.
+	// first is the window in which the tests count, and firstStart its start.
 	first      identifier.UsageWindow = 200
 	firstStart                        = timekeeper.Time(int64(first) * int64(window))
 )
@@ -29,7 +29,7 @@
 	return a.Tick(now, 7, now.Add(1000))
 }
 
-// logged puts appended records into a log in order and lets all read it.
+// applyToLog appends the records to a log in order and lets all readers read it.
 func applyToLog(effects []messenger.Effect, readers ...*accountant.Accountant) {
 	read := messenger.LogRead{Stream: accountant.Stream}
 	for _, e := range effects {
@@ -52,10 +52,8 @@
 	return out
 }
 
-// A holder appends its counts, sends them and dies before it knows whether they
-// arrived. The next holder knows of more requests by then. Sent with its own
-// counts, the window would be reported twice and differently, so it sends what
-// the log has first, whatever it appended itself.
+// Two leaders append different counts for one window. Both must report the first record
+// in the log, or the window would be reported twice with different counts.
 func TestSuccessiveLeadersReportSameCounts(t *testing.T) {
 	one, two := newAccountant(), newAccountant()
 	one.RequestBegan(firstStart, "agency")
@@ -72,8 +70,8 @@
 	require.Equal(t, map[identifier.AccountID]int{"agency": 1}, ofOne[0].Counts)
 }
 
-// Nothing is reported before it stands in the log, before all peers had time to
-// tell their counts, after its time, or again once it is done.
+// A window must not be reported before its record is in the log, before the peers have
+// sent their counts, after MaxReportDelay, or again once the report succeeded.
 func TestReportSchedule(t *testing.T) {
 	a := newAccountant()
 	a.RequestBegan(firstStart, "agency")
@@ -82,12 +80,12 @@
 	appends := tick(a, end.Add(2000))
 	require.Len(t, appends, 1)
 	require.Empty(t, reports(appends))
-	require.Empty(t, tick(a, end.Add(2100)), "the append is under way")
-	require.Len(t, tick(a, end.Add(3100)), 1, "it may have been lost")
+	require.Empty(t, tick(a, end.Add(2100)), "the append is in flight")
+	require.Len(t, tick(a, end.Add(3100)), 1, "the append may have been lost")
 	applyToLog(appends, a)
 	require.Len(t, reports(tick(a, end.Add(3200))), 1)
 	require.Empty(t, tick(a, end.Add(3300)))
-	require.Len(t, reports(tick(a, end.Add(4300))), 1, "no answer came")
+	require.Len(t, reports(tick(a, end.Add(4300))), 1, "the report was not answered")
 	a.ReportEnded(first, messenger.LeaderTaskDone)
 	require.Empty(t, tick(a, end.Add(9000)))
 
@@ -96,8 +94,8 @@
 	require.Empty(t, tick(expired, end.Add(10_100)))
 }
 
-// A peer's counts arrive again and again, crossed, and from two processes on
-// one VM. Each request counts once.
+// A peer's counts arrive repeatedly, out of order, and from two processes on one VM.
+// Each request must count once.
 func TestPeerCountsAreDeduplicated(t *testing.T) {
 	a := newAccountant()
 	a.RequestBegan(firstStart, "agency")
@@ -120,7 +118,7 @@
 	require.Equal(t, map[identifier.AccountID]int{"agency": 7}, report[0].Counts)
 }
 
-// A node tells its peers of the present window and those not yet reported.
+// A node must send the counts of the current window and of those not yet reported.
 func TestOwnCounts(t *testing.T) {
 	a := newAccountant()
 	a.RequestBegan(firstStart, "agency")
--- a/internal/adapter/adapter.go
+++ b/internal/adapter/adapter.go
@@ -1,23 +1,23 @@
-// Package adapter is the client side of everything that the system stands on:
-// the platform's log, VM list, cloud API and weight store (Log, Lister, Cloud,
-// Weights), the model engines (Engine) and the plain servers (Plain).
+// Package adapter holds the clients of the external services: the platform's log, VM
+// list, cloud API and weight store (Log, Lister, Cloud, Weights), the model engines
+// (Engine) and the plain servers (Plain).
 //
-// The clients decide nothing. Their one duty is to say truthfully what became
-// of a call, because the right to repeat it hangs on that:
+// The clients make no decisions. They report precisely what is known about a failed
+// call, since that decides whether it may be repeated:
 //
-//   - NotSentError: no byte of the request left. It did not run.
-//   - RefusedError: the server promises that it did not run.
-//   - RateLimitedError: the platform took nothing.
-//   - UnavailableError: the platform could not be reached at all, or a call
-//     without effect failed.
-//   - ConnectionError, ResponseTimeoutError: the connection ended early or lost its voice;
-//     the call may have run.
-//   - AmbiguousError: the platform may have taken the effect.
-//   - ServerFailedError: the server ran it and says that it failed.
+//   - NotSentError: no byte of the request was sent. It did not run.
+//   - RefusedError: the server guarantees that the request did not run.
+//   - RateLimitedError: the platform rejected the call; it had no effect.
+//   - UnavailableError: the platform was unreachable, or a call without effect
+//     failed.
+//   - ConnectionError, ResponseTimeoutError: the connection ended early or
+//     stalled; the call may have run.
+//   - AmbiguousError: the call to the platform may have had its effect.
+//   - ServerFailedError: the server ran the request and reports that it failed.
 //   - StaleFenceError, UnknownStreamError, BuyRefusedError: as named.
 //
-// Each call sends its request at most once. net/http repeats a request by
-// itself only on a reused connection, so calls with an effect get a fresh one.
+// Each call sends its request at most once. net/http retries a request by itself
+// only on a reused connection, so calls with an effect use a new connection.
 package adapter
 
 import (
@@ -37,23 +37,23 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// The bounds of a client that its Config does not set.
+// The defaults of Timeouts, and the limits of all clients.
 const (
 	DefaultDialTimeout = timekeeper.Second
 	DefaultCallTimeout = 3 * timekeeper.Second
-	// maxReply bounds an answer that is read whole.
+	// maxReply bounds an answer that is read whole, in bytes.
 	maxReply = 32 << 20
-	// maxIdle is enough for one long poll on each stream of the log.
+	// maxIdlePerHost allows for one long poll on each stream of the log.
 	maxIdlePerHost = 16
-	// maxProblem bounds the body of an error answer.
+	// maxErrorBody bounds the body of an error answer, in bytes.
 	maxErrorBody = 64 << 10
 )
 
-// Bounds are the time limits of a client.
+// Timeouts holds the timeouts of a client.
 type Timeouts struct {
-	// Dial bounds opening a connection.
+	// Dial is the timeout for opening a connection.
 	Dial timekeeper.Duration
-	// Call bounds a whole call, the wait of a long poll not counted.
+	// Call is the timeout of a whole call, without the waiting time of a long poll.
 	Call timekeeper.Duration
 }
 
@@ -63,7 +63,7 @@
 	return timeouts
 }
 
-// client sends requests over one transport.
+// client is an HTTP client with timeouts.
 type client struct {
 	timeouts Timeouts
 	http     http.Client
@@ -74,9 +74,9 @@
 	return newClientWith(timeouts, false)
 }
 
-// newFreshClient returns a client that opens a connection for every request:
-// a pooled one may have gone silent for good, and net/http may send a request
-// twice when a pooled connection closes under it.
+// newUnpooledClient returns a client that opens a connection for every request: a
+// pooled one may have stalled, and net/http may send a request twice if a pooled
+// connection closes.
 func newUnpooledClient(timeouts Timeouts) *client {
 	return newClientWith(timeouts, true)
 }
@@ -99,10 +99,10 @@
 	}
 }
 
-// close ends the idle connections.
+// close closes the idle connections.
 func (c *client) close() { c.http.CloseIdleConnections() }
 
-// call is one request to make.
+// call is an HTTP request.
 type call struct {
 	method  string
 	address string
@@ -113,8 +113,8 @@
 
 func (c call) url() string { return "http://" + c.address + c.path }
 
-// do sends the request. Its error is a *NotSentError when no byte of it can
-// have left, else a *ConnectionError.
+// do sends the request. Its error is a *NotSentError if no byte of the request can have
+// been sent, otherwise a *ConnectionError.
 func (c *client) do(ctx context.Context, req call) (*http.Response, error) {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -137,8 +137,8 @@
 	case err == nil:
 		return response, nil
 	case !connected.Load():
-		// The transport writes only after it has handed a connection to the
-		// request, which GotConn reports: without it nothing left.
+		// The transport sends nothing before it has assigned a connection to the
+		// request, which GotConn reports.
 		return nil, &NotSentError{
 			Address: req.address,
 			Cause:   err,
@@ -151,8 +151,8 @@
 	}
 }
 
-// cause prefers the reason for which a context was ended over the fact that
-// it was.
+// cause returns the cause of the context's cancellation, or err if the context is not
+// cancelled.
 func cause(ctx context.Context, err error) error {
 	if reason := context.Cause(ctx); reason != nil {
 		return reason
@@ -160,8 +160,8 @@
 	return err
 }
 
-// exchange makes a call and decodes the JSON answer into reply, which may be
-// nil. Answers other than 2xx are *StatusError.
+// callJSON makes a call and decodes the JSON answer into reply, which may be nil. A
+// status other than 2xx is a *StatusError.
 func (c *client) callJSON(ctx context.Context, req call, reply any) error {
 	response, err := c.do(ctx, req)
 	if err != nil {
@@ -190,14 +190,14 @@
 	return nil
 }
 
-// exchangeBounded is exchange within the client's time limit plus extra.
+// callJSONWithTimeout is callJSON with the client's timeout plus extra.
 func (c *client) callJSONWithTimeout(ctx context.Context, req call, reply any, extra timekeeper.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, (c.timeouts.Call + extra).Std())
 	defer cancel()
 	return c.callJSON(ctx, req, reply)
 }
 
-// get is exchangeBounded for a call without a body.
+// get is callJSONWithTimeout for a GET request.
 func (c *client) get(ctx context.Context, address, path string, reply any, extra timekeeper.Duration) error {
 	return c.callJSONWithTimeout(ctx, call{
 		method:  http.MethodGet,
@@ -206,7 +206,7 @@
 	}, reply, extra)
 }
 
-// statusError reads an answer that is not a success.
+// statusError returns the error for an answer that is not a success.
 func statusError(address string, response *http.Response) *StatusError {
 	body, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBody))
 	var problem encoder.Problem
@@ -221,7 +221,7 @@
 	}
 }
 
-// retryAfter reads when a server wants its caller back; zero is no wish.
+// retryAfter returns the time after which the server asks for a retry, or zero.
 func retryAfter(header http.Header, problem encoder.Problem) timekeeper.Duration {
 	if problem.RetryAfterMS > 0 {
 		return timekeeper.Duration(problem.RetryAfterMS)
@@ -233,7 +233,7 @@
 	return timekeeper.Duration(seconds) * timekeeper.Second
 }
 
-// postJSON builds a call that posts the JSON form of body.
+// postJSON returns a call that posts body as JSON.
 func postJSON(address, path string, body any) (call, error) {
 	text, err := json.Marshal(body)
 	if err != nil {
--- a/internal/adapter/client_test.go
+++ b/internal/adapter/client_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// dropSecond answers the first request of each connection and cuts the
-// connection at the second, as a server does that closes an idle connection
-// at the moment at which a request comes. It counts the requests.
+// startDroppingServer starts a server that answers the first request of each connection
+// and cuts the connection at the second, as if it closed an idle connection while a
+// request arrived. It counts the requests.
 func startDroppingServer(t *testing.T) (address string, requests *atomic.Int64) {
 	t.Helper()
 	var seen atomic.Value
@@ -28,10 +28,9 @@
 	return server.Listener.Addr().String(), requests
 }
 
-// A call with an effect arrives just as the server closes the connection. If
-// it goes out a second time by itself it may run twice, and nobody ever
-// learns. net/http does that on pooled connections; fresh ones rule it out.
-// The control makes the same calls over a pooled connection and sees it.
+// A call with an effect that arrives while the server closes the connection must not be
+// sent twice, as net/http does on pooled connections. The control shows the repeat on a
+// pooled connection.
 func TestUnpooledRequestsAreNotReplayed(t *testing.T) {
 	cases := []struct {
 		name     string
--- a/internal/adapter/cloud.go
+++ b/internal/adapter/cloud.go
@@ -14,14 +14,13 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Lister is the client of the platform's list of VMs. It is safe for
-// concurrent use.
+// Lister is a client of the platform's list of VMs. It is safe for concurrent use.
 type Lister struct {
 	config PlatformConfig
 	client *client
 }
 
-// NewLister returns a client of the list.
+// NewLister returns a Lister for the given platform.
 func NewLister(c PlatformConfig) *Lister {
 	return &Lister{
 		config: c,
@@ -29,10 +28,10 @@
 	}
 }
 
-// Close ends the idle connections.
+// Close closes the idle connections.
 func (l *Lister) Close() { l.client.close() }
 
-// List returns the list, dated by this process's clock. Its error is an
+// List returns the list with its time by this process's clock. Its error is an
 // *UnavailableError.
 func (l *Lister) List(ctx context.Context) (messenger.ListRead, error) {
 	sentAt := l.config.clock().Now()
@@ -41,8 +40,7 @@
 		return messenger.ListRead{}, readError(err)
 	}
 	read := messenger.ListRead{
-		// Dated from before the call: a list is never taken for newer than it
-		// is.
+		// Counted from before the call, so that the list never seems newer than it is.
 		AsOf: sentAt.Add(-timekeeper.Duration(reply.AgeMS)),
 		VMs:  make([]messenger.VMState, 0, len(reply.VMs)),
 	}
@@ -60,15 +58,15 @@
 	return read, nil
 }
 
-// Cloud is the client of the platform's cloud API. It is safe for concurrent
-// use.
+// Cloud is a client of the platform's cloud API. It is safe for concurrent use.
 type Cloud struct{ platformClient }
 
-// NewCloud returns a client of the cloud API.
+// NewCloud returns a Cloud for the given platform.
 func NewCloud(c PlatformConfig) *Cloud { return &Cloud{platformClient: newPlatformClient(c)} }
 
-// Buy buys a VM. Its errors are *BuyRefusedError and *UnavailableError, when
-// nothing was bought, and *AmbiguousError. The caller checks its lease before.
+// Buy buys a VM. If its error is a *BuyRefusedError, a *RateLimitedError or an
+// *UnavailableError, nothing was bought; an *AmbiguousError means that it may have
+// been. The caller must check its lease first.
 func (c *Cloud) Buy(ctx context.Context, b messenger.BuyVM) (identifier.VMID, error) {
 	req, err := postJSON(c.config.Address, "/cloud/vms", encoder.BuyRequest{
 		ClientToken: b.ClientToken,
@@ -92,8 +90,8 @@
 	return reply.VM, nil
 }
 
-// Release gives a VM back. A VM that the cloud no longer knows counts as
-// given back. Its errors are *UnavailableError and *AmbiguousError.
+// Release returns a VM to the cloud. It succeeds if the cloud does not know the VM. Its
+// errors are *RateLimitedError, *UnavailableError and *AmbiguousError.
 func (c *Cloud) Release(ctx context.Context, vm identifier.VMID) error {
 	req := call{
 		method:  http.MethodDelete,
@@ -108,16 +106,15 @@
 	return effectError(err)
 }
 
-// Notice is a reclaim notice.
+// Notice is a reclaim notice for a VM.
 type Notice struct {
 	Seq      uint64
 	VM       identifier.VMID
 	Deadline timekeeper.Time
 }
 
-// Notices returns the reclaim notices after a sequence number. Where there
-// are none it waits for the first one, up to wait. Its error is an
-// *UnavailableError.
+// Notices returns the reclaim notices after a sequence number. If there are none, it
+// waits up to wait for the first one. Its error is an *UnavailableError.
 func (c *Cloud) Notices(ctx context.Context, after uint64, wait timekeeper.Duration) ([]Notice, error) {
 	values := url.Values{}
 	values.Set("after", strconv.FormatUint(after, 10))
@@ -139,14 +136,13 @@
 	return notices, nil
 }
 
-// Weights is the client of the platform's weight store. It is safe for
-// concurrent use.
+// Weights is a client of the platform's weight store. It is safe for concurrent use.
 type Weights struct {
 	config PlatformConfig
 	client *client
 }
 
-// NewWeights returns a client of the weight store.
+// NewWeights returns a Weights for the given platform.
 func NewWeights(c PlatformConfig) *Weights {
 	return &Weights{
 		config: c,
@@ -154,8 +150,8 @@
 	}
 }
 
-// Fetch writes the weights of a model to w, at the store's own rate; only ctx
-// bounds it. Its error is an *UnavailableError.
+// Fetch copies the weights of a model to w. It has no timeout except that of ctx. Its
+// error is an *UnavailableError.
 func (s *Weights) Fetch(ctx context.Context, model identifier.ModelName, w io.Writer) (identifier.Bytes, error) {
 	response, err := s.client.do(ctx, call{
 		method:  http.MethodGet,
--- a/internal/adapter/encoder/encoder.go
+++ b/internal/adapter/encoder/encoder.go
@@ -1,11 +1,10 @@
-// Package encoder declares the JSON shapes and header names of the protocols
-// between this system and what it stands on: the platform's log, VM list,
-// cloud API and weight store, the model engines and the plain servers.
+// Package encoder declares the JSON messages and header names of the protocols with the
+// external services: the platform's log, VM list, cloud API and weight store, the model
+// engines and the plain servers.
 //
-// Package adapter speaks them as a client; the stand-ins under
-// internal/standin speak them as servers. All spans travel as whole
-// milliseconds that remain, never as instants, because the clocks of the two
-// ends differ.
+// Package adapter implements the client side; the simulated services under
+// internal/standin implement the server side. Times are sent as durations in whole
+// milliseconds instead of timestamps, since the clocks of the two ends differ.
 package encoder
 
 import (
@@ -16,31 +15,31 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// The headers that the protocols use beside the standard ones.
+// The headers that the protocols use in addition to the standard ones, and Retry-After.
 const (
-	// OutcomeHeader tells what became of a request that was not served.
+	// OutcomeHeader states the outcome of a request that was not served.
 	OutcomeHeader = "Outcome"
-	// RequestIDHeader names the request towards a plain server.
+	// RequestIDHeader holds the id of a request to a plain server.
 	RequestIDHeader = "Request-Id"
-	// DeadlineHeader is the time that remains, in milliseconds.
+	// DeadlineHeader holds the time until the deadline, in milliseconds.
 	DeadlineHeader = "Deadline-Ms"
 	// RetryAfterHeader is the standard header, in seconds.
 	RetryAfterHeader = "Retry-After"
 )
 
-// OutcomeNotRun is the value of OutcomeHeader by which a server promises that
-// nothing of the request ran or will run.
+// OutcomeNotRun is the value of OutcomeHeader with which a server guarantees that the
+// request did not run and will not.
 const OutcomeNotRun = "not_run"
 
-// Problem is the body of every answer that is an error.
+// Problem is the body of every error answer.
 type Problem struct {
 	Error   string `json:"error"`
 	Outcome string `json:"outcome,omitempty"`
-	// RetryAfterMS is exact where the Retry-After header counts in seconds.
+	// RetryAfterMS is the value of Retry-After in milliseconds.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
 }
 
-// WriteJSON answers with status and the JSON form of v.
+// WriteJSON writes an answer with the given status and v as JSON.
 func WriteJSON(w http.ResponseWriter, status int, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
@@ -52,8 +51,8 @@
 	_, _ = w.Write(body)
 }
 
-// WriteProblem answers with status and a Problem, and with the headers that
-// say the same.
+// WriteProblem writes an error answer with the given status, and sets the headers that
+// correspond to p.
 func WriteProblem(w http.ResponseWriter, status int, p Problem) {
 	if p.Outcome != "" {
 		w.Header().Set(OutcomeHeader, p.Outcome)
--- a/internal/adapter/encoder/platform.go
+++ b/internal/adapter/encoder/platform.go
@@ -5,8 +5,8 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// AppendRequest is the body of POST /log/append. The records are appended
-// together and in order, or not at all.
+// AppendRequest is the body of POST /log/append. The records are appended atomically
+// and in order.
 type AppendRequest struct {
 	Records []AppendRecord `json:"records"`
 }
@@ -17,16 +17,16 @@
 	Data   []byte               `json:"data"`
 }
 
-// AppendResponse gives the offsets of the records, in their order.
+// AppendResponse holds the offsets of the records, in the order of the request.
 type AppendResponse struct {
 	Offsets []identifier.Offset `json:"offsets"`
 }
 
-// ReadResponse answers GET /log/read?stream=&from=&limit=&wait_ms=.
+// ReadResponse is the answer to GET /log/read?stream=&from=&limit=&wait_ms=.
 type ReadResponse struct {
-	// First is the oldest offset that the log still keeps, over all streams.
+	// First is the oldest offset in the log, over all streams.
 	First identifier.Offset `json:"first"`
-	// End tells that the stream has no record after these.
+	// End reports that the stream has no record after these.
 	End     bool        `json:"end"`
 	Records []LogRecord `json:"records"`
 }
@@ -38,15 +38,15 @@
 	Data       []byte            `json:"data"`
 }
 
-// ListResponse answers GET /vms. AgeMS is how old the list is; AsOfMS is the
-// same instant by the platform's own clock.
+// ListResponse is the answer to GET /vms. AgeMS is the age of the list; AsOfMS is its
+// time by the platform's clock.
 type ListResponse struct {
 	AsOfMS int64 `json:"as_of_ms"`
 	AgeMS  int64 `json:"age_ms"`
 	VMs    []VM  `json:"vms"`
 }
 
-// VM is a VM as the platform shows it.
+// VM is a VM in the platform's list.
 type VM struct {
 	VM      identifier.VMID     `json:"vm"`
 	Zone    identifier.Zone     `json:"zone"`
@@ -66,12 +66,12 @@
 	Pool        identifier.PoolName `json:"pool"`
 }
 
-// NoticesResponse answers GET /cloud/notices?after=&wait_ms=.
+// NoticesResponse is the answer to GET /cloud/notices?after=&wait_ms=.
 type NoticesResponse struct {
 	Notices []Notice `json:"notices"`
 }
 
-// Notice says that the cloud takes a VM away.
+// Notice reports that the cloud will reclaim a VM.
 type Notice struct {
 	Seq            uint64          `json:"seq"`
 	VM             identifier.VMID `json:"vm"`
--- a/internal/adapter/encoder/prompt.go
+++ b/internal/adapter/encoder/prompt.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// BytesPerToken is the rule of thumb by which prompts are counted.
+	// BytesPerToken is the approximation by which the tokens of prompts are counted.
 	BytesPerToken = 4
 	// BlockTokens is the size of one block of an engine's prefix cache.
 	BlockTokens = 64
 )
 
-// PromptTokens returns the number of tokens of a prompt.
+// PromptTokens returns the approximate number of tokens of a prompt.
 func PromptTokens(prompt string) identifier.Tokens {
 	return identifier.Tokens((len(prompt) + BytesPerToken - 1) / BytesPerToken)
 }
 
-// Prefix names the whole blocks of a prompt, shortest prefix first: each hash
-// covers its block and all blocks before it.
+// Prefix returns the hashes of the complete blocks of a prompt, shortest prefix first.
+// Each hash covers its block and all blocks before it.
 func Prefix(prompt string) []identifier.PrefixHash {
 	const blockBytes = BlockTokens * BytesPerToken
 	var hashes []identifier.PrefixHash
--- a/internal/adapter/encoder/server.go
+++ b/internal/adapter/encoder/server.go
@@ -5,12 +5,11 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// The names of the events of an engine's stream besides the unnamed token
-// event.
+// The names of stream events. Token events are unnamed.
 const (
-	// EndEvent closes a whole stream; its data is an End.
+	// EndEvent ends a complete stream; its data is an End.
 	EndEvent = "end"
-	// ErrorEvent closes a stream that will not go on; its data is a Problem.
+	// ErrorEvent ends an incomplete stream; its data is a Problem.
 	ErrorEvent = "error"
 )
 
@@ -19,11 +18,11 @@
 	Stream identifier.StreamName `json:"stream"`
 	Model  identifier.ModelName  `json:"model"`
 	Prompt string                `json:"prompt"`
-	// PromptTokens and Prefix are worked out from Prompt where they are
-	// absent.
+	// PromptTokens and Prefix are computed from Prompt if they are absent.
 	PromptTokens identifier.Tokens       `json:"prompt_tokens,omitempty"`
 	Prefix       []identifier.PrefixHash `json:"prefix,omitempty"`
-	// From is how many tokens of the answer the asker has; Given holds them.
+	// From is the number of tokens of the answer that the client already has; Given
+	// holds them.
 	From       identifier.Tokens `json:"from"`
 	Given      []string          `json:"given,omitempty"`
 	MaxTokens  identifier.Tokens `json:"max_tokens"`
@@ -37,7 +36,7 @@
 	Token string `json:"token"`
 }
 
-// End is the data of the end event.
+// End is the data of the end event: the number of tokens of the answer.
 type End struct {
 	Tokens identifier.Tokens `json:"tokens"`
 }
@@ -47,7 +46,7 @@
 	ToAddress string `json:"to_address"`
 }
 
-// KV is a stream's KV cache as one engine hands it to another.
+// KV is a stream's KV cache as sent from one engine to another.
 type KV struct {
 	Stream  identifier.StreamName   `json:"stream"`
 	Model   identifier.ModelName    `json:"model"`
@@ -56,7 +55,7 @@
 	Context identifier.Tokens       `json:"context"`
 }
 
-// Load answers GET /load. AgeMS tells how long ago the server measured it.
+// Load is the answer to GET /load. AgeMS is the age of the measurement.
 type Load struct {
 	AgeMS           int64                `json:"age_ms"`
 	Running         int                  `json:"running"`
@@ -69,13 +68,13 @@
 	Fence           identifier.Fence     `json:"fence"`
 }
 
-// CacheEventsResponse answers GET /cache_events?after=.
+// CacheEventsResponse is the answer to GET /cache_events?after=.
 type CacheEventsResponse struct {
 	Events []CacheEvent `json:"events"`
 }
 
-// CacheEvent tells that the engine now holds a prefix block, or dropped it.
-// A hole in the sequence tells that events were lost.
+// CacheEvent reports that the engine cached or evicted a prefix block. A gap in the
+// sequence numbers means that events were lost.
 type CacheEvent struct {
 	Seq     uint64                `json:"seq"`
 	Hash    identifier.PrefixHash `json:"hash"`
--- a/internal/adapter/engine.go
+++ b/internal/adapter/engine.go
@@ -14,10 +14,10 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// ServerConfig configures the clients of backend servers.
+// ServerConfig holds the settings of the clients of backend servers.
 type ServerConfig struct {
 	Timeouts Timeouts
-	// Clock dates load reports.
+	// Clock sets the times of load reports; nil is the system clock.
 	Clock timekeeper.Clock
 }
 
@@ -28,15 +28,15 @@
 	return c.Clock
 }
 
-// Engine is the client of all model engines; every method takes the engine's
-// host:port. It is safe for concurrent use.
+// Engine is a client of the model engines. Each method takes an engine's host:port. It
+// is safe for concurrent use.
 type Engine struct {
 	config  ServerConfig
 	streams *client
 	polls   *client
 }
 
-// NewEngine returns a client of the model engines.
+// NewEngine returns an Engine with the given settings.
 func NewEngine(c ServerConfig) *Engine {
 	return &Engine{
 		config:  c,
@@ -45,47 +45,47 @@
 	}
 }
 
-// Close ends the idle connections.
+// Close closes the idle connections.
 func (e *Engine) Close() {
 	e.streams.close()
 	e.polls.close()
 }
 
-// Start says which stream to start.
+// StartRequest describes a stream to start.
 type StartRequest struct {
 	Stream       identifier.StreamName
 	Model        identifier.ModelName
 	Prompt       string
-	PromptTokens identifier.Tokens       // counted by the engine when zero
-	Prefix       []identifier.PrefixHash // worked out by the engine when nil
-	// Given is the answer so far, one text a token; the stream goes on after
-	// it. The engine reads prompt and Given anew, but for what its caches
-	// hold, imported KV copies of the same prompt included.
+	PromptTokens identifier.Tokens       // counted by the engine if zero
+	Prefix       []identifier.PrefixHash // computed by the engine if nil
+	// AnswerSoFar holds the tokens of the answer that are already known; the stream
+	// continues after them. The engine recomputes the prompt and these tokens, except
+	// for what its caches hold, imported KV copies of the same prompt included.
 	AnswerSoFar []string
-	// MaxTokens bounds the whole answer, Given included.
+	// MaxTokens bounds the whole answer, AnswerSoFar included.
 	MaxTokens identifier.Tokens
 	Priority  catalog.Priority
-	// Remaining is the time to the deadline; zero is none.
+	// Remaining is the time until the deadline; zero means no deadline.
 	Remaining timekeeper.Duration
 }
 
-// Token is one token of an answer; Index counts from 1.
+// Token is one token of an answer. Index counts from 1.
 type Token struct {
 	Index identifier.Tokens
 	Text  string
 }
 
-// Sink takes what a stream brings, in order and from one goroutine.
+// Sink receives the tokens of a stream, in order and from one goroutine.
 type Sink interface {
-	// Started tells that the engine has taken the stream up.
+	// Started reports that the engine accepted the stream.
 	Started()
-	// Token takes the next token. An error ends the reading, not the stream,
-	// and is what Start or Resume returns.
+	// Token receives the next token. An error ends the reading, not the engine's
+	// stream, and is returned by Start or Resume.
 	Token(Token) error
 }
 
-// Start starts a stream and reads it to its end. A nil error means that the
-// answer is whole. Its errors are *NotSentError, *RefusedError, *ConnectionError,
+// Start starts a stream and reads it to its end. A nil error means that the answer is
+// complete. Its errors are *NotSentError, *RefusedError, *ConnectionError,
 // *ResponseTimeoutError, *ServerFailedError, *TokenSequenceError and those of the sink.
 func (e *Engine) Start(ctx context.Context, address string, s StartRequest, timeouts ResponseTimeouts, sink Sink) error {
 	req, err := postJSON(address, "/generate", encoder.GenerateRequest{
@@ -111,9 +111,8 @@
 	})
 }
 
-// Resume reads a stream that the engine already runs, from after the given
-// token index to its end. Its errors are those of Start and
-// *UnknownStreamError.
+// Resume reads a stream that the engine already runs, from after the given token index
+// to its end. Its errors are those of Start and *UnknownStreamError.
 func (e *Engine) Resume(ctx context.Context, address string, stream identifier.StreamName, after identifier.Tokens, timeouts ResponseTimeouts, sink Sink) error {
 	err := e.readStream(ctx, call{
 		method:  http.MethodGet,
@@ -128,7 +127,7 @@
 	return unknownStream(err, address, stream)
 }
 
-// Cancel makes the engine drop a stream. An unknown stream is no error.
+// Cancel ends a stream at the engine. An unknown stream is not an error.
 func (e *Engine) Cancel(ctx context.Context, address string, stream identifier.StreamName) error {
 	err := e.streams.callJSONWithTimeout(ctx, call{
 		method:  http.MethodDelete,
@@ -142,9 +141,9 @@
 	return serverError(err)
 }
 
-// MoveKV makes an engine copy the KV cache of a stream to another engine.
-// Only ctx bounds it, because the transfer takes as long as it takes. Its
-// errors are those of Start and *UnknownStreamError.
+// MoveKV makes an engine copy the KV cache of a stream to another engine. It has no
+// timeout except that of ctx, since the duration depends on the size. Its errors are
+// those of Start and *UnknownStreamError.
 func (e *Engine) MoveKV(ctx context.Context, address string, stream identifier.StreamName, toAddress string) error {
 	req, err := postJSON(address, streamPath(stream)+"/export", encoder.ExportRequest{ToAddress: toAddress})
 	if err != nil {
@@ -153,24 +152,23 @@
 	return unknownStream(serverError(e.streams.callJSON(ctx, req, nil)), address, stream)
 }
 
-// Load asks an engine, or a plain server, for its load.
+// Load returns the load of an engine or a plain server.
 func (e *Engine) Load(ctx context.Context, address string) (messenger.ServerLoad, error) {
 	return pollLoad(ctx, e.polls, e.config.clock(), address)
 }
 
-// CacheEvents is what became of an engine's prefix cache.
+// CacheEvents holds the changes of an engine's prefix cache.
 type CacheEvents struct {
 	Cached  []identifier.PrefixHash
 	Evicted []identifier.PrefixHash
-	// Gap tells that events were lost before or between these.
+	// Gap reports that events were lost before or between these.
 	Gap bool
-	// Last is the sequence number to ask from next time.
+	// Last is the sequence number after which the next call continues.
 	Last uint64
 }
 
-// CacheEvents returns the changes of an engine's prefix cache after a
-// sequence number. A block that was taken in and dropped again counts as its
-// last state.
+// CacheEvents returns the changes of an engine's prefix cache after a sequence number.
+// Only the last change of each block is returned.
 func (e *Engine) CacheEvents(ctx context.Context, address string, after uint64) (CacheEvents, error) {
 	var reply encoder.CacheEventsResponse
 	path := "/cache_events?after=" + strconv.FormatUint(after, 10)
@@ -200,9 +198,10 @@
 	return merged
 }
 
-// Order gives an engine an order. Its errors are *StaleFenceError,
-// *NotSentError, *ServerFailedError, *ConnectionError. Only ctx bounds it, because a
-// load may take long. The caller checks its lease right before.
+// Order sends an order to an engine. Its errors are *StaleFenceError, *NotSentError,
+// *RefusedError, *ServerFailedError and *ConnectionError. It has no timeout except that
+// of ctx, since loading a model may take long. The caller must check its lease
+// immediately before.
 func (e *Engine) Order(ctx context.Context, address string, o messenger.Order) error {
 	req, err := postJSON(address, "/orders", encoder.OrderRequest{
 		Kind:  o.Kind,
@@ -244,8 +243,8 @@
 		return messenger.ServerLoad{}, serverError(err)
 	}
 	return messenger.ServerLoad{
-		// Dated from before the call: a report is never taken for newer than
-		// it is.
+		// Counted from before the call, so that the report never seems newer than it
+		// is.
 		AsOf:            sentAt.Add(-timekeeper.Duration(reply.AgeMS)),
 		Running:         reply.Running,
 		Waiting:         reply.Waiting,
--- a/internal/adapter/engine_test.go
+++ b/internal/adapter/engine_test.go
@@ -33,9 +33,8 @@
 	require.Equal(t, standin.Answer(s.Prompt, 50), sink.text())
 }
 
-// The engine's connection breaks after 5 tokens while its stream goes on. The
-// caller must not get a token twice or miss one: the reader resumes by name
-// from the index it has, on a connection that does not break.
+// The connection breaks after 5 tokens while the stream continues. The client must
+// resume by name and neither repeat nor miss a token.
 func TestBrokenStreamResumes(t *testing.T) {
 	e, address := startEngine(t, engine.Config{})
 	e.SetFaults(func(f *engine.Faults) { f.BreakAfter = 5 })
@@ -51,9 +50,8 @@
 	require.Equal(t, 1, e.Ledger().StreamsRun)
 }
 
-// An engine dies in the middle of an answer. Another one is given the prompt
-// and the tokens so far and must go on with the next token, and it counts what
-// it had to read again.
+// Another engine receives the prompt and the tokens of a partial answer. It must
+// continue with the next token and count the tokens that it recomputed.
 func TestStartContinuesPartialAnswer(t *testing.T) {
 	e, address := startEngine(t, engine.Config{})
 	client := adapter.NewEngine(adapter.ServerConfig{})
@@ -66,8 +64,8 @@
 	require.Equal(t, identifier.Tokens(30), e.Ledger().TokensGenerated)
 }
 
-// Control for the checks above: an engine that is given tokens that are not
-// the answer's own goes on with another answer, and a checker sees it.
+// Control: an engine that receives the wrong tokens must continue with a different
+// answer.
 func TestWrongAnswerPrefixIsDetected(t *testing.T) {
 	_, address := startEngine(t, engine.Config{})
 	client := adapter.NewEngine(adapter.ServerConfig{})
@@ -78,9 +76,8 @@
 	require.NotEqual(t, standin.Tokens(s.Prompt, 50)[20:], sink.tokens[20:])
 }
 
-// An engine gets notice. Its KV cache goes to another one before it leaves, so
-// that the answer goes on there with one token of context read again, in place
-// of the whole of it.
+// After its KV cache was copied, an answer must continue on another engine with one
+// recomputed token of context.
 func TestMovedKVAvoidsPrefill(t *testing.T) {
 	_, from := startEngine(t, engine.Config{TokensPerSecond: 200})
 	to, toAddress := startEngine(t, engine.Config{})
@@ -111,9 +108,8 @@
 func (*stopError) Error() string        { return "stop" }
 func (*stopError) Is(target error) bool { _, ok := target.(*stopError); return ok }
 
-// The connection goes silent for good in the middle of an answer, while new
-// ones work. No error comes: only the bound on silence ends the reading, and a
-// new connection to the same engine brings the rest.
+// A connection stalls in the middle of an answer, without an error. The timeout must
+// end the reading, and a new connection must bring the remaining tokens.
 func TestStalledConnectionTimesOut(t *testing.T) {
 	e, address := startEngine(t, engine.Config{TokensPerSecond: 200})
 	client := adapter.NewEngine(adapter.ServerConfig{})
@@ -137,8 +133,8 @@
 	require.Equal(t, standin.Answer(s.Prompt, 50), sink.text())
 }
 
-// A frozen engine answers nothing at all; the first bound ends the wait. The
-// engine may hold the request, so the result is not "not sent".
+// A frozen engine sends nothing. The first timeout must end the wait, and the result
+// must not be "not sent", since the engine may hold the request.
 func TestFrozenEngineTimesOut(t *testing.T) {
 	e, address := startEngine(t, engine.Config{})
 	e.SetFaults(func(f *engine.Faults) { f.Freeze = true })
@@ -161,9 +157,8 @@
 	require.Zero(t, e.Ledger().StreamsRun)
 }
 
-// The engine takes a start up and the connection is cut before the answer. The
-// caller can't know, so it resumes by name first; a repeated start of the same
-// name joins the stream and does not run twice.
+// The connection is cut after the engine accepted a start. A repeated start of the same
+// name must join the stream and not run twice.
 func TestLostStartRunsOnce(t *testing.T) {
 	e, address := startEngine(t, engine.Config{})
 	e.SetFaults(func(f *engine.Faults) { f.LoseStarts = 1 })
@@ -195,9 +190,8 @@
 	require.Less(t, e.Ledger().TokensGenerated, identifier.Tokens(1000))
 }
 
-// A late or crossed answer may repeat or skip tokens. A repeated token is
-// dropped by its index; a skipped one, and an end that is too early, end the
-// reading with an error in place of a whole answer with a hole.
+// A repeated token must be dropped; a skipped token or an early end must be an error,
+// or an incomplete answer would look complete.
 func TestTokenSequence(t *testing.T) {
 	const token = "id: %d\ndata: {\"token\":\"t%d\"}\n\n"
 	cases := []struct {
@@ -254,9 +248,8 @@
 	}
 }
 
-// An engine goes wrong and sends lines of one event without end. The attempt
-// ends as broken once the event is over its bound; else the node would keep
-// the lines in memory until its patience is over.
+// An endless event must be cut off at its size limit, or the node would buffer it until
+// the timeout.
 func TestEndlessEventIsCutOff(t *testing.T) {
 	const line = "data: xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx\n"
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -313,8 +306,8 @@
 		err := give("old", 8)
 		var stale *adapter.StaleFenceError
 		require.Equal(t, c.checks, errorsAs(err, &stale))
-		// The engine measures its load now and then; a measurement from before
-		// the orders must be too old by now.
+		// The engine caches its load measurement; this lets one from before the orders
+		// expire.
 		clock.Advance(timekeeper.Second)
 		load, err := client.Load(ctx, address)
 		require.NoError(t, err)
--- a/internal/adapter/errors.go
+++ b/internal/adapter/errors.go
@@ -27,7 +27,7 @@
 	_ error = (*BuyRefusedError)(nil)
 )
 
-// NotSentError reports that no byte of a request left this process.
+// NotSentError reports that no byte of a request was sent.
 type NotSentError struct {
 	Address string
 	Cause   error
@@ -39,11 +39,11 @@
 
 func (e *NotSentError) Unwrap() error { return e.Cause }
 
-// RefusedError reports that the server promises not to have run the request.
+// RefusedError reports that the server guarantees that it did not run the request.
 type RefusedError struct {
 	Address string
 	Text    string
-	// RetryAfter is the server's own wish, or zero.
+	// RetryAfter is the time after which the server asks for a retry, or zero.
 	RetryAfter timekeeper.Duration
 }
 
@@ -51,32 +51,32 @@
 	return fmt.Sprintf("refused by %s: %s", e.Address, e.Text)
 }
 
-// ConnectionError reports that the connection ended before the answer was whole.
-// The request may have run.
+// ConnectionError reports that the connection failed before the answer was complete, or
+// that the answer was malformed. The request may have run.
 type ConnectionError struct {
 	Address string
 	Cause   error
 }
 
 func (e *ConnectionError) Error() string {
-	return fmt.Sprintf("connection to %s broke: %v", e.Address, e.Cause)
+	return fmt.Sprintf("connection to %s failed: %v", e.Address, e.Cause)
 }
 
 func (e *ConnectionError) Unwrap() error { return e.Cause }
 
-// ResponseTimeoutError reports that nothing arrived for longer than the caller's
-// patience, while the connection stayed open. The request may have run.
+// ResponseTimeoutError reports that nothing was received within a ResponseTimeouts
+// limit, while the connection stayed open. The request may have run.
 type ResponseTimeoutError struct {
 	Address string
 	After   timekeeper.Duration
 }
 
 func (e *ResponseTimeoutError) Error() string {
-	return fmt.Sprintf("%s silent for %v", e.Address, e.After)
+	return fmt.Sprintf("%s sent no data for %v", e.Address, e.After)
 }
 
-// StatusError reports an HTTP status that is not a success and that no other
-// type of this package stands for.
+// StatusError reports an HTTP status that is not a success and has no error type of its
+// own.
 type StatusError struct {
 	Address    string
 	Status     int
@@ -90,12 +90,12 @@
 	return fmt.Sprintf("%s answered %d: %s", e.Address, e.Status, e.Text)
 }
 
-// notRun tells that the server promises not to have run the request.
+// notRun reports whether the server guarantees that it did not run the request.
 func (e *StatusError) notRun() bool {
 	return e.Header.Get(encoder.OutcomeHeader) == encoder.OutcomeNotRun
 }
 
-// ServerFailedError reports that the server ran the request, or took it up, and says
+// ServerFailedError reports that the server ran or accepted the request and answered
 // that it failed.
 type ServerFailedError struct {
 	Address string
@@ -109,7 +109,7 @@
 	return fmt.Sprintf("%s failed with %d: %s", e.Address, e.Status, e.Text)
 }
 
-// TokenSequenceError reports that a stream skipped a token.
+// TokenSequenceError reports that a stream skipped a token or ended at the wrong one.
 type TokenSequenceError struct {
 	Stream identifier.StreamName
 	Want   identifier.Tokens
@@ -117,20 +117,21 @@
 }
 
 func (e *TokenSequenceError) Error() string {
-	return fmt.Sprintf("stream %s gave token %d in place of %d", e.Stream, e.Got, e.Want)
+	return fmt.Sprintf("stream %s sent token %d instead of %d", e.Stream, e.Got, e.Want)
 }
 
-// UnknownStreamError reports that the engine does not know a stream.
+// UnknownStreamError reports that the engine has no stream of that name.
 type UnknownStreamError struct {
 	Address string
 	Stream  identifier.StreamName
 }
 
 func (e *UnknownStreamError) Error() string {
-	return fmt.Sprintf("%s knows no stream %s", e.Address, e.Stream)
+	return fmt.Sprintf("%s has no stream %s", e.Address, e.Stream)
 }
 
-// StaleFenceError reports that an engine refused an order's fencing number.
+// StaleFenceError reports that an engine refused an order because of its fencing
+// number.
 type StaleFenceError struct {
 	Address string
 	Fence   identifier.Fence
@@ -140,38 +141,38 @@
 	return fmt.Sprintf("%s refused the stale fencing number %d", e.Address, e.Fence)
 }
 
-// AmbiguousError reports that the platform may have taken the effect of a call
-// and may not have: only reading back settles it.
+// AmbiguousError reports that a call to the platform may have had its effect. Only
+// reading the state back resolves this.
 type AmbiguousError struct{ Cause error }
 
 func (e *AmbiguousError) Error() string { return fmt.Sprintf("may have taken effect: %v", e.Cause) }
 
 func (e *AmbiguousError) Unwrap() error { return e.Cause }
 
-// RateLimitedError reports that the platform took nothing, because of its
-// rate limit.
+// RateLimitedError reports that the platform rejected a call because of its rate limit.
+// The call had no effect.
 type RateLimitedError struct{ RetryAfter timekeeper.Duration }
 
 func (e *RateLimitedError) Error() string {
-	return fmt.Sprintf("over the platform's rate, come back in %v", e.RetryAfter)
+	return fmt.Sprintf("platform rate limit exceeded, retry after %v", e.RetryAfter)
 }
 
-// UnavailableError reports that the platform gave no answer to a call that has
-// no effect, or that a call with an effect never left.
+// UnavailableError reports that a call without effect failed, or that a call with an
+// effect was not sent or did not run.
 type UnavailableError struct{ Cause error }
 
 func (e *UnavailableError) Error() string { return fmt.Sprintf("platform unavailable: %v", e.Cause) }
 
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// BuyRefusedError reports that the cloud refused to sell a VM.
+// BuyRefusedError reports that the cloud did not sell a VM, for example because
+// it has no capacity.
 type BuyRefusedError struct{ Text string }
 
 func (e *BuyRefusedError) Error() string { return "purchase refused: " + e.Text }
 
-// Result puts the end of an attempt, as Engine and Plain report it, into the
-// terms that decide whether it may be repeated. What is not known to be safe
-// counts as broken.
+// Result returns the result of an attempt that ended with err, as Engine and Plain
+// return it. Errors that are not known to be safe to retry count as broken.
 func Result(err error) messenger.AttemptResult {
 	var (
 		notSent  *NotSentError
@@ -195,7 +196,8 @@
 	}
 }
 
-// RetryAfter returns the server's own wish when to come back, or zero.
+// RetryAfter returns the time after which the server or the platform asks for a retry,
+// or zero.
 func RetryAfter(err error) timekeeper.Duration {
 	var refused *RefusedError
 	if errors.As(err, &refused) {
@@ -208,8 +210,8 @@
 	return 0
 }
 
-// serverError turns the error of a call to a backend server into the types
-// that Result knows.
+// serverError converts a *StatusError of a backend server to *RefusedError or
+// *ServerFailedError.
 func serverError(err error) error {
 	var status *StatusError
 	if !errors.As(err, &status) {
@@ -231,8 +233,7 @@
 	}
 }
 
-// readError turns the error of a call without effect on the platform into
-// *UnavailableError.
+// readError wraps the error of a platform call without effect in an *UnavailableError.
 func readError(err error) error {
 	if err == nil {
 		return nil
@@ -240,9 +241,9 @@
 	return &UnavailableError{Cause: err}
 }
 
-// effectError turns the error of a call with an effect on the platform into
-// *RateLimitedError, *UnavailableError or *AmbiguousError. A 503 is ambiguous
-// too: the platform gives it also after the effect was taken.
+// effectError converts the error of a platform call with an effect to
+// *RateLimitedError, *UnavailableError or *AmbiguousError. A 503 is ambiguous, since
+// the platform may send it after the effect.
 func effectError(err error) error {
 	var notSent *NotSentError
 	var status *StatusError
--- a/internal/adapter/log.go
+++ b/internal/adapter/log.go
@@ -17,16 +17,15 @@
 	Data   []byte
 }
 
-// Log is the client of the platform's append-only log. It is safe for
-// concurrent use.
+// Log is a client of the platform's append-only log. It is safe for concurrent use.
 type Log struct{ platformClient }
 
-// NewLog returns a client of the log.
+// NewLog returns a Log for the given platform.
 func NewLog(c PlatformConfig) *Log { return &Log{platformClient: newPlatformClient(c)} }
 
-// Append appends the records together and in order, or not at all. Its errors
-// are *RateLimitedError and *UnavailableError, when nothing was appended, and
-// *AmbiguousError.
+// Append appends the records atomically and in order. If its error is a
+// *RateLimitedError or an *UnavailableError, nothing was appended; an *AmbiguousError
+// means that they may have been.
 func (l *Log) Append(ctx context.Context, records []Record) ([]identifier.Offset, error) {
 	request := encoder.AppendRequest{Records: make([]encoder.AppendRecord, 0, len(records))}
 	for _, r := range records {
@@ -46,9 +45,8 @@
 	return reply.Offsets, nil
 }
 
-// Read returns the records of a stream from an offset on. Where there are
-// none it waits for the first one, up to wait. Its error is an
-// *UnavailableError.
+// Read returns the records of a stream from an offset on. If there are none, it waits
+// up to wait for the first one. Its error is an *UnavailableError.
 func (l *Log) Read(ctx context.Context, stream identifier.LogStream, from identifier.Offset, limit int, wait timekeeper.Duration) (messenger.LogRead, error) {
 	values := url.Values{}
 	values.Set("stream", string(stream))
--- a/internal/adapter/plain.go
+++ b/internal/adapter/plain.go
@@ -13,15 +13,15 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Plain is the client of all plain servers; every method takes the server's
-// host:port. It is safe for concurrent use.
+// Plain is a client of the plain servers, the backend servers that are not model
+// engines. Each method takes a server's host:port. It is safe for concurrent use.
 type Plain struct {
 	config ServerConfig
 	calls  *client
 	polls  *client
 }
 
-// NewPlain returns a client of the plain servers.
+// NewPlain returns a Plain with the given settings.
 func NewPlain(c ServerConfig) *Plain {
 	return &Plain{
 		config: c,
@@ -30,34 +30,34 @@
 	}
 }
 
-// Close ends the idle connections.
+// Close closes the idle connections.
 func (p *Plain) Close() {
 	p.calls.close()
 	p.polls.close()
 }
 
-// PlainCall is a call to a plain server.
+// PlainCall describes a call to a plain server.
 type PlainCall struct {
 	Request identifier.RequestID
 	Method  string
-	// Path is what follows /call/ on the server, with the query if any.
+	// Path is the path after /call/ on the server, including a query.
 	Path        string
 	ContentType string
 	Body        []byte
-	// Remaining is the time to the deadline; zero is none.
+	// Remaining is the time until the deadline; zero means no deadline.
 	Remaining timekeeper.Duration
 }
 
-// PlainReply is the answer of a plain server.
+// PlainReply is the complete answer of a plain server.
 type PlainReply struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Call makes one call and reads the whole answer. Statuses below 500 are
-// answers. Its errors are *NotSentError, *RefusedError, *ConnectionError,
-// *ResponseTimeoutError and *ServerFailedError.
+// Call makes one call and reads the whole answer. Statuses below 500 are not errors,
+// unless the server did not run the request. Its errors are *NotSentError,
+// *RefusedError, *ConnectionError, *ResponseTimeoutError and *ServerFailedError.
 func (p *Plain) Call(ctx context.Context, address string, c PlainCall, timeouts ResponseTimeouts) (PlainReply, error) {
 	ctx, timer := newResponseTimer(ctx, address, timeouts)
 	defer timer.stop()
@@ -107,12 +107,12 @@
 	return header
 }
 
-// Load asks a plain server for its load.
+// Load returns the load of a plain server.
 func (p *Plain) Load(ctx context.Context, address string) (messenger.ServerLoad, error) {
 	return pollLoad(ctx, p.polls, p.config.clock(), address)
 }
 
-// hearingReader tells a watch of every byte read.
+// timedReader resets a responseTimer at every read that returns data.
 type timedReader struct {
 	reader  io.Reader
 	timer   *responseTimer
--- a/internal/adapter/plain_test.go
+++ b/internal/adapter/plain_test.go
@@ -35,10 +35,8 @@
 	require.Equal(t, 1, p.Ledger().Runs["r1"])
 }
 
-// What became of a call decides whether it may be repeated, so the client's
-// word must agree with the server's ledger: "not sent" and "refused" only when
-// nothing ran, and one call never runs twice, although net/http would repeat
-// some requests by itself.
+// The client's result must agree with the server's ledger: "not sent" and "refused"
+// only if nothing ran, and no call may run twice.
 func TestPlainResults(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -84,8 +82,8 @@
 	}
 }
 
-// Nobody listens, or the connection is never made before the caller's time is
-// up: no byte left, and the client may say so.
+// A call to a closed address, or with a cancelled context, must be reported as not
+// sent.
 func TestNotSent(t *testing.T) {
 	client := adapter.NewPlain(adapter.ServerConfig{})
 	_, err := client.Call(context.Background(), closedAddress(t), rejection(), testTimeouts)
@@ -96,8 +94,8 @@
 	require.Equal(t, messenger.AttemptNotSent, adapter.Result(err))
 }
 
-// The server takes the connection and closes it without reading. Bytes may
-// have left, so the client may not say "not sent", nor try again by itself.
+// The server closes the connection without reading. Bytes may have been sent, so the
+// result must not be "not sent", and the client must not retry.
 func TestClosedConnectionIsBroken(t *testing.T) {
 	var config net.ListenConfig
 	listener, err := config.Listen(context.Background(), "tcp", loopback)
--- a/internal/adapter/platform.go
+++ b/internal/adapter/platform.go
@@ -2,12 +2,13 @@
 
 import "github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 
-// PlatformConfig configures the clients of the platform.
+// PlatformConfig holds the settings of the clients of the platform.
 type PlatformConfig struct {
 	// Address is the platform's host:port.
 	Address  string
 	Timeouts Timeouts
-	// Clock dates what the platform reports by age or by time left.
+	// Clock converts ages and remaining times in the platform's answers to times; nil
+	// is the system clock.
 	Clock timekeeper.Clock
 }
 
@@ -18,8 +19,8 @@
 	return c.Clock
 }
 
-// platformClient is what the clients of the log and of the cloud have in
-// common: calls that read reuse connections, those with an effect never do.
+// platformClient is shared by the clients of the log and the cloud. Calls without
+// effect reuse connections; calls with an effect never do.
 type platformClient struct {
 	config  PlatformConfig
 	readers *client
@@ -34,7 +35,7 @@
 	}
 }
 
-// Close ends the idle connections.
+// Close closes the idle connections.
 func (c *platformClient) Close() {
 	c.readers.close()
 	c.writers.close()
--- a/internal/adapter/platform_test.go
+++ b/internal/adapter/platform_test.go
@@ -48,9 +48,8 @@
 	require.False(t, read.End)
 }
 
-// The log's answer to an append is lost after the append took effect, in one
-// of two ways. The writer must not take it for "not appended": the error is
-// ambiguous, and the record is read back.
+// The answer to an append is lost after the append took effect. The error must be
+// ambiguous, not "not appended".
 func TestLostAppendAnswerIsAmbiguous(t *testing.T) {
 	for _, loss := range []platform.LossKind{platform.LossUnavailable, platform.LossClosed} {
 		p, config := startPlatform(t, platform.Config{})
@@ -64,12 +63,12 @@
 		require.ErrorAs(t, err, &ambiguous)
 		read, err := log.Read(context.Background(), "a", 0, 10, 0)
 		require.NoError(t, err)
-		require.Len(t, read.Records, 1, "appended once: the client must not repeat it by itself")
+		require.Len(t, read.Records, 1, "the client must not repeat the append")
 	}
 }
 
-// An outage answers 503 before any effect, which a client can't tell from a
-// lost answer; a platform that nobody can reach took nothing for certain.
+// An outage answers 503, which a client can't tell from a lost answer; a connection
+// that was refused had no effect.
 func TestLogOutage(t *testing.T) {
 	p, config := startPlatform(t, platform.Config{})
 	p.SetFaults(func(f *platform.Faults) { f.LogOutage = true })
@@ -95,8 +94,8 @@
 	require.Positive(t, limited.RetryAfter)
 }
 
-// Records expire. A reader that comes too late must see that it missed some:
-// First stands beyond the offset from which it reads.
+// A reader must be able to detect that records expired unread: First is then greater
+// than the offset from which it reads.
 func TestExpiredRecordsAdvanceFirst(t *testing.T) {
 	clock := timekeeper.NewManual(1_000_000)
 	_, config := startPlatform(t, platform.Config{
@@ -114,7 +113,7 @@
 	require.Equal(t, identifier.Offset(2), read.First)
 }
 
-// A long poll returns as soon as a record comes, long before its wait is over.
+// A long poll must return as soon as a record is appended.
 func TestLongPollWakes(t *testing.T) {
 	_, config := startPlatform(t, platform.Config{})
 	log := adapter.NewLog(config)
@@ -131,8 +130,8 @@
 	require.Len(t, (<-got).Records, 1)
 }
 
-// The list lags: a VM that has got its notice still shows as live for a while,
-// and a gone one still shows. The faults pin both states.
+// The list is stale: a VM under notice is listed as live for a while, and a removed one
+// is still listed. The faults pin both states.
 func TestListIsStale(t *testing.T) {
 	clock := timekeeper.NewManual(1_000_000)
 	p, config := startPlatform(t, platform.Config{
@@ -169,9 +168,9 @@
 	require.Empty(t, list())
 }
 
-// A purchase's answer is lost after the cloud sold the VM. The same client
-// token gets the same VM, where the cloud honours it; where it does not, a
-// repeated purchase buys a second one, which the buyer has to look out for.
+// The answer to a purchase is lost after the cloud sold the VM. A repeat with the same
+// client token must return the same VM if the cloud honours tokens; otherwise it buys a
+// second one.
 func TestPurchases(t *testing.T) {
 	p, config := startPlatform(t, platform.Config{})
 	cloud := adapter.NewCloud(config)
--- a/internal/adapter/stream.go
+++ b/internal/adapter/stream.go
@@ -15,25 +15,25 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// maxLine bounds a line of a stream, and the lines of one event together.
+// maxEventBytes bounds a line of a stream and the data of one event.
 const maxEventBytes = 64 << 10
 
-// reading is the state of reading one stream.
+// streamReader is the state of reading one stream.
 type streamReader struct {
 	stream    identifier.StreamName
-	lastIndex identifier.Tokens // the last token taken
+	lastIndex identifier.Tokens // index of the last token passed to sink
 	timeouts  ResponseTimeouts
 	sink      Sink
 }
 
-// ProtocolError reports bytes that no engine should send.
+// ProtocolError reports data that violates the engines' protocol.
 type ProtocolError struct{ Text string }
 
 var _ error = (*ProtocolError)(nil)
 
 func (e *ProtocolError) Error() string { return "protocol: " + e.Text }
 
-// follow makes the call and reads the stream that answers it.
+// readStream makes the call and reads the stream in the answer.
 func (e *Engine) readStream(ctx context.Context, req call, r streamReader) error {
 	ctx, timer := newResponseTimer(ctx, req.address, r.timeouts)
 	defer timer.stop()
@@ -64,8 +64,8 @@
 	}
 }
 
-// silence returns the *ResponseTimeoutError for which the watch ended the context,
-// where that is why the call failed. A call that never left stays not sent.
+// timeoutError returns the *ResponseTimeoutError that cancelled the context, if it
+// caused the call to fail. A *NotSentError is returned unchanged.
 func timeoutError(ctx context.Context, err error) error {
 	var broken *ConnectionError
 	var timeout *ResponseTimeoutError
@@ -82,8 +82,8 @@
 	data string
 }
 
-// nextEvent reads the lines up to the next empty one. An event cut off by the
-// end of the stream is no event.
+// nextEvent reads the next event, which ends with an empty line. It drops an event that
+// is cut off by the end of the stream.
 func nextEvent(scanner *bufio.Scanner) (event, error) {
 	var e event
 	for scanner.Scan() {
@@ -111,7 +111,7 @@
 	return event{}, io.ErrUnexpectedEOF
 }
 
-// take handles one event and tells whether it was the last.
+// handle processes one event and reports whether it was the last.
 func (r *streamReader) handle(address string, e event) (done bool, err error) {
 	switch e.name {
 	case encoder.EndEvent:
@@ -125,10 +125,9 @@
 	}
 }
 
-// takeToken gives the sink the token if it is the next one. A token that
-// stands already is dropped: another reader's answer crossed ours, or the
-// engine began too early. A skipped one ends the reading, because the answer
-// could not become whole.
+// handleToken passes the token to the sink if it is the next one. It drops a token that
+// was already received, which happens if answers overlap or the engine starts too
+// early. A skipped token is an error, since the answer would be incomplete.
 func (r *streamReader) handleToken(address string, e event) error {
 	index, err := strconv.ParseInt(e.id, 10, 64)
 	if err != nil {
@@ -156,7 +155,7 @@
 	})
 }
 
-// takeEnd checks that the answer is as long as the engine says.
+// checkEnd checks that the number of received tokens matches the end event.
 func (r *streamReader) checkEnd(address, data string) error {
 	var end encoder.End
 	if err := json.Unmarshal([]byte(data), &end); err != nil {
--- a/internal/adapter/testing_test.go
+++ b/internal/adapter/testing_test.go
@@ -17,7 +17,7 @@
 
 const loopback = "127.0.0.1:0"
 
-// listen serves a stand-in until the test ends and returns its address.
+// listen starts a simulated service until the test ends and returns its address.
 func listen(t *testing.T, s standin.Service, gate *standin.Gate) (string, *standin.Server) {
 	t.Helper()
 	server, err := standin.Listen(context.Background(), loopback, s, gate)
@@ -51,7 +51,7 @@
 	return r, address
 }
 
-// closedAddress is an address at which nobody listens.
+// closedAddress returns an address that refuses connections.
 func closedAddress(t *testing.T) string {
 	t.Helper()
 	r := responder.New(responder.Config{})
@@ -60,7 +60,7 @@
 	return address
 }
 
-// recorder is a sink that keeps the answer and calls on at each token.
+// recorder is a sink that stores the answer and calls onToken for each token.
 type recorder struct {
 	started bool
 	tokens  []string
@@ -81,7 +81,7 @@
 
 func (r *recorder) text() string { return strings.Join(r.tokens, "") }
 
-// start is a request for an answer of n tokens.
+// newStartRequest returns a request for an answer of n tokens.
 func newStartRequest(name identifier.StreamName, n identifier.Tokens) adapter.StartRequest {
 	return adapter.StartRequest{
 		Stream:    name,
--- a/internal/adapter/timeouts.go
+++ b/internal/adapter/timeouts.go
@@ -7,26 +7,25 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Patience bounds how long a connection may stay silent. Zero is no bound.
+// ResponseTimeouts bounds the time without data on a connection. Zero means no bound.
 type ResponseTimeouts struct {
-	// First bounds the wait for the first byte of the answer, dialing and
-	// queueing included.
+	// FirstByte bounds the wait for the first byte of the answer, including dialing and
+	// queueing.
 	FirstByte timekeeper.Duration
-	// Next bounds the wait between bytes.
+	// NextByte bounds the wait between bytes.
 	NextByte timekeeper.Duration
 }
 
-// watch ends a call whose connection has lost its voice. An open connection
-// may be dead for good while new ones work; no error ever comes on it, so
-// that only a bound on silence frees its reader.
+// responseTimer cancels a call whose connection has stalled. A stalled connection
+// reports no error, so its reader would wait forever.
 type responseTimer struct {
 	cancel   context.CancelCauseFunc
 	timer    *time.Timer
 	nextByte timekeeper.Duration
 }
 
-// newWatch returns a context that ends with a *ResponseTimeoutError when a bound of p
-// passes without a call of heard.
+// newResponseTimer returns a context that is cancelled with a *ResponseTimeoutError if
+// a timeout passes without a call of reset.
 func newResponseTimer(ctx context.Context, address string, timeouts ResponseTimeouts) (context.Context, *responseTimer) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	timer := &responseTimer{
@@ -44,7 +43,7 @@
 	return ctx, timer
 }
 
-// heard starts the wait for the next byte.
+// reset starts the timeout for the next byte.
 func (timer *responseTimer) reset(address string) {
 	if timer.timer != nil {
 		timer.timer.Stop()
@@ -61,7 +60,7 @@
 	})
 }
 
-// stop ends the watch and its context.
+// stop stops the timer and cancels its context.
 func (timer *responseTimer) stop() {
 	if timer.timer != nil {
 		timer.timer.Stop()
--- a/internal/claimer/apply.go
+++ b/internal/claimer/apply.go
@@ -9,7 +9,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// fold applies one record of the log.
+// applyRecord applies one record of the log.
 func (t *Table) applyRecord(now timekeeper.Time, s *stream, at messenger.Record) {
 	s.latestAppend = max(s.latestAppend, at.Appended)
 	var r record
@@ -53,13 +53,13 @@
 	}
 }
 
-// free reports whether a claim may hold a key that an earlier claim held.
+// isFree reports whether a claim may hold a key whose earlier claim was released.
 func (t *Table) isFree(e *entry, r record) bool {
 	return e.Released && (r.Seen > e.ReleasedAt || t.disabled.ignoreSeen)
 }
 
-// judgedAt returns the time by which a claim is judged: the log's, since all
-// nodes have to forget a key before the same claim.
+// decisionTime returns the time at which a claim is evaluated. It is the log's append
+// time, so that all nodes expire a key before the same claim.
 func (t *Table) decisionTime(now timekeeper.Time, at messenger.Record) timekeeper.Time {
 	if t.disabled.localTime {
 		return now
@@ -75,7 +75,7 @@
 	heap.Fix(&s.expiry, e.index)
 }
 
-// hold makes a claim the holder of its key.
+// setHolder makes a claim the holder of its key.
 func (t *Table) setHolder(now timekeeper.Time, s *stream, at messenger.Record, r record) {
 	e := newEntry(now, s.name, at, r)
 	if old, ok := t.entries[e.key()]; ok {
@@ -84,9 +84,9 @@
 		delete(t.entries, e.key())
 	}
 	if len(t.entries) >= t.config.MaxEntries+t.config.MaxEntries/8 {
-		// Without a record of this claim a later one of the same key would
-		// seem to be the first and run again. Until its window has passed,
-		// no claim of this node on the stream is won.
+		// Without an entry for this claim, a later claim of the same key would seem to
+		// be the first and run again. Until its window has passed, no claim of this
+		// node on the stream wins.
 		t.counts.Overflowed++
 		s.unrecordedUntil = max(s.unrecordedUntil, e.ExpiresAt)
 		return
@@ -95,14 +95,13 @@
 	heap.Push(&s.expiry, e)
 }
 
-// win decides a claim of this node that holds its key in this node's view.
+// decideHolder decides a claim of this node that holds its key in this node's view.
 //
-// What had expired unread by the time of a read was appended a retention
-// earlier. It bears on a claim only if that was appended within a window of
-// it, and a window is at most three quarters of the retention; so a claim
-// that is read back soon after its begin can't be beaten by a record that
-// this node never saw. A node that was frozen in between takes longer, and
-// must not trust its view: it would send what another has sent.
+// A record that expired unread before a read was appended at least a retention earlier.
+// It affects a claim only if it was appended within a window of it, and a window is at
+// most three quarters of the retention. So a claim that is read back soon after it
+// began can't lose to a record that this node never saw. If the node was frozen in
+// between, the claim is unsettled, since another node may have sent the request.
 func (t *Table) decideHolder(now timekeeper.Time, s *stream, at messenger.Record, c *claim) {
 	if c == nil {
 		return
@@ -124,8 +123,8 @@
 	})
 }
 
-// lose decides a claim of this node whose key is held. Where the holder is a
-// claim that this node itself has given up, the claim waits for its release.
+// decideLoser decides a claim of this node whose key is held. If the holder is a claim
+// that this node abandoned, the claim waits for its release.
 func (t *Table) decideLoser(s *stream, c *claim, e *entry) {
 	if c == nil || c.state != waiting {
 		return
@@ -135,7 +134,7 @@
 		return
 	}
 	if e.Released && e.Winner == t.config.Self {
-		// The request came after this node gave the key up itself.
+		// This node released the key before the request came.
 		c.awaitsRelease = true
 		return
 	}
--- a/internal/claimer/claimer.go
+++ b/internal/claimer/claimer.go
@@ -1,33 +1,32 @@
-// Package claimer decides which node may send a non-idempotent request that
-// has an idempotency key. Every node appends a claim to the platform's log and
-// reads it back; the first claim of a key in log order wins, and only its
-// claimant ever sends.
+// Package claimer decides which node may send a non-idempotent request that has an
+// idempotency key. Every node appends a claim to the platform's log and reads it back;
+// the first claim of a key in log order wins, and only its claimant ever sends.
 //
-// All nodes fold the same records by the same rule, which reads nothing but
-// the records and the log's own append times:
+// All nodes apply the same records by the same rules, which depend only on the records
+// and on the log's own append times:
 //
-//   - The first claim of a key holds it for its window, counted from the last
-//     claim of the key, by whomever. So whether a key is held follows from the
-//     records of the last window alone, and a node that started too late to
-//     see the first claim takes the key for held as long as all others do.
-//   - The same claim appended again, by nonce, counts once.
-//   - A claim of a held key loses for good.
-//   - An outcome counts if it bears the holder's nonce, and only the first.
-//   - A release counts if it bears the holder's nonce and claimant and no
-//     outcome stands. From then on the key is free for claims whose claimants
-//     had read the release when the request came; all others have lost. Who
-//     released the key may have said not_run, and a request that another node
-//     took before that, or a copy of the claim that lands late, would make it
-//     false. Only a claimant that never sent, or whose backend server said
-//     that it did not run, may release; a release that stands before its claim
-//     counts for nothing, so a node releases only what it has seen hold the
-//     key.
+//   - The first claim of a key holds it for its window, which is counted from
+//     the last claim of the key by any node. Whether a key is held therefore
+//     follows from the records of the last window alone, and a node that
+//     started too late to see the first claim still considers the key held.
+//   - A claim that is appended again with the same nonce counts once.
+//   - A claim of a held key loses permanently.
+//   - An outcome counts only if it has the holder's nonce, and only the first.
+//   - A release counts only if it has the holder's nonce and claimant, and there
+//     is no outcome. Afterwards the key is free for claims whose claimants had
+//     read the release when the request came; all others have lost. The node
+//     that released the key may have answered not_run, which would become false
+//     if a request that another node accepted earlier, or a late copy of the
+//     claim, won the key. A node may release only if it never sent the request,
+//     or if the backend server answered that it did not run. A release that
+//     precedes its claim has no effect, so a node releases only claims that it
+//     has read back as holders.
 //
-// Each claim is decided by its own claimant alone. Where an earlier claim of
-// the key may have expired unread, the claimant takes its own for unsettled:
+// Each claim is decided by its own claimant alone. If an earlier claim of the
+// key may have expired unread, the claimant treats its own claim as unsettled:
 // it neither sends nor releases.
 //
-// The table is bounded: at MaxEntries it refuses claims and never forgets a
+// The table is bounded: at MaxEntries it refuses claims, and it never forgets a
 // live one. A Table is not safe for concurrent use.
 package claimer
 
@@ -45,24 +44,25 @@
 	Self identifier.VMID
 	// Partitions is the number of claims streams. It is the same on all nodes.
 	Partitions int
-	// MaxEntries bounds the keys and claims that the table remembers. Claims
-	// of other nodes may take it an eighth beyond.
+	// MaxEntries bounds the keys and claims in the table. Claims of other nodes may
+	// exceed it by an eighth.
 	MaxEntries int
-	// MaxBodyBytes bounds the recorded answers; the oldest are dropped first.
+	// MaxBodyBytes bounds the total size of the recorded answers; the oldest are
+	// dropped first.
 	MaxBodyBytes identifier.Bytes
-	// Retention is the least time for which the log keeps a record.
+	// Retention is the minimum time for which the log keeps a record.
 	Retention timekeeper.Duration
-	// DecideWithin is how long a claim may wait before Waiting lists it.
+	// DecisionTimeout is the time after which Overdue lists a claim.
 	DecisionTimeout timekeeper.Duration
-	// AppendEvery is the spacing of repeated appends of releases.
+	// AppendInterval is the minimum time between repeated appends of a record.
 	AppendInterval timekeeper.Duration
 }
 
-// maxWindow is the longest window of a key. The rest of the retention is room
-// for reading a claim back and for clocks that run at different rates.
+// maxWindow is the longest window of a key. The rest of the retention allows for the
+// time to read a claim back and for clock drift.
 func (c Config) maxWindow() timekeeper.Duration { return c.Retention / 4 * 3 }
 
-// Default sizes and times.
+// The defaults of Config.
 const (
 	DefaultPartitions      = 4
 	DefaultMaxEntries      = 50_000
@@ -90,7 +90,7 @@
 	return c
 }
 
-// Entry is what the log says of a key.
+// Entry is the state of a key according to the log.
 type Entry struct {
 	Account  identifier.AccountID
 	Key      identifier.IdempotencyKey
@@ -99,24 +99,24 @@
 	Nonce    identifier.Nonce
 	Offset   identifier.Offset
 	Appended timekeeper.Time
-	// Until is the log's time at which the key is forgotten, unless it is
-	// claimed again.
+	// ExpiresAt is the append time at which the key is forgotten, unless it is claimed
+	// again.
 	ExpiresAt timekeeper.Time
-	// Released tells that the winner gave the key up without sending, and
-	// ReleasedAt where the log says so.
+	// Released reports that the winner released the key without sending. ReleasedAt is
+	// the offset of that record.
 	Released   bool
 	ReleasedAt identifier.Offset
 	// Recorded is the winner's outcome, or nil.
 	Recorded *messenger.RecordedOutcome
 }
 
-// Decision is what became of a claim of this node.
+// Decision is the result of a claim of this node.
 type Decision struct {
 	Request identifier.RequestID
 	// Won allows this node to send the request, once.
 	Won bool
-	// Unsettled tells that an earlier claim may have expired unread: the
-	// request must not be sent, and may have run elsewhere.
+	// Unsettled reports that an earlier claim may have expired unread: the request must
+	// not be sent, and may have run elsewhere.
 	Unsettled bool
 	// Winner and WinnerRequest name the claim that holds the key, unless
 	// Unsettled is set.
@@ -132,39 +132,39 @@
 	Data   []byte
 }
 
-// Counts tells what the table refused, ignored or dropped since it was made.
+// Counts holds the totals of what a table refused, ignored or dropped.
 type Counts struct {
-	// Refused counts claims of this node refused by a full table.
+	// Refused counts claims of this node that were refused because the table was full.
 	Refused int
-	// Overflowed counts claims of other nodes that found no room.
+	// Overflowed counts claims of other nodes that did not fit in the table.
 	Overflowed int
-	// Ignored counts records that could not be read, are of an unknown
-	// version or kind, or stand in the wrong stream.
+	// Ignored counts records that are malformed, of an unknown version or kind, or in
+	// the wrong stream.
 	Ignored int
 	// Gaps counts reads before which records may have expired unread.
 	Gaps int
-	// Unsettled counts claims of this node left unsettled.
+	// Unsettled counts claims of this node that were decided as unsettled.
 	Unsettled int
-	// BodiesDropped counts recorded answers dropped for room.
+	// BodiesDropped counts recorded answers dropped to stay within MaxBodyBytes.
 	BodiesDropped int
 }
 
-// outAfter is how long reads have to fail before the log is taken to be out;
-// one that fails is no outage.
+// readOutageAfter is the time for which reads must fail before the log is considered
+// unavailable. A single failed read is no outage.
 const readOutageAfter = 300 * timekeeper.Millisecond
 
 const (
-	// unplacedAfter is how far apart appends have to fail for the same, with
-	// none that succeeds in between.
+	// appendOutageAfter is the minimum time between the first and the last failed
+	// append, with no success in between, before the log is considered unavailable.
 	appendOutageAfter = 400 * timekeeper.Millisecond
-	// probeAfter is how long after the last append that failed the next one
-	// is tried.
+	// probeInterval is the time after a failed append at which claims are accepted
+	// again, to test the log.
 	probeInterval = 2 * timekeeper.Second
 )
 
-// safeguards are switched off one by one by negative controls.
+// safeguards names rules that negative controls in tests disable one at a time.
 type safeguards struct {
-	ignoreSeen   bool // any claim after a release holds the key
+	ignoreSeen   bool // let any claim after a release hold the key
 	trustView    bool
 	ignoreDrop   bool
 	fixedWindow  bool
@@ -182,7 +182,7 @@
 	config  Config
 	streams map[identifier.LogStream]*stream
 	entries map[key]*entry
-	// own lists this node's claims in the order of their Begin.
+	// ownClaims lists this node's claims, oldest first.
 	ownClaims []*claim
 	nonces    map[identifier.Nonce]*claim
 	active    map[identifier.RequestID]*claim
@@ -196,23 +196,25 @@
 	claim *claim
 }
 
-// stream is one partition of the log's claims.
+// stream is the state of one partition of the claims.
 type stream struct {
 	name     identifier.LogStream
 	position *follower.Stream
-	// now is the latest append time seen.
+	// latestAppend is the latest append time read.
 	latestAppend timekeeper.Time
-	// blindUntil is the append time up to which a claim found no room.
+	// unrecordedUntil is the append time before which a claim that did not fit in the
+	// table may hold its key.
 	unrecordedUntil timekeeper.Time
 	expiry          expiryHeap
 	clockAppendedAt timekeeper.Time
-	// failingSince is when reads began to fail, or Never.
+	// readsFailingSince is the time of the first failed read since the last success, or
+	// Never.
 	readsFailingSince timekeeper.Time
-	// unplacedSince is when appends began to fail, or Never, and unplacedAt
-	// when one failed last.
+	// appendsFailingSince is the time of the first failed append since the last
+	// success, or Never; lastAppendFailure is that of the last one.
 	appendsFailingSince timekeeper.Time
 	lastAppendFailure   timekeeper.Time
-	// held are decisions to deliver once the stream was replayed.
+	// pending lists the decisions to deliver once the stream has been replayed.
 	pending []pendingDecision
 }
 
@@ -239,9 +241,9 @@
 	return t
 }
 
-// SetRetention takes up the retention that the configuration says. A table
-// that takes it for longer than it is would trust a view of which claims had
-// expired unread, and run a key again.
+// SetRetention sets the log's retention to the configured value. A table that assumes a
+// longer retention than the log has would fail to detect records that expired unread,
+// and could run a key twice.
 func (t *Table) SetRetention(d timekeeper.Duration) {
 	t.config.Retention = d
 	for _, s := range t.streams {
@@ -249,7 +251,7 @@
 	}
 }
 
-// Streams returns the streams that the table follows.
+// Streams returns the log streams that the table reads.
 func (t *Table) Streams() []identifier.LogStream {
 	names := make([]identifier.LogStream, 0, t.config.Partitions)
 	for n := range t.config.Partitions {
@@ -258,25 +260,25 @@
 	return names
 }
 
-// Ready reports whether a stream was replayed from its oldest kept record to
-// its end, with no gap since. Before that no claim on it is won.
+// Ready reports whether a stream was replayed from its oldest record to its end, with
+// no gap since. No claim on it is won before that.
 func (t *Table) Ready(s identifier.LogStream) bool {
 	p, ok := t.streams[s]
 	return ok && p.position.Replayed()
 }
 
-// Full reports whether the table refuses further claims.
+// Full reports whether the table refuses new claims.
 func (t *Table) Full() bool {
 	return len(t.entries)+len(t.ownClaims) >= t.config.MaxEntries
 }
 
-// Len returns the number of keys that the table remembers.
+// Len returns the number of keys in the table.
 func (t *Table) Len() int { return len(t.entries) }
 
-// Counts tells what the table refused, ignored or dropped.
+// Counts returns the totals since the table was created.
 func (t *Table) Counts() Counts { return t.counts }
 
-// Lookup returns what the log says of a key within its window.
+// Lookup returns the entry of a key whose window has not passed.
 func (t *Table) Lookup(account identifier.AccountID, k identifier.IdempotencyKey) (Entry, bool) {
 	e, ok := t.entries[key{
 		account: account,
@@ -288,15 +290,15 @@
 	return e.Entry, true
 }
 
-// Unavailable notes that a stream could not be read. Absorb takes it back.
+// ReadFailed records that a stream could not be read. ApplyRecords clears it.
 func (t *Table) ReadFailed(now timekeeper.Time, name identifier.LogStream) {
 	if s, ok := t.streams[name]; ok {
 		s.readsFailingSince = min(s.readsFailingSince, now)
 	}
 }
 
-// Out reports whether a stream has not been readable for a while. A claim
-// begun now would wait in vain, and its caller with it.
+// LogUnavailable reports whether a stream has been failing long enough that new claims
+// should be rejected at once, instead of making callers wait.
 func (t *Table) LogUnavailable(now timekeeper.Time, name identifier.LogStream) bool {
 	s, ok := t.streams[name]
 	return ok && (s.readsFailing(now) || s.appendsFailing(now))
@@ -306,18 +308,18 @@
 	return s.readsFailingSince != timekeeper.Never && now.Sub(s.readsFailingSince) >= readOutageAfter
 }
 
-// unplaceable reports whether appends went on failing for a while, and did so
-// lately. A few that fail at one moment are no outage, however long none is
-// tried after them. When none was tried for probeAfter, the next claim tries.
+// appendsFailing reports whether appends have failed over at least appendOutageAfter,
+// the last one within probeInterval. Several failures at one moment are no outage.
+// After probeInterval without an append the next claim is accepted as a probe.
 func (s *stream) appendsFailing(now timekeeper.Time) bool {
 	return s.appendsFailingSince != timekeeper.Never &&
 		s.lastAppendFailure.Sub(s.appendsFailingSince) >= appendOutageAfter && now.Sub(s.lastAppendFailure) < probeInterval
 }
 
-// AppendEnded notes how an append to a stream ended. In an outage appends fail
-// at once, while a read that waits for new records learns of it seconds later;
-// callers would be held for so long. Whether an append that failed took effect
-// is for reading back alone: this decides only whether to begin new claims.
+// AppendEnded records the result of an append to a stream. In an outage appends fail at
+// once, while a read that waits for new records fails only seconds later. The result
+// only decides whether new claims are accepted: whether a failed append took effect is
+// known only from reading the log.
 func (t *Table) AppendEnded(now timekeeper.Time, name identifier.LogStream, succeeded bool) {
 	s, ok := t.streams[name]
 	switch {
@@ -332,8 +334,8 @@
 	}
 }
 
-// Absorb folds a read of the log into the table and returns the decisions on
-// this node's claims that it brings.
+// ApplyRecords applies the records of a read and returns the resulting decisions on
+// this node's claims.
 func (t *Table) ApplyRecords(now timekeeper.Time, read messenger.LogRead) []Decision {
 	s, ok := t.streams[read.Stream]
 	if !ok {
@@ -357,8 +359,8 @@
 	return t.deliver(s)
 }
 
-// deliver hands out the decisions of a stream. A claim that was given up
-// meanwhile has none.
+// deliver returns the pending decisions of a stream, except on claims that were
+// abandoned meanwhile.
 func (t *Table) deliver(s *stream) []Decision {
 	var out []Decision
 	for _, d := range s.pending {
@@ -375,10 +377,10 @@
 	return out
 }
 
-// gapSeen marks this node's waiting claims of a stream as blind: what expired
-// unread may hold an earlier claim of their keys, and sending would run the
-// request twice. Claims begun later are safe, because what had expired by
-// then is older than any key's window.
+// recordGap marks this node's claims of a stream as made with an incomplete view: an
+// expired record may hold an earlier claim of their keys, and sending would run the
+// request twice. Later claims are safe, since records that expired before them are
+// older than any key's window.
 func (t *Table) recordGap(s *stream) {
 	t.counts.Gaps++
 	for _, c := range t.ownClaims {
@@ -388,9 +390,9 @@
 	}
 }
 
-// forget drops the entries of a stream that ended well before the latest
-// append time. The decision on a later claim compares append times and does
-// not depend on when an entry is dropped.
+// expireEntries removes entries whose window ended more than expiryMargin before the
+// latest append time. Decisions compare append times, so they do not depend on when an
+// entry is removed.
 func (t *Table) expireEntries(s *stream) {
 	for len(s.expiry) > 0 {
 		e := s.expiry[0]
--- a/internal/claimer/claimer_test.go
+++ b/internal/claimer/claimer_test.go
@@ -18,7 +18,7 @@
 	// Output: claims-3
 }
 
-// bench is a log and some tables that read it.
+// harness is a log that several tables read.
 type harness struct {
 	log fakeLog
 }
@@ -41,9 +41,9 @@
 	return len(all)
 }
 
-// A node says not_run of a key that it gave up before it saw its claim. The
-// caller repeats the key on the same node at once: the repeat waits for the
-// release of the first claim and then wins, instead of being lost to it.
+// A node answers not_run for a claim that it abandoned before reading it back. A retry
+// on the same node must wait for the release of the first claim and then win, instead
+// of losing to it.
 func TestRetryAfterAbandonedClaimWins(t *testing.T) {
 	b, a := &harness{log: fakeLog{now: 1}}, newTestTable("vm-a")
 	b.claim(t, a, "first")
@@ -52,7 +52,7 @@
 	require.Empty(t, b.read(a))
 	require.Equal(t, 1, b.appends(a), "the release")
 	require.Empty(t, b.read(a))
-	require.Equal(t, 1, b.appends(a), "the second claim, again")
+	require.Equal(t, 1, b.appends(a), "the second claim, repeated")
 	got := b.read(a)
 	require.Len(t, got, 1)
 	require.True(t, got[0].Won)
@@ -60,8 +60,8 @@
 	require.Zero(t, b.appends(a))
 }
 
-// A winner's backend server refuses the work, and the node says not_run. Claims of
-// other nodes that stand before the release stay lost; one after it wins.
+// The winner's backend server refuses the request, and the node answers not_run. Claims
+// of other nodes before the release must stay lost; one after it must win.
 func TestReleaseByWinner(t *testing.T) {
 	b, a, c := &harness{log: fakeLog{now: 1}}, newTestTable("vm-a"), newTestTable("vm-c")
 	b.claim(t, a, "first")
@@ -79,11 +79,10 @@
 	require.True(t, b.read(c)[0].Won)
 }
 
-// Node a wins a key, tries for long, and gives it up unsent. Node b's claim
-// lost to it, but b was frozen until a's claim had expired from the log and
-// holds its own for the first. Were b to release it, node c, which started
-// late, would take the key for free while a's release frees it for a: both
-// would send.
+// Node a holds a key. Node b lost to it, but was frozen until a's claim had expired
+// from the log, and considers its own claim the first. If b released its claim, node c,
+// which started late, would consider the key free while a's release frees it for a:
+// both would send.
 func TestUnconfirmedClaimIsNotReleased(t *testing.T) {
 	run := func(disabled safeguards) (sent int) {
 		s := &harness{log: fakeLog{now: 1}}
@@ -104,7 +103,7 @@
 		s.appends(a)
 		s.claim(t, a, "a2")
 		decisions := append(s.read(a), s.read(c)...)
-		s.appends(a) // a2 again, now that a has read its own release
+		s.appends(a) // repeats a2, since a has read its release
 		decisions = append(decisions, s.read(a)...)
 		for _, d := range decisions {
 			if d.Won {
@@ -114,11 +113,11 @@
 		return sent
 	}
 	require.Equal(t, 1, run(safeguards{}))
-	require.Equal(t, 2, run(safeguards{releaseBlind: true}), "the check did not object")
+	require.Equal(t, 2, run(safeguards{releaseBlind: true}), "the check must detect the missing safeguard")
 }
 
-// A node wins a claim only when its view has no gap: frozen past the log's
-// retention, it leaves its claim unsettled and counts the gap.
+// A node that was frozen past the log's retention must leave its claim unsettled and
+// count the gap.
 func TestGapLeavesClaimUnsettled(t *testing.T) {
 	b, a := &harness{log: fakeLog{now: 1}}, newTestTable("vm-a")
 	require.False(t, a.Ready(partition(0)))
@@ -176,8 +175,8 @@
 	require.Equal(t, identifier.Bytes(8), s.total)
 }
 
-// A full table refuses claims and forgets none. When the windows are over, a
-// clock record lets all nodes forget, and claims are taken again.
+// A full table must reject claims and evict none. After the windows a clock record must
+// let it expire entries and accept claims again.
 func TestFullTableRejectsClaims(t *testing.T) {
 	log := fakeLog{now: 1}
 	a := New(Config{
@@ -206,7 +205,7 @@
 	require.ErrorAs(t, err, &window)
 	a.SetRetention(testRetention / 4)
 	_, _, err = a.Begin(log.now, "r", "account", "key", "n", testRetention/2)
-	require.ErrorAs(t, err, &window, "a window that no longer fits")
+	require.ErrorAs(t, err, &window, "a window that exceeds the new retention")
 }
 
 func foreignClaim(i int) []byte {
@@ -221,11 +220,10 @@
 	}.encode()
 }
 
-// Node a wins a key, gives it up unsent, and its caller is told not_run. Node
-// c took the same key before it read the release, and its claim lands after
-// it. Were c to win, the request would run although not_run was said of it. A
-// claim begun after c read the release is another matter: the caller repeated
-// the key.
+// Node a wins a key, releases it unsent, and answers not_run. A claim that node c began
+// before it read the release but that lands after it must lose, since the request would
+// run despite the answer. A claim that c begins after it read the release must win,
+// since the caller retried.
 func TestClaimBegunBeforeReleaseLoses(t *testing.T) {
 	run := func(disabled safeguards) (early, later bool) {
 		b, a, c := &harness{log: fakeLog{now: 1}}, newTestTable("vm-a"), newTestTable("vm-c")
@@ -246,11 +244,11 @@
 	require.False(t, early)
 	require.True(t, later)
 	early, _ = run(safeguards{ignoreSeen: true})
-	require.True(t, early, "the check did not object")
+	require.True(t, early, "the check must detect the missing safeguard")
 }
 
-// With the log out a caller is told so at once; one read that fails is no
-// outage, and the next one that succeeds ends it.
+// Claims must be rejected at once while the log is unavailable. A single failed read is
+// no outage, and a successful read ends one.
 func TestClaimIsRejectedDuringLogOutage(t *testing.T) {
 	b, a := &harness{log: fakeLog{now: 1}}, newTestTable("vm-a")
 	b.read(a)
@@ -269,10 +267,9 @@
 	require.NoError(t, begin("r3"))
 }
 
-// In an outage appends fail at once, and the read that waits for records does
-// not return yet: a caller that comes half a second later is refused at once.
-// Appends that fail at one moment are no outage, and after a while without any
-// the next is tried.
+// Claims must be rejected while appends fail, even though the pending read has not
+// failed yet. Failures at one moment are no outage, and after probeInterval the next
+// claim is accepted.
 func TestClaimIsRejectedWhileAppendsFail(t *testing.T) {
 	b, a := &harness{log: fakeLog{now: 10_000}}, newTestTable("vm-a")
 	b.read(a)
@@ -285,9 +282,9 @@
 	fail()
 	require.False(t, out(appendOutageAfter), "all at one moment")
 	fail()
-	require.True(t, out(0), "and again later")
+	require.True(t, out(0), "the failures span appendOutageAfter")
 	require.True(t, out(probeInterval-1))
-	require.False(t, out(1), "the next claim tries the log")
+	require.False(t, out(1), "the next claim probes the log")
 	fail()
 	require.False(t, out(0), "long after the last failure")
 	require.False(t, out(appendOutageAfter))
--- a/internal/claimer/entry.go
+++ b/internal/claimer/entry.go
@@ -9,15 +9,15 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// forgetAfter is how long an entry is kept past its window, in case the log's
-// clock is set back.
+// expiryMargin is the time for which an entry is kept past its window, in case the
+// log's clock is set back.
 const expiryMargin = timekeeper.Minute
 
 type entry struct {
 	Entry
 	stream identifier.LogStream
-	// read is this node's time when it read the last claim of the key, and
-	// window is that claim's.
+	// readAt is this node's time when it read the last claim of the key, and window
+	// that claim's window.
 	readAt      timekeeper.Time
 	window      timekeeper.Duration
 	index       int
@@ -42,7 +42,7 @@
 	}
 }
 
-// extend prolongs the hold on the key by a later claim of it.
+// extend prolongs the holder's window after a later claim of the key.
 func (e *entry) extend(now timekeeper.Time, at messenger.Record, r record) {
 	if until := at.Appended.Add(r.Window); until.After(e.ExpiresAt) {
 		e.ExpiresAt = until
@@ -58,10 +58,10 @@
 	}
 }
 
-// holdsAt reports whether the key is still held at an append time.
+// holdsAt reports whether the key is still held at append time t.
 func (e *entry) holdsAt(t timekeeper.Time) bool { return t.Before(e.ExpiresAt) }
 
-// expiryHeap orders entries by the time at which they end, soonest first.
+// expiryHeap orders entries by expiry, soonest first.
 type expiryHeap []*entry
 
 var _ heap.Interface = (*expiryHeap)(nil)
@@ -91,7 +91,7 @@
 	return e
 }
 
-// bodies bounds the recorded answers over all entries.
+// bodies bounds the total size of the recorded answers.
 type bodies struct {
 	max   identifier.Bytes
 	total identifier.Bytes
@@ -101,8 +101,7 @@
 
 func newBodies(limit identifier.Bytes) *bodies { return &bodies{max: limit} }
 
-// add takes in the answer of e and returns the number of answers dropped for
-// it.
+// add counts the answer of e and returns the number of answers dropped to make room.
 func (b *bodies) add(e *entry) (dropped int) {
 	if len(e.Recorded.Body) == 0 {
 		return 0
@@ -116,8 +115,8 @@
 	return dropped
 }
 
-// drop forgets the answer of e, if it has one. Decisions that already carry
-// it keep it.
+// drop removes the answer of e, if it has one. Decisions that share the outcome keep
+// their answer.
 func (b *bodies) drop(e *entry) {
 	if e.bodyElement == nil {
 		return
--- a/internal/claimer/own.go
+++ b/internal/claimer/own.go
@@ -10,8 +10,8 @@
 const (
 	waiting claimState = iota
 	won
-	// abandoned: the request will not be sent under this claim. Should the
-	// claim hold its key, it is released.
+	// abandoned: the request will not be sent under this claim. If the claim holds its
+	// key, it is released.
 	abandoned
 	removed
 )
@@ -26,13 +26,13 @@
 	stream  identifier.LogStream
 	began   timekeeper.Time
 	state   claimState
-	// blind tells that records may have expired unread since began.
+	// viewHasGap reports that records may have expired unread since began.
 	viewHasGap bool
-	// first tells that the claim was read back in time as the first of its
-	// key, with nothing unread before it.
+	// confirmedFirst reports that the claim was read back in time as the first of its
+	// key, with no gap before it.
 	confirmedFirst bool
-	// behind tells that it lost to a claim that this node has given up: it
-	// is appended again once that one is released.
+	// awaitsRelease reports that the claim lost to one that this node abandoned: it is
+	// appended again once that one is released.
 	awaitsRelease bool
 	appendedAt    timekeeper.Time
 }
@@ -50,10 +50,9 @@
 	}.encode()
 }
 
-// Begin starts a claim of a key and returns the record to append. The nonce
-// is fresh. An earlier claim for the same request that still waits is given
-// up. Its error is a *TableFullError, a *WindowTooLongError or a
-// *LogUnavailableError.
+// Begin starts a claim of a key and returns the record to append. The nonce must be
+// fresh. An earlier pending claim for the same request is abandoned. Its error is a
+// *WindowTooLongError, a *LogUnavailableError or a *TableFullError.
 func (t *Table) Begin(now timekeeper.Time, request identifier.RequestID, account identifier.AccountID,
 	k identifier.IdempotencyKey, nonce identifier.Nonce, window timekeeper.Duration) (identifier.LogStream, []byte, error) {
 	if window > t.config.maxWindow() {
@@ -89,13 +88,13 @@
 	return c.stream, c.data(t.config.Self), nil
 }
 
-// readTo returns the offset up to which a stream was read.
+// nextOffset returns the offset of the next record to read.
 func (t *Table) nextOffset(name identifier.LogStream) identifier.Offset {
 	return t.streams[name].position.Next()
 }
 
-// Again returns the record of a waiting claim once more, with the same nonce,
-// after an append that failed or was not answered.
+// RepeatAppend returns the record of a pending claim, with the same nonce, to repeat an
+// append that failed or was not answered.
 func (t *Table) RepeatAppend(request identifier.RequestID) (Append, bool) {
 	c, ok := t.active[request]
 	if !ok || c.state != waiting {
@@ -107,8 +106,7 @@
 	}, true
 }
 
-// Nonce returns the nonce of the claim under which a request is sent, for its
-// outcome record.
+// Nonce returns the nonce of the claim that a request won, for its outcome record.
 func (t *Table) Nonce(request identifier.RequestID) (identifier.Nonce, bool) {
 	c, ok := t.active[request]
 	if !ok || c.state != won {
@@ -117,9 +115,8 @@
 	return c.nonce, true
 }
 
-// Drop ends this node's interest in a claim. A claim that still waits is
-// given up for good: it never wins, also if its append is seen later, and is
-// then released. A claim that was won keeps its key.
+// Drop ends the use of a claim. A pending claim is abandoned: it never wins, even if
+// its append is read later, and is then released. A claim that was won keeps its key.
 func (t *Table) Drop(request identifier.RequestID) {
 	c, ok := t.active[request]
 	if !ok {
@@ -137,9 +134,9 @@
 	}
 }
 
-// Release ends a claim, won or not, under which nothing ran and nothing will:
-// no byte was sent, or the backend server said that it did not run. The key
-// becomes free for later claims.
+// Release ends a claim, won or not, whose request did not run and will not: no byte was
+// sent, or the backend server answered that it did not run. The key becomes free for
+// later claims.
 func (t *Table) Release(request identifier.RequestID) {
 	c, ok := t.active[request]
 	if !ok {
@@ -159,8 +156,9 @@
 	}
 }
 
-// sweep forgets given-up claims whose window has long passed. One that lands
-// even later holds its key for a window and is run by nobody.
+// removeExpiredClaims removes claims that are no longer pending and whose window passed
+// more than expiryMargin ago. If the append of such a claim takes effect later still,
+// the claim holds its key for a window and no node sends the request.
 func (t *Table) removeExpiredClaims(now timekeeper.Time) {
 	kept := t.ownClaims[:0]
 	for _, c := range t.ownClaims {
@@ -175,8 +173,8 @@
 	t.ownClaims = kept
 }
 
-// Waiting lists the requests whose claims are overdue, oldest first. The
-// caller appends them Again, or Drops them.
+// Overdue lists the requests whose claims have been pending for DecisionTimeout, oldest
+// first. The caller repeats their appends with RepeatAppend, or drops them.
 func (t *Table) Overdue(now timekeeper.Time) []identifier.RequestID {
 	var out []identifier.RequestID
 	for _, c := range t.ownClaims {
@@ -187,9 +185,9 @@
 	return out
 }
 
-// Appends returns the records that the table itself wants appended now:
-// releases of given-up claims that hold their keys, claims that waited for
-// such a release, and clock records while a full table waits to forget.
+// PendingAppends returns the records that the table itself needs appended: releases of
+// abandoned claims that hold their keys, claims that waited for such a release, and
+// clock records while a full table has expired entries.
 func (t *Table) PendingAppends(now timekeeper.Time) []Append {
 	t.removeExpiredClaims(now)
 	var out []Append
@@ -208,10 +206,9 @@
 	return append(out, t.clockRecords(now)...)
 }
 
-// wanted returns the record that a claim needs appended. A claim that was not
-// surely the first of its key isn't released: where this node holds it for the
-// first, others may know an earlier one that ran, and a third node that
-// started late would take the key for free and run it again.
+// recordToAppend returns the record that a claim needs appended. Only a confirmed first
+// claim is released: otherwise other nodes may know an earlier claim that ran, and a
+// third node that started late would consider the key free and run it again.
 func (t *Table) recordToAppend(c *claim) ([]byte, bool) {
 	e, ok := t.entries[c.id]
 	holds := ok && e.Nonce == c.nonce && !e.Released && e.Recorded == nil
@@ -231,10 +228,9 @@
 	return nil, false
 }
 
-// clocks returns clock records for the streams whose oldest entry is overdue
-// while the table is full. Entries are forgotten by the append times of later
-// records; with all nodes refusing claims there would be none, and the tables
-// would stay full for ever.
+// clockRecords returns clock records for the streams whose oldest entry is overdue
+// while the table is full. Entries expire by the append times of later records; if all
+// nodes refused claims, no record would follow and the tables would stay full.
 func (t *Table) clockRecords(now timekeeper.Time) []Append {
 	if !t.Full() {
 		return nil
--- a/internal/claimer/property_test.go
+++ b/internal/claimer/property_test.go
@@ -15,7 +15,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// source draws an integer below n.
+// randomSource returns an integer below n.
 type randomSource func(n int) int
 
 func rapidSource(t *rapid.T) randomSource {
@@ -30,16 +30,16 @@
 	id         identifier.VMID
 	table      *Table
 	nextOffset identifier.Offset
-	// open are the requests that the node has neither sent nor given up.
+	// openRequests were neither sent nor abandoned.
 	openRequests []identifier.RequestID
 }
 
-// operation is a claim, or a release, in the history of one key.
+// operation is a claim or a release in the history of one key.
 type operation struct {
 	key     identifier.IdempotencyKey
 	request identifier.RequestID
 	release bool
-	// winner is empty while the decision is not known.
+	// winner is empty while the decision is unknown.
 	winner identifier.RequestID
 }
 
@@ -55,7 +55,7 @@
 	history   []*porcupine.Operation
 	sent      []operation
 	stepCount int64
-	fault     string
+	violation string
 }
 
 func newSimulation(draw randomSource, disabled safeguards, intervals []timekeeper.Duration) *simulation {
@@ -86,8 +86,8 @@
 	for range steps {
 		s.stepCount++
 		s.step(s.nodes[s.draw(len(s.nodes))])
-		if s.fault != "" {
-			return s.fault
+		if s.violation != "" {
+			return s.violation
 		}
 	}
 	return ""
@@ -104,7 +104,7 @@
 	case 8:
 		s.read(n, math.MaxInt)
 	case 9:
-		s.giveUp(n)
+		s.abandon(n)
 	case 10:
 		for _, a := range n.table.PendingAppends(s.log.now) {
 			s.inFlight = append(s.inFlight, a.Data)
@@ -123,7 +123,7 @@
 	k := identifier.IdempotencyKey([]string{"a", "b"}[s.draw(2)])
 	_, data, err := n.table.Begin(s.log.now, request, "account", k, identifier.Nonce(request), testWindow)
 	if err != nil {
-		s.fault = err.Error()
+		s.violation = err.Error()
 		return
 	}
 	n.openRequests = append(n.openRequests, request)
@@ -146,7 +146,7 @@
 	s.history = append(s.history, op)
 }
 
-// land lets an append take effect, in any order, twice, or never.
+// deliverAppend applies an append in any order, twice, or never.
 func (s *simulation) deliverAppend() {
 	if len(s.inFlight) == 0 {
 		return
@@ -187,7 +187,7 @@
 		return
 	}
 	if s.dropped[d.Request] {
-		s.fault = "a claim won that was given up"
+		s.violation = "an abandoned claim won"
 		return
 	}
 	if s.draw(3) == 0 {
@@ -202,13 +202,13 @@
 	s.send(o)
 }
 
-// send checks that no other request was sent under the key whose claim stands
-// in the log within the window.
+// send checks that no other request was sent under the same key with a claim within the
+// window.
 func (s *simulation) send(o operation) {
 	for _, other := range s.sent {
 		apart := s.appended(o.request).Sub(s.appended(other.request))
 		if other.key == o.key && max(apart, -apart) < testWindow {
-			s.fault = fmt.Sprintf("%s and %s were both sent under key %s, claimed %v apart", other.request, o.request, o.key, apart)
+			s.violation = fmt.Sprintf("%s and %s were both sent under key %s, claimed %v apart", other.request, o.request, o.key, apart)
 		}
 	}
 	s.sent = append(s.sent, o)
@@ -224,7 +224,7 @@
 	return timekeeper.Never
 }
 
-func (s *simulation) giveUp(n *node) {
+func (s *simulation) abandon(n *node) {
 	if len(n.openRequests) == 0 {
 		return
 	}
@@ -242,8 +242,8 @@
 	})
 }
 
-// register is the model of a key: the first claim holds it until its release.
-// Claims whose decision is not known, and releases, may have had no effect.
+// keyModel models a key: the first claim holds it until its release. Claims whose
+// decision is unknown, and releases, may have had no effect.
 var keyModel = porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := map[identifier.IdempotencyKey][]porcupine.Operation{}
@@ -279,9 +279,9 @@
 	shortIntervals = []timekeeper.Duration{1, 10}
 )
 
-// TestKeyRunsAtMostOnce: callers give one key to several nodes at once and see
-// at most one run within the window. Appends land late, twice, out of order or
-// never; nodes read slowly, freeze past the log's retention, restart, give up.
+// A key must run at most once within its window, although appends are delayed,
+// duplicated, reordered or lost, and nodes read slowly, freeze past the log's
+// retention, restart and abandon claims.
 func TestKeyRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(rapidSource(t), safeguards{}, mixedIntervals)
@@ -296,11 +296,10 @@
 		require.Empty(t, s.run(400), "seed %d", seed)
 		sent += len(s.sent)
 	}
-	require.Greater(t, sent, 500, "the simulation hardly ever sends")
+	require.Greater(t, sent, 500, "the simulation must send often")
 }
 
-// TestClaimsAreLinearizable: within one window each key behaves as a register
-// that its first writer holds, whatever becomes of the appends.
+// Within one window each key must behave as a register that its first writer holds.
 func TestClaimsAreLinearizable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(rapidSource(t), safeguards{}, shortIntervals)
@@ -329,13 +328,13 @@
 	return porcupine.CheckOperations(keyModel.ToModel(), history)
 }
 
-// TestCheckDetectsMissingSafeguards: without one of the safeguards the same check objects.
+// The check must fail if one of the safeguards is disabled.
 func TestCheckDetectsMissingSafeguards(t *testing.T) {
 	for name, disabled := range map[string]safeguards{
-		"trust a view with a gap":       {trustView: true},
-		"run what was given up":         {ignoreDrop: true},
-		"count the window from first":   {fixedWindow: true},
-		"forget by the node's own time": {localTime: true},
+		"trust a view with a gap":               {trustView: true},
+		"run an abandoned claim":                {ignoreDrop: true},
+		"count the window from the first claim": {fixedWindow: true},
+		"expire by the node's own clock":        {localTime: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(3000) {
@@ -345,7 +344,7 @@
 					return
 				}
 			}
-			require.Fail(t, "the check did not object")
+			require.Fail(t, "the check must detect the missing safeguard")
 		})
 	}
 }
--- a/internal/claimer/record.go
+++ b/internal/claimer/record.go
@@ -13,7 +13,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// MaxRecordedBody bounds the answer that an outcome record carries.
+// MaxRecordedBody bounds the size of the answer in an outcome record.
 const MaxRecordedBody identifier.Bytes = 16 << 10
 
 const (
@@ -27,11 +27,11 @@
 	claimKind   recordKind = "claim"
 	outcomeKind recordKind = "outcome"
 	releaseKind recordKind = "release"
-	// clockKind carries nothing; its append time lets the nodes forget.
+	// clockKind has no content; its append time lets the nodes expire entries.
 	clockKind recordKind = "clock"
 )
 
-// record is one record of a claims stream.
+// record is the JSON form of a record of a claims stream.
 type record struct {
 	Version  int                       `json:"version"`
 	Kind     recordKind                `json:"kind"`
@@ -41,8 +41,8 @@
 	Claimant identifier.VMID           `json:"claimant,omitempty"`
 	Nonce    identifier.Nonce          `json:"nonce,omitempty"`
 	Window   timekeeper.Duration       `json:"window_ms,omitempty"`
-	// Seen is the offset up to which the claimant had read the stream when
-	// the request came, that one not included.
+	// Seen is the offset before which the claimant had read the stream when the request
+	// came.
 	Seen        identifier.Offset `json:"seen,omitempty"`
 	Outcome     messenger.Outcome `json:"outcome,omitempty"`
 	Status      int               `json:"status,omitempty"`
@@ -56,7 +56,7 @@
 	return data
 }
 
-// Stream returns the stream of the log that holds the claims of a key.
+// Stream returns the log stream that holds the claims of a key.
 func Stream(account identifier.AccountID, key identifier.IdempotencyKey, partitions int) identifier.LogStream {
 	sum := xxhash.Sum64String(strconv.Itoa(len(account)) + ":" + string(account) + string(key))
 	return partition(int(sum % uint64(partitions)))
@@ -66,13 +66,13 @@
 	return identifier.LogStream(streamPrefix + strconv.Itoa(n))
 }
 
-// IsStream reports whether a stream of the log holds claims.
+// IsStream reports whether a log stream holds claims.
 func IsStream(s identifier.LogStream) bool {
 	return strings.HasPrefix(string(s), streamPrefix)
 }
 
-// OutcomeRecord returns the record that tells the end of a claimed request.
-// An answer larger than MaxRecordedBody is left out of it.
+// OutcomeRecord returns the record of the outcome of a claimed request. It omits an
+// answer larger than MaxRecordedBody.
 func OutcomeRecord(account identifier.AccountID, key identifier.IdempotencyKey, request identifier.RequestID,
 	nonce identifier.Nonce, outcome messenger.Outcome, status int, body []byte) []byte {
 	omitted := identifier.Bytes(len(body)) > MaxRecordedBody
@@ -92,30 +92,29 @@
 	}.encode()
 }
 
-// FullError refuses a claim because the table has no room for it: forgetting
-// a live claim instead would let its key run again.
+// TableFullError reports that the table has no room for a claim. Evicting a live claim
+// instead would let its key run again.
 type TableFullError struct{ MaxEntries int }
 
 func (e *TableFullError) Error() string {
 	return fmt.Sprintf("claims table is full at %d entries", e.MaxEntries)
 }
 
-// LogOutError refuses a claim because the log can't be read.
+// LogUnavailableError reports that a claim was rejected because the log is unavailable.
 type LogUnavailableError struct{ Stream identifier.LogStream }
 
 func (e *LogUnavailableError) Error() string {
-	return fmt.Sprintf("log stream %s can't be read", e.Stream)
+	return fmt.Sprintf("log stream %s is unavailable", e.Stream)
 }
 
-// WindowError refuses a claim whose key would have to be remembered for about
-// as long as the log keeps records, or longer.
+// WindowTooLongError reports that a key's window is too long for the log's retention.
 type WindowTooLongError struct {
 	Window    timekeeper.Duration
 	Retention timekeeper.Duration
 }
 
 func (e *WindowTooLongError) Error() string {
-	return fmt.Sprintf("key window %v does not fit the log's retention of %v", e.Window, e.Retention)
+	return fmt.Sprintf("key window %v is too long for a log retention of %v", e.Window, e.Retention)
 }
 
 var (
--- a/internal/forwarder/answer.go
+++ b/internal/forwarder/answer.go
@@ -23,8 +23,7 @@
 	messenger.ReasonAccountLimit: http.StatusTooManyRequests,
 }
 
-// hopByHop lists the headers that apply to a single connection (RFC 9110, section
-// 7.6.1).
+// hopByHop lists the headers that apply to a single connection.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -25,8 +25,8 @@
 
 // fakeDecider sends an exchange to the given servers in turn and records the calls.
 type fakeDecider struct {
-	servers []string
-	route   catalog.Route
+	servers           []string
+	route             catalog.Route
 	firstEventTimeout timekeeper.Duration
 	nextEventTimeout  timekeeper.Duration
 	timeLimit         timekeeper.Duration
--- a/internal/forwarder/metrics.go
+++ b/internal/forwarder/metrics.go
@@ -47,7 +47,7 @@
 	return m
 }
 
-// Var returns the variable to publish under expvar.
+// Var returns the metrics as an expvar variable.
 func (m *Metrics) Var() expvar.Var { return m.vars }
 
 func (m *Metrics) received() { m.requests.Add(1) }
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -89,7 +89,7 @@
 // one, or whose event exceeds the size limit.
 type TruncatedStreamError struct{}
 
-func (e *TruncatedStreamError) Error() string { return "the stream ended within an event" }
+func (e *TruncatedStreamError) Error() string { return "stream ended before the end of an event" }
 
 // completeLength returns the length of the complete events at the start of b. An event
 // ends with an empty line.
