--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -145,20 +145,20 @@
 
 // Price returns the price of an hour of class c in zone z, and whether it is
 // known.
-func (c *Catalog) Price(class identifier.VMClass, z identifier.Zone, m Market) (identifier.Money, bool) {
-	p, ok := c.Classes[class].Prices[z][m]
+func (c *Catalog) Price(class identifier.VMClass, zone identifier.Zone, market Market) (identifier.Money, bool) {
+	p, ok := c.Classes[class].Prices[zone][market]
 	return p, ok
 }
 
 // Target returns what account a is owed for service s. An account without a
 // target of its own is owed the service's deadline at no penalty.
-func (c *Catalog) Target(a identifier.AccountID, s identifier.ServiceName) Target {
-	if t, ok := c.Accounts[a].Targets[s]; ok {
+func (c *Catalog) Target(account identifier.AccountID, service identifier.ServiceName) Target {
+	if t, ok := c.Accounts[account].Targets[service]; ok {
 		return t
 	}
 	return Target{
-		FirstToken: c.Services[s].Deadline,
-		Completion: c.Services[s].Deadline,
+		FirstToken: c.Services[service].Deadline,
+		Completion: c.Services[service].Deadline,
 		Penalty:    0,
 	}
 }
--- a/internal/catalog/route.go
+++ b/internal/catalog/route.go
@@ -60,12 +60,12 @@
 	for _, s := range r.Split {
 		total += s.Weight
 	}
-	rest := point * total
+	remaining := point * total
 	for _, s := range r.Split {
-		if rest < s.Weight {
+		if remaining < s.Weight {
 			return s.Service
 		}
-		rest -= s.Weight
+		remaining -= s.Weight
 	}
 	if len(r.Split) == 0 {
 		return ""
@@ -103,9 +103,9 @@
 
 // Routing is the part of a catalog by which opaque exchanges are routed.
 type Routing struct {
-	routes   map[string][]*Route
-	accounts map[string]identifier.AccountID
-	Backends map[identifier.ServiceName]Backend
+	routesByHost  map[string][]*Route
+	accountsByKey map[string]identifier.AccountID
+	Backends      map[identifier.ServiceName]Backend
 	// DefaultTokens is charged for a request that states no token counts,
 	// by account.
 	DefaultTokens map[identifier.AccountID]identifier.Tokens
@@ -117,24 +117,24 @@
 // NewRouting indexes routes by host and keys by account.
 func NewRouting(routes []*Route, keys map[string]identifier.AccountID) *Routing {
 	r := &Routing{
-		routes:        map[string][]*Route{},
-		accounts:      keys,
+		routesByHost:  map[string][]*Route{},
+		accountsByKey: keys,
 		Backends:      map[identifier.ServiceName]Backend{},
 		DefaultTokens: map[identifier.AccountID]identifier.Tokens{},
 		AccountRanks:  map[identifier.AccountID]int{},
 	}
 	for _, route := range routes {
-		r.routes[route.Host] = append(r.routes[route.Host], route)
+		r.routesByHost[route.Host] = append(r.routesByHost[route.Host], route)
 	}
-	for _, of := range r.routes {
-		slices.SortStableFunc(of, func(a, b *Route) int { return len(b.PathPrefix) - len(a.PathPrefix) })
+	for _, sameHost := range r.routesByHost {
+		slices.SortStableFunc(sameHost, func(a, b *Route) int { return len(b.PathPrefix) - len(a.PathPrefix) })
 	}
 	return r
 }
 
 // Find returns the route of a host with the longest prefix of a path.
 func (r *Routing) Find(host, path string) (*Route, bool) {
-	for _, route := range r.routes[strings.ToLower(host)] {
+	for _, route := range r.routesByHost[strings.ToLower(host)] {
 		if strings.HasPrefix(path, route.PathPrefix) {
 			return route, true
 		}
@@ -144,7 +144,7 @@
 
 // Account returns the account that holds a key.
 func (r *Routing) Account(key string) (identifier.AccountID, bool) {
-	a, ok := r.accounts[key]
+	a, ok := r.accountsByKey[key]
 	return a, ok
 }
 
--- a/internal/configurer/check.go
+++ b/internal/configurer/check.go
@@ -50,7 +50,7 @@
 	for _, kind := range kinds() {
 		b.build(kind, sections)
 	}
-	reportUnknown(sections, &faults)
+	reportUnknownSections(sections, &faults)
 	b.crossCheck()
 	if all := faults.Sorted(); len(all) > 0 {
 		return nil, all
@@ -127,7 +127,7 @@
 			continue
 		}
 		form := folderreader.NewForm(section, b.faults)
-		if !namesFit(section.Names, len(kind.names)) {
+		if !validNames(section.Names, len(kind.names)) {
 			header := strings.Join(append([]string{kind.name}, kind.names...), " ")
 			form.Fault("", "["+header+"] with names of letters, digits, . _ -", "["+section.Title()+"]")
 			continue
@@ -138,7 +138,7 @@
 	}
 }
 
-func namesFit(names []string, count int) bool {
+func validNames(names []string, count int) bool {
 	for _, name := range names {
 		if !folderreader.ValidName(name) {
 			return false
@@ -147,7 +147,7 @@
 	return len(names) == count
 }
 
-func reportUnknown(sections []*folderreader.Section, faults *folderreader.Faults) {
+func reportUnknownSections(sections []*folderreader.Section, faults *folderreader.Faults) {
 	known := make(map[string]bool)
 	var names []string
 	for _, kind := range kinds() {
--- a/internal/configurer/crosscheck.go
+++ b/internal/configurer/crosscheck.go
@@ -32,16 +32,16 @@
 		f.Fault("vm_class", "a [vm_class] that the folder defines", string(pool.Class))
 		return
 	}
-	if pool.OnDemandPercent < 100 && !b.sold(pool.Class, catalog.Reclaimable) {
+	if pool.OnDemandPercent < 100 && !b.hasPrice(pool.Class, catalog.Reclaimable) {
 		f.Fault("vm_class", "a class with a reclaimable [price] in some zone", string(pool.Class))
 	}
-	if pool.OnDemandPercent > 0 && !b.sold(pool.Class, catalog.OnDemand) {
+	if pool.OnDemandPercent > 0 && !b.hasPrice(pool.Class, catalog.OnDemand) {
 		f.Fault("vm_class", "a class with an on_demand [price] in some zone", string(pool.Class))
 	}
 }
 
 // sold reports whether some zone has a price for the class in the market.
-func (b *builder) sold(class identifier.VMClass, market catalog.Market) bool {
+func (b *builder) hasPrice(class identifier.VMClass, market catalog.Market) bool {
 	for _, prices := range b.catalog.Classes[class].Prices {
 		if _, ok := prices[market]; ok {
 			return true
@@ -82,22 +82,22 @@
 
 // windowDeadlines is how many deadlines the window of a key that may run once
 // has to hold.
-const windowDeadlines = 2
+const minKeyWindowDeadlines = 2
 
 // checkKeyWindow keeps the window of idempotency keys well inside the log's
 // retention. A claim that expired while its key still counted would let the
 // same booking run a second time; half of the retention leaves the other half
 // for a claim that was read late.
 func (b *builder) checkKeyWindow(service catalog.Service, f *folderreader.Form) {
-	bound := b.catalog.LogRetention / 2
-	if service.KeyWindow > bound {
-		expected := fmt.Sprintf("at most half of the log's retention, %s", bound)
+	maxWindow := b.catalog.LogRetention / 2
+	if service.KeyWindow > maxWindow {
+		expected := fmt.Sprintf("at most half of the log's retention, %s", maxWindow)
 		f.Fault("key_window", expected, service.KeyWindow.String())
 	}
 	// A call may end as unknown at its deadline, and its caller then repeats
 	// the key. Were the key forgotten by then, the call would run again.
-	if least := windowDeadlines * service.Deadline; !service.Idempotent && service.KeyWindow < least {
-		expected := fmt.Sprintf("at least two deadlines of a service that is not idempotent, %s", least)
+	if minWindow := minKeyWindowDeadlines * service.Deadline; !service.Idempotent && service.KeyWindow < minWindow {
+		expected := fmt.Sprintf("at least two deadlines of a service that is not idempotent, %s", minWindow)
 		f.Fault("key_window", expected, service.KeyWindow.String())
 	}
 }
--- a/internal/configurer/harness_test.go
+++ b/internal/configurer/harness_test.go
@@ -57,7 +57,7 @@
 func (l *testLog) expire(first identifier.Offset) { l.first = max(l.first, first) }
 
 // kept returns at most limit records from an offset on.
-func (l *testLog) kept(from identifier.Offset, limit int) messenger.LogRead {
+func (l *testLog) retained(from identifier.Offset, limit int) messenger.LogRead {
 	read := messenger.LogRead{
 		Stream: Stream,
 		First:  l.first,
@@ -77,7 +77,7 @@
 }
 
 func (l *testLog) read(s *State) []Applied {
-	return s.ApplyRecords(l.now, l.kept(s.ReadFrom(), len(l.records)+1))
+	return s.ApplyRecords(l.now, l.retained(s.ReadFrom(), len(l.records)+1))
 }
 
 func (l *testLog) node(r rules) *State {
@@ -138,7 +138,7 @@
 func zoneFile(zone string) string { return "[zone " + zone + "]\nregion = r\n" }
 
 // same reports whether two nodes have the same state.
-func same(a, b *State) bool {
+func equalState(a, b *State) bool {
 	return fmt.Sprint(a.Files()) == fmt.Sprint(b.Files()) &&
 		fmt.Sprint(a.History()) == fmt.Sprint(b.History()) &&
 		a.Revision() == b.Revision() && a.Catalog().Revision == b.Catalog().Revision &&
@@ -146,7 +146,7 @@
 }
 
 // content returns what a node has in force for a file.
-func content(s *State, file identifier.FileName) string {
+func fileContent(s *State, file identifier.FileName) string {
 	f := s.Files()[file]
 	if f.Deleted {
 		return ""
--- a/internal/configurer/property_test.go
+++ b/internal/configurer/property_test.go
@@ -23,19 +23,19 @@
 	draw  chooser
 	rules rules
 	log   *testLog
-	nodes []*seen
+	nodes []*trackedNode
 	// inFlight are records that were made and not appended yet; each may be
 	// appended more than once.
 	inFlight [][]byte
 	// reference reads each record as soon as it is appended.
-	reference *State
-	attempts  []porcupine.Operation
-	waiting   map[identifier.Nonce]int
-	fault     string
+	reference  *State
+	operations []porcupine.Operation
+	pending    map[identifier.Nonce]int
+	fault      string
 }
 
 // seen is a node, and the revisions that it has applied.
-type seen struct {
+type trackedNode struct {
 	state    *State
 	revision identifier.Revision
 	files    map[identifier.FileName]identifier.Revision
@@ -46,7 +46,7 @@
 		draw:    draw,
 		rules:   r,
 		log:     newTestLog(),
-		waiting: make(map[identifier.Nonce]int),
+		pending: make(map[identifier.Nonce]int),
 	}
 	p.reference = p.log.ready(allRules())
 	for range 3 {
@@ -55,8 +55,8 @@
 	return p
 }
 
-func (p *trial) start() *seen {
-	return &seen{
+func (p *trial) start() *trackedNode {
+	return &trackedNode{
 		state: p.log.node(p.rules),
 		files: make(map[identifier.FileName]identifier.Revision),
 	}
@@ -65,7 +65,7 @@
 // run takes so many steps, lets all nodes read to the end, and returns what
 // went wrong, if anything.
 func (p *trial) run(steps int) string {
-	actions := []func(){p.change, p.change, p.append, p.append, p.append, p.snapshot, p.read, p.read, p.read, p.expire, p.replace, p.copyState}
+	actions := []func(){p.change, p.change, p.append, p.append, p.append, p.snapshot, p.read, p.read, p.read, p.expire, p.replace, p.importState}
 	for range steps {
 		actions[p.draw(len(actions))]()
 		p.log.now = p.log.now.Add(timekeeper.Second)
@@ -74,16 +74,16 @@
 		p.absorb(n, len(p.log.records)+1)
 		p.compare(n)
 	}
-	p.settleUntold()
+	p.settleUnreported()
 	return p.fault
 }
 
 // settleUntold completes the changes whose operators were told nothing: those
 // that took effect did so at some time after they were made.
-func (p *trial) settleUntold() {
-	for nonce, i := range p.waiting {
+func (p *trial) settleUnreported() {
+	for nonce, i := range p.pending {
 		if c, judged := p.reference.view.verdict(nonce); judged && c.Accepted {
-			p.attempts[i].Output = swapped{
+			p.operations[i].Output = casOutput{
 				accepted: true,
 				revision: c.Revision,
 			}
@@ -91,7 +91,7 @@
 	}
 }
 
-func (p *trial) node() (int, *seen) {
+func (p *trial) node() (int, *trackedNode) {
 	i := p.draw(len(p.nodes))
 	return i, p.nodes[i]
 }
@@ -112,22 +112,22 @@
 		return
 	}
 	p.inFlight = append(p.inFlight, data)
-	p.waiting[nonce] = len(p.attempts)
-	p.attempts = append(p.attempts, porcupine.Operation{
+	p.pending[nonce] = len(p.operations)
+	p.operations = append(p.operations, porcupine.Operation{
 		ClientId: i,
-		Input: swap{
+		Input: casInput{
 			file: file,
-			saw:  proposed.BaseRevision,
+			base: proposed.BaseRevision,
 		},
-		Call:   p.tick(),
-		Output: swapped{unknown: true},
+		Call:   p.nextTime(),
+		Output: casOutput{unknown: true},
 		Return: 1 << 60,
 	})
 }
 
 // tick returns a time for the linearizability check, in which each event of a
 // schedule has its own.
-func (p *trial) tick() int64 {
+func (p *trial) nextTime() int64 {
 	p.log.now++
 	return int64(p.log.now)
 }
@@ -177,7 +177,7 @@
 	p.nodes[i] = p.start()
 }
 
-func (p *trial) copyState() {
+func (p *trial) importState() {
 	_, from := p.node()
 	_, to := p.node()
 	applied, err := to.state.Import(p.log.now, from.state.Export())
@@ -186,12 +186,12 @@
 	}
 }
 
-func (p *trial) absorb(n *seen, limit int) {
-	p.check(n, n.state.ApplyRecords(p.log.now, p.log.kept(n.state.ReadFrom(), limit)))
+func (p *trial) absorb(n *trackedNode, limit int) {
+	p.check(n, n.state.ApplyRecords(p.log.now, p.log.retained(n.state.ReadFrom(), limit)))
 }
 
 // check requires that no revision goes down on a node.
-func (p *trial) check(n *seen, applied []Applied) {
+func (p *trial) check(n *trackedNode, applied []Applied) {
 	for _, a := range applied {
 		p.settle(a)
 	}
@@ -211,14 +211,14 @@
 
 // settle notes a verdict that an operator was told.
 func (p *trial) settle(a Applied) {
-	i, ok := p.waiting[a.Nonce]
+	i, ok := p.pending[a.Nonce]
 	if !ok || a.Ticket == 0 {
 		return
 	}
-	delete(p.waiting, a.Nonce)
-	invalid := !a.Verdict.Accepted && a.Verdict.Revision == p.attempts[i].Input.(swap).saw
-	p.attempts[i].Return = p.tick()
-	p.attempts[i].Output = swapped{
+	delete(p.pending, a.Nonce)
+	invalid := !a.Verdict.Accepted && a.Verdict.Revision == p.operations[i].Input.(casInput).base
+	p.operations[i].Return = p.nextTime()
+	p.operations[i].Output = casOutput{
 		accepted: a.Verdict.Accepted,
 		invalid:  invalid,
 		revision: a.Verdict.Revision,
@@ -226,8 +226,8 @@
 }
 
 // compare requires that a node without a gap agrees with the reference.
-func (p *trial) compare(n *seen) {
-	if n.state.Fault() == nil && !same(n.state, p.reference) {
+func (p *trial) compare(n *trackedNode) {
+	if n.state.Fault() == nil && !equalState(n.state, p.reference) {
 		p.fault = fmt.Sprintf("a node has %v, the reference %v", n.state.History(), p.reference.History())
 	}
 }
@@ -237,7 +237,7 @@
 		draw := func(n int) int { return rapid.IntRange(0, n-1).Draw(rt, "choice") }
 		p := newTrial(draw, allRules())
 		require.Empty(rt, p.run(60))
-		require.True(rt, linearizable(p.attempts))
+		require.True(rt, linearizable(p.operations))
 	})
 }
 
@@ -258,7 +258,7 @@
 		t.Run(name, func(t *testing.T) {
 			weakened := allRules()
 			off(&weakened)
-			require.True(t, someTrialFails(weakened))
+			require.True(t, violationFound(weakened))
 		})
 	}
 }
@@ -268,21 +268,21 @@
 func TestSwapControl(t *testing.T) {
 	weakened := allRules()
 	weakened.compareRevision = false
-	objected := false
+	violated := false
 	for seed := range uint64(200) {
 		p := newTrial(rand.New(rand.NewPCG(seed, 0)).IntN, weakened)
 		p.reference.rules = weakened
 		p.run(60)
-		objected = objected || !linearizable(p.attempts)
+		violated = violated || !linearizable(p.operations)
 	}
-	require.True(t, objected)
+	require.True(t, violated)
 }
 
-func someTrialFails(r rules) bool {
+func violationFound(r rules) bool {
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		p := newTrial(rng.IntN, r)
-		if p.run(60) != "" || !linearizable(p.attempts) {
+		if p.run(60) != "" || !linearizable(p.operations) {
 			return true
 		}
 	}
@@ -290,12 +290,12 @@
 }
 
 // swap is a compare-and-set of one file's revision, as an operator sees it.
-type swap struct {
+type casInput struct {
 	file identifier.FileName
-	saw  identifier.Revision
+	base identifier.Revision
 }
 
-type swapped struct {
+type casOutput struct {
 	unknown  bool
 	accepted bool
 	// invalid marks a rejection that was not for the revision.
@@ -304,8 +304,8 @@
 }
 
 // linearizable reports whether the verdicts are those of one register a file.
-func linearizable(attempts []porcupine.Operation) bool {
-	return porcupine.CheckOperations(registers(), attempts)
+func linearizable(operations []porcupine.Operation) bool {
+	return porcupine.CheckOperations(registers(), operations)
 }
 
 // registers is one register a file; its state is the file's revision.
@@ -314,8 +314,8 @@
 		Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 			byFile := make(map[identifier.FileName][]porcupine.Operation)
 			for _, op := range history {
-				if out := op.Output.(swapped); !out.unknown {
-					file := op.Input.(swap).file
+				if out := op.Output.(casOutput); !out.unknown {
+					file := op.Input.(casInput).file
 					byFile[file] = append(byFile[file], op)
 				}
 			}
@@ -327,14 +327,14 @@
 		},
 		Init: func() any { return identifier.Revision(0) },
 		Step: func(state, input, output any) (bool, any) {
-			stands, in, out := state.(identifier.Revision), input.(swap), output.(swapped)
+			stands, in, out := state.(identifier.Revision), input.(casInput), output.(casOutput)
 			switch {
 			case out.accepted:
-				return stands == in.saw && out.revision > stands, out.revision
+				return stands == in.base && out.revision > stands, out.revision
 			case out.invalid:
-				return stands == in.saw, stands
+				return stands == in.base, stands
 			default:
-				return stands != in.saw && out.revision == stands, stands
+				return stands != in.base && out.revision == stands, stands
 			}
 		},
 	}
--- a/internal/configurer/proposal.go
+++ b/internal/configurer/proposal.go
@@ -15,11 +15,11 @@
 
 // proposal is a change of this node's operators that was not read back yet.
 type proposal struct {
-	nonce  identifier.Nonce
-	file   identifier.FileName
-	ticket identifier.Ticket
-	since  timekeeper.Time
-	data   []byte
+	nonce      identifier.Nonce
+	file       identifier.FileName
+	ticket     identifier.Ticket
+	proposedAt timekeeper.Time
+	data       []byte
 }
 
 // Propose returns the record to append for an operator's change. The nonce
@@ -35,15 +35,15 @@
 	}
 	data := encode(record{
 		Change: &changeRecord{
-			Nonce:      nonce,
-			File:       p.File,
-			Content:    p.Content,
-			Delete:     p.Delete,
-			Saw:        p.BaseRevision,
-			Generation: s.view.generation,
+			Nonce:        nonce,
+			File:         p.File,
+			Content:      p.Content,
+			Delete:       p.Delete,
+			BaseRevision: p.BaseRevision,
+			Generation:   s.view.generation,
 		},
 	})
-	return s.wait(now, nonce, p.File, p.Ticket, data)
+	return s.addPending(now, nonce, p.File, p.Ticket, data)
 }
 
 func proposalFaults(p messenger.ChangeProposed) []folderreader.Fault {
@@ -78,19 +78,19 @@
 			Files: files,
 		},
 	})
-	return s.wait(now, nonce, "", ticket, data)
+	return s.addPending(now, nonce, "", ticket, data)
 }
 
-func (s *State) wait(now timekeeper.Time, nonce identifier.Nonce, file identifier.FileName, ticket identifier.Ticket, data []byte) ([]byte, error) {
+func (s *State) addPending(now timekeeper.Time, nonce identifier.Nonce, file identifier.FileName, ticket identifier.Ticket, data []byte) ([]byte, error) {
 	if len(s.pending) >= maxPending {
 		return nil, &TooManyPendingError{Pending: len(s.pending)}
 	}
 	s.pending = append(s.pending, proposal{
-		nonce:  nonce,
-		file:   file,
-		ticket: ticket,
-		since:  now,
-		data:   data,
+		nonce:      nonce,
+		file:       file,
+		ticket:     ticket,
+		proposedAt: now,
+		data:       data,
 	})
 	return data, nil
 }
@@ -113,8 +113,8 @@
 func (s *State) Timeouts(now timekeeper.Time) []Applied {
 	var applied []Applied
 	s.pending = slices.DeleteFunc(s.pending, func(p proposal) bool {
-		late := now.Sub(p.since) >= s.config.VerdictTimeout
-		if late {
+		timedOut := now.Sub(p.proposedAt) >= s.config.VerdictTimeout
+		if timedOut {
 			applied = append(applied, Applied{
 				Nonce:   p.nonce,
 				File:    p.file,
@@ -122,7 +122,7 @@
 				Verdict: messenger.ChangeVerdict{Unknown: true},
 			})
 		}
-		return late
+		return timedOut
 	})
 	return applied
 }
@@ -149,7 +149,7 @@
 }
 
 // settleRemembered reports the waiting changes that an adopted view has judged.
-func (s *State) settleRemembered() []Applied {
+func (s *State) settlePending() []Applied {
 	var applied []Applied
 	for _, p := range slices.Clone(s.pending) {
 		if verdict, ok := s.view.verdict(p.nonce); ok {
--- a/internal/configurer/record.go
+++ b/internal/configurer/record.go
@@ -18,11 +18,11 @@
 
 // changeRecord asks for a change of one file.
 type changeRecord struct {
-	Nonce   identifier.Nonce    `json:"nonce"`
-	File    identifier.FileName `json:"file"`
-	Content []byte              `json:"content,omitempty"`
-	Delete  bool                `json:"delete,omitempty"`
-	Saw     identifier.Revision `json:"saw"`
+	Nonce        identifier.Nonce    `json:"nonce"`
+	File         identifier.FileName `json:"file"`
+	Content      []byte              `json:"content,omitempty"`
+	Delete       bool                `json:"delete,omitempty"`
+	BaseRevision identifier.Revision `json:"saw"`
 	// Generation is the offset of the last restore that the proposer knew.
 	Generation identifier.Offset `json:"generation"`
 }
@@ -45,9 +45,9 @@
 
 // exportRecord is the state for a peer, with what times its next snapshot.
 type exportRecord struct {
-	Snapshot  *snapshotRecord   `json:"snapshot"`
-	CoveredTo identifier.Offset `json:"covered_to"`
-	Since     timekeeper.Time   `json:"since_ms"`
+	Snapshot     *snapshotRecord   `json:"snapshot"`
+	CoveredTo    identifier.Offset `json:"covered_to"`
+	OldestNeeded timekeeper.Time   `json:"since_ms"`
 }
 
 // FileState is one file of the folder as of its last accepted change.
@@ -105,13 +105,13 @@
 }
 
 // maxName bounds the nonces and file names that the history keeps.
-const maxName = 128
+const maxNameBytes = 128
 
 func (r record) wellFormed(offset identifier.Offset) bool {
 	switch {
 	case r.Change != nil:
 		return r.Restore == nil && r.Snapshot == nil &&
-			validNonce(r.Change.Nonce) && len(r.Change.File) <= maxName
+			validNonce(r.Change.Nonce) && len(r.Change.File) <= maxNameBytes
 	case r.Restore != nil:
 		return r.Snapshot == nil && validNonce(r.Restore.Nonce)
 	default:
@@ -119,13 +119,13 @@
 	}
 }
 
-func validNonce(n identifier.Nonce) bool { return n != "" && len(n) <= maxName }
+func validNonce(n identifier.Nonce) bool { return n != "" && len(n) <= maxNameBytes }
 
 // The bounds of the faults that a verdict carries. The history and each
 // snapshot keep them.
 const (
-	maxVerdictFaults = 8
-	maxVerdictText   = 300
+	maxVerdictFaults     = 8
+	maxVerdictFaultBytes = 300
 )
 
 func verdictFaults(faults []folderreader.Fault) []string {
@@ -135,7 +135,7 @@
 			return append(texts, "and more: check the folder to see all")
 		}
 		text := fault.String()
-		text = text[:min(len(text), maxVerdictText)]
+		text = text[:min(len(text), maxVerdictFaultBytes)]
 		texts = append(texts, strings.ToValidUTF8(text, ""))
 	}
 	return texts
--- a/internal/configurer/rules.go
+++ b/internal/configurer/rules.go
@@ -37,7 +37,7 @@
 	// says. Without it a folder that names too long a retention lets a paused
 	// node take lost records for records that never were. The record that
 	// dates the pause has expired too, so its age bounds the true retention.
-	learnRetention bool
+	observeRetention bool
 	// importOnlyNewer refuses a peer's state that is not newer. Without it a
 	// peer that lags takes a node below a revision that it has applied.
 	importOnlyNewer bool
@@ -56,7 +56,7 @@
 		ignoreSeenSnapshots: true,
 		replayFromAsOf:      true,
 		detectGap:           true,
-		learnRetention:      true,
+		observeRetention:    true,
 		importOnlyNewer:     true,
 		appendSnapshots:     true,
 	}
--- a/internal/configurer/sections.go
+++ b/internal/configurer/sections.go
@@ -10,16 +10,16 @@
 // The bounds of values. They are wide: they catch a slip of the keyboard, not
 // a matter of taste.
 const (
-	maxServers   = 10_000
-	maxSlots     = 10_000
-	maxPace      = 1e6
-	maxRate      = 1e9
-	maxAnswer    = 1_000_000
-	maxBody      = 64 << 20
-	maxKVBytes   = 64 << 20
-	maxTransfer  = 1 << 40
-	maxOrderTime = timekeeper.Hour
-	maxDeadline  = 7 * 24 * timekeeper.Hour
+	maxServers         = 10_000
+	maxSlots           = 10_000
+	maxTokensPerSecond = 1e6
+	maxAccountRate     = 1e9
+	maxAnswerTokens    = 1_000_000
+	maxBody            = 64 << 20
+	maxKVBytesPerToken = 64 << 20
+	maxTransferRate    = 1 << 40
+	maxOrderTime       = timekeeper.Hour
+	maxDeadline        = 7 * 24 * timekeeper.Hour
 )
 
 func (b *builder) log(f *folderreader.Form, _ []string) {
@@ -81,12 +81,12 @@
 	f.AllowKeys("tokens_per_second", "prefill_per_second", "kv_bytes_per_token", "transfer_rate")
 	switch pool.Kind {
 	case catalog.PlainService:
-		unwanted(f, "tokens_per_second", "prefill_per_second", "kv_bytes_per_token", "transfer_rate")
+		forbidModelKeys(f, "tokens_per_second", "prefill_per_second", "kv_bytes_per_token", "transfer_rate")
 	case catalog.ModelService:
-		pool.TokensPerSecond = f.Required("tokens_per_second").Number(0.1, maxPace)
-		pool.PrefillPerSecond = f.Required("prefill_per_second").Number(0.1, maxPace)
-		pool.KVBytesPerToken = f.Required("kv_bytes_per_token").Bytes(1, maxKVBytes)
-		pool.TransferRate = identifier.BytesPerSecond(f.Required("transfer_rate").Bytes(1, maxTransfer))
+		pool.TokensPerSecond = f.Required("tokens_per_second").Number(0.1, maxTokensPerSecond)
+		pool.PrefillPerSecond = f.Required("prefill_per_second").Number(0.1, maxTokensPerSecond)
+		pool.KVBytesPerToken = f.Required("kv_bytes_per_token").Bytes(1, maxKVBytesPerToken)
+		pool.TransferRate = identifier.BytesPerSecond(f.Required("transfer_rate").Bytes(1, maxTransferRate))
 	}
 	if pool.Min > pool.Max && pool.Max > 0 {
 		f.Fault("min", "at most max", "more")
@@ -102,7 +102,7 @@
 }
 
 // unwanted reports keys that only model pools and services have.
-func unwanted(f *folderreader.Form, keys ...string) {
+func forbidModelKeys(f *folderreader.Form, keys ...string) {
 	for _, key := range keys {
 		f.ForbidKey(key, "with kind = plain")
 	}
@@ -123,13 +123,13 @@
 	f.AllowKeys("model", "max_tokens", "idempotent")
 	switch service.Kind {
 	case catalog.PlainService:
-		unwanted(f, "model", "max_tokens")
+		forbidModelKeys(f, "model", "max_tokens")
 		// Whether a call may be repeated is never guessed: a wrong guess
 		// doubles a booking or loses an answer.
 		service.Idempotent = f.Required("idempotent").Bool()
 	case catalog.ModelService:
 		service.Model = identifier.ModelName(f.Required("model").Name())
-		service.MaxTokens = identifier.Tokens(f.Required("max_tokens").Count(1, maxAnswer))
+		service.MaxTokens = identifier.Tokens(f.Required("max_tokens").Count(1, maxAnswerTokens))
 		service.Idempotent = f.Optional("idempotent", "true").Bool()
 	}
 	b.catalog.Services[service.Name] = service
@@ -137,16 +137,16 @@
 
 // The words for priorities.
 const (
-	batchWord       = "batch"
-	standardWord    = "standard"
-	interactiveWord = "interactive"
+	batchName       = "batch"
+	standardName    = "standard"
+	interactiveName = "interactive"
 )
 
 func priority(f *folderreader.Form) catalog.Priority {
-	switch f.Required("priority").Choice(batchWord, standardWord, interactiveWord) {
-	case batchWord:
+	switch f.Required("priority").Choice(batchName, standardName, interactiveName) {
+	case batchName:
 		return catalog.Batch
-	case interactiveWord:
+	case interactiveName:
 		return catalog.Interactive
 	default:
 		return catalog.Standard
@@ -157,10 +157,10 @@
 	account := catalog.Account{
 		ID:                identifier.AccountID(names[0]),
 		KeyHashes:         f.Required("key_sha256").Hashes(),
-		RequestsPerSecond: f.Required("requests_per_second").Number(0.001, maxRate),
-		RequestBurst:      f.Required("request_burst").Number(1, maxRate),
-		TokensPerSecond:   f.Required("tokens_per_second").Number(0.001, maxRate),
-		TokenBurst:        f.Required("token_burst").Number(1, maxRate),
+		RequestsPerSecond: f.Required("requests_per_second").Number(0.001, maxAccountRate),
+		RequestBurst:      f.Required("request_burst").Number(1, maxAccountRate),
+		TokensPerSecond:   f.Required("tokens_per_second").Number(0.001, maxAccountRate),
+		TokenBurst:        f.Required("token_burst").Number(1, maxAccountRate),
 		Targets:           make(map[identifier.ServiceName]catalog.Target),
 	}
 	b.catalog.Accounts[account.ID] = account
--- a/internal/configurer/snapshot.go
+++ b/internal/configurer/snapshot.go
@@ -11,12 +11,12 @@
 // When a snapshot is appended. At the latest it is due after three eighths of
 // the retention: two in a row may fail before records are lost.
 const (
-	snapshotShare = 4 // due after this share of the retention
-	jitterShare   = 8 // plus up to this share of it
+	snapshotDivisor = 4 // due after this share of the retention
+	jitterDivisor   = 8 // plus up to this share of it
 	// urgentSpread spreads the nodes when a snapshot is wanted at once.
-	urgentSpread = 2 * timekeeper.Second
+	maxUrgentDelay = 2 * timekeeper.Second
 	// snapshotRetry is the least wait for a snapshot to be read back.
-	snapshotRetry = 5 * timekeeper.Second
+	minSnapshotRetry = 5 * timekeeper.Second
 	// maxUncovered is how many changes may stand after the last snapshot. It
 	// keeps all of them in the history, which times the next one.
 	maxUncovered = maxRecent / 2
@@ -28,7 +28,7 @@
 	coveredTo identifier.Offset
 	// since is the log's time of the oldest record that is still needed: that
 	// snapshot, or a change after its as-of offset.
-	since timekeeper.Time
+	oldestNeeded timekeeper.Time
 	// uncovered counts the changes after coveredTo.
 	uncovered int
 	// expiredTo is the last offset that the log has dropped.
@@ -40,29 +40,29 @@
 }
 
 // changed takes in a judged change.
-func (s *schedule) changed(c Change) {
+func (s *schedule) changeJudged(c Change) {
 	s.uncovered++
-	if s.since == 0 {
-		s.since = c.Appended
+	if s.oldestNeeded == 0 {
+		s.oldestNeeded = c.Appended
 	}
 }
 
 // seen takes in a snapshot that was read. One that was appended late keeps
 // fewer records from mattering, so its worth is the age of the oldest change
 // after its as-of offset.
-func (s *schedule) seen(appended timekeeper.Time, asOf identifier.Offset, recent []Change) {
-	since, uncovered := appended, 0
+func (s *schedule) snapshotRead(appended timekeeper.Time, asOf identifier.Offset, recent []Change) {
+	oldestNeeded, uncovered := appended, 0
 	for _, c := range recent {
 		if c.Offset > asOf {
-			since = min(since, c.Appended)
+			oldestNeeded = min(oldestNeeded, c.Appended)
 			uncovered++
 		}
 	}
-	if since < s.since {
+	if oldestNeeded < s.oldestNeeded {
 		return
 	}
 	s.coveredTo = asOf
-	s.since = since
+	s.oldestNeeded = oldestNeeded
 	s.uncovered = uncovered
 	s.dueAt = 0
 	s.urgent = false
@@ -71,22 +71,22 @@
 // wanted reports whether a snapshot is wanted at once: a node that starts now
 // would find no snapshot that covers what the log has dropped, or there are
 // many changes after the last one.
-func (s *schedule) wanted() bool {
+func (s *schedule) neededNow() bool {
 	return s.expiredTo > s.coveredTo || s.uncovered >= maxUncovered
 }
 
 // due returns the time of the next snapshot, drawing it where it is not set.
 func (s *schedule) due(now timekeeper.Time, retention timekeeper.Duration, rng *rand.Rand) timekeeper.Time {
-	if s.wanted() && !s.urgent {
+	if s.neededNow() && !s.urgent {
 		s.urgent = true
-		s.dueAt = now.Add(jitter(urgentSpread, rng))
+		s.dueAt = now.Add(jitter(maxUrgentDelay, rng))
 	}
 	if s.dueAt != 0 {
 		return s.dueAt
 	}
-	s.dueAt = s.since.Add(retention/snapshotShare + jitter(retention/jitterShare, rng))
+	s.dueAt = s.oldestNeeded.Add(retention/snapshotDivisor + jitter(retention/jitterDivisor, rng))
 	if s.dueAt.Before(now) {
-		s.dueAt = now.Add(jitter(urgentSpread, rng))
+		s.dueAt = now.Add(jitter(maxUrgentDelay, rng))
 	}
 	return s.dueAt
 }
@@ -100,22 +100,22 @@
 // one that is not is repeated.
 func (s *State) SnapshotDue(now timekeeper.Time, rng *rand.Rand) ([]byte, bool) {
 	empty := s.view.revision == 0 && len(s.view.recent) == 0
-	if !s.Ready() || (empty && !s.schedule.wanted()) || !s.rules.appendSnapshots {
+	if !s.Ready() || (empty && !s.schedule.neededNow()) || !s.rules.appendSnapshots {
 		return nil, false
 	}
 	if now.Before(s.schedule.due(now, s.retention(), rng)) {
 		return nil, false
 	}
-	s.schedule.dueAt = now.Add(snapshotRetry + jitter(snapshotRetry, rng))
+	s.schedule.dueAt = now.Add(minSnapshotRetry + jitter(minSnapshotRetry, rng))
 	return encode(record{Snapshot: s.view.snapshot()}), true
 }
 
 // Export returns the state for a peer that can't read the log.
 func (s *State) Export() []byte {
 	return encode(exportRecord{
-		Snapshot:  s.view.snapshot(),
-		CoveredTo: s.schedule.coveredTo,
-		Since:     s.schedule.since,
+		Snapshot:     s.view.snapshot(),
+		CoveredTo:    s.schedule.coveredTo,
+		OldestNeeded: s.schedule.oldestNeeded,
 	})
 }
 
@@ -140,15 +140,15 @@
 	if !s.rules.importOnlyNewer {
 		s.view.asOf = 0
 	}
-	s.schedule.imported(r)
-	applied := s.adopt(v)
-	return append(applied, s.release(now)...), nil
+	s.schedule.merge(r)
+	applied := s.adoptView(v)
+	return append(applied, s.applyHeld(now)...), nil
 }
 
 // imported takes over the peer's timing where this node has none.
-func (s *schedule) imported(r exportRecord) {
-	if s.since == 0 {
-		s.since = r.Since
+func (s *schedule) merge(r exportRecord) {
+	if s.oldestNeeded == 0 {
+		s.oldestNeeded = r.OldestNeeded
 		s.coveredTo = r.CoveredTo
 	}
 }
--- a/internal/configurer/state.go
+++ b/internal/configurer/state.go
@@ -28,25 +28,25 @@
 	view   view
 	// seenTo is the last offset that was received, lostTo the last one that
 	// may have expired unread. There is a gap while lostTo is past the view.
-	seenTo identifier.Offset
-	lostTo identifier.Offset
+	receivedTo identifier.Offset
+	lostTo     identifier.Offset
 	// held are the records past a gap: a snapshot further on may show that
 	// they count.
 	held      []messenger.Record
 	heldBytes int
 	// caughtUp tells that the last read reached the end of the stream, which
 	// endedAt times.
-	caughtUp bool
-	endedAt  timekeeper.Time
-	pending  []proposal
-	schedule schedule
+	caughtUp   bool
+	caughtUpAt timekeeper.Time
+	pending    []proposal
+	schedule   schedule
 	// last and lastAppended are the offset and time of the last record that
 	// was applied; shortest is the least age at which one was seen expired.
-	last         identifier.Offset
-	lastAppended timekeeper.Time
-	shortest     timekeeper.Duration
-	dropped      Dropped
-	problem      error
+	lastApplied   identifier.Offset
+	lastAppended  timekeeper.Time
+	minExpiredAge timekeeper.Duration
+	dropped       Dropped
+	snapshotErr   error
 }
 
 // Dropped counts what a State has dropped.
@@ -92,7 +92,7 @@
 func (s *State) AsOf() identifier.Offset { return s.view.asOf }
 
 // ReadFrom returns the offset to read the stream from.
-func (s *State) ReadFrom() identifier.Offset { return s.seenTo + 1 }
+func (s *State) ReadFrom() identifier.Offset { return s.receivedTo + 1 }
 
 // Ready reports whether the stream was read to its end without a gap.
 func (s *State) Ready() bool { return s.caughtUp && s.Fault() == nil }
@@ -115,7 +115,7 @@
 			LostTo: s.lostTo,
 		}
 	}
-	return s.problem
+	return s.snapshotErr
 }
 
 func (s *State) gap() bool { return s.lostTo > s.view.asOf }
@@ -123,14 +123,14 @@
 // ApplyRecords applies one read of the stream and returns the verdicts that it
 // brought. Reads may overlap or be repeated, but not leave records out.
 func (s *State) ApplyRecords(now timekeeper.Time, read messenger.LogRead) []Applied {
-	s.noteExpiry(now, read.First)
+	s.handleExpiry(now, read.First)
 	var applied []Applied
 	for _, rec := range read.Records {
-		applied = append(applied, s.take(now, rec)...)
+		applied = append(applied, s.receive(now, rec)...)
 	}
 	s.caughtUp = read.End
 	if read.End {
-		s.endedAt = now
+		s.caughtUpAt = now
 	}
 	return applied
 }
@@ -141,17 +141,17 @@
 // have expired within the retention, half of which leaves room for a read that
 // is absorbed late: then nothing of ours is missing, and the state stands as
 // of that offset.
-func (s *State) noteExpiry(now timekeeper.Time, first identifier.Offset) {
+func (s *State) handleExpiry(now timekeeper.Time, first identifier.Offset) {
 	if first == 0 {
 		return
 	}
-	s.learnRetention(now, first)
+	s.observeRetention(now, first)
 	s.schedule.expiredTo = max(s.schedule.expiredTo, first-1)
 	if first-1 <= s.view.asOf {
 		return
 	}
-	sure := s.caughtUp && !s.gap() && now.Sub(s.endedAt) < s.retention()/2
-	if sure || !s.rules.detectGap {
+	complete := s.caughtUp && !s.gap() && now.Sub(s.caughtUpAt) < s.retention()/2
+	if complete || !s.rules.detectGap {
 		s.view.asOf = first - 1
 		return
 	}
@@ -159,13 +159,13 @@
 }
 
 // learnRetention notes the age at which the log has dropped a record.
-func (s *State) learnRetention(now timekeeper.Time, first identifier.Offset) {
-	if s.last == 0 || first <= s.last || !s.rules.learnRetention {
+func (s *State) observeRetention(now timekeeper.Time, first identifier.Offset) {
+	if s.lastApplied == 0 || first <= s.lastApplied || !s.rules.observeRetention {
 		return
 	}
 	age := now.Sub(s.lastAppended)
-	if s.shortest == 0 || age < s.shortest {
-		s.shortest = age
+	if s.minExpiredAge == 0 || age < s.minExpiredAge {
+		s.minExpiredAge = age
 	}
 }
 
@@ -173,18 +173,18 @@
 // as was seen where that is less.
 func (s *State) retention() timekeeper.Duration {
 	configured := s.view.catalog.LogRetention
-	if s.shortest == 0 {
+	if s.minExpiredAge == 0 {
 		return configured
 	}
-	return min(configured, max(s.shortest, minRetention))
+	return min(configured, max(s.minExpiredAge, minRetention))
 }
 
 // take takes in one record.
-func (s *State) take(now timekeeper.Time, rec messenger.Record) []Applied {
-	if rec.Offset <= s.seenTo || rec.Offset <= s.view.asOf {
+func (s *State) receive(now timekeeper.Time, rec messenger.Record) []Applied {
+	if rec.Offset <= s.receivedTo || rec.Offset <= s.view.asOf {
 		return nil
 	}
-	s.seenTo = rec.Offset
+	s.receivedTo = rec.Offset
 	if s.gap() {
 		return s.hold(now, rec)
 	}
@@ -196,22 +196,22 @@
 	s.view.asOf = rec.Offset
 	r, err := decode(rec.Offset, rec.Data)
 	appended := appendedAt(now, rec)
-	s.last, s.lastAppended = rec.Offset, appended
+	s.lastApplied, s.lastAppended = rec.Offset, appended
 	switch {
 	case err != nil:
 		s.dropped.Malformed++
 		return nil
 	case r.Snapshot != nil:
-		s.seeSnapshot(rec.Offset, appended, r.Snapshot)
+		s.observeSnapshot(rec.Offset, appended, r.Snapshot)
 		return nil
 	case r.Restore != nil:
 		return s.restore(rec.Offset, appended, r.Restore)
 	}
-	verdict, fresh := s.view.judge(rec.Offset, appended, r.Change, s.rules)
-	if !fresh {
+	verdict, isNew := s.view.judge(rec.Offset, appended, r.Change, s.rules)
+	if !isNew {
 		return nil
 	}
-	s.schedule.changed(verdict)
+	s.schedule.changeJudged(verdict)
 	return []Applied{s.settle(verdict)}
 }
 
@@ -224,25 +224,25 @@
 	return rec.Appended
 }
 
-func (s *State) seeSnapshot(at identifier.Offset, appended timekeeper.Time, snapshot *snapshotRecord) {
-	s.schedule.seen(appended, snapshot.AsOf, s.view.recent)
+func (s *State) observeSnapshot(offset identifier.Offset, appended timekeeper.Time, snapshot *snapshotRecord) {
+	s.schedule.snapshotRead(appended, snapshot.AsOf, s.view.recent)
 	if s.rules.ignoreSeenSnapshots {
 		return
 	}
 	if v, err := viewOf(snapshot); err == nil {
 		s.view = v
-		s.view.asOf = at
+		s.view.asOf = offset
 	}
 }
 
-func (s *State) restore(at identifier.Offset, appended timekeeper.Time, r *restoreRecord) []Applied {
-	v, ok := restored(at, appended, r)
+func (s *State) restore(offset identifier.Offset, appended timekeeper.Time, r *restoreRecord) []Applied {
+	v, ok := viewOfRestore(offset, appended, r)
 	if !ok {
 		return nil
 	}
 	s.view = v
 	s.schedule = schedule{expiredTo: s.schedule.expiredTo}
-	s.schedule.changed(v.recent[0])
+	s.schedule.changeJudged(v.recent[0])
 	return []Applied{s.settle(v.recent[0])}
 }
 
@@ -260,38 +260,38 @@
 	case r.Restore != nil:
 		applied = s.restore(rec.Offset, appendedAt(now, rec), r.Restore)
 	}
-	applied = append(applied, s.release(now)...)
-	s.boundHeld()
+	applied = append(applied, s.applyHeld(now)...)
+	s.limitHeld()
 	return applied
 }
 
-func (s *State) adoptSnapshot(at identifier.Offset, snapshot *snapshotRecord) []Applied {
+func (s *State) adoptSnapshot(offset identifier.Offset, snapshot *snapshotRecord) []Applied {
 	v, err := viewOf(snapshot)
 	if err != nil {
-		s.problem = err
+		s.snapshotErr = err
 		return nil
 	}
 	if !s.rules.replayFromAsOf {
-		v.asOf = at
+		v.asOf = offset
 	}
-	return s.adopt(v)
+	return s.adoptView(v)
 }
 
 // adopt goes over to a later view. A view is what all records up to its as-of
 // offset say, so a later one never takes back what an earlier one says.
-func (s *State) adopt(v view) []Applied {
+func (s *State) adoptView(v view) []Applied {
 	if v.asOf <= s.view.asOf {
 		return nil
 	}
 	s.view = v
-	s.problem = nil
-	s.seenTo = max(s.seenTo, v.asOf)
-	return s.settleRemembered()
+	s.snapshotErr = nil
+	s.receivedTo = max(s.receivedTo, v.asOf)
+	return s.settlePending()
 }
 
 // release applies the held records once they follow the view, and drops those
 // that the view holds already.
-func (s *State) release(now timekeeper.Time) []Applied {
+func (s *State) applyHeld(now timekeeper.Time) []Applied {
 	s.held = slices.DeleteFunc(s.held, func(rec messenger.Record) bool {
 		done := rec.Offset <= s.view.asOf
 		if done {
@@ -310,7 +310,7 @@
 	return applied
 }
 
-func (s *State) boundHeld() {
+func (s *State) limitHeld() {
 	for s.heldBytes > maxHeldBytes {
 		oldest := s.held[0]
 		s.lostTo = max(s.lostTo, oldest.Offset)
--- a/internal/configurer/state_test.go
+++ b/internal/configurer/state_test.go
@@ -52,7 +52,7 @@
 		},
 		"folder names too long a retention": {
 			holds: wrongRetentionHolds,
-			off:   func(r *rules) { r.learnRetention = false },
+			off:   func(r *rules) { r.observeRetention = false },
 		},
 		"older peer": {
 			holds: olderPeerHolds,
@@ -83,8 +83,8 @@
 	second, secondNonce := l.propose(two, proposalOf(two, fileA, zoneFile("y")))
 	l.append(second)
 	l.append(first)
-	won, lost := verdictOf(l.read(two), secondNonce), verdictOf(l.read(one), firstNonce)
-	return won.Accepted && !lost.Accepted && len(lost.Faults) == 1 && content(one, fileA) == zoneFile("y")
+	winner, loser := verdictOf(l.read(two), secondNonce), verdictOf(l.read(one), firstNonce)
+	return winner.Accepted && !loser.Accepted && len(loser.Faults) == 1 && fileContent(one, fileA) == zoneFile("y")
 }
 
 // An operator deletes the zone that a price refers to. The file itself is
@@ -95,7 +95,7 @@
 	l.write(s, fileA, zoneFile("x"))
 	l.write(s, fileB, "[vm_class c]\n[price c x]\nreclaimable = 1\n")
 	verdict := l.write(s, fileA, "")
-	return !verdict.Accepted && len(verdict.Faults) == 1 && content(s, fileA) != ""
+	return !verdict.Accepted && len(verdict.Faults) == 1 && fileContent(s, fileA) != ""
 }
 
 // The answer to an append is lost and the record is appended again. The first
@@ -111,7 +111,7 @@
 	l.write(s, fileA, zoneFile("x"))
 	l.append(data)
 	again := l.read(s)
-	return !rejected.Accepted && len(again) == 0 && content(s, fileB) == "" && len(s.History()) == 2
+	return !rejected.Accepted && len(again) == 0 && fileContent(s, fileB) == "" && len(s.History()) == 2
 }
 
 // A creation is appended late, after another operator has created and deleted
@@ -124,7 +124,7 @@
 	l.write(s, fileA, "")
 	l.append(stale)
 	l.read(s)
-	return content(s, fileA) == ""
+	return fileContent(s, fileA) == ""
 }
 
 // A node makes a snapshot and is paused; a change is accepted; then the
@@ -137,7 +137,7 @@
 	accepted := l.write(s, fileA, zoneFile("y"))
 	l.append(snapshot)
 	l.read(s)
-	return accepted.Accepted && content(s, fileA) == zoneFile("y") && s.Revision() == accepted.Revision
+	return accepted.Accepted && fileContent(s, fileA) == zoneFile("y") && s.Revision() == accepted.Revision
 }
 
 // The same late snapshot is the only one that a new node finds: what stands
@@ -153,7 +153,7 @@
 	l.read(s)
 	l.expire(asOf + 1)
 	late := l.ready(r)
-	return late.Fault() == nil && same(late, s)
+	return late.Fault() == nil && equalState(late, s)
 }
 
 // A node is paused for longer than the retention. A change it has missed has
@@ -173,7 +173,7 @@
 	l.append(encode(record{Snapshot: s.view.snapshot()}))
 	l.read(s)
 	l.read(paused)
-	return faulty && paused.Fault() == nil && same(paused, s)
+	return faulty && paused.Fault() == nil && equalState(paused, s)
 }
 
 // The folder says that the log keeps records for a day; it keeps them for an
@@ -193,7 +193,7 @@
 		}
 	}
 	l.read(paused)
-	return s.Fault() == nil && paused.Fault() == nil && same(s, paused)
+	return s.Fault() == nil && paused.Fault() == nil && equalState(s, paused)
 }
 
 // A peer that lags gives its state to a node that has read further: the node
@@ -205,7 +205,7 @@
 	lagging := l.ready(r).Export()
 	l.write(s, fileA, zoneFile("y"))
 	_, err := s.Import(l.now, lagging)
-	return err != nil && content(s, fileA) == zoneFile("y")
+	return err != nil && fileContent(s, fileA) == zoneFile("y")
 }
 
 // Each node of a fleet of three lives for a tenth of the retention, for twenty
@@ -230,7 +230,7 @@
 		}
 	}
 	s := l.ready(r)
-	return s.Ready() && content(s, fileA) == zoneFile("x") && snapshots < 200
+	return s.Ready() && fileContent(s, fileA) == zoneFile("x") && snapshots < 200
 }
 
 // A new node starts while the log is out. It takes the state of a peer, and
@@ -246,7 +246,7 @@
 	require.False(t, fresh.Ready())
 	l.write(s, fileB, zoneFile("y"))
 	require.Len(t, l.read(fresh), 1)
-	require.True(t, same(fresh, s))
+	require.True(t, equalState(fresh, s))
 	require.True(t, fresh.Ready())
 }
 
@@ -306,7 +306,7 @@
 	require.Equal(t, identifier.Ticket(9), applied[0].Ticket)
 	require.True(t, applied[0].Verdict.Accepted)
 	l.read(two)
-	require.True(t, same(one, two))
+	require.True(t, equalState(one, two))
 	require.True(t, l.write(two, fileA, zoneFile("z")).Accepted)
 	_, err = two.ProposeRestore(l.now, folder, 9, l.nonce())
 	var whole *NoGapError
--- a/internal/configurer/view.go
+++ b/internal/configurer/view.go
@@ -95,37 +95,37 @@
 
 // judge applies the change that stands at an offset, or rejects it. It reports
 // false for a change that was judged before.
-func (v *view) judge(at identifier.Offset, appended timekeeper.Time, c *changeRecord, r rules) (Change, bool) {
-	if _, seen := v.verdict(c.Nonce); seen && r.countOnce {
+func (v *view) judge(offset identifier.Offset, appended timekeeper.Time, c *changeRecord, r rules) (Change, bool) {
+	if _, judged := v.verdict(c.Nonce); judged && r.countOnce {
 		return Change{}, false
 	}
 	verdict := Change{
-		Offset:   at,
+		Offset:   offset,
 		Nonce:    c.Nonce,
 		File:     c.File,
 		Deleted:  c.Delete,
 		Revision: v.files[c.File].Revision,
 		Appended: appended,
 	}
-	built, faults := v.consider(c, r)
+	built, faults := v.checkChange(c, r)
 	if len(faults) > 0 {
 		verdict.Faults = faults
 	} else {
 		verdict.Accepted = true
-		verdict.Revision = at
-		v.accept(at, c, built, r)
+		verdict.Revision = offset
+		v.accept(offset, c, built, r)
 	}
 	v.remember(verdict)
 	return verdict, true
 }
 
 // consider returns the catalog with the change, or why it is rejected.
-func (v *view) consider(c *changeRecord, r rules) (*catalog.Catalog, []string) {
+func (v *view) checkChange(c *changeRecord, r rules) (*catalog.Catalog, []string) {
 	if fault, bad := folderreader.NameFault(c.File); bad {
 		return nil, verdictFaults([]folderreader.Fault{fault})
 	}
-	if stale := v.staleness(c); stale != "" && r.compareRevision {
-		return nil, []string{stale}
+	if staleFault := v.staleReason(c); staleFault != "" && r.compareRevision {
+		return nil, []string{staleFault}
 	}
 	contents := v.contents()
 	if c.Delete {
@@ -141,13 +141,13 @@
 }
 
 // staleness tells in which way the change is based on an old state.
-func (v *view) staleness(c *changeRecord) string {
+func (v *view) staleReason(c *changeRecord) string {
 	if c.Generation != v.generation {
 		return fmt.Sprintf("%s: the folder was restored at offset %d: look again and repeat the change", c.File, v.generation)
 	}
 	file := v.files[c.File]
-	if c.Saw != file.Revision {
-		return fmt.Sprintf("%s: the change is based on revision %d, the file stands at %d: look again and repeat the change", c.File, c.Saw, file.Revision)
+	if c.BaseRevision != file.Revision {
+		return fmt.Sprintf("%s: the change is based on revision %d, the file stands at %d: look again and repeat the change", c.File, c.BaseRevision, file.Revision)
 	}
 	if c.Delete && (file.Deleted || file.Revision == 0) {
 		return fmt.Sprintf("%s: there is no such file", c.File)
@@ -155,25 +155,25 @@
 	return ""
 }
 
-func (v *view) accept(at identifier.Offset, c *changeRecord, built *catalog.Catalog, r rules) {
-	v.revision = at
+func (v *view) accept(offset identifier.Offset, c *changeRecord, built *catalog.Catalog, r rules) {
+	v.revision = offset
 	v.files[c.File] = FileState{
 		Content:  c.Content,
-		Revision: at,
+		Revision: offset,
 		Deleted:  c.Delete,
 	}
 	if c.Delete && !r.keepTombstones {
 		delete(v.files, c.File)
 	}
-	v.boundTombstones()
+	v.limitTombstones()
 	if built != nil {
-		built.Revision = at
+		built.Revision = offset
 		v.catalog = built
 	}
 }
 
 // boundTombstones forgets the oldest deletion when there are too many.
-func (v *view) boundTombstones() {
+func (v *view) limitTombstones() {
 	var deleted []identifier.FileName
 	for name, file := range v.files {
 		if file.Deleted {
@@ -199,27 +199,27 @@
 // restored returns the view that follows from a restore. It depends on the
 // record alone, so that nodes with and without a gap come to the same state.
 // It reports false where the restored folder has faults.
-func restored(at identifier.Offset, appended timekeeper.Time, r *restoreRecord) (view, bool) {
+func viewOfRestore(offset identifier.Offset, appended timekeeper.Time, r *restoreRecord) (view, bool) {
 	built, faults := Check(r.Files)
 	if len(faults) > 0 {
 		return view{}, false
 	}
-	built.Revision = at
+	built.Revision = offset
 	v := newView()
-	v.asOf, v.generation, v.revision = at, at, at
+	v.asOf, v.generation, v.revision = offset, offset, offset
 	v.catalog = built
 	for name, content := range r.Files {
 		v.files[name] = FileState{
 			Content:  content,
-			Revision: at,
+			Revision: offset,
 		}
 	}
 	v.remember(Change{
-		Offset:   at,
+		Offset:   offset,
 		Nonce:    r.Nonce,
 		Restored: true,
 		Accepted: true,
-		Revision: at,
+		Revision: offset,
 		Appended: appended,
 	})
 	return v, true
--- a/internal/folderreader/fault.go
+++ b/internal/folderreader/fault.go
@@ -70,14 +70,14 @@
 }
 
 // nothing is what a fault got where a value is missing.
-const nothing = "nothing"
+const missingValue = "nothing"
 
 // maxQuoted bounds the text of the folder that a fault repeats.
-const maxQuoted = 80
+const maxQuotedBytes = 80
 
 func quote(s string) string {
-	if len(s) > maxQuoted {
-		return fmt.Sprintf("%q and %d bytes more", s[:maxQuoted], len(s)-maxQuoted)
+	if len(s) > maxQuotedBytes {
+		return fmt.Sprintf("%q and %d bytes more", s[:maxQuotedBytes], len(s)-maxQuotedBytes)
 	}
 	return fmt.Sprintf("%q", s)
 }
--- a/internal/folderreader/merge.go
+++ b/internal/folderreader/merge.go
@@ -59,7 +59,7 @@
 		total += len(files[name])
 		mergeFile(merged, parse(name, files[name], faults), faults)
 	}
-	boundFolder(len(files), total, faults)
+	checkFolderSize(len(files), total, faults)
 	sections := make([]*Section, 0, len(merged))
 	for _, section := range merged {
 		sections = append(sections, section)
@@ -102,7 +102,7 @@
 	}
 }
 
-func boundFolder(count, total int, faults *Faults) {
+func checkFolderSize(count, total int, faults *Faults) {
 	if count > MaxFiles {
 		faults.Add(Fault{
 			Expected: fmt.Sprintf("at most %d files", MaxFiles),
--- a/internal/folderreader/parse.go
+++ b/internal/folderreader/parse.go
@@ -14,7 +14,7 @@
 
 // noChild is a delimiter of child sections that no section name can contain.
 // It keeps the library from looking a missing key up in a parent section.
-const noChild = "\x00"
+const noChildDelimiter = "\x00"
 
 // options leaves only the plain core of INI. Repeated sections and keys are
 // kept apart instead of merged, so that they can be reported.
@@ -28,7 +28,7 @@
 		PreserveSurroundedQuote:    true,
 		AllowNonUniqueSections:     true,
 		KeyValueDelimiters:         "=",
-		ChildSectionDelimiter:      noChild,
+		ChildSectionDelimiter:      noChildDelimiter,
 	}
 }
 
@@ -42,7 +42,7 @@
 		})
 		return nil
 	}
-	loaded, err := ini.LoadSources(options(), plainLines(file, content, faults))
+	loaded, err := ini.LoadSources(options(), filterLines(file, content, faults))
 	if err != nil {
 		faults.Add(Fault{
 			File:     file,
@@ -53,7 +53,7 @@
 	}
 	var sections []*Section
 	for _, raw := range loaded.Sections() {
-		if section, ok := newSection(file, raw, faults); ok {
+		if section, ok := convertSection(file, raw, faults); ok {
 			sections = append(sections, section)
 		}
 	}
@@ -64,7 +64,7 @@
 // grammar, each of which becomes a fault. Without it the library would stop at
 // a file's first bad line, and would read a multi-line quote as a value that
 // swallows the sections after it.
-func plainLines(file identifier.FileName, content []byte, faults *Faults) []byte {
+func filterLines(file identifier.FileName, content []byte, faults *Faults) []byte {
 	var plain bytes.Buffer
 	for i, line := range strings.Split(string(content), "\n") {
 		expected := lineFault(strings.TrimSpace(line))
@@ -86,7 +86,7 @@
 // line is as it should be.
 func lineFault(line string) string {
 	switch {
-	case !utf8.ValidString(line) || strings.ContainsFunc(line, notText):
+	case !utf8.ValidString(line) || strings.ContainsFunc(line, isUnprintable):
 		return "printable UTF-8 text"
 	case line == "" || line[0] == '#' || line[0] == ';':
 		return ""
@@ -121,7 +121,7 @@
 	return ""
 }
 
-func notText(r rune) bool { return r != '\t' && !unicode.IsPrint(r) }
+func isUnprintable(r rune) bool { return r != '\t' && !unicode.IsPrint(r) }
 
 func isKey(s string) bool {
 	return s != "" && !strings.ContainsFunc(s, func(r rune) bool {
@@ -131,7 +131,7 @@
 
 // newSection turns a section of the library into one of ours. Each file begins
 // with the library's own default section, which must be empty.
-func newSection(file identifier.FileName, raw *ini.Section, faults *Faults) (*Section, bool) {
+func convertSection(file identifier.FileName, raw *ini.Section, faults *Faults) (*Section, bool) {
 	words := strings.Fields(raw.Name())
 	section := &Section{
 		Kind:  words[0],
@@ -145,7 +145,7 @@
 				File:     file,
 				Key:      key,
 				Expected: "a section before the first key",
-				Got:      nothing,
+				Got:      missingValue,
 			})
 		}
 		return nil, false
--- a/internal/folderreader/value.go
+++ b/internal/folderreader/value.go
@@ -27,7 +27,7 @@
 func read[T any](v Value, expected string, parse func(string) (T, bool)) T {
 	var zero T
 	if v.missing {
-		v.form.Fault(v.key, expected, nothing)
+		v.form.Fault(v.key, expected, missingValue)
 		return zero
 	}
 	parsed, ok := parse(v.text)
@@ -43,9 +43,9 @@
 }
 
 var (
-	namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
-	hashPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
-	sumPattern  = regexp.MustCompile(`^[0-9]{1,9}(\.[0-9]{1,6})?$`)
+	namePattern  = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
+	hashPattern  = regexp.MustCompile(`^[0-9a-f]{64}$`)
+	moneyPattern = regexp.MustCompile(`^[0-9]{1,9}(\.[0-9]{1,6})?$`)
 )
 
 // ValidName reports whether s can name something that a folder defines.
@@ -107,8 +107,8 @@
 func parseBytes(s string) (identifier.Bytes, bool) {
 	shift := 0
 	for i, unit := range []string{"KiB", "MiB", "GiB"} {
-		if digits, ok := strings.CutSuffix(s, unit); ok {
-			s, shift = digits, 10*(i+1)
+		if number, ok := strings.CutSuffix(s, unit); ok {
+			s, shift = number, 10*(i+1)
 		}
 	}
 	n, err := strconv.ParseUint(s, 10, 32)
@@ -120,7 +120,7 @@
 func (v Value) Money() identifier.Money {
 	const expected = "an amount that is not negative, such as 0.12"
 	return read(v, expected, func(s string) (identifier.Money, bool) {
-		if !sumPattern.MatchString(s) {
+		if !moneyPattern.MatchString(s) {
 			return 0, false
 		}
 		whole, part, _ := strings.Cut(s, ".")
