--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -39,7 +39,7 @@
 	answers   map[identifier.RequestID]*answerer.Answer
 	submitted []server.Submission
 	proposed  []messenger.ChangeProposed
-	submit  func(server.Submission) (*answerer.Answer, error)
+	submit    func(server.Submission) (*answerer.Answer, error)
 	// attach, if set, replaces the lookup in answers.
 	attach  func(identifier.RequestID) (*answerer.Answer, error)
 	propose func(messenger.ChangeProposed) (messenger.ChangeVerdict, error)
--- a/pkg/caller/caller_test.go
+++ b/pkg/caller/caller_test.go
@@ -17,26 +17,27 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// visit is one request that a node got.
-type visit struct {
-	node   int
-	method string
-	path   string
-	key    string
-	last   string
+// receivedRequest records a request that a node received.
+type receivedRequest struct {
+	node        int
+	method      string
+	path        string
+	key         string
+	lastEventID string
 }
 
-// cluster is a number of nodes whose behaviour a test scripts.
+// cluster is a set of nodes whose responses a test defines.
 type cluster struct {
-	mu     sync.Mutex
-	visits []visit
-	nodes  []*httptest.Server
-	// refuseAddresses counts the questions for addresses that are refused.
-	refuseAddresses int
+	mu       sync.Mutex
+	requests []receivedRequest
+	nodes    []*httptest.Server
+	// addressRefusals is the number of further requests for addresses that are
+	// refused.
+	addressRefusals int
 }
 
-// newCluster starts nodes that answer as handle says. Address lists name all
-// nodes in order.
+// newCluster starts nodes that handle requests with handle. Address lists
+// contain all nodes in order.
 func newCluster(t *testing.T, size int, handle func(c *cluster, node int, w http.ResponseWriter, r *http.Request)) *cluster {
 	t.Helper()
 	c := &cluster{}
@@ -57,9 +58,9 @@
 func (c *cluster) addresses(w http.ResponseWriter) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.refuseAddresses > 0 {
-		c.refuseAddresses--
-		problem(w, 503, "no_configuration", "not_run", 1)
+	if c.addressRefusals > 0 {
+		c.addressRefusals--
+		writeProblem(w, 503, "no_configuration", "not_run", 1)
 		return
 	}
 	list := struct {
@@ -75,12 +76,12 @@
 func (c *cluster) record(node int, r *http.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.visits = append(c.visits, visit{
-		node:   node,
-		method: r.Method,
-		path:   r.URL.Path,
-		key:    r.Header.Get("Idempotency-Key"),
-		last:   r.Header.Get("Last-Event-ID"),
+	c.requests = append(c.requests, receivedRequest{
+		node:        node,
+		method:      r.Method,
+		path:        r.URL.Path,
+		key:         r.Header.Get("Idempotency-Key"),
+		lastEventID: r.Header.Get("Last-Event-ID"),
 	})
 }
 
@@ -103,159 +104,158 @@
 	return caller.New(config)
 }
 
-// open begins a stream of request r1.
-func open(w http.ResponseWriter) {
+// openStream starts a stream of request r1.
+func openStream(w http.ResponseWriter) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Request-Id", "r1")
-	write(w, ": heartbeat\n\n")
+	writeFlushed(w, ": heartbeat\n\n")
 }
 
-func write(w http.ResponseWriter, text string) {
+func writeFlushed(w http.ResponseWriter, text string) {
 	_, _ = fmt.Fprint(w, text)
 	w.(http.Flusher).Flush()
 }
 
-// tokens writes the tokens from one index to another; token i reads "<i>".
-func tokens(w http.ResponseWriter, from, to int) {
+// writeTokens writes the tokens with the indexes from..to; the text of token i
+// is "<i>".
+func writeTokens(w http.ResponseWriter, from, to int) {
 	for i := from; i <= to; i++ {
-		write(w, fmt.Sprintf("id: %d\ndata: {\"choices\":[{\"delta\":{\"content\":\"<%d>\"}}]}\n\n", i, i))
+		writeFlushed(w, fmt.Sprintf("id: %d\ndata: {\"choices\":[{\"delta\":{\"content\":\"<%d>\"}}]}\n\n", i, i))
 	}
 }
 
-func done(w http.ResponseWriter) {
-	write(w, "data: {\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n")
+func finishStream(w http.ResponseWriter) {
+	writeFlushed(w, "data: {\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n")
 }
 
-func problem(w http.ResponseWriter, status int, reason, outcome string, retryAfter int) {
+func writeProblem(w http.ResponseWriter, status int, reason, outcome string, retryAfter int) {
 	w.Header().Set("Content-Type", "application/problem+json")
 	w.WriteHeader(status)
 	_, _ = fmt.Fprintf(w, `{"status":%d,"reason":%q,"outcome":%q,"retry_after_ms":%d}`, status, reason, outcome, retryAfter)
 }
 
-// cut ends the connection without a proper end.
-func cut() { panic(http.ErrAbortHandler) }
+// abortConnection closes the connection without ending the response.
+func abortConnection() { panic(http.ErrAbortHandler) }
 
-// text is a sink that keeps the answer.
-type text struct {
+// textSink is a Sink that collects the answer.
+type textSink struct {
 	strings.Builder
 	restarts int
 }
 
-var _ caller.Sink = (*text)(nil)
+var _ caller.Sink = (*textSink)(nil)
 
-func (s *text) Token(t caller.Token) error {
+func (s *textSink) Token(t caller.Token) error {
 	s.WriteString(t.Text)
 	return nil
 }
 
-func (s *text) Restart() error {
+func (s *textSink) Restart() error {
 	s.restarts++
 	s.Reset()
 	return nil
 }
 
-var report = caller.Prompt{
+var reportPrompt = caller.Prompt{
 	Service: "report",
 	Text:    "a ship",
 }
 
-// The caller's node breaks a stream after two tokens, in each of the ways in
-// which a stream can break. The caller goes on at the next node after the last
-// token it has, and sees each token once and in order.
+// However a stream breaks, the client must continue on another node after the
+// last token, and deliver each token once and in order.
 func TestStreamResumes(t *testing.T) {
-	breaks := map[string]func(c *cluster, w http.ResponseWriter, r *http.Request){
-		"cut":   func(*cluster, http.ResponseWriter, *http.Request) { cut() },
+	interruptions := map[string]func(c *cluster, w http.ResponseWriter, r *http.Request){
+		"cut":   func(*cluster, http.ResponseWriter, *http.Request) { abortConnection() },
 		"ended": func(*cluster, http.ResponseWriter, *http.Request) {},
 		"moved": func(c *cluster, w http.ResponseWriter, _ *http.Request) {
-			write(w, fmt.Sprintf("event: moved\ndata: {\"address\":%q}\n\n", c.address(1)))
+			writeFlushed(w, fmt.Sprintf("event: moved\ndata: {\"address\":%q}\n\n", c.address(1)))
 		},
-		"hole": func(_ *cluster, w http.ResponseWriter, _ *http.Request) { tokens(w, 4, 4) },
+		"hole": func(_ *cluster, w http.ResponseWriter, _ *http.Request) { writeTokens(w, 4, 4) },
 	}
-	for name, breakOff := range breaks {
+	for name, interrupt := range interruptions {
 		t.Run(name, func(t *testing.T) {
 			c := newCluster(t, 3, func(c *cluster, node int, w http.ResponseWriter, r *http.Request) {
-				open(w)
+				openStream(w)
 				if node == 0 {
-					tokens(w, 1, 2)
-					breakOff(c, w, r)
+					writeTokens(w, 1, 2)
+					interrupt(c, w, r)
 					return
 				}
-				tokens(w, 2, 4) // Token 2 comes once more.
-				done(w)
+				writeTokens(w, 2, 4) // Token 2 is a duplicate.
+				finishStream(w)
 			})
-			var got text
-			trace, err := c.client(nil).Stream(t.Context(), report, &got)
+			var got textSink
+			trace, err := c.client(nil).Stream(t.Context(), reportPrompt, &got)
 			require.NoError(t, err)
 			require.Equal(t, "<1><2><3><4>", got.String())
 			require.Zero(t, got.restarts)
 			require.Equal(t, identifier.RequestID("r1"), trace.Request)
 			require.Equal(t, 1, trace.Reattached)
 			require.Equal(t, identifier.Tokens(4), trace.Tokens)
-			require.Len(t, c.visits, 2)
-			require.Equal(t, visit{
-				node:   1,
-				method: "GET",
-				path:   "/v1/requests/r1",
-				last:   "2",
-			}, c.visits[1])
+			require.Len(t, c.requests, 2)
+			require.Equal(t, receivedRequest{
+				node:        1,
+				method:      "GET",
+				path:        "/v1/requests/r1",
+				lastEventID: "2",
+			}, c.requests[1])
 		})
 	}
 }
 
-// An open connection goes silent for good while new ones work. The caller
-// hears no heartbeat, opens a new connection to the same node, and goes on.
-func TestSilentConnectionIsReopened(t *testing.T) {
+// An open connection stops receiving data while new ones work. The client must
+// reconnect to the same node.
+func TestIdleConnectionIsReopened(t *testing.T) {
 	c := newCluster(t, 2, func(c *cluster, _ int, w http.ResponseWriter, r *http.Request) {
-		open(w)
+		openStream(w)
 		if r.Method == http.MethodPost {
-			tokens(w, 1, 2)
+			writeTokens(w, 1, 2)
 			<-r.Context().Done()
 			return
 		}
-		tokens(w, 3, 4)
-		done(w)
+		writeTokens(w, 3, 4)
+		finishStream(w)
 	})
-	var got text
-	_, err := c.client(nil).Stream(t.Context(), report, &got)
+	var got textSink
+	_, err := c.client(nil).Stream(t.Context(), reportPrompt, &got)
 	require.NoError(t, err)
 	require.Equal(t, "<1><2><3><4>", got.String())
-	require.Len(t, c.visits, 2)
-	require.Zero(t, c.visits[1].node)
+	require.Len(t, c.requests, 2)
+	require.Zero(t, c.requests[1].node)
 }
 
-// The node freezes: the open connection goes silent, and a new one stands but
-// brings nothing. The caller must not wait on it for long, since another node
-// will have adopted the request by then.
-func TestFrozenNodeIsLeft(t *testing.T) {
+// A frozen node accepts a new connection but never answers. The client must try
+// another node after a short wait, since that may have adopted the request.
+func TestFailoverFromFrozenNode(t *testing.T) {
 	c := newCluster(t, 2, func(c *cluster, node int, w http.ResponseWriter, r *http.Request) {
 		switch {
 		case r.Method == http.MethodPost:
-			open(w)
-			tokens(w, 1, 2)
+			openStream(w)
+			writeTokens(w, 1, 2)
 			<-r.Context().Done()
 		case node == 0:
 			<-r.Context().Done()
 		default:
-			open(w)
-			tokens(w, 3, 4)
-			done(w)
+			openStream(w)
+			writeTokens(w, 3, 4)
+			finishStream(w)
 		}
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), caller.DefaultAnswerTimeout.Std()/2)
 	defer cancel()
-	var got text
-	_, err := c.client(func(c *caller.Config) { c.SearchTimeout = timekeeper.Minute }).Stream(ctx, report, &got)
+	var got textSink
+	_, err := c.client(func(c *caller.Config) { c.SearchTimeout = timekeeper.Minute }).Stream(ctx, reportPrompt, &got)
 	require.NoError(t, err)
 	require.Equal(t, "<1><2><3><4>", got.String())
-	require.Len(t, c.visits, 3)
+	require.Len(t, c.requests, 3)
 }
 
-// The node dies before its answer. Whether it ran the request nobody knows, so
-// the caller sends it again only under the same key.
-func TestLostResponseIsSentAgainUnderItsKey(t *testing.T) {
+// A node fails before its response. It may have run the request, so the client
+// must send it again with the same key.
+func TestRequestWithLostResponseIsResentWithSameKey(t *testing.T) {
 	c := newCluster(t, 2, func(_ *cluster, node int, w http.ResponseWriter, _ *http.Request) {
 		if node == 0 {
-			cut()
+			abortConnection()
 		}
 		w.Header().Set("Outcome", "done")
 		_, _ = fmt.Fprint(w, "sent")
@@ -268,22 +268,21 @@
 	require.NoError(t, err)
 	require.Equal(t, "sent", string(reply.Body))
 	require.NotEmpty(t, trace.Key)
-	// The HTTP transport may have sent it again to the first node, too.
-	require.Equal(t, 1, c.visits[len(c.visits)-1].node)
-	for _, v := range c.visits {
+	// The HTTP transport may also have resent it to the first node.
+	require.Equal(t, 1, c.requests[len(c.requests)-1].node)
+	for _, v := range c.requests {
 		require.Equal(t, trace.Key, identifier.IdempotencyKey(v.key))
 	}
 }
 
-// The first node dies before its answer, the second one refuses: "not run",
-// it says, of what it was sent. The first node may have run the request all the
-// same, so the caller must not be told "not run".
-func TestNotRunIsNotBelievedAfterALostResponse(t *testing.T) {
+// The first node fails before its response and may have run the request. A "not
+// run" from the second node must not be returned as the outcome.
+func TestNotRunIsUnknownAfterLostResponse(t *testing.T) {
 	c := newCluster(t, 2, func(_ *cluster, node int, w http.ResponseWriter, _ *http.Request) {
 		if node == 0 {
-			cut()
+			abortConnection()
 		}
-		problem(w, 409, "duplicate_key", "not_run", 0)
+		writeProblem(w, 409, "duplicate_key", "not_run", 0)
 	})
 	_, _, err := c.client(nil).Call(t.Context(), caller.Call{
 		Service: "email",
@@ -294,55 +293,53 @@
 	require.ErrorAs(t, err, &lost)
 }
 
-// The node dies and no other adopts the request. Once it has been looked for
-// long enough it is sent again, and the sink is told that the answer begins
-// anew; what it had is void.
-func TestForgottenRequestStartsAgain(t *testing.T) {
+// A node fails and no other adopts the request. After the search timeout the
+// request must be sent again and the sink restarted.
+func TestUnknownRequestIsResent(t *testing.T) {
 	c := newCluster(t, 2, func(c *cluster, node int, w http.ResponseWriter, r *http.Request) {
 		switch {
 		case r.Method == http.MethodGet:
-			problem(w, 404, "unknown_request", "unknown", 0)
-		case node == 0 && len(c.visits) == 1:
-			open(w)
-			tokens(w, 1, 2)
-			cut()
+			writeProblem(w, 404, "unknown_request", "unknown", 0)
+		case node == 0 && len(c.requests) == 1:
+			openStream(w)
+			writeTokens(w, 1, 2)
+			abortConnection()
 		default:
-			open(w)
-			tokens(w, 1, 3)
-			done(w)
+			openStream(w)
+			writeTokens(w, 1, 3)
+			finishStream(w)
 		}
 	})
-	var got text
-	trace, err := c.client(nil).Stream(t.Context(), report, &got)
+	var got textSink
+	trace, err := c.client(nil).Stream(t.Context(), reportPrompt, &got)
 	require.NoError(t, err)
 	require.Equal(t, "<1><2><3>", got.String())
 	require.Equal(t, 1, got.restarts)
 	require.Equal(t, 1, trace.Restarted)
 }
 
-// The node of a short request dies, and no other has a copy. All nodes that can
-// be reached say so, for a while, and the caller sends the request again long
-// before a long request would have been given up. While one of them still
-// sends it on to the silent node, it waits: that node may have the request.
-func TestRequestThatAllNodesDenyStartsAgainSoon(t *testing.T) {
-	for _, elsewhere := range []bool{false, true} {
-		t.Run(fmt.Sprintf("sent on: %v", elsewhere), func(t *testing.T) {
+// A request that all reachable nodes report as unknown must be sent again before
+// the search timeout, unless a node redirects to an unreachable one, which may
+// still have the request.
+func TestRequestUnknownToAllNodesIsResentEarly(t *testing.T) {
+	for _, redirected := range []bool{false, true} {
+		t.Run(fmt.Sprintf("redirected: %v", redirected), func(t *testing.T) {
 			c := newCluster(t, 3, func(c *cluster, node int, w http.ResponseWriter, r *http.Request) {
 				switch {
-				case r.Method == http.MethodPost && node == 0 && len(c.visits) == 1:
-					open(w)
-					tokens(w, 1, 2)
+				case r.Method == http.MethodPost && node == 0 && len(c.requests) == 1:
+					openStream(w)
+					writeTokens(w, 1, 2)
 					_ = c.nodes[0].Listener.Close()
-					cut()
+					abortConnection()
 				case r.Method == http.MethodPost:
-					open(w)
-					tokens(w, 1, 3)
-					done(w)
-				case node == 1 && elsewhere:
+					openStream(w)
+					writeTokens(w, 1, 3)
+					finishStream(w)
+				case node == 1 && redirected:
 					w.Header().Set("Location", "http://"+c.address(0)+"/v1/requests/r1")
 					w.WriteHeader(http.StatusTemporaryRedirect)
 				default:
-					problem(w, 404, "unknown_request", "unknown", 0)
+					writeProblem(w, 404, "unknown_request", "unknown", 0)
 				}
 			})
 			client := c.client(func(config *caller.Config) {
@@ -351,9 +348,9 @@
 				config.ProgressTimeout = timekeeper.Second
 				config.UnknownRequestTimeout = 100 * timekeeper.Millisecond
 			})
-			var got text
-			trace, err := client.Stream(t.Context(), report, &got)
-			if elsewhere {
+			var got textSink
+			trace, err := client.Stream(t.Context(), reportPrompt, &got)
+			if redirected {
 				require.Error(t, err)
 				require.Zero(t, trace.Restarted)
 				return
@@ -367,87 +364,87 @@
 
 func TestRefusals(t *testing.T) {
 	tests := []struct {
-		name    string
-		status  int
-		reason  string
-		outcome caller.Outcome
-		retry   int
-		visits  int
-		ok      bool
+		name         string
+		status       int
+		reason       string
+		outcome      caller.Outcome
+		retryAfterMS int
+		wantRequests int
+		wantSuccess  bool
 	}{
 		{
-			name:    "final",
-			status:  504,
-			reason:  "deadline",
-			outcome: caller.OutcomeNotRun,
-			visits:  1,
+			name:         "final",
+			status:       504,
+			reason:       "deadline",
+			outcome:      caller.OutcomeNotRun,
+			wantRequests: 1,
 		},
 		{
-			name:    "bad key",
-			status:  401,
-			reason:  "unauthorized",
-			outcome: caller.OutcomeNotRun,
-			visits:  1,
+			name:         "bad key",
+			status:       401,
+			reason:       "unauthorized",
+			outcome:      caller.OutcomeNotRun,
+			wantRequests: 1,
 		},
 		{
-			name:    "comes back",
-			status:  503,
-			reason:  "overload",
-			outcome: caller.OutcomeNotRun,
-			retry:   5,
-			visits:  2,
-			ok:      true,
+			name:         "comes back",
+			status:       503,
+			reason:       "overload",
+			outcome:      caller.OutcomeNotRun,
+			retryAfterMS: 5,
+			wantRequests: 2,
+			wantSuccess:  true,
 		},
 		{
-			name:    "next node at once",
-			status:  503,
-			reason:  "node_leaving",
-			outcome: caller.OutcomeNotRun,
-			retry:   60_000,
-			visits:  2,
-			ok:      true,
+			name:         "next node at once",
+			status:       503,
+			reason:       "node_leaving",
+			outcome:      caller.OutcomeNotRun,
+			retryAfterMS: 60_000,
+			wantRequests: 2,
+			wantSuccess:  true,
 		},
 		{
-			name:    "too late to come back",
-			status:  429,
-			reason:  "account_limit",
-			outcome: caller.OutcomeNotRun,
-			retry:   60_000,
-			visits:  1,
+			name:         "too late to come back",
+			status:       429,
+			reason:       "account_limit",
+			outcome:      caller.OutcomeNotRun,
+			retryAfterMS: 60_000,
+			wantRequests: 1,
 		},
 		{
-			name:    "unknown, asks again under its key",
-			status:  503,
-			reason:  "log_unavailable",
-			outcome: caller.OutcomeUnknown,
-			retry:   5,
-			visits:  2,
-			ok:      true,
+			name:         "unknown, asks again under its key",
+			status:       503,
+			reason:       "log_unavailable",
+			outcome:      caller.OutcomeUnknown,
+			retryAfterMS: 5,
+			wantRequests: 2,
+			wantSuccess:  true,
 		},
 		{
-			name:    "unknown for good",
-			status:  409,
-			reason:  "duplicate_key",
-			outcome: caller.OutcomeUnknown,
-			visits:  1,
+			name:         "unknown for good",
+			status:       409,
+			reason:       "duplicate_key",
+			outcome:      caller.OutcomeUnknown,
+			wantRequests: 1,
 		},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c := newCluster(t, 2, func(c *cluster, _ int, w http.ResponseWriter, _ *http.Request) {
-				if len(c.visits) == 1 {
-					problem(w, test.status, test.reason, string(test.outcome), test.retry)
+				if len(c.requests) == 1 {
+					writeProblem(w, test.status, test.reason, string(test.outcome), test.retryAfterMS)
 					return
 				}
-				open(w)
-				done(w)
+				openStream(w)
+				finishStream(w)
 			})
-			var got text
-			prompt := report
+			var got textSink
+			prompt := reportPrompt
 			prompt.Deadline = 30 * timekeeper.Second
 			_, err := c.client(func(c *caller.Config) { c.ProgressTimeout = 2 * timekeeper.Minute }).Stream(t.Context(), prompt, &got)
-			require.Len(t, c.visits, test.visits)
-			if test.ok {
+			require.Len(t, c.requests, test.wantRequests)
+			if test.wantSuccess {
 				require.NoError(t, err)
 				return
 			}
@@ -459,19 +456,15 @@
 	}
 }
 
-// A caller resumes an earlier request and meets a node that is leaving. There
-// is no request that it could send again, so it asks the next node for the
-// answer, from the same place.
-// A caller resumes a request that it sent in an earlier life. The request is
-// not at hand, so it is never sent again: the trace tells of no restart, and of
-// no key that was never used.
-func TestResumeIsNoRestart(t *testing.T) {
+// Resume does not have the request and must never send it again. The trace must
+// show no restart and no key.
+func TestResumeNeverResends(t *testing.T) {
 	c := newCluster(t, 1, func(_ *cluster, _ int, w http.ResponseWriter, _ *http.Request) {
-		open(w)
-		tokens(w, 1, 3)
-		done(w)
+		openStream(w)
+		writeTokens(w, 1, 3)
+		finishStream(w)
 	})
-	var got text
+	var got textSink
 	trace, err := c.client(nil).Resume(t.Context(), "manuscript_report", "r1", "0", &got)
 	require.NoError(t, err)
 	require.Equal(t, "<1><2><3>", got.String())
@@ -479,43 +472,45 @@
 	require.Empty(t, trace.Key)
 }
 
-func TestResumePassesALeavingNode(t *testing.T) {
+// Resume can't send the request again, so it must skip a leaving node and continue
+// from the same position on the next node.
+func TestResumeSkipsLeavingNode(t *testing.T) {
 	c := newCluster(t, 2, func(_ *cluster, node int, w http.ResponseWriter, _ *http.Request) {
 		if node == 0 {
-			problem(w, 503, "node_leaving", "not_run", 1000)
+			writeProblem(w, 503, "node_leaving", "not_run", 1000)
 			return
 		}
-		open(w)
-		tokens(w, 3, 4)
-		done(w)
+		openStream(w)
+		writeTokens(w, 3, 4)
+		finishStream(w)
 	})
-	var got text
+	var got textSink
 	_, err := c.client(nil).Resume(t.Context(), "report", "r1", "2-0123456789abcdef", &got)
 	require.NoError(t, err)
 	require.Equal(t, "<3><4>", got.String())
-	for _, v := range c.visits {
+	for _, v := range c.requests {
 		require.Equal(t, "/v1/requests/r1", v.path)
-		require.Equal(t, "2-0123456789abcdef", v.last)
+		require.Equal(t, "2-0123456789abcdef", v.lastEventID)
 	}
 }
 
-// An accepted request fails. The caller gets the typed end, and not half an
-// answer that looks whole.
+// The failure of an accepted request must return a typed error, not a partial
+// answer that looks complete.
 func TestErrorEvent(t *testing.T) {
 	c := newCluster(t, 1, func(_ *cluster, _ int, w http.ResponseWriter, _ *http.Request) {
-		open(w)
-		tokens(w, 1, 2)
-		write(w, "event: error\ndata: {\"reason\":\"retries_spent\",\"outcome\":\"unknown\"}\n\n")
+		openStream(w)
+		writeTokens(w, 1, 2)
+		writeFlushed(w, "event: error\ndata: {\"reason\":\"retries_spent\",\"outcome\":\"unknown\"}\n\n")
 	})
-	_, err := c.client(nil).Stream(t.Context(), report, &text{})
+	_, err := c.client(nil).Stream(t.Context(), reportPrompt, &textSink{})
 	var refusal *caller.RefusalError
 	require.ErrorAs(t, err, &refusal)
 	require.Equal(t, caller.OutcomeUnknown, refusal.Outcome)
 }
 
-// Two nodes each take the other for the owner. The caller must not run
-// between them for ever: it asks the third one, too.
-func TestRedirectLoopIsLeft(t *testing.T) {
+// Two nodes each regard the other as the owner. The client must leave the
+// redirect loop and try the third node.
+func TestRedirectLoopEnds(t *testing.T) {
 	c := newCluster(t, 3, func(c *cluster, node int, w http.ResponseWriter, r *http.Request) {
 		if node < 2 {
 			w.Header().Set("Location", "http://"+c.address(1-node)+"/v1/requests/r1")
@@ -523,17 +518,17 @@
 			w.WriteHeader(map[bool]int{true: 303, false: 307}[r.Method == http.MethodPost])
 			return
 		}
-		open(w)
-		tokens(w, 1, 1)
-		done(w)
+		openStream(w)
+		writeTokens(w, 1, 1)
+		finishStream(w)
 	})
-	var got text
-	_, err := c.client(func(c *caller.Config) { c.SearchTimeout = timekeeper.Minute }).Stream(t.Context(), report, &got)
+	var got textSink
+	_, err := c.client(func(c *caller.Config) { c.SearchTimeout = timekeeper.Minute }).Stream(t.Context(), reportPrompt, &got)
 	require.NoError(t, err)
 	require.Equal(t, "<1>", got.String())
 }
 
-func TestWhole(t *testing.T) {
+func TestComplete(t *testing.T) {
 	c := newCluster(t, 2, func(c *cluster, node int, w http.ResponseWriter, _ *http.Request) {
 		if node == 0 {
 			w.Header().Set("Location", "http://"+c.address(1)+"/v1/requests/r1")
@@ -543,7 +538,7 @@
 		}
 		_, _ = fmt.Fprint(w, `{"choices":[{"message":{"content":"the ship"}}],"usage":{"completion_tokens":2}}`)
 	})
-	got, trace, err := c.client(nil).Complete(t.Context(), report)
+	got, trace, err := c.client(nil).Complete(t.Context(), reportPrompt)
 	require.NoError(t, err)
 	require.Equal(t, "the ship", got)
 	require.Equal(t, identifier.RequestID("r1"), trace.Request)
@@ -554,42 +549,43 @@
 	c.nodes[0].Close()
 	ctx, cancel := context.WithTimeout(t.Context(), timekeeper.Duration(100).Std())
 	defer cancel()
-	_, err := c.client(nil).Stream(ctx, report, &text{})
+	_, err := c.client(nil).Stream(ctx, reportPrompt, &textSink{})
 	var none *caller.NoNodeError
 	require.ErrorAs(t, err, &none)
 }
 
-// The first node of the caller's list is gone: nothing listens there any more.
-// Nothing was sent, so the caller asks the next one at once.
-func TestFirstNodeIsGone(t *testing.T) {
+// If a connection is refused, nothing was sent, and the client must try the
+// next node without a delay.
+func TestUnreachableFirstNode(t *testing.T) {
 	c := newCluster(t, 2, func(_ *cluster, _ int, w http.ResponseWriter, _ *http.Request) {
-		open(w)
-		tokens(w, 1, 1)
-		done(w)
+		openStream(w)
+		writeTokens(w, 1, 1)
+		finishStream(w)
 	})
 	c.nodes[0].Close()
-	var got text
-	_, err := c.client(func(c *caller.Config) { c.RetryDelay = timekeeper.Minute }).Stream(t.Context(), report, &got)
+	var got textSink
+	_, err := c.client(func(c *caller.Config) { c.RetryDelay = timekeeper.Minute }).Stream(t.Context(), reportPrompt, &got)
 	require.NoError(t, err)
 	require.Equal(t, "<1>", got.String())
-	require.Len(t, c.visits, 1)
+	require.Len(t, c.requests, 1)
 }
 
-// All nodes have just started and know no service yet. They say when to come
-// back, and the caller does.
-func TestNodesThatHaveJustStarted(t *testing.T) {
+// Nodes that have just started refuse requests for addresses with a retry time.
+// The client must retry.
+func TestNodesWithoutConfiguration(t *testing.T) {
 	c := newCluster(t, 2, func(_ *cluster, _ int, w http.ResponseWriter, _ *http.Request) {
-		open(w)
-		done(w)
+		openStream(w)
+		finishStream(w)
 	})
-	c.refuseAddresses = 3
-	_, err := c.client(nil).Stream(t.Context(), report, &text{})
+	c.addressRefusals = 3
+	_, err := c.client(nil).Stream(t.Context(), reportPrompt, &textSink{})
 	require.NoError(t, err)
-	require.Zero(t, c.refuseAddresses)
+	require.Zero(t, c.addressRefusals)
 }
 
-// The list is kept for as long as the node said, and asked for once.
-func TestAddressesAreKept(t *testing.T) {
+// The client must request the list once and cache it, and continue to use an
+// expired list if no node is reachable.
+func TestAddressesAreCached(t *testing.T) {
 	c := newCluster(t, 2, nil)
 	clock := timekeeper.NewManual(1)
 	client := c.client(func(config *caller.Config) { config.Clock = clock })
@@ -602,6 +598,6 @@
 		again, err := client.Addresses(t.Context(), "report")
 		require.NoError(t, err)
 		require.Equal(t, first, again)
-		clock.Advance(2 * timekeeper.Minute) // With no node in reach the old list goes on.
+		clock.Advance(2 * timekeeper.Minute) // The list expires.
 	}
 }
--- a/pkg/caller/client.go
+++ b/pkg/caller/client.go
@@ -17,7 +17,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// The headers of the protocol.
+// Headers of the protocol.
 const (
 	headerKey       = "Idempotency-Key"
 	headerDeadline  = "Deadline-Ms"
@@ -26,10 +26,11 @@
 	headerOutcome   = "Outcome"
 )
 
-// maxProblem bounds the problem document or address list that is read.
-const maxProblem = 1 << 20
+// maxProblemSize is the maximum size in bytes of a problem document or an
+// address list.
+const maxProblemSize = 1 << 20
 
-// Node is a node that callers may use.
+// Node identifies a node that callers may use.
 type Node struct {
 	Node    identifier.VMID `json:"node"`
 	Zone    identifier.Zone `json:"zone"`
@@ -42,15 +43,15 @@
 	config Config
 	http   *http.Client
 
-	mu    sync.Mutex
-	lists map[identifier.ServiceName]addressList
+	mu           sync.Mutex
+	addressLists map[identifier.ServiceName]addressList
 }
 
-// addressList is a node's answer to the question for addresses.
+// addressList is a cached response to a request for addresses.
 type addressList struct {
-	Nodes []Node              `json:"nodes"`
-	Keep  timekeeper.Duration `json:"keep_ms"`
-	until timekeeper.Time
+	Nodes     []Node              `json:"nodes"`
+	MaxAge    timekeeper.Duration `json:"keep_ms"`
+	expiresAt timekeeper.Time
 }
 
 // New returns a client.
@@ -60,75 +61,76 @@
 		config: c,
 		http: &http.Client{
 			Transport: c.Transport,
-			// Redirects are followed by the client itself: the standard
-			// library would leave out the key on the way to another host.
+			// The Client follows redirects itself, since the standard library
+			// omits the Authorization header for another host.
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
-		lists: make(map[identifier.ServiceName]addressList),
+		addressLists: make(map[identifier.ServiceName]addressList),
 	}
 }
 
-// Addresses returns the nodes to use for a service, best first. It asks a
-// node only once the list that it has has expired. With no node in reach it
-// goes on with the old list, if there is one.
+// Addresses returns the nodes to use for a service, in order of preference. It
+// returns the cached list until that has expired, and also afterwards if no
+// node is reachable.
 func (c *Client) Addresses(ctx context.Context, service identifier.ServiceName) ([]Node, error) {
 	c.mu.Lock()
-	kept, ok := c.lists[service]
+	cached, ok := c.addressLists[service]
 	c.mu.Unlock()
-	if ok && c.config.Clock.Now().Before(kept.until) {
-		return kept.Nodes, nil
+	if ok && c.config.Clock.Now().Before(cached.expiresAt) {
+		return cached.Nodes, nil
 	}
-	fresh, err := c.askAddresses(ctx, service, kept.Nodes)
+	fresh, err := c.requestAddresses(ctx, service, cached.Nodes)
 	var refusal *RefusalError
 	switch {
 	case err == nil:
 		c.mu.Lock()
-		c.lists[service] = fresh
+		c.addressLists[service] = fresh
 		c.mu.Unlock()
 		return fresh.Nodes, nil
 	case errors.As(err, &refusal) || !ok:
 		return nil, err
 	}
-	return kept.Nodes, nil
+	return cached.Nodes, nil
 }
 
-// expire makes the next call of Addresses ask again.
+// expire makes the next call of Addresses request a new list.
 func (c *Client) expire(service identifier.ServiceName) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	list := c.lists[service]
-	list.until = 0
-	c.lists[service] = list
+	list := c.addressLists[service]
+	list.expiresAt = 0
+	c.addressLists[service] = list
 }
 
-func (c *Client) askAddresses(ctx context.Context, service identifier.ServiceName, known []Node) (addressList, error) {
-	var last error = &NoNodeError{Cause: nil}
-	for _, node := range c.everyNode(known) {
-		list, err := c.addressesFrom(ctx, node, service)
+func (c *Client) requestAddresses(ctx context.Context, service identifier.ServiceName, known []Node) (addressList, error) {
+	var lastErr error = &NoNodeError{Cause: nil}
+	for _, node := range c.allNodes(known) {
+		list, err := c.fetchAddresses(ctx, node, service)
 		var refusal *RefusalError
 		if err == nil || errors.As(err, &refusal) && refusal.RetryAfter == 0 {
 			return list, err
 		}
-		last = err
+		lastErr = err
 	}
-	return addressList{}, &NoNodeError{Cause: last}
+	return addressList{}, &NoNodeError{Cause: lastErr}
 }
 
-// everyNode returns the addresses of known nodes, then of the configured ones.
-func (c *Client) everyNode(known []Node) []string {
-	var all []string
+// allNodes returns the addresses of the known nodes, followed by those of the
+// configured nodes that are not among them.
+func (c *Client) allNodes(known []Node) []string {
+	var addresses []string
 	for _, n := range known {
-		all = append(all, n.Address)
+		addresses = append(addresses, n.Address)
 	}
 	for _, address := range c.config.Nodes {
-		if !slices.Contains(all, address) {
-			all = append(all, address)
+		if !slices.Contains(addresses, address) {
+			addresses = append(addresses, address)
 		}
 	}
-	return all
+	return addresses
 }
 
-func (c *Client) addressesFrom(ctx context.Context, node string, service identifier.ServiceName) (addressList, error) {
+func (c *Client) fetchAddresses(ctx context.Context, node string, service identifier.ServiceName) (addressList, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.StreamIdleTimeout.Std())
 	defer cancel()
 	r, err := c.newRequest(ctx, http.MethodGet, node, "/v1/addresses?service="+url.QueryEscape(string(service)), nil)
@@ -144,14 +146,14 @@
 		return addressList{}, readProblem(node, response)
 	}
 	var list addressList
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxProblem)).Decode(&list); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxProblemSize)).Decode(&list); err != nil {
 		return addressList{}, &ProtocolError{
 			Node:   node,
 			Detail: "address list",
 			Cause:  err,
 		}
 	}
-	list.until = c.config.Clock.Now().Add(list.Keep)
+	list.expiresAt = c.config.Clock.Now().Add(list.MaxAge)
 	return list, nil
 }
 
@@ -169,8 +171,8 @@
 }
 
 // do sends r and waits for the headers of the response. Its error is a
-// *brokenError. A try that never got a connection sent nothing, whatever ended
-// it; any other may have reached the node.
+// *connectionError. Once a connection was established, the request may have
+// reached the node.
 func (c *Client) do(r *http.Request) (*http.Response, error) {
 	var connected atomic.Bool
 	ctx := httptrace.WithClientTrace(r.Context(), &httptrace.ClientTrace{
@@ -183,18 +185,18 @@
 	if cause := context.Cause(ctx); cause != nil {
 		err = cause
 	}
-	return nil, &brokenError{
+	return nil, &connectionError{
 		node:  r.URL.Host,
 		sent:  connected.Load(),
 		cause: err,
 	}
 }
 
-// readProblem returns the error that a response's problem document tells.
+// readProblem returns the problem document of a response as an error.
 func readProblem(node string, response *http.Response) error {
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxProblem))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxProblemSize))
 	if err != nil {
-		return &brokenError{
+		return &connectionError{
 			node:  node,
 			sent:  true,
 			cause: err,
@@ -215,15 +217,15 @@
 	return problem
 }
 
-// Cancel gives a request up.
+// Cancel cancels a request.
 func (c *Client) Cancel(ctx context.Context, request identifier.RequestID) error {
-	var last error = &NoNodeError{Cause: nil}
-	for _, node := range c.everyNode(c.knownNodes()) {
-		if last = c.cancelAt(ctx, node, request); last == nil {
+	var lastErr error = &NoNodeError{Cause: nil}
+	for _, node := range c.allNodes(c.knownNodes()) {
+		if lastErr = c.cancelAt(ctx, node, request); lastErr == nil {
 			return nil
 		}
 	}
-	return last
+	return lastErr
 }
 
 func (c *Client) cancelAt(ctx context.Context, node string, request identifier.RequestID) error {
@@ -256,7 +258,7 @@
 	if response.StatusCode == http.StatusNoContent {
 		return "", nil
 	}
-	if next, ok := redirected(response); ok {
+	if next, ok := redirectTarget(response); ok {
 		return next, nil
 	}
 	return "", readProblem(node, response)
@@ -267,7 +269,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var nodes []Node
-	for _, list := range c.lists {
+	for _, list := range c.addressLists {
 		for _, n := range list.Nodes {
 			if !slices.Contains(nodes, n) {
 				nodes = append(nodes, n)
@@ -281,11 +283,11 @@
 	return "/v1/requests/" + url.PathEscape(string(request))
 }
 
-// maxRedirects bounds how often one try may be sent on.
+// maxRedirects is the maximum number of successive redirects that are followed.
 const maxRedirects = 4
 
-// redirected returns the node that a response sends its caller to.
-func redirected(response *http.Response) (string, bool) {
+// redirectTarget returns the node that a response redirects to.
+func redirectTarget(response *http.Response) (string, bool) {
 	switch response.StatusCode {
 	case http.StatusTemporaryRedirect, http.StatusSeeOther:
 	default:
--- a/pkg/caller/doc.go
+++ b/pkg/caller/doc.go
@@ -1,12 +1,12 @@
-// Package caller is the client library for callers of the system.
+// Package caller is the client library of the system.
 //
-// No balancer stands before the system: a Client asks any node which nodes to
-// use, keeps the answer for as long as that node says, and connects to the
-// nodes itself. It streams answers, and when a connection breaks, goes silent
-// or is told that another node has the request now, it reattaches by the
-// request's id from the token after the last one it has.
+// The system has no load balancer in front of it. A Client fetches the list of
+// nodes to use from any node, caches it for the time that the node states, and
+// connects to the nodes directly. If a connection breaks or times out, or if
+// another node now owns the request, the Client reattaches by request id after
+// the last token received.
 //
-// Every request carries an idempotency key, the caller's own or a fresh one.
-// So a request whose response was lost is sent again under the same name: an
-// idempotent request may run twice, a non-idempotent one does not.
+// Every request carries an idempotency key, set by the caller or generated. If
+// a response is lost, the Client sends the request again with the same key. An
+// idempotent request may then run twice; a non-idempotent one does not.
 package caller
--- a/pkg/caller/errors.go
+++ b/pkg/caller/errors.go
@@ -13,18 +13,18 @@
 	_ error = (*DivergedError)(nil)
 	_ error = (*ProtocolError)(nil)
 	_ error = (*NoNodeError)(nil)
-	_ error = (*brokenError)(nil)
-	_ error = (*silentError)(nil)
+	_ error = (*connectionError)(nil)
+	_ error = (*idleTimeoutError)(nil)
 	_ error = (*movedError)(nil)
-	_ error = (*endError)(nil)
-	_ error = (*earlyEndError)(nil)
-	_ error = (*holeError)(nil)
+	_ error = (*failedError)(nil)
+	_ error = (*truncatedStreamError)(nil)
+	_ error = (*tokenGapError)(nil)
 )
 
-// Outcome is what the system says became of a request.
+// Outcome is the outcome of a request as a node reports it.
 type Outcome string
 
-// The outcomes.
+// Outcomes of requests.
 const (
 	OutcomeDone      Outcome = "done"
 	OutcomeNotRun    Outcome = "not_run"
@@ -33,15 +33,15 @@
 	OutcomeCancelled Outcome = "cancelled"
 )
 
-// The reasons that the library itself acts on.
+// Reasons that this library handles.
 const (
 	reasonUnknownRequest = "unknown_request"
 	reasonNodeLeaving    = "node_leaving"
 	reasonAnswerDiverged = "answer_diverged"
 )
 
-// RefusalError is a refusal, or an end without an answer, as a node's problem
-// document tells it.
+// RefusalError is a problem document with which a node refused a request or
+// ended it without an answer.
 type RefusalError struct {
 	Status  int                  `json:"status"`
 	Reason  string               `json:"reason"`
@@ -49,7 +49,8 @@
 	Detail  string               `json:"detail"`
 	Outcome Outcome              `json:"outcome"`
 	Request identifier.RequestID `json:"request_id"`
-	// RetryAfter is when coming back makes sense; zero means it does not.
+	// RetryAfter is the time to wait before a retry. Zero means that a retry is
+	// pointless.
 	RetryAfter timekeeper.Duration `json:"retry_after_ms"`
 	Faults     []string            `json:"faults"`
 }
@@ -62,8 +63,8 @@
 	return text
 }
 
-// UnknownOutcomeError reports a request that was sent and whose end could not be
-// learned from any node in time. It may have run.
+// UnknownOutcomeError reports a request that was sent and whose outcome no node
+// reported in time. The request may have run.
 type UnknownOutcomeError struct {
 	Request identifier.RequestID
 	Key     identifier.IdempotencyKey
@@ -73,15 +74,15 @@
 }
 
 func (e *UnknownOutcomeError) Error() string {
-	return fmt.Sprintf("request %s with key %s lost after %d tokens: %v", e.Request, e.Key, e.Received, e.Cause)
+	return fmt.Sprintf("request %s with key %s: outcome unknown after %d tokens: %v", e.Request, e.Key, e.Received, e.Cause)
 }
 
 func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
-// DivergedError reports that a node has another answer to the request than the
-// one whose first tokens arrived, and that no node turned up that could go on
-// with the latter. What did arrive is the true beginning of an answer, but its
-// end is gone. The request did run.
+// DivergedError reports that a node has a different answer from the one whose
+// first tokens arrived, and that no node could continue the latter in time. The
+// tokens received are the valid beginning of an answer whose rest is lost. The
+// request did run.
 type DivergedError struct {
 	Request identifier.RequestID
 	Key     identifier.IdempotencyKey
@@ -91,20 +92,20 @@
 }
 
 func (e *DivergedError) Error() string {
-	return fmt.Sprintf("request %s with key %s: no node goes on with the answer after its token %d: %v",
+	return fmt.Sprintf("request %s with key %s: no node continues the answer after token %d: %v",
 		e.Request, e.Key, e.Received, e.Cause)
 }
 
 func (e *DivergedError) Unwrap() error { return e.Cause }
 
-// NoNodeError reports that no node could be reached. Nothing was sent.
+// NoNodeError reports that no node was reachable. The request was not sent.
 type NoNodeError struct{ Cause error }
 
-func (e *NoNodeError) Error() string { return fmt.Sprintf("no node answers: %v", e.Cause) }
+func (e *NoNodeError) Error() string { return fmt.Sprintf("no node reachable: %v", e.Cause) }
 
 func (e *NoNodeError) Unwrap() error { return e.Cause }
 
-// ProtocolError reports a response that does not follow the protocol.
+// ProtocolError reports a response that violates the protocol.
 type ProtocolError struct {
 	Node   string
 	Detail string
@@ -120,19 +121,20 @@
 
 func (e *ProtocolError) Unwrap() error { return e.Cause }
 
-// brokenError reports a connection that ended or went silent. With sent false
-// no byte of the request left.
-type brokenError struct {
+// connectionError reports a connection that failed, ended early or timed out.
+// If sent is false, no part of the request was sent.
+type connectionError struct {
 	node  string
 	sent  bool
 	cause error
 }
 
-func (e *brokenError) Error() string { return fmt.Sprintf("connection to %s: %v", e.node, e.cause) }
+func (e *connectionError) Error() string { return fmt.Sprintf("connection to %s: %v", e.node, e.cause) }
 
-func (e *brokenError) Unwrap() error { return e.cause }
+func (e *connectionError) Unwrap() error { return e.cause }
 
-// silentError is the cause of a connection that was closed for its silence.
-type silentError struct{ after timekeeper.Duration }
+// idleTimeoutError reports a connection that was closed because no data arrived
+// in time.
+type idleTimeoutError struct{ after timekeeper.Duration }
 
-func (e *silentError) Error() string { return fmt.Sprintf("silent for %s", e.after) }
+func (e *idleTimeoutError) Error() string { return fmt.Sprintf("no data for %s", e.after) }
--- a/pkg/caller/exchange.go
+++ b/pkg/caller/exchange.go
@@ -13,104 +13,108 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// maxRestarts bounds how often a request that no node knows is sent again.
+// maxRestarts is the maximum number of times that a request unknown to all
+// nodes is sent again.
 const maxRestarts = 2
 
-// taker reads the answer out of successful responses, one connection after
-// the other.
-type taker interface {
-	// take reads a response. Its error is a *brokenError where a further
-	// connection may bring the rest, a *movedError where another node has
-	// it, an *endError where there is no answer, and final otherwise.
-	take(e *exchange, node string, response *http.Response) error
-	// restart drops what was taken, because the request is sent again.
-	restart() error
+// responseReader reads an answer from the successful responses of successive
+// connections.
+type responseReader interface {
+	// read reads a response. Its error is a *connectionError if another
+	// connection may deliver the rest, a *movedError if another node owns the
+	// request, and a *failedError if the request ended without an answer. Any
+	// other error is final.
+	read(e *exchange, node string, response *http.Response) error
+	// reset discards what was read, because the request is sent again.
+	reset() error
 }
 
-// movedError reports that another node has the request now.
+// movedError reports that another node now owns the request.
 type movedError struct{ to string }
 
 func (e *movedError) Error() string { return "moved to " + e.to }
 
-// exchange is one request on its way to its answer, over any number of
+// exchange sends one request and receives its answer over any number of
 // connections and nodes.
 type exchange struct {
-	client  *Client
-	message message
-	taker   taker
-	trace   Trace
-	started timekeeper.Time
-	// progress is when something last arrived.
-	progress timekeeper.Time
-	// lost is when the request was last attached to a node and fell off, or
-	// zero while it is attached.
-	lost timekeeper.Time
-	// diverged is when a node first said that its answer is not the one whose
-	// tokens were taken, or zero.
-	diverged timekeeper.Time
-	// sentEarlier tells that the request itself is not at hand, so that it
-	// can't be sent again.
-	sentEarlier bool
-	// denied is since when every node that answered said that it does not know
-	// the request, or zero.
-	denied timekeeper.Time
-	// ambiguous tells that a try was sent whose response never came.
-	ambiguous bool
-	// attached tells that a node answered since the request was last sent.
+	client    *Client
+	message   message
+	reader    responseReader
+	trace     Trace
+	startedAt timekeeper.Time
+	// progressAt is the time at which data last arrived.
+	progressAt timekeeper.Time
+	// detachedAt is the time at which the connection to the node that served
+	// the request was lost. It is zero while the request is attached.
+	detachedAt timekeeper.Time
+	// divergedAt is the time at which a node first reported that its answer
+	// differs from the tokens received, or zero.
+	divergedAt timekeeper.Time
+	// resumed is set for Resume, which does not have the request itself and
+	// can't send it again.
+	resumed bool
+	// unknownSince is the time from which every responding node has reported
+	// the request as unknown, or zero.
+	unknownSince timekeeper.Time
+	// maybeSent reports whether a node may have received the request without
+	// responding.
+	maybeSent bool
+	// attached reports whether a node has answered since the request was last
+	// sent.
 	attached bool
-	// last is the index of the last token taken.
-	last  identifier.Tokens
-	queue []string
-	tried bool
-	// hops counts redirects since the last node that answered.
-	hops int
-	// again is the node that was last tried anew after a silent connection.
-	again string
-	// cause is why the last try did not end the request.
-	cause error
-	// beat shows that the present connection is alive.
-	beat func()
+	// lastToken is the index of the last token received.
+	lastToken   identifier.Tokens
+	queue       []string
+	queueFilled bool
+	// redirects counts the redirects since a node last answered.
+	redirects int
+	// retriedNode is the node that was last retried after an idle timeout.
+	retriedNode string
+	// lastErr is the error of the last attempt.
+	lastErr error
+	// onActivity resets the idle timeout of the current connection.
+	onActivity func()
 }
 
-// endError is an end without an answer of a request that had been accepted.
-type endError struct{ refusal *RefusalError }
+// failedError reports that an accepted request ended without an answer.
+type failedError struct{ refusal *RefusalError }
 
-func (e *endError) Error() string { return e.refusal.Error() }
+func (e *failedError) Error() string { return e.refusal.Error() }
 
-func (c *Client) newExchange(m message, t taker) *exchange {
-	if m.terms.Key == "" {
-		m.terms.Key = identifier.IdempotencyKey(ulid.Make().String())
+func (c *Client) newExchange(m message, t responseReader) *exchange {
+	if m.options.Key == "" {
+		m.options.Key = identifier.IdempotencyKey(ulid.Make().String())
 	}
 	now := c.config.Clock.Now()
 	return &exchange{
-		client:   c,
-		message:  m,
-		taker:    t,
-		trace:    Trace{Key: m.terms.Key},
-		started:  now,
-		progress: now,
-		beat:     func() {},
+		client:     c,
+		message:    m,
+		reader:     t,
+		trace:      Trace{Key: m.options.Key},
+		startedAt:  now,
+		progressAt: now,
+		onActivity: func() {},
 	}
 }
 
-// run tries nodes until the answer is whole, the request is refused for good,
-// or there was no progress for too long.
+// run tries nodes until the answer is complete, the request is finally refused,
+// or a timeout expires.
 func (e *exchange) run(ctx context.Context) error {
 	for {
 		node, err := e.nextNode(ctx)
 		if err != nil {
-			return e.giveUp(err)
+			return e.finalError(err)
 		}
-		done, err := e.judge(ctx, e.try(ctx, node))
-		e.trace.Total = e.since(e.started)
+		done, err := e.handleResult(ctx, e.try(ctx, node))
+		e.trace.Total = e.since(e.startedAt)
 		if done {
 			return err
 		}
-		e.cause = err
-		if e.since(e.progress) > e.client.config.ProgressTimeout || ctx.Err() != nil {
-			return e.giveUp(err)
+		e.lastErr = err
+		if e.since(e.progressAt) > e.client.config.ProgressTimeout || ctx.Err() != nil {
+			return e.finalError(err)
 		}
-		if err := e.restartIfGone(); err != nil {
+		if err := e.checkSearchTimeout(); err != nil {
 			return err
 		}
 	}
@@ -120,11 +124,11 @@
 
 func (e *exchange) since(t timekeeper.Time) timekeeper.Duration { return e.now().Sub(t) }
 
-// nextNode returns the node for the next try. Once all nodes were tried in
-// vain it waits, and asks for addresses again.
+// nextNode returns the node for the next attempt. After all nodes have failed
+// it waits and requests addresses again.
 func (e *exchange) nextNode(ctx context.Context) (string, error) {
 	if len(e.queue) == 0 {
-		if err := e.refill(ctx); err != nil {
+		if err := e.refillQueue(ctx); err != nil {
 			return "", err
 		}
 	}
@@ -133,28 +137,28 @@
 	return node, nil
 }
 
-func (e *exchange) refill(ctx context.Context) error {
-	if e.tried {
-		if err := pause(ctx, e.client.config.RetryDelay); err != nil {
+func (e *exchange) refillQueue(ctx context.Context) error {
+	if e.queueFilled {
+		if err := sleep(ctx, e.client.config.RetryDelay); err != nil {
 			return err
 		}
 		e.client.expire(e.message.service)
 	}
-	e.tried = true
+	e.queueFilled = true
 	nodes, err := e.addresses(ctx)
 	if err != nil {
 		return err
 	}
-	e.queue = e.client.everyNode(nodes)
+	e.queue = e.client.allNodes(nodes)
 	if len(e.queue) == 0 {
 		return &NoNodeError{Cause: nil}
 	}
 	return nil
 }
 
-// addresses returns the nodes to use. A request that is on its way already
-// goes on with the configured nodes where none gives out addresses; a fresh
-// one comes back later, if a node says that this makes sense.
+// addresses returns the nodes to use. If no node provides addresses, a request
+// that may have been sent falls back to the configured nodes. A request that
+// was not sent waits and retries as the refusal states.
 func (e *exchange) addresses(ctx context.Context) ([]Node, error) {
 	for {
 		nodes, err := e.client.Addresses(ctx, e.message.service)
@@ -164,18 +168,18 @@
 			return nodes, nil
 		case ctx.Err() != nil:
 			return nil, err
-		case e.ambiguous || e.trace.Request != "" || !errors.As(err, &refusal):
+		case e.maybeSent || e.trace.Request != "" || !errors.As(err, &refusal):
 			return nil, nil
-		case refusal.RetryAfter == 0 || e.late(refusal.RetryAfter):
+		case refusal.RetryAfter == 0 || e.exceedsTimeLimit(refusal.RetryAfter):
 			return nil, refusal
 		}
-		if err := pause(ctx, jittered(refusal.RetryAfter)); err != nil {
+		if err := sleep(ctx, jittered(refusal.RetryAfter)); err != nil {
 			return nil, refusal
 		}
 	}
 }
 
-func pause(ctx context.Context, d timekeeper.Duration) error {
+func sleep(ctx context.Context, d timekeeper.Duration) error {
 	timer := time.NewTimer(d.Std())
 	defer timer.Stop()
 	select {
@@ -186,20 +190,20 @@
 	}
 }
 
-// try opens one connection and takes what it brings. A connection on which
-// nothing arrives for too long is cut: it may have been forgotten by something
-// between here and the node, and would then stay open and silent for good.
+// try sends one HTTP request to a node and reads the response. It closes a
+// connection on which no data arrives in time, because a middlebox may have
+// dropped its state, and it would then never receive data again.
 func (e *exchange) try(ctx context.Context, node string) error {
 	bounded, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	limit := e.answerTime(node)
-	timer := time.AfterFunc(limit.Std(), func() { cancel(&silentError{after: limit}) })
+	limit := e.responseTimeout(node)
+	timer := time.AfterFunc(limit.Std(), func() { cancel(&idleTimeoutError{after: limit}) })
 	defer timer.Stop()
-	e.beat = func() {
-		e.progress = e.now()
+	e.onActivity = func() {
+		e.progressAt = e.now()
 		timer.Reset(e.client.config.StreamIdleTimeout.Std())
 	}
-	r, err := e.request(bounded, node)
+	r, err := e.newRequest(bounded, node)
 	if err != nil {
 		return err
 	}
@@ -208,29 +212,30 @@
 		return err
 	}
 	defer response.Body.Close()
-	return e.receive(node, response)
+	return e.readResponse(node, response)
 }
 
-// answerTime bounds the wait for the headers of a response. Those of a whole
-// answer come only with its end. A node that has just gone silent gets less: a
-// frozen one takes new connections, too, and never answers on them.
-func (e *exchange) answerTime(node string) timekeeper.Duration {
+// responseTimeout returns the longest wait for the headers of a response. The
+// headers of an answer without streaming arrive only when it is complete. After
+// an idle timeout the wait is shorter, since a frozen node still accepts
+// connections but never answers.
+func (e *exchange) responseTimeout(node string) timekeeper.Duration {
 	switch {
-	case node == e.again:
+	case node == e.retriedNode:
 		return e.client.config.StreamIdleTimeout
-	case !e.message.stream && e.message.terms.Deadline > 0:
-		return e.message.terms.Deadline
+	case !e.message.stream && e.message.options.Deadline > 0:
+		return e.message.options.Deadline
 	}
 	return e.client.config.AnswerTimeout
 }
 
-func (e *exchange) request(ctx context.Context, node string) (*http.Request, error) {
+func (e *exchange) newRequest(ctx context.Context, node string) (*http.Request, error) {
 	if e.trace.Request != "" {
-		return e.message.reattach(ctx, e.client, node, e.trace.Request, e.trace.LastEventID)
+		return e.message.reattachRequest(ctx, e.client, node, e.trace.Request, e.trace.LastEventID)
 	}
-	remaining := e.message.terms.Deadline
+	remaining := e.message.options.Deadline
 	if remaining > 0 {
-		remaining -= e.since(e.started)
+		remaining -= e.since(e.startedAt)
 		if remaining <= 0 {
 			return nil, &RefusalError{
 				Status:  http.StatusGatewayTimeout,
@@ -240,105 +245,105 @@
 			}
 		}
 	}
-	return e.message.send(ctx, e.client, node, remaining)
+	return e.message.sendRequest(ctx, e.client, node, remaining)
 }
 
-func (e *exchange) receive(node string, response *http.Response) error {
+func (e *exchange) readResponse(node string, response *http.Response) error {
 	if request := response.Header.Get(headerRequest); request != "" {
 		e.trace.Request = identifier.RequestID(request)
 	}
-	if next, ok := redirected(response); ok {
+	if next, ok := redirectTarget(response); ok {
 		return &movedError{to: next}
 	}
 	if response.StatusCode != http.StatusOK && response.Header.Get(headerOutcome) == "" {
 		return readProblem(node, response)
 	}
-	e.attach(node)
-	return e.taker.take(e, node, response)
+	e.markAttached(node)
+	return e.reader.read(e, node, response)
 }
 
-func (e *exchange) attach(node string) {
+func (e *exchange) markAttached(node string) {
 	if len(e.trace.Nodes) > 0 {
 		e.trace.Reattached++
 	}
 	e.trace.Nodes = append(e.trace.Nodes, node)
 	e.attached = true
-	e.lost = 0
-	e.denied = 0
-	e.hops = 0
-	e.beat()
+	e.detachedAt = 0
+	e.unknownSince = 0
+	e.redirects = 0
+	e.onActivity()
 }
 
-// judge decides what the end of a try means, and reports whether the request
-// is at its end.
-func (e *exchange) judge(ctx context.Context, err error) (bool, error) {
+// handleResult handles the result of an attempt and reports whether the request
+// has ended.
+func (e *exchange) handleResult(ctx context.Context, err error) (bool, error) {
 	var (
 		moved   *movedError
-		broken  *brokenError
-		ended   *endError
+		connErr *connectionError
+		failed  *failedError
 		refusal *RefusalError
 	)
 	switch {
 	case err == nil:
 		return true, nil
-	case hasDiverged(err):
+	case isDiverged(err):
 		e.markDiverged()
 		return false, err
 	case errors.As(err, &moved):
-		e.follow(moved.to)
+		e.followRedirect(moved.to)
 		return false, err
-	case errors.As(err, &broken):
-		e.fellOff(broken)
+	case errors.As(err, &connErr):
+		e.handleConnectionError(connErr)
 		return false, err
-	case errors.As(err, &ended):
-		return e.judgeEnd(ctx, ended.refusal)
+	case errors.As(err, &failed):
+		return e.handleFailure(ctx, failed.refusal)
 	case errors.As(err, &refusal) && e.attached:
-		return e.judgeReattach(refusal)
+		return e.handleReattachRefusal(refusal)
 	case errors.As(err, &refusal):
-		return e.judgeRefusal(ctx, refusal)
+		return e.handleRefusal(ctx, refusal)
 	}
 	return true, err
 }
 
-// follow puts the node that has the request first. The others stay behind it,
-// in case that it is gone too. Two nodes that each take the other for the
-// owner, while news travels, are left after a few turns.
-func (e *exchange) follow(node string) {
-	e.markLost()
-	e.denied = 0
-	e.hops++
-	if e.hops > maxRedirects {
-		e.hops = 0
+// followRedirect puts the node that owns the request at the head of the queue.
+// The other nodes remain queued in case it fails too. While updates propagate,
+// two nodes may each regard the other as the owner, so the number of successive
+// redirects is limited.
+func (e *exchange) followRedirect(node string) {
+	e.markDetached()
+	e.unknownSince = 0
+	e.redirects++
+	if e.redirects > maxRedirects {
+		e.redirects = 0
 		return
 	}
 	e.queue = append([]string{node}, e.queue...)
 }
 
-// fellOff handles a connection that broke. One that went silent is opened
-// anew to the same node first: the node is more likely to be well than not,
-// and it has the answer.
-func (e *exchange) fellOff(broken *brokenError) {
-	if broken.sent {
-		e.denied = 0
-		e.ambiguous = e.ambiguous || e.trace.Request == ""
+// handleConnectionError handles a failed connection. After an idle timeout it
+// retries the same node once, which is probably healthy and owns the answer.
+func (e *exchange) handleConnectionError(connErr *connectionError) {
+	if connErr.sent {
+		e.unknownSince = 0
+		e.maybeSent = e.maybeSent || e.trace.Request == ""
 	}
 	if e.trace.Request != "" {
-		e.markLost()
+		e.markDetached()
 	}
-	var silent *silentError
-	if errors.As(broken, &silent) && e.again != broken.node {
-		e.again = broken.node
-		e.queue = append([]string{broken.node}, e.queue...)
+	var idle *idleTimeoutError
+	if errors.As(connErr, &idle) && e.retriedNode != connErr.node {
+		e.retriedNode = connErr.node
+		e.queue = append([]string{connErr.node}, e.queue...)
 		return
 	}
-	e.again = ""
+	e.retriedNode = ""
 }
 
-// hasDiverged reports whether a node said that its answer differs from what
-// was taken.
-func hasDiverged(err error) bool {
+// isDiverged reports whether a node reported that its answer differs from the
+// tokens received.
+func isDiverged(err error) bool {
 	var (
-		ended   *endError
+		ended   *failedError
 		refusal *RefusalError
 	)
 	if errors.As(err, &ended) {
@@ -347,186 +352,187 @@
 	return (refusal != nil || errors.As(err, &refusal)) && refusal.Reason == reasonAnswerDiverged
 }
 
-// markDiverged notes that a node has another answer. Its tokens can't follow
-// those that were taken: engines sample, and the two would join to a text that
-// no model wrote. The other nodes are asked meanwhile: the node whose answer
-// it was may only have been out of reach.
+// markDiverged records that a node has a different answer. Its tokens can't be
+// appended to those received: engines sample, and the result would be a text
+// that no model generated. Other nodes are still tried, since the node with the
+// original answer may be only temporarily unreachable.
 func (e *exchange) markDiverged() {
-	e.markLost()
-	if e.diverged == 0 {
-		e.diverged = e.now()
+	e.markDetached()
+	if e.divergedAt == 0 {
+		e.divergedAt = e.now()
 	}
 }
 
-func (e *exchange) markDenied() {
-	if e.denied == 0 {
-		e.denied = e.now()
+func (e *exchange) markUnknown() {
+	if e.unknownSince == 0 {
+		e.unknownSince = e.now()
 	}
 }
 
-func (e *exchange) markLost() {
-	if e.lost == 0 {
-		e.lost = e.now()
+func (e *exchange) markDetached() {
+	if e.detachedAt == 0 {
+		e.detachedAt = e.now()
 	}
 }
 
-// judgeReattach handles a node that did not go on with an accepted request.
-// What it says is about itself: the request is looked for at other nodes.
-func (e *exchange) judgeReattach(refusal *RefusalError) (bool, error) {
-	e.markLost()
+// handleReattachRefusal handles a refusal to continue an accepted request. A
+// refusal that concerns only that node leads to a search on the other nodes.
+func (e *exchange) handleReattachRefusal(refusal *RefusalError) (bool, error) {
+	e.markDetached()
 	if refusal.Reason == reasonUnknownRequest {
-		e.markDenied()
+		e.markUnknown()
 		return false, refusal
 	}
-	e.denied = 0
+	e.unknownSince = 0
 	switch {
 	case refusal.Outcome != OutcomeNotRun:
 		return true, refusal
 	case refusal.Status >= http.StatusInternalServerError, refusal.Status == http.StatusTooManyRequests:
 		return false, refusal
 	}
-	return true, e.lostError(refusal)
+	return true, e.unknownOutcomeError(refusal)
 }
 
-// judgeEnd handles an accepted request that ended without its answer.
-func (e *exchange) judgeEnd(ctx context.Context, refusal *RefusalError) (bool, error) {
-	if refusal.Outcome != OutcomeNotRun || e.last > 0 || e.message.path == "" {
+// handleFailure handles an accepted request that ended without an answer.
+func (e *exchange) handleFailure(ctx context.Context, refusal *RefusalError) (bool, error) {
+	if refusal.Outcome != OutcomeNotRun || e.lastToken > 0 || e.message.path == "" {
 		return true, refusal // A resumed request can't be sent again.
 	}
 	e.attached = false
-	return e.judgeRefusal(ctx, refusal)
+	return e.handleRefusal(ctx, refusal)
 }
 
-// judgeRefusal handles a request that was not accepted. It comes back when
-// the refusal says that this makes sense.
-func (e *exchange) judgeRefusal(ctx context.Context, refusal *RefusalError) (bool, error) {
-	if e.lost != 0 && refusal.Reason == reasonUnknownRequest {
+// handleRefusal handles a request that was not accepted. It retries as the
+// refusal states.
+func (e *exchange) handleRefusal(ctx context.Context, refusal *RefusalError) (bool, error) {
+	if e.detachedAt != 0 && refusal.Reason == reasonUnknownRequest {
 		return false, refusal
 	}
-	elsewhere := refusal.Reason == reasonNodeLeaving && len(e.queue) > 0
-	if !mayRepeat(refusal) || !elsewhere && e.late(refusal.RetryAfter) {
-		return true, e.truth(refusal)
+	tryNextNode := refusal.Reason == reasonNodeLeaving && len(e.queue) > 0
+	if !mayResend(refusal) || !tryNextNode && e.exceedsTimeLimit(refusal.RetryAfter) {
+		return true, e.finalRefusal(refusal)
 	}
 	e.trace.Request = ""
-	e.lost = 0
-	if elsewhere {
+	e.detachedAt = 0
+	if tryNextNode {
 		return false, refusal
 	}
-	if err := pause(ctx, jittered(refusal.RetryAfter)); err != nil {
-		return true, e.truth(refusal)
+	if err := sleep(ctx, jittered(refusal.RetryAfter)); err != nil {
+		return true, e.finalRefusal(refusal)
 	}
 	return false, refusal
 }
 
-// mayRepeat reports whether a refused request may be sent again under its key.
-// A node that can't tell whether another one runs the key says unknown, with a
-// time to come back: the same key runs at most once, and the next node to take
-// it knows what became of it.
-func mayRepeat(refusal *RefusalError) bool {
-	known := refusal.Outcome == OutcomeNotRun || refusal.Outcome == OutcomeUnknown
-	return known && refusal.RetryAfter > 0
+// mayResend reports whether a refused request may be sent again with its key.
+// This includes an unknown outcome with a retry time, which a node reports if
+// it can't determine whether another node runs the key: a key runs at most
+// once, and the next node that accepts it knows the outcome.
+func mayResend(refusal *RefusalError) bool {
+	resendable := refusal.Outcome == OutcomeNotRun || refusal.Outcome == OutcomeUnknown
+	return resendable && refusal.RetryAfter > 0
 }
 
-// jitterShare is the part of a wait that is added at random.
-const jitterShare = 4
+// jitterDivisor is the ratio of a wait to its maximum random extension.
+const jitterDivisor = 4
 
-// jittered returns d and up to a quarter more, so that callers refused at the
-// same moment do not come back at the same moment.
+// jittered returns d extended at random, so that callers refused at the same
+// time do not retry at the same time.
 func jittered(d timekeeper.Duration) timekeeper.Duration {
-	return d + rand.N(d/jitterShare+1)
+	return d + rand.N(d/jitterDivisor+1)
 }
 
-// late reports whether a wait of d would pass the deadline, or the patience.
-func (e *exchange) late(d timekeeper.Duration) bool {
-	if deadline := e.message.terms.Deadline; deadline > 0 && e.since(e.started)+d >= deadline {
+// exceedsTimeLimit reports whether a wait of d would exceed the deadline or the
+// progress timeout.
+func (e *exchange) exceedsTimeLimit(d timekeeper.Duration) bool {
+	if deadline := e.message.options.Deadline; deadline > 0 && e.since(e.startedAt)+d >= deadline {
 		return true
 	}
-	return e.since(e.progress)+d > e.client.config.ProgressTimeout
+	return e.since(e.progressAt)+d > e.client.config.ProgressTimeout
 }
 
-// truth returns a refusal as far as it can be believed. A node that says "not
-// run" speaks of what it was sent; where an earlier try got no response, the
-// node that had it may have run it all the same.
-func (e *exchange) truth(refusal *RefusalError) error {
-	if e.ambiguous && refusal.Outcome == OutcomeNotRun {
-		return e.lostError(refusal)
+// finalRefusal returns the error for a final refusal. A node that reports "not
+// run" refers only to what it received. If an earlier attempt got no response,
+// its node may have run the request, and the outcome is unknown.
+func (e *exchange) finalRefusal(refusal *RefusalError) error {
+	if e.maybeSent && refusal.Outcome == OutcomeNotRun {
+		return e.unknownOutcomeError(refusal)
 	}
 	return refusal
 }
 
-// restartIfGone ends a request whose answer no node has gone on with for so
-// long that none will.
-func (e *exchange) restartIfGone() error {
-	if e.diverged == 0 {
-		return e.restartIfLost()
+// checkSearchTimeout returns an error if no node has continued a diverged
+// answer in time. For other requests it calls resendIfUnknown.
+func (e *exchange) checkSearchTimeout() error {
+	if e.divergedAt == 0 {
+		return e.resendIfUnknown()
 	}
-	if e.since(e.diverged) < e.client.config.SearchTimeout {
+	if e.since(e.divergedAt) < e.client.config.SearchTimeout {
 		return nil
 	}
-	return e.divergedError(e.cause)
+	return e.divergedError(e.lastErr)
 }
 
 func (e *exchange) divergedError(cause error) error {
 	return &DivergedError{
 		Request:  e.trace.Request,
-		Key:      e.message.terms.Key,
-		Received: e.last,
+		Key:      e.message.options.Key,
+		Received: e.lastToken,
 		Cause:    cause,
 	}
 }
 
-// restartIfLost sends the request again under its key once no node has known
-// it for so long that none will adopt it any more.
-func (e *exchange) restartIfLost() error {
-	if e.lost == 0 || e.since(e.lost) < e.client.config.SearchTimeout && !e.forgotten() {
+// resendIfUnknown prepares the request to be sent again with its key once no
+// node can be expected to adopt it any more.
+func (e *exchange) resendIfUnknown() error {
+	if e.detachedAt == 0 || e.since(e.detachedAt) < e.client.config.SearchTimeout && !e.unknownEverywhere() {
 		return nil
 	}
-	if e.sentEarlier || e.trace.Restarted == maxRestarts {
-		return e.lostError(e.cause)
+	if e.resumed || e.trace.Restarted == maxRestarts {
+		return e.unknownOutcomeError(e.lastErr)
 	}
-	if err := e.taker.restart(); err != nil {
+	if err := e.reader.reset(); err != nil {
 		return err
 	}
 	e.trace.Restarted++
 	e.trace.Request = ""
-	e.ambiguous = true
+	e.maybeSent = true
 	e.attached = false
-	e.lost = 0
-	e.denied = 0
-	e.last = 0
+	e.detachedAt = 0
+	e.unknownSince = 0
+	e.lastToken = 0
 	e.trace.LastEventID = ""
 	return nil
 }
 
-// forgotten reports whether the request can be taken to have ended with its
-// node. Only long requests have a copy elsewhere, and a node that is asked asks
-// its peers for the copy. So a short request of a dead node has no node that
-// will adopt it; to look for it for as long as for a long one makes it late.
-// A node that is out of reach and may have it answers nobody, and then neither
-// its silence nor a redirect to it counts as a denial.
-func (e *exchange) forgotten() bool {
-	return e.denied != 0 && e.message.path != "" && e.since(e.denied) >= e.client.config.UnknownRequestTimeout
+// unknownEverywhere reports whether the request can be assumed to have ended
+// with its node. Only long requests have a copy on another node, and a node
+// that is asked for a request queries its peers for the copy. No node adopts a
+// short request of a failed node, so a full search would only delay it. Neither
+// a missing response nor a redirect to an unreachable node counts as a report
+// that the request is unknown, since that node may still have it.
+func (e *exchange) unknownEverywhere() bool {
+	return e.unknownSince != 0 && e.message.path != "" && e.since(e.unknownSince) >= e.client.config.UnknownRequestTimeout
 }
 
-// giveUp returns the error for a request whose answer did not come in time.
-func (e *exchange) giveUp(cause error) error {
+// finalError returns the error for a request that got no answer in time.
+func (e *exchange) finalError(cause error) error {
 	var refusal *RefusalError
 	switch {
-	case e.diverged != 0:
+	case e.divergedAt != 0:
 		return e.divergedError(cause)
-	case e.ambiguous || e.attached || e.trace.Request != "":
-		return e.lostError(cause)
+	case e.maybeSent || e.attached || e.trace.Request != "":
+		return e.unknownOutcomeError(cause)
 	case errors.As(cause, &refusal):
 		return refusal
 	}
 	return &NoNodeError{Cause: cause}
 }
 
-func (e *exchange) lostError(cause error) error {
+func (e *exchange) unknownOutcomeError(cause error) error {
 	return &UnknownOutcomeError{
 		Request:  e.trace.Request,
-		Key:      e.message.terms.Key,
-		Received: e.last,
+		Key:      e.message.options.Key,
+		Received: e.lastToken,
 		Cause:    cause,
 	}
 }
--- a/pkg/caller/request.go
+++ b/pkg/caller/request.go
@@ -16,11 +16,11 @@
 
 // Options apply to every kind of request.
 type Options struct {
-	// Key is the request's name within the client account. A fresh one is
-	// made where it is empty.
+	// Key identifies the request within the client account. If it is empty, a
+	// key is generated.
 	Key identifier.IdempotencyKey
-	// Deadline is the time for the whole answer; zero leaves it to the
-	// service.
+	// Deadline is the time limit for the whole answer. Zero selects the
+	// deadline of the service.
 	Deadline timekeeper.Duration
 }
 
@@ -29,7 +29,8 @@
 	Options
 	Service identifier.ServiceName
 	Text    string
-	// MaxTokens bounds the answer; zero leaves it to the service.
+	// MaxTokens is the maximum length of the answer. Zero selects the limit of
+	// the service.
 	MaxTokens identifier.Tokens
 }
 
@@ -43,27 +44,27 @@
 	Body        []byte
 }
 
-// Trace tells how a request went.
+// Trace records how a request was processed.
 type Trace struct {
 	Request identifier.RequestID      `json:"request_id"`
 	Key     identifier.IdempotencyKey `json:"idempotency_key"`
 	// Nodes are the nodes that answered, in order.
 	Nodes []string `json:"nodes"`
-	// Reattached counts how often a further connection went on with the
-	// answer, Restarted how often the request was sent again because no node
-	// knew it any more.
+	// Reattached is the number of times that another connection continued the
+	// answer. Restarted is the number of times that the request was sent again
+	// because no node knew it.
 	Reattached int               `json:"reattached"`
 	Restarted  int               `json:"restarted"`
 	Tokens     identifier.Tokens `json:"tokens"`
-	// Last names the last token that was taken.
+	// LastEventID identifies the last token received.
 	LastEventID EventID `json:"last_event_id,omitempty"`
-	// FirstToken is the time from the start to the first token, Total that to
-	// the end.
+	// FirstToken is the time from the start to the first token. Total is the
+	// time from the start to the end.
 	FirstToken timekeeper.Duration `json:"first_token_ms"`
 	Total      timekeeper.Duration `json:"total_ms"`
 }
 
-// Reply is the whole answer to a Call.
+// Reply is the complete answer to a Call.
 type Reply struct {
 	Status  int
 	Header  http.Header
@@ -100,7 +101,7 @@
 	return data
 }
 
-// message is a request in the form that goes out, again at each try.
+// message is the encoded form of a request, which every attempt sends.
 type message struct {
 	service     identifier.ServiceName
 	method      string
@@ -108,7 +109,7 @@
 	contentType string
 	body        []byte
 	stream      bool
-	terms       Options
+	options     Options
 }
 
 func (p Prompt) message(stream bool) message {
@@ -119,7 +120,7 @@
 		contentType: "application/json",
 		body:        p.encode(stream),
 		stream:      stream,
-		terms:       p.Options,
+		options:     p.Options,
 	}
 }
 
@@ -131,18 +132,18 @@
 		contentType: c.ContentType,
 		body:        c.Body,
 		stream:      false,
-		terms:       c.Options,
+		options:     c.Options,
 	}
 }
 
-// send returns the HTTP request that sends m to a node. A remaining time of
-// zero leaves the deadline to the service.
-func (m message) send(ctx context.Context, c *Client, node string, remaining timekeeper.Duration) (*http.Request, error) {
+// sendRequest returns the HTTP request that sends m to a node. If remaining is
+// zero, the deadline of the service applies.
+func (m message) sendRequest(ctx context.Context, c *Client, node string, remaining timekeeper.Duration) (*http.Request, error) {
 	r, err := c.newRequest(ctx, m.method, node, m.path, bytes.NewReader(m.body))
 	if err != nil {
 		return nil, err
 	}
-	r.Header.Set(headerKey, string(m.terms.Key))
+	r.Header.Set(headerKey, string(m.options.Key))
 	if m.contentType != "" {
 		r.Header.Set("Content-Type", m.contentType)
 	}
@@ -152,9 +153,9 @@
 	return r, nil
 }
 
-// reattach returns the HTTP request that goes on with the answer to m after
-// the given one.
-func (m message) reattach(
+// reattachRequest returns the HTTP request that continues the answer to m after
+// the given event.
+func (m message) reattachRequest(
 	ctx context.Context, c *Client, node string, request identifier.RequestID, after EventID,
 ) (*http.Request, error) {
 	r, err := c.newRequest(ctx, http.MethodGet, node, requestPath(request), nil)
--- a/pkg/caller/stream.go
+++ b/pkg/caller/stream.go
@@ -13,21 +13,21 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// maxLine bounds one line of a stream.
-const maxLine = 1 << 20
+// maxLineSize is the maximum length of a line of a stream in bytes.
+const maxLineSize = 1 << 20
 
 // Token is one token of an answer. Indexes count from 1.
 type Token struct {
 	Index identifier.Tokens
-	// ID names the answer up to this token; Resume goes on from it.
+	// ID identifies the answer up to this token. Resume can continue after it.
 	ID   EventID
 	Text string
 }
 
-// EventID is a place in one particular answer: the index of a token, and with
-// it a digest of the tokens up to there, as "<index>-<digest>". A node whose
-// own answer has another digest there does not go on from it. Of a bare index
-// the node can't tell; it goes on unchecked.
+// EventID identifies a position in a particular answer as "<index>-<digest>":
+// the index of a token and a digest of the tokens up to it. A node refuses to
+// continue from it if its own answer has a different digest. An id that is only
+// an index is not checked.
 type EventID string
 
 // Index returns the index of the token. Its error is a *ProtocolError.
@@ -46,34 +46,35 @@
 	return identifier.Tokens(index), nil
 }
 
-// Sink takes the tokens of an answer as they arrive, each once and in order.
-// An error of a Sink ends the request's stream.
+// Sink receives the tokens of an answer as they arrive, each once and in order.
+// An error of a Sink ends the stream.
 type Sink interface {
 	Token(t Token) error
-	// Restart tells that the answer begins anew: no node knew the request any
-	// more and it was sent again. What was taken so far is void.
+	// Restart reports that the answer starts again from the first token,
+	// because no node knew the request and it was sent again. The tokens
+	// received so far are invalid.
 	Restart() error
 }
 
 // AttachObserver may be implemented by a Sink to learn which node serves the
 // request.
 type AttachObserver interface {
-	// Attached tells that a node answers for the request from here on.
+	// Attached reports the node that serves the request from now on.
 	Attached(request identifier.RequestID, node string)
 }
 
-// Stream sends a request to a model service and gives sink the tokens of the
-// answer as they arrive. Its errors are a *RefusalError, a *NoNodeError, a
+// Stream sends a request to a model service and passes the tokens of the answer
+// to sink as they arrive. Its errors are a *RefusalError, a *NoNodeError, a
 // *UnknownOutcomeError, a *DivergedError, a *ProtocolError, or the sink's own.
 func (c *Client) Stream(ctx context.Context, p Prompt, sink Sink) (Trace, error) {
-	t := &streamTaker{sink: sink}
+	t := &streamReader{sink: sink}
 	e := c.newExchange(p.message(true), t)
 	err := e.run(ctx)
 	return e.trace, err
 }
 
-// Resume goes on with the answer to a request that was sent earlier, after
-// the given one. Its errors are those of Stream.
+// Resume continues the answer to a request that was sent earlier, after the
+// given event. Its errors are those of Stream.
 func (c *Client) Resume(
 	ctx context.Context, service identifier.ServiceName, request identifier.RequestID, after EventID, sink Sink,
 ) (Trace, error) {
@@ -81,79 +82,77 @@
 	if err != nil {
 		return Trace{Request: request}, err
 	}
-	t := &streamTaker{sink: sink}
+	t := &streamReader{sink: sink}
 	e := c.newExchange(message{
 		service: service,
 		stream:  true,
 	}, t)
 	e.trace.Request = request
-	e.sentEarlier = true
-	e.message.terms.Key = ""
+	e.resumed = true
+	e.message.options.Key = ""
 	e.trace.Key = ""
-	e.last = index
+	e.lastToken = index
 	e.trace.LastEventID = after
 	e.attached = true
-	e.markLost()
+	e.markDetached()
 	err = e.run(ctx)
 	return e.trace, err
 }
 
-// streamTaker takes server-sent events.
-type streamTaker struct{ sink Sink }
+// streamReader reads an answer from server-sent events.
+type streamReader struct{ sink Sink }
 
-var _ taker = (*streamTaker)(nil)
+var _ responseReader = (*streamReader)(nil)
 
-func (t *streamTaker) restart() error { return t.sink.Restart() }
+func (t *streamReader) reset() error { return t.sink.Restart() }
 
-// frame is one server-sent event.
-type frame struct {
+type sseEvent struct {
 	id   string
 	name string
 	data []byte
 }
 
-func (t *streamTaker) take(e *exchange, node string, response *http.Response) error {
+func (t *streamReader) read(e *exchange, node string, response *http.Response) error {
 	if w, ok := t.sink.(AttachObserver); ok {
 		w.Attached(e.trace.Request, node)
 	}
 	lines := bufio.NewScanner(response.Body)
-	lines.Buffer(nil, maxLine)
-	var f frame
+	lines.Buffer(nil, maxLineSize)
+	var f sseEvent
 	for lines.Scan() {
-		e.beat()
+		e.onActivity()
 		if line := lines.Bytes(); len(line) > 0 {
-			f.add(line)
+			f.addLine(line)
 			continue
 		}
-		if done, err := t.event(e, node, f); done || err != nil {
+		if done, err := t.handleEvent(e, node, f); done || err != nil {
 			return err
 		}
-		f = frame{}
+		f = sseEvent{}
 	}
-	return &brokenError{
+	return &connectionError{
 		node:  node,
 		sent:  true,
-		cause: endOf(response, lines),
+		cause: streamEndError(response, lines),
 	}
 }
 
-// endOf tells why a stream ended before its last event.
-func endOf(response *http.Response, lines *bufio.Scanner) error {
+// streamEndError returns the reason why a stream ended before its last event.
+func streamEndError(response *http.Response, lines *bufio.Scanner) error {
 	if cause := context.Cause(response.Request.Context()); cause != nil {
 		return cause
 	}
 	if err := lines.Err(); err != nil {
 		return err
 	}
-	return &earlyEndError{}
+	return &truncatedStreamError{}
 }
 
-// earlyEndError reports a stream without its last event.
-type earlyEndError struct{}
+type truncatedStreamError struct{}
 
-func (e *earlyEndError) Error() string { return "ended early" }
+func (e *truncatedStreamError) Error() string { return "stream ended before its last event" }
 
-func (f *frame) add(line []byte) {
+func (f *sseEvent) addLine(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
 	switch string(name) {
@@ -166,26 +165,26 @@
 	}
 }
 
-// event handles one event and reports whether it was the last.
-func (t *streamTaker) event(e *exchange, node string, f frame) (bool, error) {
+// handleEvent handles one event and reports whether it was the last.
+func (t *streamReader) handleEvent(e *exchange, node string, f sseEvent) (bool, error) {
 	switch {
 	case f.name == "moved":
-		return true, parseMoved(node, f.data)
+		return true, parseMovedEvent(node, f.data)
 	case f.name == "error":
-		return true, parseEnd(node, f.data)
+		return true, parseErrorEvent(node, f.data)
 	case string(f.data) == "[DONE]":
 		return true, nil
 	case f.id != "":
-		return false, t.token(e, node, f)
+		return false, t.handleToken(e, node, f)
 	}
 	return false, nil // A comment, or a chunk without a token.
 }
 
-func parseEnd(node string, data []byte) error {
+func parseErrorEvent(node string, data []byte) error {
 	err := parseProblem(node, http.StatusOK, data)
 	var refusal *RefusalError
 	if errors.As(err, &refusal) {
-		return &endError{refusal: refusal}
+		return &failedError{refusal: refusal}
 	}
 	return err
 }
@@ -194,7 +193,7 @@
 	Address string `json:"address"`
 }
 
-func parseMoved(node string, data []byte) error {
+func parseMovedEvent(node string, data []byte) error {
 	var m movedData
 	if err := json.Unmarshal(data, &m); err != nil || m.Address == "" {
 		return &ProtocolError{
@@ -214,10 +213,10 @@
 	} `json:"choices"`
 }
 
-// token takes one token. One that is there already is dropped. A hole before
-// it breaks the connection off, so that the missing tokens are asked for
-// again: passed over, the answer would look whole and not be.
-func (t *streamTaker) token(e *exchange, node string, f frame) error {
+// handleToken handles one token. It ignores a duplicate. If tokens are missing
+// before it, it ends the connection, so that the client reattaches and requests
+// them. Otherwise an incomplete answer would look complete.
+func (t *streamReader) handleToken(e *exchange, node string, f sseEvent) error {
 	id := EventID(f.id)
 	next, err := id.Index()
 	if err != nil {
@@ -228,14 +227,14 @@
 		}
 	}
 	switch {
-	case next <= e.last:
+	case next <= e.lastToken:
 		return nil
-	case next > e.last+1:
-		return &brokenError{
+	case next > e.lastToken+1:
+		return &connectionError{
 			node: node,
 			sent: true,
-			cause: &holeError{
-				have: e.last,
+			cause: &tokenGapError{
+				last: e.lastToken,
 				got:  next,
 			},
 		}
@@ -248,7 +247,7 @@
 			Cause:  err,
 		}
 	}
-	e.took(next, id)
+	e.countToken(next, id)
 	return t.sink.Token(Token{
 		Index: next,
 		ID:    id,
@@ -256,24 +255,23 @@
 	})
 }
 
-// took counts a token.
-func (e *exchange) took(index identifier.Tokens, id EventID) {
+func (e *exchange) countToken(index identifier.Tokens, id EventID) {
 	if e.trace.Tokens == 0 {
-		e.trace.FirstToken = e.since(e.started)
+		e.trace.FirstToken = e.since(e.startedAt)
 	}
-	e.last = index
-	e.diverged = 0
+	e.lastToken = index
+	e.divergedAt = 0
 	e.trace.LastEventID = id
 	e.trace.Tokens = index
 }
 
-// holeError reports a stream that left tokens out.
-type holeError struct {
-	have identifier.Tokens
+// tokenGapError reports missing tokens in a stream.
+type tokenGapError struct {
+	last identifier.Tokens
 	got  identifier.Tokens
 }
 
-func (e *holeError) Error() string {
+func (e *tokenGapError) Error() string {
 	return "token " + strconv.FormatInt(int64(e.got), 10) +
-		" follows token " + strconv.FormatInt(int64(e.have), 10)
+		" follows token " + strconv.FormatInt(int64(e.last), 10)
 }
--- a/pkg/caller/whole.go
+++ b/pkg/caller/whole.go
@@ -9,13 +9,13 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// maxReply bounds a whole answer.
-const maxReply = 64 << 20
+// maxAnswerSize is the maximum size in bytes of an answer without streaming.
+const maxAnswerSize = 64 << 20
 
-// Complete sends a request to a model service and returns the text of the answer
-// once it is whole. Its errors are those of Stream.
+// Complete sends a request to a model service and returns the text of the
+// complete answer. Its errors are those of Stream.
 func (c *Client) Complete(ctx context.Context, p Prompt) (string, Trace, error) {
-	t := &wholeTaker{}
+	t := &completeReader{}
 	e := c.newExchange(p.message(false), t)
 	if err := e.run(ctx); err != nil {
 		return "", e.trace, err
@@ -28,49 +28,49 @@
 // Call sends a call to a plain service and returns the reply. Its errors are
 // those of Stream.
 func (c *Client) Call(ctx context.Context, call Call) (Reply, Trace, error) {
-	t := &wholeTaker{}
+	t := &completeReader{}
 	e := c.newExchange(call.message(), t)
 	err := e.run(ctx)
 	return t.reply, e.trace, err
 }
 
-// wholeTaker takes an answer that comes in one piece.
-type wholeTaker struct {
+// completeReader reads an answer that is not streamed.
+type completeReader struct {
 	node  string
 	reply Reply
 }
 
-var _ taker = (*wholeTaker)(nil)
+var _ responseReader = (*completeReader)(nil)
 
-func (t *wholeTaker) restart() error { return nil }
+func (t *completeReader) reset() error { return nil }
 
-// beatReader shows at each read that the connection is alive.
-type beatReader struct {
+// activityReader calls onActivity after each read.
+type activityReader struct {
 	io.Reader
-	beat func()
+	onActivity func()
 }
 
-var _ io.Reader = (*beatReader)(nil)
+var _ io.Reader = (*activityReader)(nil)
 
-func (r *beatReader) Read(p []byte) (int, error) {
+func (r *activityReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
-	r.beat()
+	r.onActivity()
 	return n, err
 }
 
-func (t *wholeTaker) take(e *exchange, node string, response *http.Response) error {
-	body, err := io.ReadAll(io.LimitReader(&beatReader{
-		Reader: response.Body,
-		beat:   e.beat,
-	}, maxReply+1))
+func (t *completeReader) read(e *exchange, node string, response *http.Response) error {
+	body, err := io.ReadAll(io.LimitReader(&activityReader{
+		Reader:     response.Body,
+		onActivity: e.onActivity,
+	}, maxAnswerSize+1))
 	switch {
 	case err != nil:
-		return &brokenError{
+		return &connectionError{
 			node:  node,
 			sent:  true,
 			cause: err,
 		}
-	case len(body) > maxReply:
+	case len(body) > maxAnswerSize:
 		return &ProtocolError{
 			Node:   node,
 			Detail: "the answer is too large",
--- a/pkg/identifier/identifier.go
+++ b/pkg/identifier/identifier.go
@@ -1,5 +1,5 @@
-// Package identifier declares the named types for ids and units that all
-// other packages share. It depends on nothing else of the project.
+// Package identifier declares the types for ids, units and counts that all
+// packages share. It imports no other package of the project.
 package identifier
 
 import (
@@ -8,37 +8,37 @@
 	"strings"
 )
 
-// VMID names a virtual machine, entry VM and backend server alike. The cloud
-// never gives an id to a second VM.
+// VMID identifies a virtual machine, which is an entry VM or a backend server.
+// The cloud never reuses an id.
 //
-// A backend server may start again under the id that it had. It then holds
-// nothing of what it held, so that each start has a VMID of its own, made by
-// ServerStart: what is known of one start says nothing of another.
+// A backend server may restart under its old InstanceID. It loses its state, so
+// information about an earlier start does not apply to a later one. Therefore
+// ServerStart returns a separate VMID for each start.
 type VMID string
 
-// InstanceID is the id under which a backend server publishes itself, the same
-// for all of its starts.
+// InstanceID is the id under which a backend server publishes itself. All its
+// starts have the same one.
 type InstanceID string
 
-// startMark stands between the InstanceID and the Incarnation in a VMID.
-const startMark = "@"
+// startSeparator separates the InstanceID and the Incarnation in a VMID.
+const startSeparator = "@"
 
-// ServerStart returns the VMID of one start of a backend server. Zero stands
-// for a start of which the instant is not known.
+// ServerStart returns the VMID of one start of a backend server. Pass zero if
+// the start time is unknown.
 func ServerStart(id InstanceID, start Incarnation) VMID {
-	if start == 0 && !strings.Contains(string(id), startMark) {
+	if start == 0 && !strings.Contains(string(id), startSeparator) {
 		return VMID(id)
 	}
-	return VMID(string(id) + startMark + strconv.FormatUint(uint64(start), 10))
+	return VMID(string(id) + startSeparator + strconv.FormatUint(uint64(start), 10))
 }
 
-// Start returns what ServerStart made the id of.
+// Start returns the arguments of ServerStart for the id.
 func (id VMID) Start() (InstanceID, Incarnation) {
-	i := strings.LastIndex(string(id), startMark)
+	i := strings.LastIndex(string(id), startSeparator)
 	if i < 0 {
 		return InstanceID(id), 0
 	}
-	start, err := strconv.ParseUint(string(id[i+len(startMark):]), 10, 64)
+	start, err := strconv.ParseUint(string(id[i+len(startSeparator):]), 10, 64)
 	if err != nil {
 		return InstanceID(id), 0
 	}
@@ -51,47 +51,48 @@
 	return instance
 }
 
-// Incarnation counts the process starts on one VM; the later start has the
-// larger number. It is the start time of the process in milliseconds.
+// Incarnation identifies a process start on one VM. It is the start time of the
+// process in milliseconds, so that a later start has a larger number.
 type Incarnation uint64
 
-// Zone names an availability zone.
+// Zone is the name of an availability zone.
 type Zone string
 
-// Region names a region, a group of availability zones.
+// Region is the name of a region, which is a group of availability zones.
 type Region string
 
-// AccountID names a client account.
+// AccountID identifies a client account.
 type AccountID string
 
-// ServiceName names a service that callers ask for.
+// ServiceName is the name of a service that callers request.
 type ServiceName string
 
-// PoolName names a pool of like backend servers.
+// PoolName is the name of a pool of interchangeable backend servers.
 type PoolName string
 
-// ModelName names a model, adapter or version that an engine can load.
+// ModelName is the name of a model, adapter or version that an engine can load.
 type ModelName string
 
-// VMClass names a class of VM that the cloud sells.
+// VMClass is the name of a class of VMs that the cloud offers.
 type VMClass string
 
-// RequestID names a request for its whole life, on every node.
+// RequestID identifies a request on all nodes, from its submission to its end.
 type RequestID string
 
-// IdempotencyKey is the caller's own name of a request within its account.
+// IdempotencyKey identifies a request within a client account. The caller
+// chooses it.
 type IdempotencyKey string
 
-// AttemptNumber counts the attempts of one request, from 1, over all nodes.
+// AttemptNumber numbers the attempts of one request from 1 over all nodes.
 type AttemptNumber uint32
 
-// Epoch orders the nodes that may take themselves for the owner of a request.
-// It grows with each change of owner or holder, and travels with the request:
-// of two nodes that both go on with it, the one with the smaller epoch yields.
+// Epoch is a number of a request that grows with each change of its owner or
+// holder and is sent with the request. If two nodes both process the request,
+// the one with the smaller epoch stops.
 type Epoch uint32
 
-// StreamName names an attempt's stream towards an engine. It follows from the
-// request and the attempt, so that a node that adopts a request can name it.
+// StreamName is the name of an attempt's stream at an engine. A node that adopts
+// a request can derive it from the request and the attempt.
 type StreamName string
 
 // Stream returns the name of the stream of attempt n of request r.
@@ -99,67 +100,69 @@
 	return StreamName(fmt.Sprintf("%s.%d", r, n))
 }
 
-// Nonce marks one append to the log, so that its writer recognizes it when
-// the answer to the append was lost.
+// Nonce identifies one append to the log, so that its writer can recognize the
+// record if the response to the append was lost.
 type Nonce string
 
-// Offset is a position in the platform's log. Offsets grow, with gaps.
+// Offset is an offset in the platform's log. It combines a store generation and
+// a position. Offsets grow, with gaps.
 type Offset uint64
 
-// StoreGeneration counts how often the log was restored from an older copy of
-// itself. Records appended after the copy was made are lost, and their places
-// are reused.
+// StoreGeneration is the number of times that the log was restored from an
+// older copy of itself. Records appended after the copy was made are lost, and
+// their positions are reused.
 type StoreGeneration uint64
 
-// generationShift leaves 40 bits for the records of a generation, and 13 bits
-// for the generation within the integers that a float64 represents exactly.
+// generationShift leaves 40 bits for the position, and 13 bits for the generation
+// within the integers that a float64 represents exactly.
 const generationShift = 40
 
-// OffsetAt returns the Offset of a place in the log, counted from zero, that
-// was written in the given generation. It is never zero, and larger than all
-// offsets of earlier generations.
-func OffsetAt(generation StoreGeneration, place uint64) Offset {
-	return Offset(uint64(generation)<<generationShift | (place + 1))
+// OffsetAt returns the Offset of the record at a position in the log, counted
+// from zero, that was written in the given generation. It is never zero, and
+// larger than all offsets of earlier generations.
+func OffsetAt(generation StoreGeneration, position uint64) Offset {
+	return Offset(uint64(generation)<<generationShift | (position + 1))
 }
 
 // Generation returns the store generation in which the record was written.
 func (o Offset) Generation() StoreGeneration { return StoreGeneration(o >> generationShift) }
 
-// Position returns the position in the log, counted from zero; zero also for no Offset.
+// Position returns the position in the log, counted from zero. It returns zero
+// also for the zero Offset.
 func (o Offset) Position() uint64 { return max(uint64(o)&(1<<generationShift-1), 1) - 1 }
 
-// Fence is a fencing number: the offset of the grant of the lease under
-// which an order is given.
+// Fence is a fencing token: the offset of the grant of the lease under which an
+// order is issued.
 type Fence = Offset
 
-// LogStream names one stream of the platform's log.
+// LogStream is the name of a stream of the platform's log.
 type LogStream string
 
-// FileName names one file of the operators' folder.
+// FileName is the name of a file in the operators' configuration folder.
 type FileName string
 
-// Revision is the offset at which the last accepted change of the
-// configuration, or of one file of it, stands. Zero means never.
+// Revision is the offset of the last accepted change of the configuration or of
+// one of its files. Zero means that there was no change.
 type Revision = Offset
 
-// Ticket ties the report of an effect to the effect, within one process.
+// Ticket correlates an effect with the report of its result within one process.
 type Ticket uint64
 
-// PrefixHash names a block of prompt tokens together with all before it.
+// PrefixHash is a hash of a block of prompt tokens and all blocks before it.
 type PrefixHash uint64
 
-// ContentHash stands for what a request asks: a request that comes again, by any
-// node and under any request id, has the same one. Zero where it is not known.
+// ContentHash is a hash of the content of a request. It is the same for repeated
+// requests on any node and with any request id. Zero means unknown.
 type ContentHash uint64
 
-// String returns the hash as logs show it.
+// String returns h in hexadecimal.
 func (h ContentHash) String() string { return fmt.Sprintf("%016x", uint64(h)) }
 
-// Fingerprint names a request by its caller and its content, whatever node and
-// request id it comes by. Zero where these are not known.
+// Fingerprint is a hash of the caller and the content of a request, regardless
+// of its node and request id. Zero means unknown.
 type Fingerprint uint64
 
-// String returns the fingerprint as logs show it.
+// String returns f in hexadecimal.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
 
 // Tokens is a number of model tokens.
@@ -168,10 +171,10 @@
 // Bytes is a number of bytes.
 type Bytes int64
 
-// BytesPerSecond is a rate of transfer.
+// BytesPerSecond is a transfer rate.
 type BytesPerSecond int64
 
-// RequestRate is a number of requests a second.
+// RequestRate is a number of requests per second.
 type RequestRate float64
 
 // Money is an amount in millionths of the operator's currency.
@@ -189,16 +192,15 @@
 	return fmt.Sprintf("%s%d.%06d", sign, m/CurrencyUnit, m%CurrencyUnit)
 }
 
-// Version names a version of the software of backend servers.
+// Version is a software version of backend servers.
 type Version string
 
-// RouteName names a route of a published configuration.
+// RouteName is the name of a route in a published configuration.
 type RouteName string
 
-// ExchangeID names an exchange within one process. It is never used twice
-// there.
+// ExchangeID identifies an exchange within one process, which never reuses it.
 type ExchangeID uint64
 
-// UsageWindow numbers the spans of wall time by which usage is counted, from
-// the epoch on.
+// UsageWindow numbers the wall-clock intervals for which usage is counted, from
+// the Unix epoch.
 type UsageWindow int64
--- a/pkg/identifier/identifier_test.go
+++ b/pkg/identifier/identifier_test.go
@@ -16,8 +16,8 @@
 	// Output: i-7f3a@1700000000000 i-7f3a@1700000004000 true
 }
 
-// An id may hold the mark itself, with digits after it.
-func TestStartOfAnyInstance(t *testing.T) {
+// An instance id may itself contain the separator, followed by digits.
+func TestServerStartRoundTrip(t *testing.T) {
 	for _, instance := range []identifier.InstanceID{"i-1", "", "i@7", "@", "i-1@x"} {
 		for _, start := range []identifier.Incarnation{0, 1, 1 << 62} {
 			gotInstance, gotStart := identifier.ServerStart(instance, start).Start()
--- a/pkg/timekeeper/clock.go
+++ b/pkg/timekeeper/clock.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Clock tells the present instant.
+// Clock returns the current time.
 type Clock interface {
 	Now() Time
 }
@@ -15,10 +15,10 @@
 	_ Clock = (*Manual)(nil)
 )
 
-// System is the wall clock of the VM as it stood when the process started,
-// carried on by a steady clock: it never goes back when the wall clock is set
-// back, because lease and deadline rules compare instants of one process, and
-// it goes on while the VM is suspended.
+// System is a clock that starts at the wall-clock time of the process start and
+// advances with a steady clock. It never goes back, even if the wall clock is
+// set back, because lease and deadline rules compare times of one process. It
+// includes the time during which the VM is suspended.
 type System struct{}
 
 var (
@@ -26,30 +26,28 @@
 	steadyStart  = steady()
 )
 
-// Now returns the instant at which the process started plus the steady time
-// that has passed since.
+// Now returns the start time of the process plus the steady time since then.
 func (System) Now() Time {
 	return FromStd(processStart.Add(steady() - steadyStart))
 }
 
-// monotonic returns the time that the monotonic clock counted since the
-// process started.
+// monotonic returns the time since the process start on the monotonic clock.
 func monotonic() time.Duration { return time.Since(processStart) }
 
-// Manual is a clock that moves only when told to. It is safe for concurrent
-// use. The zero value stands at the epoch.
+// Manual is a clock that only Advance moves. It is safe for concurrent use. The
+// zero value is set to the Unix epoch.
 type Manual struct {
 	now atomic.Int64
 }
 
-// NewManual returns a clock that stands at t.
+// NewManual returns a clock that is set to t.
 func NewManual(t Time) *Manual {
 	m := &Manual{}
 	m.now.Store(int64(t))
 	return m
 }
 
-// Now returns the instant at which m stands.
+// Now returns the time to which m is set.
 func (m *Manual) Now() Time { return Time(m.now.Load()) }
 
 // Advance moves m forward by d.
--- a/pkg/timekeeper/steady_linux_test.go
+++ b/pkg/timekeeper/steady_linux_test.go
@@ -8,11 +8,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// A lease holder's VM is suspended and resumed after its lease has lapsed. The
-// holder must see the lapse at its next look at the clock, or it gives orders
-// beside the new holder. A test can't suspend the VM; it pins down that
-// the clock read is the one that goes on meanwhile.
-func TestSystemFollowsTheClockThatCountsSuspensions(t *testing.T) {
+// After a suspension, a lease holder must see that its lease has expired. A test
+// can't suspend the VM, so it checks that System reads the clock that includes
+// suspensions.
+func TestSystemIncludesSuspendedTime(t *testing.T) {
 	before := boottime(t)
 	read := steady()
 	after := boottime(t)
@@ -41,8 +40,7 @@
 	}
 }
 
-// The wall clock may be set while the process runs; instants of the process
-// still start from the wall clock at its start.
+// System must start from the wall clock, even though it ignores later changes.
 func TestSystemStartsFromTheWallClock(t *testing.T) {
 	require.InDelta(t, time.Now().UnixMilli(), int64(System{}.Now()), float64(time.Minute.Milliseconds()))
 }
