--- a/cmd/dotterelhollow-bench/main.go
+++ b/cmd/dotterelhollow-bench/main.go
@@ -1,6 +1,5 @@
-// Command dotterelhollow-bench measures the policy against its baselines and
-// with each rule switched off in turn, and prints one set of tables for each
-// deployment.
+// Command dotterelhollow-bench compares the policy with its baselines and with
+// variants that each disable one rule, and prints tables for each deployment.
 package main
 
 import (
@@ -17,7 +16,8 @@
 	"github.com/dotterelhollow/dotterelhollow/internal/bencher"
 )
 
-// maxParallel bounds the runs at once: the measurement shares its machine.
+// maxParallel limits the number of concurrent runs, as the benchmark shares its
+// machine with other work.
 const maxParallel = 6
 
 type options struct {
@@ -32,8 +32,8 @@
 func main() {
 	var o options
 	if _, err := flags.Parse(&o); err != nil {
-		var shown *flags.Error
-		if errors.As(err, &shown) && shown.Type == flags.ErrHelp {
+		var flagsErr *flags.Error
+		if errors.As(err, &flagsErr) && flagsErr.Type == flags.ErrHelp {
 			return
 		}
 		os.Exit(2)
@@ -69,14 +69,14 @@
 
 func variants(o options) []bencher.Variant {
 	only := strings.Split(o.Only, ",")
-	var found []bencher.Variant
+	var selected []bencher.Variant
 	for _, v := range bencher.Variants() {
 		if o.Only != "" && !slices.Contains(only, v.Name) {
 			continue
 		}
 		if o.Only != "" || v.Group != bencher.RuleOff || strings.Contains(v.Name, o.Variant) {
-			found = append(found, v)
+			selected = append(selected, v)
 		}
 	}
-	return found
+	return selected
 }
--- a/cmd/dotterelhollow-gauge/main.go
+++ b/cmd/dotterelhollow-gauge/main.go
@@ -1,5 +1,5 @@
-// Command dotterelhollow-gauge measures what one node costs at several sizes
-// of the system, and what running processes use whose ids it is given.
+// Command dotterelhollow-gauge measures the resource usage of a node at several
+// system sizes, or that of running processes given by their ids.
 package main
 
 import (
@@ -17,7 +17,8 @@
 	"github.com/dotterelhollow/dotterelhollow/internal/gauger"
 )
 
-// maxProcessors bounds the processors used: the measurement shares its machine.
+// maxProcessors limits GOMAXPROCS, as the measurement shares its machine with
+// other work.
 const maxProcessors = 4
 
 // Exit codes.
@@ -38,8 +39,8 @@
 func main() {
 	var o options
 	if _, err := flags.Parse(&o); err != nil {
-		var shown *flags.Error
-		if errors.As(err, &shown) && shown.Type == flags.ErrHelp {
+		var flagsErr *flags.Error
+		if errors.As(err, &flagsErr) && flagsErr.Type == flags.ErrHelp {
 			return
 		}
 		os.Exit(exitUsage)
@@ -70,7 +71,7 @@
 func gauge(ctx context.Context, o options) error {
 	runtime.GOMAXPROCS(min(maxProcessors, runtime.GOMAXPROCS(0)))
 	var all []gauger.Reading
-	err := gauger.Run(ctx, chosenGauges(o), chosenSizes(o), func(readings []gauger.Reading) {
+	err := gauger.Run(ctx, selectedGauges(o), selectedSizes(o), func(readings []gauger.Reading) {
 		all = append(all, readings...)
 	})
 	if err != nil {
@@ -82,7 +83,7 @@
 	return gauger.WriteTable(os.Stdout, all)
 }
 
-func chosenGauges(o options) []gauger.Gauge {
+func selectedGauges(o options) []gauger.Gauge {
 	var chosen []gauger.Gauge
 	for _, g := range gauger.Gauges() {
 		if len(o.Gauge) == 0 || slices.Contains(o.Gauge, g.Name()) {
@@ -92,7 +93,7 @@
 	return chosen
 }
 
-func chosenSizes(o options) []gauger.Size {
+func selectedSizes(o options) []gauger.Size {
 	var chosen []gauger.Size
 	for _, s := range gauger.Sizes() {
 		s.Pools = o.Pools
--- a/cmd/dotterelhollow-load/main.go
+++ b/cmd/dotterelhollow-load/main.go
@@ -1,5 +1,5 @@
-// Command dotterelhollow-load puts load on running nodes on loopback addresses
-// and checks every answer. See docs/LOAD.md.
+// Command dotterelhollow-load generates load on nodes that run on loopback
+// addresses and checks every answer. See docs/LOAD.md.
 package main
 
 import (
@@ -22,14 +22,15 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// maxProcessors bounds the processors used: the run shares its machine.
+// maxProcessors limits GOMAXPROCS, as the load generator shares its machine with
+// the nodes.
 const maxProcessors = 4
 
 // Exit codes.
 const (
-	exitBroken = 1
-	exitUsage  = 2
-	exitFailed = 3
+	exitViolation = 1
+	exitUsage     = 2
+	exitFailed    = 3
 )
 
 type options struct {
@@ -52,31 +53,31 @@
 
 var _ flags.Unmarshaler = (*duration)(nil)
 
-// duration is a flag that holds a span such as "40s".
+// duration is a flag value such as "40s".
 type duration timekeeper.Duration
 
-// UnmarshalFlag reads a span.
+// UnmarshalFlag parses a duration.
 func (d *duration) UnmarshalFlag(text string) error {
 	parsed, err := timekeeper.ParseDuration(text)
 	*d = duration(parsed)
 	return err
 }
 
-// folderError reports a folder that is no valid configuration.
+// folderError reports a folder whose configuration has faults.
 type folderError struct {
 	folder string
 	faults []configurer.Fault
 }
 
 func (e *folderError) Error() string {
-	return fmt.Sprintf("%s: %d faults, the first is: %s", e.folder, len(e.faults), e.faults[0])
+	return fmt.Sprintf("%s: %d faults, first: %s", e.folder, len(e.faults), e.faults[0])
 }
 
 func main() {
 	var o options
 	if _, err := flags.Parse(&o); err != nil {
-		var shown *flags.Error
-		if errors.As(err, &shown) && shown.Type == flags.ErrHelp {
+		var flagsErr *flags.Error
+		if errors.As(err, &flagsErr) && flagsErr.Type == flags.ErrHelp {
 			return
 		}
 		os.Exit(exitUsage)
@@ -89,8 +90,8 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(exitFailed)
 	}
-	if !report.Kept() {
-		os.Exit(exitBroken)
+	if !report.Passed() {
+		os.Exit(exitViolation)
 	}
 }
 
@@ -113,12 +114,12 @@
 	}
 	report, err := loader.Run(ctx, loader.Config{
 		Nodes:       o.Nodes,
-		Pool:        o.Pool,
+		PoolAddress: o.Pool,
 		Catalog:     c,
 		Mix:         mix,
 		Keys:        keys,
 		Seed:        o.Seed,
-		Name:        "load-" + ulid.Make().String(),
+		RunName:     "load-" + ulid.Make().String(),
 		Window:      timekeeper.Duration(o.Window),
 		Drain:       timekeeper.Duration(o.Drain),
 		MaxRequests: o.Requests,
--- a/cmd/dotterelhollow-standin/commands.go
+++ b/cmd/dotterelhollow-standin/commands.go
@@ -17,22 +17,22 @@
 	_ flags.Commander   = (*engineCommand)(nil)
 	_ flags.Commander   = (*plainCommand)(nil)
 	_ flags.Commander   = (*poolCommand)(nil)
-	_ flags.Unmarshaler = (*span)(nil)
+	_ flags.Unmarshaler = (*duration)(nil)
 	_ flags.Unmarshaler = (*group)(nil)
 )
 
 type platformCommand struct {
 	listen
-	Retention   span    `long:"retention" default:"1h" description:"How long the log keeps a record"`
-	AppendRate  float64 `long:"append-rate" default:"300" description:"Appends a second that the log takes"`
-	ListLag     span    `long:"list-lag" default:"2s" description:"How old the VM list is"`
-	WeightBytes int64   `long:"weight-bytes" default:"8388608" description:"Size of a model's weights"`
-	WeightRate  int64   `long:"weight-rate" default:"67108864" description:"Bytes a second of the weight store"`
+	Retention   duration `long:"retention" default:"1h" description:"How long the log keeps a record"`
+	AppendRate  float64  `long:"append-rate" default:"300" description:"Appends a second that the log takes"`
+	ListLag     duration `long:"list-lag" default:"2s" description:"How old the VM list is"`
+	WeightBytes int64    `long:"weight-bytes" default:"8388608" description:"Size of a model's weights"`
+	WeightRate  int64    `long:"weight-rate" default:"67108864" description:"Bytes a second of the weight store"`
 }
 
-// Execute runs the platform.
+// Execute runs the platform stand-in until a signal.
 func (c *platformCommand) Execute([]string) error {
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
 	p := platform.New(platform.Config{
 		Retention:   timekeeper.Duration(c.Retention),
@@ -46,23 +46,23 @@
 
 type engineCommand struct {
 	listen
-	VM               string  `long:"vm" required:"true" description:"Name of the VM"`
-	Zone             string  `long:"zone" description:"Availability zone"`
-	Pool             string  `long:"pool" description:"Pool of backend servers"`
-	Model            string  `long:"model" required:"true" description:"Model that is loaded"`
-	Slots            int     `long:"slots" default:"8" description:"Streams that run at once"`
-	TokensPerSecond  float64 `long:"tokens-per-second" default:"40" description:"Pace of a stream that runs alone"`
-	PrefillPerSecond float64 `long:"prefill-per-second" default:"4000" description:"Prompt tokens read in a second"`
-	KVTokens         int64   `long:"kv-tokens" default:"65536" description:"Size of the KV cache"`
-	ChecksFence      bool    `long:"checks-fence" description:"Refuse orders with an old fencing number"`
-	LoadLag          span    `long:"load-lag" default:"500ms" description:"How old load reports are"`
-	CacheLag         span    `long:"cache-lag" default:"500ms" description:"How late cache events come"`
-	WeightAddress    string  `long:"weights" value-name:"HOST:PORT" description:"Weight store to load models from"`
+	VM               string   `long:"vm" required:"true" description:"Name of the VM"`
+	Zone             string   `long:"zone" description:"Availability zone"`
+	Pool             string   `long:"pool" description:"Pool of backend servers"`
+	Model            string   `long:"model" required:"true" description:"Model that is loaded"`
+	Slots            int      `long:"slots" default:"8" description:"Streams that run at once"`
+	TokensPerSecond  float64  `long:"tokens-per-second" default:"40" description:"Pace of a stream that runs alone"`
+	PrefillPerSecond float64  `long:"prefill-per-second" default:"4000" description:"Prompt tokens read in a second"`
+	KVTokens         int64    `long:"kv-tokens" default:"65536" description:"Size of the KV cache"`
+	ChecksFence      bool     `long:"checks-fence" description:"Refuse orders with an old fencing number"`
+	LoadLag          duration `long:"load-lag" default:"500ms" description:"How old load reports are"`
+	CacheLag         duration `long:"cache-lag" default:"500ms" description:"How late cache events come"`
+	WeightAddress    string   `long:"weights" value-name:"HOST:PORT" description:"Weight store to load models from"`
 }
 
-// Execute runs the engine.
+// Execute runs the engine stand-in until a signal.
 func (c *engineCommand) Execute([]string) error {
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
 	e := engine.New(engine.Config{
 		VM:               identifier.VMID(c.VM),
@@ -88,9 +88,9 @@
 	Slots int    `long:"slots" default:"64" description:"Calls that run at once"`
 }
 
-// Execute runs the plain server.
+// Execute runs the plain server stand-in until a signal.
 func (c *plainCommand) Execute([]string) error {
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
 	p := responder.New(responder.Config{
 		VM:    identifier.VMID(c.VM),
@@ -100,10 +100,10 @@
 	return c.serve(ctx, "plain", p, p.Gate)
 }
 
-// group is a flag that holds a hoster.Group.
+// group is a flag value such as "pool=reading,count=3".
 type group hoster.Group
 
-// UnmarshalFlag reads a group.
+// UnmarshalFlag parses a group.
 func (g *group) UnmarshalFlag(text string) error {
 	parsed, err := hoster.ParseGroup(text)
 	*g = group(parsed)
@@ -117,12 +117,12 @@
 	Groups    []group  `long:"group" required:"true" value-name:"KEY=VALUE,..." description:"Pool to host: pool, kind (model or plain), class, model, count, on_demand, slots, max_waiting, cache_blocks, tokens_per_second, prefill_per_second, kv_tokens, kv_bytes_per_token, transfer_rate, checks_fence, load_lag, cache_lag"`
 	Host      string   `long:"host" default:"127.0.0.1" description:"IP number to listen on"`
 	FirstPort int      `long:"first-port" default:"0" description:"Port of the first VM, the others follow; 0 takes free ones"`
-	Boot      span     `long:"boot" default:"1s" description:"Time from a purchase until the VM listens"`
+	Boot      duration `long:"boot" default:"1s" description:"Time from a purchase until the VM listens"`
 }
 
-// Execute runs the pools.
+// Execute hosts the pools until a signal.
 func (c *poolCommand) Execute([]string) error {
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
 	h := hoster.New(c.config())
 	if err := h.Start(ctx); err != nil {
--- a/cmd/dotterelhollow-standin/commands_test.go
+++ b/cmd/dotterelhollow-standin/commands_test.go
@@ -10,7 +10,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// parse reads a command line without running the command.
+// parse parses a command line without running the command.
 func parse(t *testing.T, arguments ...string) (*options, error) {
 	t.Helper()
 	var o options
--- a/cmd/dotterelhollow-standin/main.go
+++ b/cmd/dotterelhollow-standin/main.go
@@ -10,13 +10,13 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// The exit codes.
+// Exit codes.
 const (
 	exitFailed = 1
 	exitUsage  = 2
 )
 
-// options are the subcommands.
+// options holds the subcommands.
 type options struct {
 	Platform platformCommand `command:"platform" description:"Run the platform: log, VM list, cloud API, weight store"`
 	Engine   engineCommand   `command:"engine" description:"Run one model engine"`
--- a/cmd/dotterelhollow-standin/serve.go
+++ b/cmd/dotterelhollow-standin/serve.go
@@ -12,12 +12,12 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// listen is the flag that every subcommand has.
+// listen holds the flag common to all subcommands.
 type listen struct {
 	Listen string `long:"listen" value-name:"HOST:PORT" required:"true" description:"Address to listen on"`
 }
 
-// serve runs a stand-in until SIGTERM or SIGINT, which end it at once.
+// serve runs a stand-in until ctx ends, then closes it without draining.
 func (l listen) serve(ctx context.Context, name string, s standin.Service, gate *standin.Gate) error {
 	server, err := standin.Listen(ctx, l.Listen, s, gate)
 	if err != nil {
@@ -34,17 +34,17 @@
 	return nil
 }
 
-// untilSignal returns a context that ends with the process's end.
-func untilSignal() (context.Context, context.CancelFunc) {
+// signalContext returns a context that is canceled by SIGTERM or SIGINT.
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 }
 
-// span is a flag that holds a duration.
-type span timekeeper.Duration
+// duration is a flag value such as "250ms".
+type duration timekeeper.Duration
 
-// UnmarshalFlag reads a span such as "250ms".
-func (s *span) UnmarshalFlag(text string) error {
+// UnmarshalFlag parses a duration.
+func (s *duration) UnmarshalFlag(text string) error {
 	d, err := timekeeper.ParseDuration(text)
-	*s = span(d)
+	*s = duration(d)
 	return err
 }
--- a/internal/loader/address.go
+++ b/internal/loader/address.go
@@ -14,8 +14,8 @@
 	_ error = (*DeploymentError)(nil)
 )
 
-// AddressError reports an address that is not a loopback IP number with a
-// port. A load tool pointed at a wrong address is an attack.
+// AddressError reports an address that is not a loopback IP address with a
+// port. The load tool must never be pointed at a foreign host.
 type AddressError struct {
 	Address string
 	Cause   error
@@ -25,13 +25,13 @@
 	if e.Cause != nil {
 		return fmt.Sprintf("address %q: %v", e.Address, e.Cause)
 	}
-	return fmt.Sprintf("address %q: expected a loopback IP number", e.Address)
+	return fmt.Sprintf("address %q: expected a loopback IP address", e.Address)
 }
 
 func (e *AddressError) Unwrap() error { return e.Cause }
 
-// checkAddresses refuses the first address that is not loopback. Empty ones are
-// passed over.
+// checkAddresses returns an error for the first address that is not loopback.
+// It skips empty addresses.
 func checkAddresses(addresses []string) error {
 	for _, address := range addresses {
 		if address == "" {
@@ -59,17 +59,17 @@
 }
 
 const (
-	dialTime = time.Second
-	idleTime = 5 * time.Second
-	// idleConnections is how many unused connections to a node a client keeps.
-	idleConnections = 8
+	dialTimeout = time.Second
+	idleTimeout = 5 * time.Second
+	// maxIdleConnections is a client's limit of idle connections per node.
+	maxIdleConnections = 8
 )
 
 // loopbackTransport connects to loopback addresses only. A node's address list
-// or redirect may name any address: without this check a wrong setting of one
-// node would turn the load on a stranger.
+// or redirect may contain any address: without this check one misconfigured
+// node could direct the load at a foreign host.
 func loopbackTransport() *http.Transport {
-	dialer := &net.Dialer{Timeout: dialTime}
+	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			if err := checkAddress(address); err != nil {
@@ -77,7 +77,7 @@
 			}
 			return dialer.DialContext(ctx, network, address)
 		},
-		IdleConnTimeout:     idleTime,
-		MaxIdleConnsPerHost: idleConnections,
+		IdleConnTimeout:     idleTimeout,
+		MaxIdleConnsPerHost: maxIdleConnections,
 	}
 }
--- a/internal/loader/check.go
+++ b/internal/loader/check.go
@@ -12,50 +12,52 @@
 
 var (
 	_ caller.Sink = (*checker)(nil)
-	_ error       = (*WrongError)(nil)
+	_ error       = (*AnswerMismatchError)(nil)
 )
 
-// WrongError reports an answer that is not the one to its request.
-type WrongError struct {
+// AnswerMismatchError reports an answer that differs from the expected one.
+// Index is the token at which they differ, or 0 if the whole answer does.
+type AnswerMismatchError struct {
 	Index identifier.Tokens
 	Want  string
 	Got   string
 }
 
-func (e *WrongError) Error() string {
+func (e *AnswerMismatchError) Error() string {
 	if e.Index > 0 {
 		return fmt.Sprintf("token %d: expected %q, got %q", e.Index, e.Want, e.Got)
 	}
 	return fmt.Sprintf("expected %s, got %s", e.Want, e.Got)
 }
 
-// checker takes the tokens of one answer and compares each with the one that
-// every stand-in engine gives for the prompt at that place.
+// checker receives the tokens of one answer and compares each with the token
+// that every stand-in engine generates at that index of the prompt's answer.
 type checker struct {
-	prompt string
-	want   identifier.Tokens
-	clock  timekeeper.Clock
-	taken  identifier.Tokens
-	first  timekeeper.Time
-	last   timekeeper.Time
-	gaps   []timekeeper.Duration
-	wrong  error
+	prompt     string
+	wantTokens identifier.Tokens
+	clock      timekeeper.Clock
+	received   identifier.Tokens
+	firstAt    timekeeper.Time
+	lastAt     timekeeper.Time
+	gaps       []timekeeper.Duration
+	mismatch   error
 }
 
-// Token takes a token.
+// Token compares a received token with the expected one. It never returns an
+// error: the first mismatch is kept for verdict.
 func (c *checker) Token(t caller.Token) error {
 	now := c.clock.Now()
-	if c.first == 0 {
-		c.first = now
+	if c.firstAt == 0 {
+		c.firstAt = now
 	} else {
-		c.gaps = append(c.gaps, now.Sub(c.last))
+		c.gaps = append(c.gaps, now.Sub(c.lastAt))
 	}
-	c.last = now
-	c.taken++
-	want := standin.Token(c.prompt, c.taken)
-	if (t.Index != c.taken || t.Text != want) && c.wrong == nil {
-		c.wrong = &WrongError{
-			Index: c.taken,
+	c.lastAt = now
+	c.received++
+	want := standin.Token(c.prompt, c.received)
+	if (t.Index != c.received || t.Text != want) && c.mismatch == nil {
+		c.mismatch = &AnswerMismatchError{
+			Index: c.received,
 			Want:  want,
 			Got:   fmt.Sprintf("%s as token %d", t.Text, t.Index),
 		}
@@ -63,25 +65,26 @@
 	return nil
 }
 
-// Restart begins the answer anew. The first token that the caller saw counts
-// on: it is the one that the caller waited for.
+// Restart expects the answer from its first token again. The time of the first
+// token received before the restart stays, as the caller waited until then.
 func (c *checker) Restart() error {
-	c.taken = 0
+	c.received = 0
 	return nil
 }
 
-// verdict tells what was wrong with the answer, given how its stream ended.
+// verdict returns the answer's first mismatch or protocol violation, or nil.
+// end is the error with which the stream ended.
 func (c *checker) verdict(end error) error {
 	var protocol *caller.ProtocolError
 	switch {
-	case c.wrong != nil:
-		return c.wrong
+	case c.mismatch != nil:
+		return c.mismatch
 	case errors.As(end, &protocol):
 		return protocol
-	case end == nil && c.taken != c.want:
-		return &WrongError{
-			Want: fmt.Sprintf("%d tokens", c.want),
-			Got:  fmt.Sprintf("%d", c.taken),
+	case end == nil && c.received != c.wantTokens:
+		return &AnswerMismatchError{
+			Want: fmt.Sprintf("%d tokens", c.wantTokens),
+			Got:  fmt.Sprintf("%d", c.received),
 		}
 	}
 	return nil
--- a/internal/loader/ledger.go
+++ b/internal/loader/ledger.go
@@ -12,11 +12,12 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// ledgerEvery is how often the ledgers are read. What a plain server ran in
-// the last moment before its end can be missed.
-const ledgerEvery = 200 * time.Millisecond
+// ledgerInterval is the time between reads of the ledgers. Calls that a plain
+// server runs after the last read before it is removed are missed.
+const ledgerInterval = 200 * time.Millisecond
 
-// LedgerError reports that the ledgers can't be read.
+// LedgerError reports that the ledgers of the servers hosted at the stand-in
+// address Pool can't be read.
 type LedgerError struct {
 	Pool  string
 	Cause error
@@ -26,10 +27,11 @@
 
 func (e *LedgerError) Unwrap() error { return e.Cause }
 
-// ledgers holds the last ledger seen of each plain server.
+// ledgers holds the last ledger read from each plain server: the number of
+// executions of each request.
 type ledgers map[identifier.VMID]map[identifier.RequestID]int
 
-// runs returns how often a request ran, as far as was seen.
+// runs returns the number of recorded executions of a request on all servers.
 func (l ledgers) runs(request identifier.RequestID) int {
 	total := 0
 	for _, runs := range l {
@@ -38,28 +40,28 @@
 	return total
 }
 
-// watcher reads ledgers until it is stopped.
+// watcher reads ledgers periodically until it is stopped.
 type watcher struct {
-	pool   standin.Control
-	plain  map[identifier.PoolName]bool
-	seen   ledgers
-	cancel context.CancelFunc
-	ended  chan struct{}
+	control standin.Control
+	plain   map[identifier.PoolName]bool
+	latest  ledgers
+	cancel  context.CancelFunc
+	done    chan struct{}
 }
 
-// watchLedgers starts to read the ledgers of the plain servers that the
-// stand-in at the given address hosts; without an address it reads none.
+// watchLedgers starts reading the ledgers of the plain servers hosted by the
+// stand-in at the address pool; if pool is empty, it reads none.
 func watchLedgers(ctx context.Context, pool string, c *catalog.Catalog) (*watcher, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	w := &watcher{
-		pool:   standin.Control{Address: pool},
-		plain:  make(map[identifier.PoolName]bool),
-		seen:   make(ledgers),
-		cancel: cancel,
-		ended:  make(chan struct{}),
+		control: standin.Control{Address: pool},
+		plain:   make(map[identifier.PoolName]bool),
+		latest:  make(ledgers),
+		cancel:  cancel,
+		done:    make(chan struct{}),
 	}
 	if pool == "" {
-		close(w.ended)
+		close(w.done)
 		return w, nil
 	}
 	for _, p := range c.Pools {
@@ -73,60 +75,60 @@
 		}
 	}
 	go func() {
-		defer close(w.ended)
-		w.follow(ctx)
+		defer close(w.done)
+		w.poll(ctx)
 	}()
 	return w, nil
 }
 
-func (w *watcher) follow(ctx context.Context) {
-	ticker := time.NewTicker(ledgerEvery)
+func (w *watcher) poll(ctx context.Context) {
+	ticker := time.NewTicker(ledgerInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			// A server may end between the list and its reading. One that
-			// stays out of reach fails the last reading, which counts.
+			// A server may be removed between the list and the read of its
+			// ledger. A permanent failure is reported by the read in stop.
 			_ = w.read(ctx)
 		}
 	}
 }
 
-// lastReadings bounds how often the last reading is tried.
-const lastReadings = 10
+// finalReadRetries is the maximum number of retries of the final read.
+const finalReadRetries = 10
 
-// stop reads the ledgers a last time and returns them.
+// stop ends the periodic reads, reads the ledgers once more and returns them.
 func (w *watcher) stop(ctx context.Context) (ledgers, error) {
 	w.cancel()
-	<-w.ended
-	if w.pool.Address == "" {
+	<-w.done
+	if w.control.Address == "" {
 		return nil, nil
 	}
 	ctx = context.WithoutCancel(ctx)
 	err := w.read(ctx)
-	for range lastReadings {
+	for range finalReadRetries {
 		if err == nil {
-			return w.seen, nil
+			return w.latest, nil
 		}
-		<-time.After(ledgerEvery)
+		<-time.After(ledgerInterval)
 		err = w.read(ctx)
 	}
-	return w.seen, &LedgerError{
-		Pool:  w.pool.Address,
+	return w.latest, &LedgerError{
+		Pool:  w.control.Address,
 		Cause: err,
 	}
 }
 
-// read reads the ledger of each plain server that runs, and returns the first
-// failure. A server that has ended keeps its last ledger.
+// read reads the ledgers of all running plain servers and returns the first
+// error. The last ledger of a removed server is retained.
 func (w *watcher) read(ctx context.Context) error {
 	var vms []encoder.VM
-	if err := w.pool.Get(ctx, "/admin/vms", &vms); err != nil {
+	if err := w.control.Get(ctx, "/admin/vms", &vms); err != nil {
 		return err
 	}
-	var first error
+	var firstErr error
 	for _, vm := range vms {
 		if !w.plain[vm.Pool] {
 			continue
@@ -134,10 +136,10 @@
 		var ledger responder.Ledger
 		err := standin.Control{Address: vm.Address}.Get(ctx, "/ledger", &ledger)
 		if err == nil {
-			w.seen[vm.VM] = ledger.Runs
-		} else if first == nil {
-			first = err
+			w.latest[vm.VM] = ledger.Runs
+		} else if firstErr == nil {
+			firstErr = err
 		}
 	}
-	return first
+	return firstErr
 }
--- a/internal/loader/loader.go
+++ b/internal/loader/loader.go
@@ -1,16 +1,16 @@
-// Package loader puts load on running nodes and checks every answer.
+// Package loader generates load on running nodes and checks every answer.
 //
-// NewMix takes the kinds of work of a deployment and their numbers from package
-// bencher. Schedule draws the arrivals of a run: Poisson, from a seed, at fixed
-// rates that don't wait for answers, so that a slow system meets the same load
-// as a fast one. Run sends them through pkg/caller as several client accounts
-// and compares each answer with the one that the stand-ins must give. A watcher
-// reads the ledgers of the plain servers meanwhile, since a ledger goes with
-// its VM. The Report tells what became of the requests, and whether a promise
-// was broken.
+// NewMix builds the workload of a deployment with the rates and sizes of
+// package bencher. Schedule draws an open-loop arrival schedule from a seed:
+// Poisson arrivals at fixed rates, so that a slow system receives the same load
+// as a fast one. Run sends the requests through pkg/caller as several client
+// accounts and compares each answer with the one that the stand-ins must give.
+// Meanwhile a watcher reads the ledgers of the plain servers, because a ledger
+// is lost when its VM is removed. The Report counts the results and the
+// violations of the system's guarantees.
 //
-// Nothing but loopback addresses is ever connected to, whatever address a node
-// gives out.
+// The package connects to loopback addresses only, whatever addresses nodes
+// return.
 package loader
 
 import (
@@ -24,59 +24,60 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Config says what to send where.
+// Config holds the parameters of a run.
 type Config struct {
-	// Nodes are caller addresses of some nodes.
+	// Nodes are the caller addresses of one or more nodes.
 	Nodes []string
-	// Pool is the address of the stand-in that hosts the backend servers, whose
-	// ledgers are read. Without it runs are not counted.
-	Pool    string
-	Catalog *catalog.Catalog
-	Mix     Mix
+	// PoolAddress is the address of the stand-in that hosts the backend servers,
+	// whose ledgers are read. If empty, executions are not counted.
+	PoolAddress string
+	Catalog     *catalog.Catalog
+	Mix         Mix
 	// Keys holds the key of each account of the mix.
 	Keys map[identifier.AccountID]string
 	Seed uint64
-	// Name is part of every idempotency key, so that runs don't meet.
-	Name string
-	// Window is for how long requests arrive, Drain for how long those on their
-	// way are waited for afterwards.
+	// RunName is the prefix of every idempotency key. It must differ between
+	// runs, so that their requests are not deduplicated against each other.
+	RunName string
+	// Window is the time during which requests are sent, Drain the maximum wait
+	// for those in flight afterwards.
 	Window timekeeper.Duration
 	Drain  timekeeper.Duration
-	// MaxRequests bounds the requests of the run.
+	// MaxRequests limits the number of requests of the run.
 	MaxRequests int
-	// MaxInFlight bounds those on their way at once; an arrival over it is not
-	// sent, and counted as such.
+	// MaxInFlight limits the number of concurrent requests. An arrival over the
+	// limit is not sent and counted as such.
 	MaxInFlight int
-	// Clock is the wall clock when nil.
+	// Clock defaults to the system clock.
 	Clock timekeeper.Clock
 }
 
-// clientsByAccount is how many callers, each with an address list and
-// connections of its own, an account has.
-const clientsByAccount = 4
+// clientsPerAccount is the number of callers of each account. Each has a
+// separate address list and connections.
+const clientsPerAccount = 4
 
-// run is a run on its way.
+// run is the state of a run in progress.
 type run struct {
-	config  Config
-	clock   timekeeper.Clock
-	started timekeeper.Time
-	clients map[identifier.AccountID][]*caller.Client
-	results chan Result
-	flying  int
-	tally   *tally
+	config   Config
+	clock    timekeeper.Clock
+	started  timekeeper.Time
+	clients  map[identifier.AccountID][]*caller.Client
+	results  chan Result
+	inFlight int
+	tally    *tally
 }
 
-// Run sends the load and returns what became of it. It ends when the last
-// request did, after Window and Drain, or with ctx. Its error is an
-// *AddressError, or a *LedgerError where the ledgers can't be read.
+// Run sends the load and returns the results. It returns once all requests have
+// ended, at the latest after Window and Drain, or when ctx is canceled. Its
+// error is an *AddressError, or a *LedgerError if the ledgers can't be read.
 func Run(ctx context.Context, c Config) (Report, error) {
-	if err := checkAddresses(append([]string{c.Pool}, c.Nodes...)); err != nil {
+	if err := checkAddresses(append([]string{c.PoolAddress}, c.Nodes...)); err != nil {
 		return Report{}, err
 	}
 	if c.Clock == nil {
 		c.Clock = timekeeper.System{}
 	}
-	watcher, err := watchLedgers(ctx, c.Pool, c.Catalog)
+	watcher, err := watchLedgers(ctx, c.PoolAddress, c.Catalog)
 	if err != nil {
 		return Report{}, err
 	}
@@ -98,7 +99,7 @@
 func newClients(c Config) map[identifier.AccountID][]*caller.Client {
 	clients := make(map[identifier.AccountID][]*caller.Client)
 	for _, account := range c.Mix.Accounts {
-		for range clientsByAccount {
+		for range clientsPerAccount {
 			clients[account.ID] = append(clients[account.ID], caller.New(caller.Config{
 				Nodes:     c.Nodes,
 				Key:       c.Keys[account.ID],
@@ -110,8 +111,8 @@
 	return clients
 }
 
-// drive sends each arrival when it is due and takes results until all have
-// ended.
+// drive sends each arrival when it is due and handles results until all
+// requests have ended.
 func (r *run) drive(ctx context.Context, arrivals []Arrival) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -124,7 +125,8 @@
 	r.drain(ctx, cancel)
 }
 
-// waitUntil takes results until the given instant, and reports whether it came.
+// waitUntil handles results until due. It returns false if ctx is canceled
+// first.
 func (r *run) waitUntil(ctx context.Context, due timekeeper.Time) bool {
 	timer := time.NewTimer(due.Sub(r.clock.Now()).Std())
 	defer timer.Stop()
@@ -135,13 +137,13 @@
 		case <-ctx.Done():
 			return false
 		case result := <-r.results:
-			r.take(result)
+			r.handleResult(result)
 		}
 	}
 }
 
 func (r *run) launch(ctx context.Context, a Arrival) {
-	if r.flying >= r.config.MaxInFlight {
+	if r.inFlight >= r.config.MaxInFlight {
 		r.tally.skip(a)
 		return
 	}
@@ -150,29 +152,30 @@
 		client:  clients[a.Client%len(clients)],
 		clock:   r.clock,
 		started: r.started,
-		name:    r.config.Name,
+		runName: r.config.RunName,
 	}
-	r.flying++
+	r.inFlight++
 	go func() { r.results <- s.send(ctx, a) }()
 }
 
-func (r *run) take(result Result) {
-	r.flying--
+func (r *run) handleResult(result Result) {
+	r.inFlight--
 	r.tally.add(result)
 }
 
-// drain waits for the requests on their way, and gives the rest up in the end.
+// drain waits for the requests in flight and cancels those that remain after
+// the drain time.
 func (r *run) drain(ctx context.Context, cancel context.CancelFunc) {
 	timer := time.NewTimer(r.config.Drain.Std())
 	defer timer.Stop()
-	for r.flying > 0 {
+	for r.inFlight > 0 {
 		select {
 		case result := <-r.results:
-			r.take(result)
+			r.handleResult(result)
 		case <-timer.C:
 			cancel()
 		case <-ctx.Done():
-			r.take(<-r.results)
+			r.handleResult(<-r.results)
 		}
 	}
 }
--- a/internal/loader/loader_test.go
+++ b/internal/loader/loader_test.go
@@ -19,16 +19,16 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// system is one node, the host of one plain server, and that server. It does
-// all right but for what the switches say.
+// system simulates a node, a plain server and the stand-in that hosts it. Its
+// fields inject faults.
 type system struct {
 	*httptest.Server
-	tokens  func(all []string) []string // what is sent in place of an answer
-	reply   func(r *responder.Reply)
-	runs    int // of a keyed call
-	refuse  bool
-	cut     bool   // at the end of an answer, for good
-	address string // given out to callers
+	alterTokens func(all []string) []string // returns the tokens to send instead of all
+	alterReply  func(r *responder.Reply)
+	runsPerCall int // executions recorded for each call
+	refuse      bool
+	abort       bool   // break every stream before its end marker
+	advertised  string // returned in the address list
 
 	mu     sync.Mutex
 	ledger map[identifier.RequestID]int
@@ -36,14 +36,14 @@
 
 func newSystem(t *testing.T) *system {
 	s := &system{
-		tokens: func(all []string) []string { return all },
-		reply:  func(*responder.Reply) {},
-		runs:   1,
-		ledger: make(map[identifier.RequestID]int),
+		alterTokens: func(all []string) []string { return all },
+		alterReply:  func(*responder.Reply) {},
+		runsPerCall: 1,
+		ledger:      make(map[identifier.RequestID]int),
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("/v1/addresses", func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = fmt.Fprintf(w, `{"nodes":[{"node":"entry-1","address":%q}],"keep_ms":60000}`, s.address)
+		_, _ = fmt.Fprintf(w, `{"nodes":[{"node":"entry-1","address":%q}],"keep_ms":60000}`, s.advertised)
 	})
 	mux.HandleFunc("/v1/chat/completions", s.chat)
 	mux.HandleFunc("/v1/services/", s.call)
@@ -69,7 +69,7 @@
 	})
 	s.Server = httptest.NewServer(mux)
 	t.Cleanup(s.Close)
-	s.address = s.host()
+	s.advertised = s.host()
 	return s
 }
 
@@ -89,11 +89,11 @@
 	}
 	_ = json.NewDecoder(r.Body).Decode(&body)
 	w.Header().Set("Request-Id", r.Header.Get("Idempotency-Key"))
-	for i, token := range s.tokens(standin.Tokens(body.Messages[0].Content, body.MaxTokens)) {
+	for i, token := range s.alterTokens(standin.Tokens(body.Messages[0].Content, body.MaxTokens)) {
 		text, _ := json.Marshal(token)
 		_, _ = fmt.Fprintf(w, "id: %d\ndata: {\"choices\":[{\"delta\":{\"content\":%s}}]}\n\n", i+1, text)
 	}
-	if s.cut {
+	if s.abort {
 		w.(http.Flusher).Flush()
 		panic(http.ErrAbortHandler)
 	}
@@ -105,7 +105,7 @@
 	w.Header().Set("Request-Id", string(request))
 	s.mu.Lock()
 	if s.ledger[request] == 0 {
-		s.ledger[request] = s.runs
+		s.ledger[request] = s.runsPerCall
 	}
 	s.mu.Unlock()
 	if s.refuse {
@@ -122,12 +122,12 @@
 		Path:    "/call/" + parts[4],
 		Body:    string(body),
 	}
-	s.reply(&reply)
+	s.alterReply(&reply)
 	w.Header().Set("Outcome", "done")
 	encoder.WriteJSON(w, http.StatusOK, reply)
 }
 
-// load runs a short load on s.
+// load runs a short load on s and returns the report.
 func (s *system) load(t *testing.T) Report {
 	t.Helper()
 	report, err := Run(t.Context(), s.config(t))
@@ -138,18 +138,18 @@
 func (s *system) config(t *testing.T) Config {
 	mix := mixOf(t, "quillmark")
 	for i := range mix.Kinds {
-		if mix.Kinds[i].Keyed() {
-			mix.Kinds[i].Rate = mix.Kinds[0].Rate // So that a short run has some.
+		if mix.Kinds[i].AtMostOnce() {
+			mix.Kinds[i].Rate = mix.Kinds[0].Rate // High enough for a short run.
 		}
 	}
 	return Config{
 		Nodes:       []string{s.host()},
-		Pool:        s.host(),
+		PoolAddress: s.host(),
 		Catalog:     example(t, "quillmark"),
 		Mix:         mix,
 		Keys:        map[identifier.AccountID]string{},
 		Seed:        1,
-		Name:        "test",
+		RunName:     "test",
 		Window:      6 * timekeeper.Second,
 		Drain:       2 * timekeeper.Second,
 		MaxRequests: 60,
@@ -157,12 +157,12 @@
 	}
 }
 
-func TestRunOfASoundSystem(t *testing.T) {
+func TestRunPassesWithoutViolations(t *testing.T) {
 	t.Parallel()
 	report := newSystem(t).load(t)
-	require.True(t, report.Kept())
+	require.True(t, report.Passed())
 	require.Equal(t, 60, report.All.Sent)
-	require.Equal(t, 60, report.All.Whole)
+	require.Equal(t, 60, report.All.Complete)
 	require.Positive(t, report.Runs.Keys)
 	require.Equal(t, report.Runs.Keys, report.Runs.ByCount[1])
 	var text strings.Builder
@@ -170,49 +170,48 @@
 	require.Contains(t, text.String(), "kept:")
 }
 
-// The controls of the checker: each system breaks one promise, and the report
-// must say which.
-func TestRunFindsBrokenPromises(t *testing.T) {
+// Each system violates one guarantee, and the report must count that violation.
+func TestRunDetectsViolations(t *testing.T) {
 	tests := map[string]struct {
 		breaks func(s *system)
 		found  func(r Report) int
 	}{
 		"token missing": {
 			breaks: func(s *system) {
-				s.tokens = func(all []string) []string { return all[:len(all)-1] }
+				s.alterTokens = func(all []string) []string { return all[:len(all)-1] }
 			},
 			found: func(r Report) int { return r.All.Wrong },
 		},
 		"token twice": {
 			breaks: func(s *system) {
-				s.tokens = func(all []string) []string { return append(all[:1:1], all...) }
+				s.alterTokens = func(all []string) []string { return append(all[:1:1], all...) }
 			},
 			found: func(r Report) int { return r.All.Wrong },
 		},
 		"tokens out of order": {
 			breaks: func(s *system) {
-				s.tokens = func(all []string) []string {
+				s.alterTokens = func(all []string) []string {
 					all[0], all[1] = all[1], all[0]
 					return all
 				}
 			},
 			found: func(r Report) int { return r.All.Wrong },
 		},
-		"answer of another request": {
-			breaks: func(s *system) { s.reply = func(r *responder.Reply) { r.Request = "other" } },
+		"answer to another request": {
+			breaks: func(s *system) { s.alterReply = func(r *responder.Reply) { r.Request = "other" } },
 			found:  func(r Report) int { return r.All.Wrong },
 		},
-		"accepted answer lost": {
-			breaks: func(s *system) { s.cut = true },
-			found:  func(r Report) int { return r.All.Lost + r.All.GivenUp },
+		"accepted request lost": {
+			breaks: func(s *system) { s.abort = true },
+			found:  func(r Report) int { return r.All.Lost + r.All.Abandoned },
 		},
 		"keyed call run twice": {
-			breaks: func(s *system) { s.runs = 2 },
-			found:  func(r Report) int { return r.Runs.Doubled },
+			breaks: func(s *system) { s.runsPerCall = 2 },
+			found:  func(r Report) int { return r.Runs.Duplicated },
 		},
-		"not run, but ran": {
+		"ran after not run": {
 			breaks: func(s *system) { s.refuse = true },
-			found:  func(r Report) int { return r.Runs.NotRunRan },
+			found:  func(r Report) int { return r.Runs.FalseNotRun },
 		},
 	}
 	for name, test := range tests {
@@ -222,19 +221,18 @@
 			test.breaks(s)
 			report := s.load(t)
 			require.Positive(t, test.found(report))
-			require.False(t, report.Kept())
+			require.False(t, report.Passed())
 			require.NotEmpty(t, report.Incidents)
 		})
 	}
 }
 
-// A request that no node knows any more is sent again, and its answer begins
-// anew: what came before is void, and the rest is checked from the start.
-func TestCheckerAfterARestart(t *testing.T) {
+// After a restart the answer is checked from its first token again.
+func TestCheckerRestart(t *testing.T) {
 	c := &checker{
-		prompt: "p",
-		want:   3,
-		clock:  timekeeper.NewManual(1),
+		prompt:     "p",
+		wantTokens: 3,
+		clock:      timekeeper.NewManual(1),
 	}
 	give := func(from, to identifier.Tokens) {
 		for i := from; i <= to; i++ {
@@ -252,7 +250,7 @@
 	require.Error(t, c.verdict(nil))
 }
 
-func TestOnlyLoopbackAddresses(t *testing.T) {
+func TestRunRejectsNonLoopbackAddresses(t *testing.T) {
 	for _, address := range []string{"10.0.0.1:80", "localhost:80", "127.0.0.1", "[::]:80"} {
 		_, err := Run(t.Context(), Config{Nodes: []string{address}})
 		var refused *AddressError
@@ -261,19 +259,18 @@
 	require.NoError(t, checkAddresses([]string{"127.0.20.11:80", "[::1]:80", ""}))
 }
 
-// A node's settings are wrong and it gives out a stranger's address. The load
-// must not go there.
-func TestAddressGivenOutByANode(t *testing.T) {
-	const stranger = "192.0.2.1:80"
-	r := httptest.NewRequest(http.MethodGet, "http://"+stranger, nil)
+// A misconfigured node returns a foreign address, which must not receive load.
+func TestTransportRejectsNonLoopbackAddress(t *testing.T) {
+	const foreign = "192.0.2.1:80"
+	r := httptest.NewRequest(http.MethodGet, "http://"+foreign, nil)
 	response, err := loopbackTransport().RoundTrip(r)
 	var refused *AddressError
 	require.ErrorAs(t, err, &refused)
-	require.Equal(t, stranger, refused.Address)
+	require.Equal(t, foreign, refused.Address)
 	require.Nil(t, response)
 }
 
-func TestFates(t *testing.T) {
+func TestClassify(t *testing.T) {
 	refusal := func(outcome caller.Outcome) error {
 		return &caller.RefusalError{
 			Reason:  "overload",
@@ -285,18 +282,18 @@
 	tests := []struct {
 		name   string
 		result Result
-		want   fate
+		want   status
 	}{
-		{"whole", Result{}, fateWhole},
-		{"refused", Result{Err: refusal(caller.OutcomeNotRun)}, fateRefused},
-		{"failed", Result{Err: refusal(caller.OutcomeFailed)}, fateFailed},
-		{"accepted, then refused", Result{Arrival: stream, Trace: answered, Err: refusal(caller.OutcomeNotRun)}, fateLost},
-		{"lost, last refused", Result{Err: &caller.UnknownOutcomeError{Cause: refusal(caller.OutcomeNotRun)}}, fateLost},
-		{"lost, no node", Result{Err: &caller.UnknownOutcomeError{Cause: &caller.NoNodeError{}}}, fateLost},
-		{"no node", Result{Err: &caller.NoNodeError{}}, fateRefused},
-		{"run over", Result{Err: &caller.NoNodeError{}, GivenUp: true}, fateGivenUp},
+		{"complete", Result{}, statusComplete},
+		{"refused", Result{Err: refusal(caller.OutcomeNotRun)}, statusRefused},
+		{"failed", Result{Err: refusal(caller.OutcomeFailed)}, statusFailed},
+		{"accepted, then refused", Result{Arrival: stream, Trace: answered, Err: refusal(caller.OutcomeNotRun)}, statusLost},
+		{"lost, last refused", Result{Err: &caller.UnknownOutcomeError{Cause: refusal(caller.OutcomeNotRun)}}, statusLost},
+		{"lost, no node", Result{Err: &caller.UnknownOutcomeError{Cause: &caller.NoNodeError{}}}, statusLost},
+		{"no node", Result{Err: &caller.NoNodeError{}}, statusRefused},
+		{"run ended", Result{Err: &caller.NoNodeError{}, Abandoned: true}, statusAbandoned},
 	}
 	for _, test := range tests {
-		require.Equal(t, test.want, fateOf(test.result), test.name)
+		require.Equal(t, test.want, classify(test.result), test.name)
 	}
 }
--- a/internal/loader/mix.go
+++ b/internal/loader/mix.go
@@ -8,59 +8,62 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// Kind is a kind of work. Its numbers are those of a kind of package bencher.
+// Kind is the workload of one service, with rates and sizes from package
+// bencher.
 type Kind struct {
 	Service catalog.Service
-	// Rate is the mean number of requests a second, over all accounts.
+	// Rate is the mean number of requests per second of all accounts together.
 	Rate float64
-	// Prompt and Answer bound the tokens of a model service.
+	// Prompt and Answer are the minimum and maximum length, in tokens, of the
+	// prompts and answers of a model service.
 	Prompt [2]int
 	Answer [2]int
-	// AccountBlocks of a prompt are shared by the requests of an account,
-	// DocumentBlocks by those about one of Documents documents.
+	// AccountBlocks is the number of prefix cache blocks that all prompts of an
+	// account share, DocumentBlocks the number shared by the prompts about one
+	// of Documents documents.
 	AccountBlocks  int
 	DocumentBlocks int
 	Documents      int
-	// Accounts are the accounts that send it, with their shares.
+	// Accounts are the accounts that send these requests, with their shares.
 	Accounts []bencher.AccountSpec
 }
 
-// Keyed tells that a request must run at most once.
-func (k Kind) Keyed() bool {
+// AtMostOnce reports whether each request must run at most once.
+func (k Kind) AtMostOnce() bool {
 	return k.Service.Kind == catalog.PlainService && !k.Service.Idempotent
 }
 
-// Mix is the work of a deployment.
+// Mix is the workload of a deployment.
 type Mix struct {
 	Deployment string
 	Kinds      []Kind
 	Accounts   []bencher.AccountSpec
 }
 
-// Scale thins the work of package bencher out, whose pools are larger than
-// those of the example folders.
+// Scale adapts the workload of package bencher to the pools of the example
+// folders, which are smaller.
 type Scale struct {
-	// Plain and Model are factors to the rates of plain and of model services.
-	// Keyed calls keep their rate, of which there are few.
+	// Plain and Model are factors of the rates of plain and of model services.
+	// The low rates of at-most-once calls are not scaled.
 	Plain float64
 	Model float64
-	// LongAnswer is a factor to the answers of long services, so that a short
-	// run sees their ends.
+	// LongAnswer is a factor of the answer lengths of long services, so that
+	// their answers end within a short run.
 	LongAnswer float64
 }
 
-// source tells which kind of package bencher a service takes its numbers from,
-// and its part of that kind's rate.
+// source maps a service to the kind of package bencher whose rates and sizes it
+// uses, and to its fraction of that kind's rate.
 type source struct {
-	service identifier.ServiceName
-	kind    identifier.ServiceName
-	part    float64
-	// most is the account that sends most of it, where there is one.
-	most identifier.AccountID
+	service      identifier.ServiceName
+	kind         identifier.ServiceName
+	rateFraction float64
+	// heaviestAccount, if set, sends most of the service's requests.
+	heaviestAccount identifier.AccountID
 }
 
-// deployment names the services and accounts of an example folder, the accounts
-// in the order of the shares.
+// deployment lists the services and accounts of an example folder. The accounts
+// have the order of package bencher's accounts, whose shares they receive.
 type deployment struct {
 	accounts []identifier.AccountID
 	sources  []source
@@ -70,32 +73,32 @@
 	"quillmark": {
 		accounts: []identifier.AccountID{"portal", "dashboard", "monday_reports", "harbor_agency", "lighthouse_agency"},
 		sources: []source{
-			{service: "portal_lookup", kind: "lookup", part: 0.7, most: ""},
-			{service: "status_ping", kind: "lookup", part: 0.3, most: ""},
-			{service: "rejection_email", kind: "rejection", part: 1, most: ""},
-			{service: "genre_tag", kind: "tag", part: 1, most: ""},
-			{service: "query_summary", kind: "summary", part: 1, most: ""},
-			{service: "manuscript_report", kind: "report", part: 1, most: "monday_reports"},
+			{service: "portal_lookup", kind: "lookup", rateFraction: 0.7, heaviestAccount: ""},
+			{service: "status_ping", kind: "lookup", rateFraction: 0.3, heaviestAccount: ""},
+			{service: "rejection_email", kind: "rejection", rateFraction: 1, heaviestAccount: ""},
+			{service: "genre_tag", kind: "tag", rateFraction: 1, heaviestAccount: ""},
+			{service: "query_summary", kind: "summary", rateFraction: 1, heaviestAccount: ""},
+			{service: "manuscript_report", kind: "report", rateFraction: 1, heaviestAccount: "monday_reports"},
 		},
 	},
 	"cooperative": {
 		accounts: []identifier.AccountID{"wholesale", "members", "delis", "cellar_doors", "depot_desk"},
 		sources: []source{
-			{service: "stock_check", kind: "stock", part: 0.5, most: ""},
-			{service: "slot_lookup", kind: "stock", part: 0.5, most: ""},
-			{service: "slot_booking", kind: "booking", part: 1, most: ""},
-			{service: "quote", kind: "quote", part: 1, most: ""},
-			{service: "batch_history", kind: "history", part: 1, most: ""},
+			{service: "stock_check", kind: "stock", rateFraction: 0.5, heaviestAccount: ""},
+			{service: "slot_lookup", kind: "stock", rateFraction: 0.5, heaviestAccount: ""},
+			{service: "slot_booking", kind: "booking", rateFraction: 1, heaviestAccount: ""},
+			{service: "quote", kind: "quote", rateFraction: 1, heaviestAccount: ""},
+			{service: "batch_history", kind: "history", rateFraction: 1, heaviestAccount: ""},
 		},
 	},
 }
 
-// mostWeight is how much heavier than its share an account counts that sends
-// most of a kind.
-const mostWeight = 20
+// heaviestAccountWeight is the factor of the share of a source's heaviest
+// account.
+const heaviestAccountWeight = 20
 
-// DeploymentError reports a deployment that there is no mix for, or a folder
-// that lacks one of its services or accounts.
+// DeploymentError reports an unknown deployment, or a folder that lacks one of
+// the deployment's services or targets.
 type DeploymentError struct {
 	Deployment string
 	Missing    string
@@ -108,17 +111,17 @@
 	return fmt.Sprintf("deployment %q: the folder has no %s", e.Deployment, e.Missing)
 }
 
-// NewMix returns the work of a deployment for the services of a catalog. Its
-// error is a *DeploymentError.
+// NewMix returns the workload of a deployment for the services of a catalog.
+// Its error is a *DeploymentError.
 func NewMix(name string, c *catalog.Catalog, scale Scale) (Mix, error) {
 	d, ok := deployments[name]
 	if !ok {
 		return Mix{}, &DeploymentError{Deployment: name}
 	}
-	numbers := numbersOf(name)
+	base := benchDeployment(name)
 	mix := Mix{
 		Deployment: name,
-		Accounts:   sharesOf(d.accounts, numbers.Accounts),
+		Accounts:   assignShares(d.accounts, base.Accounts),
 	}
 	for _, s := range d.sources {
 		service, ok := c.Services[s.service]
@@ -128,8 +131,8 @@
 				Missing:    "service " + string(s.service),
 			}
 		}
-		kind := kindOf(service, s, numbers, scale)
-		kind.Accounts = sendersOf(s, mix.Accounts, c)
+		kind := newKind(service, s, base, scale)
+		kind.Accounts = sendingAccounts(s, mix.Accounts, c)
 		if len(kind.Accounts) == 0 {
 			return Mix{}, &DeploymentError{
 				Deployment: name,
@@ -141,7 +144,7 @@
 	return mix, nil
 }
 
-func numbersOf(name string) bencher.Deployment {
+func benchDeployment(name string) bencher.Deployment {
 	for _, d := range bencher.Deployments() {
 		if d.Name == name {
 			return d
@@ -150,8 +153,8 @@
 	return bencher.Deployment{}
 }
 
-// sharesOf gives accounts the shares of package bencher's accounts.
-func sharesOf(ids []identifier.AccountID, specs []bencher.AccountSpec) []bencher.AccountSpec {
+// assignShares returns the accounts ids with the shares of specs, by position.
+func assignShares(ids []identifier.AccountID, specs []bencher.AccountSpec) []bencher.AccountSpec {
 	shares := make([]bencher.AccountSpec, 0, len(ids))
 	for i, id := range ids {
 		shares = append(shares, bencher.AccountSpec{
@@ -162,21 +165,21 @@
 	return shares
 }
 
-func kindOf(service catalog.Service, s source, numbers bencher.Deployment, scale Scale) Kind {
+func newKind(service catalog.Service, s source, base bencher.Deployment, scale Scale) Kind {
 	k := Kind{Service: service}
-	for _, from := range numbers.Kinds {
-		if from.Service.Name != s.kind {
+	for _, spec := range base.Kinds {
+		if spec.Service.Name != s.kind {
 			continue
 		}
-		k.Rate = from.Rate * s.part
-		k.Prompt = from.Prompt
-		k.Answer = from.Answer
-		k.AccountBlocks = from.AccountBlocks
-		k.DocumentBlocks = from.DocumentBlocks
-		k.Documents = from.Documents
+		k.Rate = spec.Rate * s.rateFraction
+		k.Prompt = spec.Prompt
+		k.Answer = spec.Answer
+		k.AccountBlocks = spec.AccountBlocks
+		k.DocumentBlocks = spec.DocumentBlocks
+		k.Documents = spec.Documents
 	}
 	switch {
-	case k.Keyed():
+	case k.AtMostOnce():
 	case service.Kind == catalog.PlainService:
 		k.Rate *= scale.Plain
 	default:
@@ -191,15 +194,15 @@
 	return k
 }
 
-// sendersOf returns the accounts that are owed something for a service.
-func sendersOf(s source, accounts []bencher.AccountSpec, c *catalog.Catalog) []bencher.AccountSpec {
+// sendingAccounts returns the accounts that have targets for a service.
+func sendingAccounts(s source, accounts []bencher.AccountSpec, c *catalog.Catalog) []bencher.AccountSpec {
 	var senders []bencher.AccountSpec
 	for _, a := range accounts {
-		if _, owed := c.Accounts[a.ID].Targets[s.service]; !owed {
+		if _, hasTarget := c.Accounts[a.ID].Targets[s.service]; !hasTarget {
 			continue
 		}
-		if a.ID == s.most {
-			a.Share *= mostWeight
+		if a.ID == s.heaviestAccount {
+			a.Share *= heaviestAccountWeight
 		}
 		senders = append(senders, a)
 	}
--- a/internal/loader/schedule.go
+++ b/internal/loader/schedule.go
@@ -20,35 +20,35 @@
 	Number  int
 	Kind    Kind
 	Account identifier.AccountID
-	// Client tells which of the account's clients sends it.
+	// Client selects the account's client that sends the request, modulo the
+	// number of clients.
 	Client int
-	// At is when it arrives, from the start of the run.
+	// At is the arrival time since the start of the run.
 	At timekeeper.Duration
 	// Prompt and Answer are set for a model service.
 	Prompt string
 	Answer identifier.Tokens
-	// Repeats is the number of the arrival whose key this one carries once
-	// more, or its own.
-	Repeats int
+	// KeyNumber is the arrival number in the idempotency key: Number, or for a
+	// duplicate the Number of the original.
+	KeyNumber int
 }
 
-// repeated is the share of keyed requests that are sent a second time under
-// their key, by another client, repeatAfter the first.
+// duplicateFraction is the share of at-most-once requests that another client
+// sends again under the same key, duplicateDelay after the original.
 const (
-	repeated    = 0.25
-	repeatAfter = 20 * timekeeper.Millisecond
+	duplicateFraction = 0.25
+	duplicateDelay    = 20 * timekeeper.Millisecond
 )
 
-// Schedule draws the arrivals of a run in the order of their instants. The
-// times between two of a kind are exponentially distributed, and no answer is
-// waited for.
+// Schedule draws the arrivals of a run, ordered by time. The interarrival times
+// of each kind are exponentially distributed and independent of answers.
 func Schedule(mix Mix, window timekeeper.Duration, maxRequests int, rng *rand.Rand) []Arrival {
 	var arrivals []Arrival
 	for _, k := range mix.Kinds {
 		arrivals = append(arrivals, scheduleKind(k, window, rng)...)
 	}
 	sort.SliceStable(arrivals, func(i, j int) bool { return arrivals[i].At < arrivals[j].At })
-	return numbered(arrivals, maxRequests)
+	return numberArrivals(arrivals, maxRequests)
 }
 
 func scheduleKind(k Kind, window timekeeper.Duration, rng *rand.Rand) []Arrival {
@@ -62,39 +62,40 @@
 		a := Arrival{
 			Kind:    k,
 			Account: drawAccount(k.Accounts, rng),
-			Client:  rng.IntN(clientsByAccount),
+			Client:  rng.IntN(clientsPerAccount),
 			At:      timekeeper.Duration(at * float64(timekeeper.Second)),
 		}
 		if k.Service.Kind == catalog.ModelService {
 			a.Prompt = drawPrompt(k, a.Account, rng)
-			a.Answer = identifier.Tokens(between(k.Answer, rng))
+			a.Answer = identifier.Tokens(uniformInt(k.Answer, rng))
 		}
 		arrivals = append(arrivals, a)
 	}
 	return arrivals
 }
 
-// numbered numbers arrivals, and puts the repeats of keyed ones behind them.
-func numbered(arrivals []Arrival, maxRequests int) []Arrival {
+// numberArrivals numbers at most maxRequests arrivals and adds the duplicates of
+// at-most-once requests.
+func numberArrivals(arrivals []Arrival, maxRequests int) []Arrival {
 	var all []Arrival
-	keyed := 0
+	atMostOnce := 0
 	for _, a := range arrivals {
 		if len(all) >= maxRequests {
 			break
 		}
 		a.Number = len(all)
-		a.Repeats = a.Number
+		a.KeyNumber = a.Number
 		all = append(all, a)
-		if !a.Kind.Keyed() {
+		if !a.Kind.AtMostOnce() {
 			continue
 		}
-		keyed++
-		if keyed%int(1/repeated) == 0 && len(all) < maxRequests {
-			again := a
-			again.Number = len(all)
-			again.Client++
-			again.At += repeatAfter
-			all = append(all, again)
+		atMostOnce++
+		if atMostOnce%int(1/duplicateFraction) == 0 && len(all) < maxRequests {
+			duplicate := a
+			duplicate.Number = len(all)
+			duplicate.Client++
+			duplicate.At += duplicateDelay
+			all = append(all, duplicate)
 		}
 	}
 	sort.SliceStable(all, func(i, j int) bool { return all[i].At < all[j].At })
@@ -106,43 +107,43 @@
 	for _, a := range accounts {
 		total += a.Share
 	}
-	drawn := rng.Float64() * total
+	point := rng.Float64() * total
 	for _, a := range accounts {
-		drawn -= a.Share
-		if drawn < 0 {
+		point -= a.Share
+		if point < 0 {
 			return a.ID
 		}
 	}
 	return accounts[len(accounts)-1].ID
 }
 
-func between(bounds [2]int, rng *rand.Rand) int {
+func uniformInt(bounds [2]int, rng *rand.Rand) int {
 	return bounds[0] + rng.IntN(bounds[1]-bounds[0]+1)
 }
 
-// drawPrompt writes a prompt: blocks that the account's requests share, blocks
-// that those about one document share, and text of its own. Whole blocks of an
-// engine's prefix cache are shared.
+// drawPrompt generates a prompt from blocks shared by the account's requests,
+// blocks shared by the requests about one document, and unique text. The shared
+// parts are multiples of the block size of an engine's prefix cache.
 func drawPrompt(k Kind, account identifier.AccountID, rng *rand.Rand) string {
-	tokens := between(k.Prompt, rng)
+	tokens := uniformInt(k.Prompt, rng)
 	service := string(k.Service.Name)
 	var b strings.Builder
-	b.WriteString(textOf(service+" "+string(account), k.AccountBlocks*encoder.BlockTokens))
+	b.WriteString(textForName(service+" "+string(account), k.AccountBlocks*encoder.BlockTokens))
 	if k.Documents > 0 {
 		document := strconv.Itoa(rng.IntN(k.Documents))
-		b.WriteString(textOf(service+" document "+document, k.DocumentBlocks*encoder.BlockTokens))
+		b.WriteString(textForName(service+" document "+document, k.DocumentBlocks*encoder.BlockTokens))
 	}
-	own := tokens - b.Len()/encoder.BytesPerToken
-	b.WriteString(textFrom(max(own, 1), rng))
+	uniqueTokens := tokens - b.Len()/encoder.BytesPerToken
+	b.WriteString(randomText(max(uniqueTokens, 1), rng))
 	return b.String()
 }
 
-// textOf returns the text of so many tokens that belongs to a name.
-func textOf(name string, tokens int) string {
-	return textFrom(tokens, rand.New(rand.NewPCG(xxhash.Sum64String(name), 0)))
+// textForName returns a text of the given length that depends on name only.
+func textForName(name string, tokens int) string {
+	return randomText(tokens, rand.New(rand.NewPCG(xxhash.Sum64String(name), 0)))
 }
 
-func textFrom(tokens int, rng *rand.Rand) string {
+func randomText(tokens int, rng *rand.Rand) string {
 	text := make([]byte, tokens*encoder.BytesPerToken)
 	for i := range text {
 		text[i] = byte('a' + rng.IntN('z'-'a'+1))
--- a/internal/loader/schedule_test.go
+++ b/internal/loader/schedule_test.go
@@ -34,13 +34,13 @@
 	return mix
 }
 
-func schedule(mix Mix, seed uint64, most int) []Arrival {
-	return Schedule(mix, 100*timekeeper.Second, most, rand.New(rand.NewPCG(seed, 0)))
+func schedule(mix Mix, seed uint64, maxRequests int) []Arrival {
+	return Schedule(mix, 100*timekeeper.Second, maxRequests, rand.New(rand.NewPCG(seed, 0)))
 }
 
-// Every request of both mixes must be one that the example folder admits:
-// otherwise a run measures refusals.
-func TestMixesFitTheExamples(t *testing.T) {
+// The example folders must admit every request of their mixes, otherwise a run
+// measures refusals.
+func TestMixesFitExampleFolders(t *testing.T) {
 	for _, name := range []string{"quillmark", "cooperative"} {
 		t.Run(name, func(t *testing.T) {
 			c := example(t, name)
@@ -52,7 +52,7 @@
 				require.LessOrEqual(t, a.Answer, s.MaxTokens)
 				require.LessOrEqual(t, identifier.Bytes(len(a.Prompt)), s.MaxBody)
 			}
-			require.Len(t, kinds, len(c.Services), "each service gets some")
+			require.Len(t, kinds, len(c.Services), "each service has arrivals")
 		})
 	}
 	_, err := NewMix("nobody", nil, Scale{})
@@ -60,7 +60,7 @@
 	require.ErrorAs(t, err, &missing)
 }
 
-func TestScheduleFollowsItsSeed(t *testing.T) {
+func TestScheduleIsDeterministic(t *testing.T) {
 	mix := mixOf(t, "quillmark")
 	first := schedule(mix, 7, 1000)
 	require.Equal(t, first, schedule(mix, 7, 1000))
@@ -68,8 +68,8 @@
 	require.Len(t, schedule(mix, 7, 50), 50)
 }
 
-// The arrivals of a kind have the rate asked for, and the variance of a
-// Poisson process: the counts of seconds vary by as much as they are.
+// The arrivals of a kind have the requested rate and are Poisson distributed:
+// the variance of the counts per second equals their mean.
 func TestScheduleIsPoisson(t *testing.T) {
 	const seconds = 100
 	counts := make([]float64, seconds)
@@ -110,7 +110,7 @@
 			shared++
 		}
 		prefixes[a.Account][common] = true
-		require.NotEqual(t, common, blocks[a.Kind.AccountBlocks], "the rest is its own")
+		require.NotEqual(t, common, blocks[a.Kind.AccountBlocks], "the next block is unique")
 	}
 	require.Positive(t, shared)
 	for account, hashes := range prefixes {
@@ -118,17 +118,17 @@
 	}
 }
 
-func TestKeyedCallsAreRepeated(t *testing.T) {
-	repeats, keyed := 0, 0
+func TestAtMostOnceCallsAreDuplicated(t *testing.T) {
+	duplicates, originals := 0, 0
 	for _, a := range schedule(mixOf(t, "cooperative"), 1, 100_000) {
 		switch {
-		case a.Repeats != a.Number:
-			require.True(t, a.Kind.Keyed())
-			repeats++
-		case a.Kind.Keyed():
-			keyed++
+		case a.KeyNumber != a.Number:
+			require.True(t, a.Kind.AtMostOnce())
+			duplicates++
+		case a.Kind.AtMostOnce():
+			originals++
 		}
 	}
-	require.Equal(t, keyed/4, repeats)
-	require.Positive(t, repeats)
+	require.Equal(t, originals/4, duplicates)
+	require.Positive(t, duplicates)
 }
--- a/internal/loader/send.go
+++ b/internal/loader/send.go
@@ -14,31 +14,31 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Result is what became of one arrival.
+// Result is the result of one request.
 type Result struct {
 	Arrival Arrival
 	Trace   caller.Trace
-	// Request is the request's id as far as any node told it.
+	// Request is the request's id, or empty if no node returned one.
 	Request identifier.RequestID
-	// FirstToken and Completion are counted from the instant at which the
-	// request was due, so that a sender that falls behind hides nothing.
+	// FirstToken and Completion are measured from the scheduled arrival, so
+	// that delays in the sender are included.
 	FirstToken timekeeper.Duration
 	Completion timekeeper.Duration
 	Gaps       []timekeeper.Duration
-	// Wrong tells what is wrong with the answer, or nothing.
-	Wrong error
-	// Err is why there is no answer.
+	// Mismatch is set if the answer is wrong or violates the protocol.
+	Mismatch error
+	// Err is set if there is no complete answer.
 	Err error
-	// GivenUp tells that the run ended before the request did.
-	GivenUp bool
+	// Abandoned reports that the run ended before the request.
+	Abandoned bool
 }
 
-// sender sends one arrival as one client.
+// sender sends one request through one client.
 type sender struct {
 	client  *caller.Client
 	clock   timekeeper.Clock
 	started timekeeper.Time
-	name    string
+	runName string
 }
 
 func (s sender) send(ctx context.Context, a Arrival) Result {
@@ -55,65 +55,65 @@
 	if errors.As(r.Err, &refusal) && refusal.Request != "" {
 		r.Request = refusal.Request
 	}
-	r.GivenUp = r.Err != nil && ctx.Err() != nil
+	r.Abandoned = r.Err != nil && ctx.Err() != nil
 	return r
 }
 
-func (s sender) terms(a Arrival) caller.Options {
+func (s sender) options(a Arrival) caller.Options {
 	return caller.Options{
-		Key: identifier.IdempotencyKey(fmt.Sprintf("%s-%d", s.name, a.Repeats)),
+		Key: identifier.IdempotencyKey(fmt.Sprintf("%s-%d", s.runName, a.KeyNumber)),
 	}
 }
 
 func (s sender) stream(ctx context.Context, due timekeeper.Time, r *Result) {
 	a := r.Arrival
 	c := &checker{
-		prompt: a.Prompt,
-		want:   a.Answer,
-		clock:  s.clock,
+		prompt:     a.Prompt,
+		wantTokens: a.Answer,
+		clock:      s.clock,
 	}
 	r.Trace, r.Err = s.client.Stream(ctx, caller.Prompt{
-		Options:   s.terms(a),
+		Options:   s.options(a),
 		Service:   a.Kind.Service.Name,
 		Text:      a.Prompt,
 		MaxTokens: a.Answer,
 	}, c)
-	r.Wrong = c.verdict(r.Err)
+	r.Mismatch = c.verdict(r.Err)
 	r.Gaps = c.gaps
-	if c.first != 0 {
-		r.FirstToken = c.first.Sub(due)
+	if c.firstAt != 0 {
+		r.FirstToken = c.firstAt.Sub(due)
 	}
 }
 
 func (s sender) call(ctx context.Context, r *Result) {
 	a := r.Arrival
 	call := caller.Call{
-		Options:     s.terms(a),
+		Options:     s.options(a),
 		Service:     a.Kind.Service.Name,
 		Method:      http.MethodGet,
-		Path:        fmt.Sprintf("/item/%d", a.Repeats),
+		Path:        fmt.Sprintf("/item/%d", a.KeyNumber),
 		ContentType: "text/plain",
 	}
-	if a.Kind.Keyed() {
+	if a.Kind.AtMostOnce() {
 		call.Method = http.MethodPost
-		call.Body = fmt.Appendf(nil, "%s to number %d", a.Kind.Service.Name, a.Repeats)
+		call.Body = fmt.Appendf(nil, "%s to number %d", a.Kind.Service.Name, a.KeyNumber)
 	}
 	var reply caller.Reply
 	reply, r.Trace, r.Err = s.client.Call(ctx, call)
 	var protocol *caller.ProtocolError
 	switch {
 	case errors.As(r.Err, &protocol):
-		r.Wrong = r.Err
+		r.Mismatch = r.Err
 	case r.Err == nil:
-		r.Wrong = checkReply(call, r.Trace.Request, reply)
+		r.Mismatch = checkReply(call, r.Trace.Request, reply)
 	}
 }
 
-// checkReply compares a reply with what the plain stand-in echoes.
+// checkReply compares a reply with the echo expected from a plain stand-in.
 func checkReply(call caller.Call, request identifier.RequestID, reply caller.Reply) error {
 	var got responder.Reply
 	if err := json.Unmarshal(reply.Body, &got); reply.Status != http.StatusOK || err != nil {
-		return &WrongError{
+		return &AnswerMismatchError{
 			Want: "status 200 and an echo",
 			Got:  fmt.Sprintf("status %d: %.80s", reply.Status, reply.Body),
 		}
@@ -126,7 +126,7 @@
 		Body:    string(call.Body),
 	}
 	if got != want {
-		return &WrongError{
+		return &AnswerMismatchError{
 			Want: fmt.Sprintf("%+v", want),
 			Got:  fmt.Sprintf("%+v", got),
 		}
--- a/internal/loader/tally.go
+++ b/internal/loader/tally.go
@@ -14,11 +14,11 @@
 
 // The histograms hold milliseconds.
 const (
-	longestMS          = 10 * 60 * 1000
+	maxRecordedMS      = 10 * 60 * 1000
 	histogramPrecision = 3
 )
 
-// row counts what became of some of the requests.
+// row is a Row under construction, with its histograms.
 type row struct {
 	Row
 	firstToken *hdrhistogram.Histogram
@@ -32,37 +32,37 @@
 			Name:    name,
 			Refused: make(map[string]int),
 		},
-		firstToken: hdrhistogram.New(1, longestMS, histogramPrecision),
-		completion: hdrhistogram.New(1, longestMS, histogramPrecision),
-		gap:        hdrhistogram.New(1, longestMS, histogramPrecision),
+		firstToken: hdrhistogram.New(1, maxRecordedMS, histogramPrecision),
+		completion: hdrhistogram.New(1, maxRecordedMS, histogramPrecision),
+		gap:        hdrhistogram.New(1, maxRecordedMS, histogramPrecision),
 	}
 }
 
 func record(h *hdrhistogram.Histogram, d timekeeper.Duration) {
-	// A value within the bounds can't fail to be recorded.
-	_ = h.RecordValue(min(max(int64(d), 1), longestMS))
+	// RecordValue fails only for values outside the histogram's range.
+	_ = h.RecordValue(min(max(int64(d), 1), maxRecordedMS))
 }
 
-// claim is what callers were told of one request that must run at most once,
-// or that was refused.
-type claim struct {
-	request identifier.RequestID
-	key     identifier.IdempotencyKey
-	keyed   bool
-	notRun  int
-	told    int
+// callRecord counts the responses that callers received for one request to a
+// plain service.
+type callRecord struct {
+	request         identifier.RequestID
+	key             identifier.IdempotencyKey
+	atMostOnce      bool
+	notRunResponses int
+	responses       int
 }
 
-// tally takes results and counts.
+// tally aggregates results into a Report.
 type tally struct {
 	catalog   *catalog.Catalog
 	all       *row
 	byKind    map[string]*row
 	byAccount map[string]*row
-	claims    map[identifier.RequestID]*claim
+	calls     map[identifier.RequestID]*callRecord
 	runs      Runs
 	incidents []Incident
-	dropped   int
+	omitted   int
 }
 
 func newTally(c *catalog.Catalog) *tally {
@@ -71,19 +71,19 @@
 		all:       newRow("all"),
 		byKind:    make(map[string]*row),
 		byAccount: make(map[string]*row),
-		claims:    make(map[identifier.RequestID]*claim),
+		calls:     make(map[identifier.RequestID]*callRecord),
 	}
 }
 
-func (t *tally) rowsOf(a Arrival) []*row {
+func (t *tally) rowsFor(a Arrival) []*row {
 	return []*row{
 		t.all,
-		rowOf(t.byKind, string(a.Kind.Service.Name)),
-		rowOf(t.byAccount, string(a.Account)),
+		rowNamed(t.byKind, string(a.Kind.Service.Name)),
+		rowNamed(t.byAccount, string(a.Account)),
 	}
 }
 
-func rowOf(rows map[string]*row, name string) *row {
+func rowNamed(rows map[string]*row, name string) *row {
 	if rows[name] == nil {
 		rows[name] = newRow(name)
 	}
@@ -92,95 +92,96 @@
 
 // skip counts an arrival that was not sent.
 func (t *tally) skip(a Arrival) {
-	for _, r := range t.rowsOf(a) {
+	for _, r := range t.rowsFor(a) {
 		r.NotSent++
 	}
 }
 
-// fate is what became of a request, as the report tells it.
-type fate string
+// status is the result of a request in the report.
+type status string
 
 const (
-	fateWhole   fate = "whole"
-	fateRefused fate = "refused"
-	fateWrong   fate = "wrong"
-	fateLost    fate = "lost"
-	fateFailed  fate = "failed"
-	fateGivenUp fate = "given_up"
+	statusComplete  status = "whole"
+	statusRefused   status = "refused"
+	statusWrong     status = "wrong"
+	statusLost      status = "lost"
+	statusFailed    status = "failed"
+	statusAbandoned status = "given_up"
 )
 
-// fateOf judges a result. A request whose answer had begun, or that was sent
-// and never heard of again, and that has no answer in the end, is lost. That a
-// node answered a stream at all tells that the request was accepted.
-func fateOf(r Result) fate {
+// classify returns the status of a result. A request without a complete answer
+// is lost if its answer had begun, or if no response to it arrived. A streamed
+// request was accepted if any node attached its stream.
+func classify(r Result) status {
 	var refusal *caller.RefusalError
-	var none *caller.NoNodeError
+	var noNode *caller.NoNodeError
 	switch {
-	case r.Wrong != nil:
-		return fateWrong
+	case r.Mismatch != nil:
+		return statusWrong
 	case r.Err == nil:
-		return fateWhole
-	case r.GivenUp:
-		return fateGivenUp
-	case saysLost(r.Err):
-		return fateLost
-	case errors.As(r.Err, &none):
-		return fateRefused
+		return statusComplete
+	case r.Abandoned:
+		return statusAbandoned
+	case isUnknownOutcome(r.Err):
+		return statusLost
+	case errors.As(r.Err, &noNode):
+		return statusRefused
 	case !errors.As(r.Err, &refusal):
-		return fateLost
+		return statusLost
 	case r.Arrival.Kind.Service.Kind == catalog.ModelService && len(r.Trace.Nodes) > 0:
-		return fateLost
+		return statusLost
 	case refusal.Outcome == caller.OutcomeFailed:
-		return fateFailed
+		return statusFailed
 	}
-	return fateRefused
+	return statusRefused
 }
 
-// saysLost tells an error that says so itself, whatever it wraps.
-func saysLost(err error) bool {
+// isUnknownOutcome reports whether err contains an error of pkg/caller that
+// implies a lost request, whatever that error wraps.
+func isUnknownOutcome(err error) bool {
 	var lost *caller.UnknownOutcomeError
 	var diverged *caller.DivergedError
 	return errors.As(err, &lost) || errors.As(err, &diverged)
 }
 
 func (t *tally) add(r Result) {
-	fate := fateOf(r)
-	target, owed := t.catalog.Accounts[r.Arrival.Account].Targets[r.Arrival.Kind.Service.Name]
-	late := owed && fate == fateWhole && missed(r, target)
-	for _, row := range t.rowsOf(r.Arrival) {
-		row.add(r, fate)
-		if owed && fate == fateWhole && !late {
+	s := classify(r)
+	target, hasTarget := t.catalog.Accounts[r.Arrival.Account].Targets[r.Arrival.Kind.Service.Name]
+	late := hasTarget && s == statusComplete && missedTarget(r, target)
+	for _, row := range t.rowsFor(r.Arrival) {
+		row.add(r, s)
+		if hasTarget && s == statusComplete && !late {
 			row.OnTime++
 		}
 	}
-	t.note(r, fate, late)
-	t.claim(r, fate)
+	t.recordIncident(r, s, late)
+	t.recordCall(r, s)
 }
 
-// missed tells whether a whole answer came later than the account is owed. A
-// target of zero is none.
-func missed(r Result, target catalog.Target) bool {
-	late := func(took, owed timekeeper.Duration) bool { return owed > 0 && took > owed }
-	return late(r.FirstToken, target.FirstToken) || late(r.Completion, target.Completion)
+// missedTarget reports whether a complete answer exceeded the account's target.
+// A target of zero imposes no limit.
+func missedTarget(r Result, target catalog.Target) bool {
+	exceeds := func(actual, limit timekeeper.Duration) bool { return limit > 0 && actual > limit }
+	return exceeds(r.FirstToken, target.FirstToken) || exceeds(r.Completion, target.Completion)
 }
 
-func (r *row) add(result Result, f fate) {
+func (r *row) add(result Result, s status) {
 	r.Sent++
-	switch f {
-	case fateWhole:
-		r.Whole++
+	switch s {
+	case statusComplete:
+		r.Complete++
 		record(r.completion, result.Completion)
 		if result.FirstToken > 0 {
 			record(r.firstToken, result.FirstToken)
 		}
-	case fateRefused, fateFailed:
-		r.Refused[refusedAs(result.Err)]++
-	case fateWrong:
+	case statusRefused, statusFailed:
+		r.Refused[refusalKey(result.Err)]++
+	case statusWrong:
 		r.Wrong++
-	case fateLost:
+	case statusLost:
 		r.Lost++
-	case fateGivenUp:
-		r.GivenUp++
+	case statusAbandoned:
+		r.Abandoned++
 	}
 	for _, gap := range result.Gaps {
 		record(r.gap, gap)
@@ -191,13 +192,13 @@
 	if result.Trace.Restarted > 0 {
 		r.Restarted++
 	}
-	if moved(result.Trace.Nodes) {
-		r.Moved++
+	if changedNode(result.Trace.Nodes) {
+		r.ChangedNode++
 	}
 }
 
-// refusedAs names a refusal by reason and outcome.
-func refusedAs(err error) string {
+// refusalKey returns the key "reason/outcome" of a refusal.
+func refusalKey(err error) string {
 	var refusal *caller.RefusalError
 	if errors.As(err, &refusal) {
 		return refusal.Reason + "/" + string(refusal.Outcome)
@@ -205,8 +206,8 @@
 	return "no_node/" + string(caller.OutcomeNotRun)
 }
 
-// moved tells whether more than one node answered.
-func moved(nodes []string) bool {
+// changedNode reports whether more than one node answered.
+func changedNode(nodes []string) bool {
 	for _, n := range nodes {
 		if n != nodes[0] {
 			return true
@@ -215,104 +216,107 @@
 	return false
 }
 
-// The bounds of what the report lists one by one.
+// Limits of the incidents listed in the report.
 const (
-	maxIncidents = 300
-	maxLate      = 200
+	maxIncidents     = 300
+	maxLateIncidents = 200
 )
 
-// lateAnswer marks an incident that is a whole answer past its target.
-const lateAnswer = "late"
+// lateIncident is the kind of an incident whose answer is complete but missed
+// its target.
+const lateIncident = "late"
 
-// note keeps what somebody will want to look up on the time line.
-func (t *tally) note(r Result, f fate, late bool) {
-	if f == fateWhole && !late || f == fateRefused && refusedOutright(r.Err) {
+// recordIncident adds an incident unless the request completed on time or was
+// refused without running.
+func (t *tally) recordIncident(r Result, s status, late bool) {
+	if s == statusComplete && !late || s == statusRefused && refusedWithoutRunning(r.Err) {
 		return
 	}
-	bound := maxIncidents
-	what := string(f)
+	limit := maxIncidents
+	kind := string(s)
 	if late {
-		bound = maxLate
-		what = lateAnswer
+		limit = maxLateIncidents
+		kind = lateIncident
 	}
-	if len(t.incidents) >= bound {
-		t.dropped++
+	if len(t.incidents) >= limit {
+		t.omitted++
 		return
 	}
 	i := Incident{
-		What:       what,
-		AtMS:       int64(r.Arrival.At),
-		Service:    r.Arrival.Kind.Service.Name,
-		Account:    r.Arrival.Account,
-		Request:    r.Request,
-		Key:        r.Trace.Key,
-		Nodes:      r.Trace.Nodes,
-		Tokens:     r.Trace.Tokens,
-		FirstMS:    int64(r.FirstToken),
-		CompleteMS: int64(r.Completion),
+		Kind:         kind,
+		AtMS:         int64(r.Arrival.At),
+		Service:      r.Arrival.Kind.Service.Name,
+		Account:      r.Arrival.Account,
+		Request:      r.Request,
+		Key:          r.Trace.Key,
+		Nodes:        r.Trace.Nodes,
+		Tokens:       r.Trace.Tokens,
+		FirstTokenMS: int64(r.FirstToken),
+		CompletionMS: int64(r.Completion),
 	}
-	if r.Wrong != nil {
-		i.Detail = r.Wrong.Error()
+	if r.Mismatch != nil {
+		i.Detail = r.Mismatch.Error()
 	} else if r.Err != nil {
 		i.Detail = r.Err.Error()
 	}
 	t.incidents = append(t.incidents, i)
 }
 
-// refusedOutright tells a refusal after which nothing ran.
-func refusedOutright(err error) bool {
+// refusedWithoutRunning reports whether err is a refusal with the outcome "not
+// run".
+func refusedWithoutRunning(err error) bool {
 	var refusal *caller.RefusalError
 	return errors.As(err, &refusal) && refusal.Outcome == caller.OutcomeNotRun
 }
 
-// claim notes what was told of a call to a plain service.
-func (t *tally) claim(r Result, f fate) {
+// recordCall records the response to a call to a plain service.
+func (t *tally) recordCall(r Result, s status) {
 	if r.Arrival.Kind.Service.Kind != catalog.PlainService || r.Request == "" {
 		return
 	}
-	c := t.claims[r.Request]
+	c := t.calls[r.Request]
 	if c == nil {
-		c = &claim{
-			request: r.Request,
-			key:     r.Trace.Key,
-			keyed:   r.Arrival.Kind.Keyed(),
+		c = &callRecord{
+			request:    r.Request,
+			key:        r.Trace.Key,
+			atMostOnce: r.Arrival.Kind.AtMostOnce(),
 		}
-		t.claims[r.Request] = c
+		t.calls[r.Request] = c
 	}
-	c.told++
-	if f == fateRefused && refusedOutright(r.Err) {
-		c.notRun++
+	c.responses++
+	if s == statusRefused && refusedWithoutRunning(r.Err) {
+		c.notRunResponses++
 	}
 }
 
-// countRuns compares what callers were told with what ran. A request that was
-// sent twice counts as not run only if both were told so.
+// countRuns compares the recorded responses with the ledgers. A request that was
+// sent twice counts as not run only if both responses stated so.
 func (t *tally) countRuns(l ledgers) {
 	if l == nil {
 		return
 	}
-	t.runs.Read = true
-	for _, request := range sortedKeys(t.claims) {
-		c := t.claims[request]
+	t.runs.LedgersRead = true
+	for _, request := range sortedKeys(t.calls) {
+		c := t.calls[request]
 		runs := l.runs(request)
-		if c.keyed {
+		if c.atMostOnce {
 			t.runs.Keys++
 			t.runs.ByCount[min(runs, len(t.runs.ByCount)-1)]++
 			if runs > 1 {
-				t.broke("doubled", c)
-				t.runs.Doubled++
+				t.recordViolation("doubled", c)
+				t.runs.Duplicated++
 			}
 		}
-		if c.notRun == c.told && runs > 0 {
-			t.broke("not_run_ran", c)
-			t.runs.NotRunRan++
+		if c.notRunResponses == c.responses && runs > 0 {
+			t.recordViolation("not_run_ran", c)
+			t.runs.FalseNotRun++
 		}
 	}
 }
 
-func (t *tally) broke(what string, c *claim) {
+func (t *tally) recordViolation(kind string, c *callRecord) {
 	t.incidents = append(t.incidents, Incident{
-		What:    what,
+		Kind:    kind,
 		Request: c.request,
 		Key:     c.key,
 	})
@@ -327,28 +331,28 @@
 	return keys
 }
 
-func (t *tally) report(c Config, took timekeeper.Duration) Report {
+func (t *tally) report(c Config, elapsed timekeeper.Duration) Report {
 	r := Report{
-		Deployment: c.Mix.Deployment,
-		Seed:       c.Seed,
-		Name:       c.Name,
-		WindowMS:   int64(c.Window),
-		TookMS:     int64(took),
-		All:        t.all.finished(),
-		Runs:       t.runs,
-		Incidents:  t.incidents,
-		Dropped:    t.dropped,
+		Deployment:       c.Mix.Deployment,
+		Seed:             c.Seed,
+		Name:             c.RunName,
+		WindowMS:         int64(c.Window),
+		ElapsedMS:        int64(elapsed),
+		All:              t.all.summarize(),
+		Runs:             t.runs,
+		Incidents:        t.incidents,
+		OmittedIncidents: t.omitted,
 	}
 	for _, name := range sortedKeys(t.byKind) {
-		r.Kinds = append(r.Kinds, t.byKind[name].finished())
+		r.Kinds = append(r.Kinds, t.byKind[name].summarize())
 	}
 	for _, name := range sortedKeys(t.byAccount) {
-		r.Accounts = append(r.Accounts, t.byAccount[name].finished())
+		r.Accounts = append(r.Accounts, t.byAccount[name].summarize())
 	}
 	return r
 }
 
-func (r *row) finished() Row {
+func (r *row) summarize() Row {
 	r.FirstToken = percentiles(r.firstToken)
 	r.Completion = percentiles(r.completion)
 	r.GapP95MS = r.gap.ValueAtQuantile(95)
