--- a/internal/accountant/accountant.go
+++ b/internal/accountant/accountant.go
@@ -59,8 +59,8 @@
 
 // Accountant is one node's view of the usage.
 type Accountant struct {
-	config Config
-	own    map[identifier.UsageWindow]counts
+	config    Config
+	ownCounts map[identifier.UsageWindow]counts
 	// peers holds the highest counts received from each process of a peer.
 	peers map[process]map[identifier.UsageWindow]counts
 	// firstRecords holds the first record of each window in the log.
@@ -91,7 +91,7 @@
 func New(c Config) *Accountant {
 	return &Accountant{
 		config:       c,
-		own:          map[identifier.UsageWindow]counts{},
+		ownCounts:    map[identifier.UsageWindow]counts{},
 		peers:        map[process]map[identifier.UsageWindow]counts{},
 		firstRecords: map[identifier.UsageWindow]counts{},
 		lastSent:     map[identifier.UsageWindow]timekeeper.Time{},
@@ -125,17 +125,17 @@
 		return
 	}
 	w := a.window(now)
-	if a.own[w] == nil {
-		a.own[w] = counts{}
+	if a.ownCounts[w] == nil {
+		a.ownCounts[w] = counts{}
 		a.dropOldWindows(w)
 	}
-	a.own[w][account]++
+	a.ownCounts[w][account]++
 }
 
 // dropOldWindows drops windows that can no longer be reported.
 func (a *Accountant) dropOldWindows(now identifier.UsageWindow) {
 	old := func(w identifier.UsageWindow) bool { return w < now-maxWindows }
-	maps.DeleteFunc(a.own, func(w identifier.UsageWindow, _ counts) bool { return old(w) })
+	maps.DeleteFunc(a.ownCounts, func(w identifier.UsageWindow, _ counts) bool { return old(w) })
 	maps.DeleteFunc(a.firstRecords, func(w identifier.UsageWindow, _ counts) bool { return old(w) })
 	maps.DeleteFunc(a.lastSent, func(w identifier.UsageWindow, _ timekeeper.Time) bool { return old(w) })
 	maps.DeleteFunc(a.finished, func(w identifier.UsageWindow, _ bool) bool { return old(w) })
@@ -155,11 +155,11 @@
 	}
 	var out []messenger.UsageCount
 	for w := a.window(now) - sharedWindows + 1; w <= a.window(now); w++ {
-		for _, account := range slices.Sorted(maps.Keys(a.own[w])) {
+		for _, account := range slices.Sorted(maps.Keys(a.ownCounts[w])) {
 			out = append(out, messenger.UsageCount{
 				Window:  w,
 				Account: account,
-				Count:   a.own[w][account],
+				Count:   a.ownCounts[w][account],
 			})
 		}
 	}
@@ -190,7 +190,7 @@
 
 // total returns the counts of a window summed over all nodes.
 func (a *Accountant) total(w identifier.UsageWindow) counts {
-	sum := maps.Clone(a.own[w])
+	sum := maps.Clone(a.ownCounts[w])
 	if sum == nil {
 		sum = counts{}
 	}
--- a/internal/accountant/accountant_test.go
+++ b/internal/accountant/accountant_test.go
@@ -64,10 +64,10 @@
 	require.Len(t, appends, 2)
 	applyToLog(appends, one, two)
 
-	ofOne, ofTwo := reports(tick(one, late)), reports(tick(two, late))
-	require.Len(t, ofOne, 1)
-	require.Equal(t, ofOne, ofTwo)
-	require.Equal(t, map[identifier.AccountID]int{"agency": 1}, ofOne[0].Counts)
+	reportsOfOne, reportsOfTwo := reports(tick(one, late)), reports(tick(two, late))
+	require.Len(t, reportsOfOne, 1)
+	require.Equal(t, reportsOfOne, reportsOfTwo)
+	require.Equal(t, map[identifier.AccountID]int{"agency": 1}, reportsOfOne[0].Counts)
 }
 
 // A window must not be reported before its record is in the log, before the peers have
--- a/internal/adapter/engine_test.go
+++ b/internal/adapter/engine_test.go
@@ -84,18 +84,18 @@
 	client := adapter.NewEngine(adapter.ServerConfig{})
 	s := newStartRequest("a.1", 2000)
 	ctx := context.Background()
-	moved := false
+	copied := false
 	sink := recorder{}
 	sink.onToken = func(token adapter.Token) error {
 		if token.Index < 10 {
 			return nil
 		}
-		moved = true
+		copied = true
 		require.NoError(t, client.MoveKV(ctx, from, s.Stream, toAddress))
 		return &stopError{}
 	}
 	require.ErrorIs(t, client.Start(ctx, from, s, testTimeouts, &sink), &stopError{})
-	require.True(t, moved)
+	require.True(t, copied)
 	s.Stream, s.AnswerSoFar, s.MaxTokens = "a.2", sink.tokens, 30
 	sink.onToken = nil
 	require.NoError(t, client.Start(ctx, toAddress, s, testTimeouts, &sink))
@@ -195,25 +195,25 @@
 func TestTokenSequence(t *testing.T) {
 	const token = "id: %d\ndata: {\"token\":\"t%d\"}\n\n"
 	cases := []struct {
-		name    string
-		indexes []int
-		end     int
-		want    []string
-		whole   bool
+		name     string
+		indexes  []int
+		end      int
+		want     []string
+		complete bool
 	}{
 		{
-			name:    "in step",
-			indexes: []int{1, 2},
-			end:     2,
-			want:    []string{"t1", "t2"},
-			whole:   true,
+			name:     "in step",
+			indexes:  []int{1, 2},
+			end:      2,
+			want:     []string{"t1", "t2"},
+			complete: true,
 		},
 		{
-			name:    "repeated",
-			indexes: []int{1, 1, 2, 1},
-			end:     2,
-			want:    []string{"t1", "t2"},
-			whole:   true,
+			name:     "repeated",
+			indexes:  []int{1, 1, 2, 1},
+			end:      2,
+			want:     []string{"t1", "t2"},
+			complete: true,
 		},
 		{
 			name:    "skipped",
@@ -242,8 +242,8 @@
 			err := client.Start(context.Background(), server.Listener.Addr().String(), newStartRequest("a.1", 9), testTimeouts, &sink)
 			require.Equal(t, c.want, sink.tokens)
 			var outOfStep *adapter.TokenSequenceError
-			require.Equal(t, !c.whole, err != nil)
-			require.Equal(t, !c.whole, errorsAs(err, &outOfStep))
+			require.Equal(t, !c.complete, err != nil)
+			require.Equal(t, !c.complete, errorsAs(err, &outOfStep))
 		})
 	}
 }
@@ -275,37 +275,37 @@
 
 func TestOrdersAndFences(t *testing.T) {
 	cases := []struct {
-		checks bool
-		model  identifier.ModelName
+		checksFence bool
+		model       identifier.ModelName
 	}{
 		{
-			checks: true,
-			model:  "new",
+			checksFence: true,
+			model:       "new",
 		},
 		{
-			checks: false,
-			model:  "old",
+			checksFence: false,
+			model:       "old",
 		},
 	}
 	for _, c := range cases {
 		clock := timekeeper.NewManual(1_000_000)
 		_, address := startEngine(t, engine.Config{
-			ChecksFence: c.checks,
+			ChecksFence: c.checksFence,
 			Clock:       clock,
 		})
 		client := adapter.NewEngine(adapter.ServerConfig{})
 		ctx := context.Background()
-		give := func(model identifier.ModelName, fence identifier.Fence) error {
+		sendOrder := func(model identifier.ModelName, fence identifier.Fence) error {
 			return client.Order(ctx, address, messenger.Order{
 				Kind:  messenger.OrderLoadModel,
 				Model: model,
 				Fence: fence,
 			})
 		}
-		require.NoError(t, give("new", 9))
-		err := give("old", 8)
+		require.NoError(t, sendOrder("new", 9))
+		err := sendOrder("old", 8)
 		var stale *adapter.StaleFenceError
-		require.Equal(t, c.checks, errorsAs(err, &stale))
+		require.Equal(t, c.checksFence, errorsAs(err, &stale))
 		// The engine caches its load measurement; this lets one from before the orders
 		// expire.
 		clock.Advance(timekeeper.Second)
--- a/internal/adapter/platform_test.go
+++ b/internal/adapter/platform_test.go
@@ -78,8 +78,8 @@
 	require.ErrorAs(t, err, &ambiguous)
 	_, err = adapter.NewLog(config).Read(context.Background(), "a", 0, 10, 0)
 	require.ErrorAs(t, err, &unavailable)
-	gone := adapter.NewLog(adapter.PlatformConfig{Address: closedAddress(t)})
-	_, err = gone.Append(context.Background(), records("a", "1"))
+	unreachable := adapter.NewLog(adapter.PlatformConfig{Address: closedAddress(t)})
+	_, err = unreachable.Append(context.Background(), records("a", "1"))
 	require.ErrorAs(t, err, &unavailable)
 }
 
--- a/internal/adapter/timeouts.go
+++ b/internal/adapter/timeouts.go
@@ -28,42 +28,42 @@
 // a timeout passes without a call of reset.
 func newResponseTimer(ctx context.Context, address string, timeouts ResponseTimeouts) (context.Context, *responseTimer) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	timer := &responseTimer{
+	t := &responseTimer{
 		cancel:   cancel,
 		nextByte: timeouts.NextByte,
 	}
 	if timeouts.FirstByte > 0 {
-		timer.timer = time.AfterFunc(timeouts.FirstByte.Std(), func() {
+		t.timer = time.AfterFunc(timeouts.FirstByte.Std(), func() {
 			cancel(&ResponseTimeoutError{
 				Address: address,
 				After:   timeouts.FirstByte,
 			})
 		})
 	}
-	return ctx, timer
+	return ctx, t
 }
 
 // reset starts the timeout for the next byte.
-func (timer *responseTimer) reset(address string) {
-	if timer.timer != nil {
-		timer.timer.Stop()
+func (t *responseTimer) reset(address string) {
+	if t.timer != nil {
+		t.timer.Stop()
 	}
-	if timer.nextByte <= 0 {
-		timer.timer = nil
+	if t.nextByte <= 0 {
+		t.timer = nil
 		return
 	}
-	timer.timer = time.AfterFunc(timer.nextByte.Std(), func() {
-		timer.cancel(&ResponseTimeoutError{
+	t.timer = time.AfterFunc(t.nextByte.Std(), func() {
+		t.cancel(&ResponseTimeoutError{
 			Address: address,
-			After:   timer.nextByte,
+			After:   t.nextByte,
 		})
 	})
 }
 
 // stop stops the timer and cancels its context.
-func (timer *responseTimer) stop() {
-	if timer.timer != nil {
-		timer.timer.Stop()
+func (t *responseTimer) stop() {
+	if t.timer != nil {
+		t.timer.Stop()
 	}
-	timer.cancel(nil)
+	t.cancel(nil)
 }
--- a/internal/claimer/apply.go
+++ b/internal/claimer/apply.go
@@ -10,10 +10,10 @@
 )
 
 // applyRecord applies one record of the log.
-func (t *Table) applyRecord(now timekeeper.Time, s *stream, at messenger.Record) {
-	s.latestAppend = max(s.latestAppend, at.Appended)
+func (t *Table) applyRecord(now timekeeper.Time, s *stream, logRecord messenger.Record) {
+	s.latestAppend = max(s.latestAppend, logRecord.Appended)
 	var r record
-	if err := json.Unmarshal(at.Data, &r); err != nil || r.Version != recordVersion {
+	if err := json.Unmarshal(logRecord.Data, &r); err != nil || r.Version != recordVersion {
 		t.counts.Ignored++
 		return
 	}
@@ -23,33 +23,33 @@
 	}
 	switch r.Kind {
 	case claimKind:
-		t.applyClaim(now, s, at, r)
+		t.applyClaim(now, s, logRecord, r)
 	case outcomeKind:
 		t.applyOutcome(r)
 	case releaseKind:
-		t.applyRelease(at.Offset, r)
+		t.applyRelease(logRecord.Offset, r)
 	case clockKind:
 	default:
 		t.counts.Ignored++
 	}
 }
 
-func (t *Table) applyClaim(now timekeeper.Time, s *stream, at messenger.Record, r record) {
+func (t *Table) applyClaim(now timekeeper.Time, s *stream, logRecord messenger.Record, r record) {
 	e, ok := t.entries[key{
 		account: r.Account,
 		key:     r.Key,
 	}]
-	held := ok && e.holdsAt(t.decisionTime(now, at))
+	held := ok && e.holdsAt(t.decisionTime(now, logRecord))
 	c := t.nonces[r.Nonce]
 	switch {
 	case held && e.Nonce == r.Nonce:
-		t.extend(now, s, e, at, r)
+		t.extend(now, s, e, logRecord, r)
 	case held && !t.isFree(e, r):
-		t.extend(now, s, e, at, r)
+		t.extend(now, s, e, logRecord, r)
 		t.decideLoser(s, c, e)
 	default:
-		t.setHolder(now, s, at, r)
-		t.decideHolder(now, s, at, c)
+		t.setHolder(now, s, logRecord, r)
+		t.decideHolder(now, s, logRecord, c)
 	}
 }
 
@@ -60,24 +60,24 @@
 
 // decisionTime returns the time at which a claim is evaluated. It is the log's append
 // time, so that all nodes expire a key before the same claim.
-func (t *Table) decisionTime(now timekeeper.Time, at messenger.Record) timekeeper.Time {
+func (t *Table) decisionTime(now timekeeper.Time, logRecord messenger.Record) timekeeper.Time {
 	if t.disabled.localTime {
 		return now
 	}
-	return at.Appended
+	return logRecord.Appended
 }
 
-func (t *Table) extend(now timekeeper.Time, s *stream, e *entry, at messenger.Record, r record) {
+func (t *Table) extend(now timekeeper.Time, s *stream, e *entry, logRecord messenger.Record, r record) {
 	if t.disabled.fixedWindow {
 		return
 	}
-	e.extend(now, at, r)
+	e.extend(now, logRecord, r)
 	heap.Fix(&s.expiry, e.index)
 }
 
 // setHolder makes a claim the holder of its key.
-func (t *Table) setHolder(now timekeeper.Time, s *stream, at messenger.Record, r record) {
-	e := newEntry(now, s.name, at, r)
+func (t *Table) setHolder(now timekeeper.Time, s *stream, logRecord messenger.Record, r record) {
+	e := newEntry(now, s.name, logRecord, r)
 	if old, ok := t.entries[e.key()]; ok {
 		heap.Remove(&s.expiry, old.index)
 		t.bodies.drop(old)
@@ -102,13 +102,13 @@
 // most three quarters of the retention. So a claim that is read back soon after it
 // began can't lose to a record that this node never saw. If the node was frozen in
 // between, the claim is unsettled, since another node may have sent the request.
-func (t *Table) decideHolder(now timekeeper.Time, s *stream, at messenger.Record, c *claim) {
+func (t *Table) decideHolder(now timekeeper.Time, s *stream, logRecord messenger.Record, c *claim) {
 	if c == nil {
 		return
 	}
-	late := now.Sub(c.began) >= t.config.Retention/8
-	c.confirmedFirst = !c.viewHasGap && !late && !at.Appended.Before(s.unrecordedUntil) || t.disabled.trustView
-	if c.state != waiting {
+	readLate := now.Sub(c.began) >= t.config.Retention/8
+	c.confirmedFirst = !c.viewHasGap && !readLate && !logRecord.Appended.Before(s.unrecordedUntil) || t.disabled.trustView
+	if c.state != pending {
 		return
 	}
 	if !c.confirmedFirst {
@@ -126,11 +126,11 @@
 // decideLoser decides a claim of this node whose key is held. If the holder is a claim
 // that this node abandoned, the claim waits for its release.
 func (t *Table) decideLoser(s *stream, c *claim, e *entry) {
-	if c == nil || c.state != waiting {
+	if c == nil || c.state != pending {
 		return
 	}
-	if h := t.nonces[e.Nonce]; h != nil && h.state == abandoned {
-		t.loseToOwnClaim(s, c, h)
+	if holder := t.nonces[e.Nonce]; holder != nil && holder.state == abandoned {
+		t.loseToOwnClaim(s, c, holder)
 		return
 	}
 	if e.Released && e.Winner == t.config.Self {
@@ -179,7 +179,7 @@
 	t.counts.BodiesDropped += t.bodies.add(e)
 }
 
-func (t *Table) applyRelease(at identifier.Offset, r record) {
+func (t *Table) applyRelease(offset identifier.Offset, r record) {
 	e, ok := t.entries[key{
 		account: r.Account,
 		key:     r.Key,
@@ -188,7 +188,7 @@
 		return
 	}
 	e.Released = true
-	e.ReleasedAt = at
+	e.ReleasedAt = offset
 	if c := t.nonces[r.Nonce]; c != nil && c.state == abandoned {
 		t.remove(c)
 	}
--- a/internal/claimer/claimer.go
+++ b/internal/claimer/claimer.go
@@ -210,8 +210,8 @@
 	// readsFailingSince is the time of the first failed read since the last success, or
 	// Never.
 	readsFailingSince timekeeper.Time
-	// appendsFailingSince is the time of the first failed append since the last
-	// success, or Never; lastAppendFailure is that of the last one.
+	// appendsFailingSince is the time of the first failed append since the last success
+	// or the last probe, or Never; lastAppendFailure is that of the last one.
 	appendsFailingSince timekeeper.Time
 	lastAppendFailure   timekeeper.Time
 	// pending lists the decisions to deliver once the stream has been replayed.
@@ -279,10 +279,10 @@
 func (t *Table) Counts() Counts { return t.counts }
 
 // Lookup returns the entry of a key whose window has not passed.
-func (t *Table) Lookup(account identifier.AccountID, k identifier.IdempotencyKey) (Entry, bool) {
+func (t *Table) Lookup(account identifier.AccountID, idempotencyKey identifier.IdempotencyKey) (Entry, bool) {
 	e, ok := t.entries[key{
 		account: account,
-		key:     k,
+		key:     idempotencyKey,
 	}]
 	if !ok || !e.holdsAt(t.streams[e.stream].latestAppend) {
 		return Entry{}, false
@@ -364,7 +364,7 @@
 func (t *Table) deliver(s *stream) []Decision {
 	var out []Decision
 	for _, d := range s.pending {
-		if d.claim.state != waiting {
+		if d.claim.state != pending {
 			continue
 		}
 		d.claim.state = abandoned
--- a/internal/claimer/claimer_test.go
+++ b/internal/claimer/claimer_test.go
@@ -53,10 +53,10 @@
 	require.Equal(t, 1, b.appends(a), "the release")
 	require.Empty(t, b.read(a))
 	require.Equal(t, 1, b.appends(a), "the second claim, repeated")
-	got := b.read(a)
-	require.Len(t, got, 1)
-	require.True(t, got[0].Won)
-	require.Equal(t, identifier.RequestID("second"), got[0].Request)
+	decisions := b.read(a)
+	require.Len(t, decisions, 1)
+	require.True(t, decisions[0].Won)
+	require.Equal(t, identifier.RequestID("second"), decisions[0].Request)
 	require.Zero(t, b.appends(a))
 }
 
@@ -225,7 +225,7 @@
 // run despite the answer. A claim that c begins after it read the release must win,
 // since the caller retried.
 func TestClaimBegunBeforeReleaseLoses(t *testing.T) {
-	run := func(disabled safeguards) (early, later bool) {
+	run := func(disabled safeguards) (early, late bool) {
 		b, a, c := &harness{log: fakeLog{now: 1}}, newTestTable("vm-a"), newTestTable("vm-c")
 		c.disabled = disabled
 		b.claim(t, a, "a1")
@@ -240,9 +240,9 @@
 		b.claim(t, c, "c2")
 		return early, b.read(c)[0].Won
 	}
-	early, later := run(safeguards{})
+	early, late := run(safeguards{})
 	require.False(t, early)
-	require.True(t, later)
+	require.True(t, late)
 	early, _ = run(safeguards{ignoreSeen: true})
 	require.True(t, early, "the check must detect the missing safeguard")
 }
--- a/internal/claimer/entry.go
+++ b/internal/claimer/entry.go
@@ -24,7 +24,7 @@
 	bodyElement *list.Element
 }
 
-func newEntry(now timekeeper.Time, s identifier.LogStream, at messenger.Record, r record) *entry {
+func newEntry(now timekeeper.Time, s identifier.LogStream, logRecord messenger.Record, r record) *entry {
 	return &entry{
 		Entry: Entry{
 			Account:   r.Account,
@@ -32,9 +32,9 @@
 			Request:   r.Request,
 			Winner:    r.Claimant,
 			Nonce:     r.Nonce,
-			Offset:    at.Offset,
-			Appended:  at.Appended,
-			ExpiresAt: at.Appended.Add(r.Window),
+			Offset:    logRecord.Offset,
+			Appended:  logRecord.Appended,
+			ExpiresAt: logRecord.Appended.Add(r.Window),
 		},
 		stream: s,
 		readAt: now,
@@ -43,8 +43,8 @@
 }
 
 // extend prolongs the holder's window after a later claim of the key.
-func (e *entry) extend(now timekeeper.Time, at messenger.Record, r record) {
-	if until := at.Appended.Add(r.Window); until.After(e.ExpiresAt) {
+func (e *entry) extend(now timekeeper.Time, logRecord messenger.Record, r record) {
+	if until := logRecord.Appended.Add(r.Window); until.After(e.ExpiresAt) {
 		e.ExpiresAt = until
 		e.readAt = now
 		e.window = r.Window
--- a/internal/claimer/own.go
+++ b/internal/claimer/own.go
@@ -8,7 +8,7 @@
 type claimState int
 
 const (
-	waiting claimState = iota
+	pending claimState = iota
 	won
 	// abandoned: the request will not be sent under this claim. If the claim holds its
 	// key, it is released.
@@ -54,14 +54,14 @@
 // fresh. An earlier pending claim for the same request is abandoned. Its error is a
 // *WindowTooLongError, a *LogUnavailableError or a *TableFullError.
 func (t *Table) Begin(now timekeeper.Time, request identifier.RequestID, account identifier.AccountID,
-	k identifier.IdempotencyKey, nonce identifier.Nonce, window timekeeper.Duration) (identifier.LogStream, []byte, error) {
+	idempotencyKey identifier.IdempotencyKey, nonce identifier.Nonce, window timekeeper.Duration) (identifier.LogStream, []byte, error) {
 	if window > t.config.maxWindow() {
 		return "", nil, &WindowTooLongError{
 			Window:    window,
 			Retention: t.config.Retention,
 		}
 	}
-	if stream := Stream(account, k, t.config.Partitions); t.LogUnavailable(now, stream) {
+	if stream := Stream(account, idempotencyKey, t.config.Partitions); t.LogUnavailable(now, stream) {
 		return "", nil, &LogUnavailableError{Stream: stream}
 	}
 	t.removeExpiredClaims(now)
@@ -74,11 +74,11 @@
 		request: request,
 		id: key{
 			account: account,
-			key:     k,
+			key:     idempotencyKey,
 		},
 		nonce:  nonce,
 		window: window,
-		stream: Stream(account, k, t.config.Partitions),
+		stream: Stream(account, idempotencyKey, t.config.Partitions),
 		began:  now,
 	}
 	c.seen = t.nextOffset(c.stream)
@@ -88,7 +88,7 @@
 	return c.stream, c.data(t.config.Self), nil
 }
 
-// nextOffset returns the offset of the next record to read.
+// nextOffset returns the offset of the next record to read from a stream.
 func (t *Table) nextOffset(name identifier.LogStream) identifier.Offset {
 	return t.streams[name].position.Next()
 }
@@ -97,7 +97,7 @@
 // append that failed or was not answered.
 func (t *Table) RepeatAppend(request identifier.RequestID) (Append, bool) {
 	c, ok := t.active[request]
-	if !ok || c.state != waiting {
+	if !ok || c.state != pending {
 		return Append{}, false
 	}
 	return Append{
@@ -127,7 +127,7 @@
 	}
 	delete(t.active, request)
 	switch c.state {
-	case waiting:
+	case pending:
 		c.state = abandoned
 	case won:
 		t.remove(c)
@@ -162,7 +162,7 @@
 func (t *Table) removeExpiredClaims(now timekeeper.Time) {
 	kept := t.ownClaims[:0]
 	for _, c := range t.ownClaims {
-		if c.state != waiting && now.Sub(c.began) > c.window+expiryMargin {
+		if c.state != pending && now.Sub(c.began) > c.window+expiryMargin {
 			t.remove(c)
 		}
 		if c.state != removed {
@@ -178,7 +178,7 @@
 func (t *Table) Overdue(now timekeeper.Time) []identifier.RequestID {
 	var out []identifier.RequestID
 	for _, c := range t.ownClaims {
-		if c.state == waiting && now.Sub(c.began) >= t.config.DecisionTimeout {
+		if c.state == pending && now.Sub(c.began) >= t.config.DecisionTimeout {
 			out = append(out, c.request)
 		}
 	}
@@ -221,7 +221,7 @@
 			Claimant: t.config.Self,
 			Nonce:    c.nonce,
 		}.encode(), true
-	case c.state == waiting && c.awaitsRelease && (!ok || e.Released):
+	case c.state == pending && c.awaitsRelease && (!ok || e.Released):
 		c.seen = t.nextOffset(c.stream)
 		return c.data(t.config.Self), true
 	}
--- a/internal/claimer/property_test.go
+++ b/internal/claimer/property_test.go
@@ -153,11 +153,11 @@
 	}
 	i := s.draw(len(s.inFlight))
 	data := s.inFlight[i]
-	fate := s.draw(8)
-	if fate != 0 {
+	outcome := s.draw(8)
+	if outcome != 0 {
 		s.inFlight = append(s.inFlight[:i:i], s.inFlight[i+1:]...)
 	}
-	if fate == 1 {
+	if outcome == 1 {
 		return
 	}
 	s.log.append(data)
@@ -229,7 +229,7 @@
 		return
 	}
 	request := n.openRequests[s.draw(len(n.openRequests))]
-	if c := n.table.active[request]; c == nil || c.state != waiting {
+	if c := n.table.active[request]; c == nil || c.state != pending {
 		return
 	}
 	n.table.Drop(request)
--- a/internal/forwarder/answer.go
+++ b/internal/forwarder/answer.go
@@ -145,8 +145,8 @@
 // log records the end of an exchange in the log and in the metrics.
 func (x *exchange) log(result messenger.AttemptResult, reason string) {
 	f := x.forwarder
-	took := f.config.Clock.Now().Sub(x.received)
-	f.config.Metrics.ended(x.status, result, took)
+	elapsed := f.config.Clock.Now().Sub(x.received)
+	f.config.Metrics.ended(x.status, result, elapsed)
 	f.config.Logger.Info("exchange ended",
 		"request", x.head.Request,
 		"content", x.content.String(),
@@ -164,7 +164,7 @@
 		"last_event", x.lastEvent,
 		"first_ms", int64(x.timeToFirst),
 		"longest_gap_ms", int64(x.longestGap),
-		"took_ms", int64(took),
+		"took_ms", int64(elapsed),
 		"prompt_tokens", x.head.PromptTokens,
 		"revision", x.inputs.Revision,
 		"revision_age_ms", int64(x.inputs.RevisionAge),
--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -49,40 +49,40 @@
 
 func (x *exchange) startTimer(ctx context.Context, s messenger.SendExchange) (context.Context, *attemptTimer) {
 	ctx, cancel := context.WithCancel(ctx)
-	w := &attemptTimer{cancel: cancel}
+	t := &attemptTimer{cancel: cancel}
 	remaining := max(s.Deadline.Sub(x.forwarder.config.Clock.Now()), 0)
 	deadline := time.AfterFunc(remaining.Std(), func() {
-		w.expired.Store(true)
+		t.expired.Store(true)
 		cancel()
 	})
-	w.stopDeadline = deadline.Stop
+	t.stopDeadline = deadline.Stop
 	if s.FirstEventTimeout > 0 {
-		w.eventTimer = time.AfterFunc(s.FirstEventTimeout.Std(), func() {
-			w.timedOut.Store(true)
+		t.eventTimer = time.AfterFunc(s.FirstEventTimeout.Std(), func() {
+			t.timedOut.Store(true)
 			cancel()
 		})
 	}
-	return ctx, w
+	return ctx, t
 }
 
 // eventReceived starts the timeout for the next event; zero stops it.
-func (w *attemptTimer) eventReceived(next timekeeper.Duration) {
-	if w.eventTimer == nil {
+func (t *attemptTimer) eventReceived(next timekeeper.Duration) {
+	if t.eventTimer == nil {
 		return
 	}
 	if next <= 0 {
-		w.eventTimer.Stop()
+		t.eventTimer.Stop()
 		return
 	}
-	w.eventTimer.Reset(next.Std())
+	t.eventTimer.Reset(next.Std())
 }
 
-func (w *attemptTimer) release() {
-	w.stopDeadline()
-	if w.eventTimer != nil {
-		w.eventTimer.Stop()
+func (t *attemptTimer) release() {
+	t.stopDeadline()
+	if t.eventTimer != nil {
+		t.eventTimer.Stop()
 	}
-	w.cancel()
+	t.cancel()
 }
 
 // sendProgress records whether the request's headers were written.
--- a/internal/forwarder/content_test.go
+++ b/internal/forwarder/content_test.go
@@ -60,8 +60,8 @@
 	return l.Addr().String()
 }
 
-// A server whose process ended must be told apart from one whose connection broke,
-// since the node otherwise keeps choosing it until its entry expires.
+// The node must detect that a server's process ended, and not only its connection, or
+// it keeps choosing the server until its entry expires.
 func TestServerEnded(t *testing.T) {
 	stream := "HTTP/1.1 200 OK\r\nSignature: s\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, test := range []struct {
@@ -90,9 +90,9 @@
 			s := newFakeDecider(startEndingServer(t, test.ends, test.answer))
 			s.route.Stream = true
 			do(t, newRequest(t, http.MethodPost, "http://"+startForwarder(t, s)+"/", strings.NewReader("prompt")))
-			require.Len(t, s.ends, 1)
-			require.Equal(t, messenger.AttemptBroken, s.ends[0].Result)
-			require.Equal(t, test.ends, s.ends[0].ServerEnded)
+			require.Len(t, s.attemptEnds, 1)
+			require.Equal(t, messenger.AttemptBroken, s.attemptEnds[0].Result)
+			require.Equal(t, test.ends, s.attemptEnds[0].ServerEnded)
 		})
 	}
 }
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -98,9 +98,9 @@
 	// ReadHead decodes the head of a request. Its error is reported to the caller.
 	ReadHead(r *http.Request) (Head, error)
 	// WriteHead sets the system's headers of a request to a server, and removes those
-	// that a caller must not set. left is the caller's remaining time, lastEvent the
+	// that a caller must not set. remaining is the caller's remaining time, lastEvent the
 	// event after which to resume.
-	WriteHead(h http.Header, s messenger.SendExchange, left timekeeper.Duration, lastEvent string)
+	WriteHead(h http.Header, s messenger.SendExchange, remaining timekeeper.Duration, lastEvent string)
 	ReadReply(status int, h http.Header) Reply
 	WriteRetryAfter(h http.Header, d timekeeper.Duration)
 }
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -32,13 +32,13 @@
 	timeLimit         timekeeper.Duration
 	refusal           *messenger.Refusal
 
-	mu      sync.Mutex
-	specs   []messenger.ExchangeSpec
-	ends    []messenger.ExchangeAttemptEnded
-	ended   chan messenger.ExchangeEnded
-	began   int
-	attempt int
-	limits  []messenger.ServerLimitReceived
+	mu          sync.Mutex
+	specs       []messenger.ExchangeSpec
+	attemptEnds []messenger.ExchangeAttemptEnded
+	ended       chan messenger.ExchangeEnded
+	began       int
+	attempt     int
+	limits      []messenger.ServerLimitReceived
 }
 
 func newFakeDecider(servers ...string) *fakeDecider {
@@ -92,7 +92,7 @@
 func (s *fakeDecider) AttemptEnded(_ context.Context, e messenger.ExchangeAttemptEnded) messenger.Effect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ends = append(s.ends, e)
+	s.attemptEnds = append(s.attemptEnds, e)
 	return s.nextAttempt(e.Exchange)
 }
 
@@ -108,7 +108,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []messenger.AttemptResult
-	for _, e := range s.ends {
+	for _, e := range s.attemptEnds {
 		out = append(out, e.Result)
 	}
 	return out
@@ -438,7 +438,7 @@
 	require.Equal(t, "first", answer.header.Get("Signature"), "the answer keeps the head of its first server")
 	require.Equal(t, "2", after)
 	require.Equal(t, messenger.AttemptComplete, (<-s.ended).Result)
-	require.True(t, s.ends[0].Streaming)
+	require.True(t, s.attemptEnds[0].Streaming)
 }
 
 // A truncated stream that no server can resume must be aborted, so that it does not
@@ -661,11 +661,11 @@
 		w.Header().Set("Not-Run", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	whole := startServer(t, func(w http.ResponseWriter, r *http.Request) {
+	complete := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Limit", "1")
 		sign(w, r)
 	})
-	s := newFakeDecider(foreign, full, whole)
+	s := newFakeDecider(foreign, full, complete)
 	request, err := http.NewRequest(http.MethodGet, "http://"+startForwarder(t, s)+"/", nil)
 	require.NoError(t, err)
 	request.Header.Set("Id", "r")
--- a/internal/forwarder/metrics.go
+++ b/internal/forwarder/metrics.go
@@ -56,10 +56,10 @@
 
 func (m *Metrics) recordFirstEvent(d timekeeper.Duration) { m.firstEvents.record(d) }
 
-func (m *Metrics) ended(status int, result messenger.AttemptResult, took timekeeper.Duration) {
+func (m *Metrics) ended(status int, result messenger.AttemptResult, elapsed timekeeper.Duration) {
 	m.statuses.Add(strconv.Itoa(status), 1)
 	m.results.Add(string(result), 1)
-	m.totals.record(took)
+	m.totals.record(elapsed)
 }
 
 // latencyHistogram is a histogram published as an expvar variable, with quantiles in
