--- a/internal/historian/historian_test.go
+++ b/internal/historian/historian_test.go
@@ -44,7 +44,7 @@
 }
 
 // A VM whose wall clock is a day ahead must not advance the clocks of its peers.
-func TestObserveLeavesOutStampsFarAhead(t *testing.T) {
+func TestObserveIgnoresStampsFarAhead(t *testing.T) {
 	h := newTimeline("a", 1000, 8)
 	h.Observe(Stamp{
 		Time: 1000 + timekeeper.Time(24*timekeeper.Hour),
--- a/internal/prover/caller_test.go
+++ b/internal/prover/caller_test.go
@@ -15,8 +15,8 @@
 	callerTimeLimit    = 65 * timekeeper.Second
 )
 
-// caller sends one request and stays with it: through refusals that say when
-// to come back, broken connections and moves.
+// caller sends one request and follows it through refusals, broken connections and
+// redirects until it has a final answer or gives up.
 type caller struct {
 	cluster   *cluster
 	account   identifier.AccountID
@@ -27,26 +27,26 @@
 	startedAt timekeeper.Time
 	node      *node
 	tries     int
-	// heard is when the node last answered; a node that says nothing for
-	// callerSilence is left.
+	// lastResponse is the time of the node's last response.
 	lastResponse timekeeper.Time
 	acceptedAt   timekeeper.Time
 	tokens       []token
 	replied      bool
-	// silence is how long the caller stays with a node that says nothing.
+	// idleTimeout is the time without a response after which the caller leaves the
+	// node.
 	idleTimeout timekeeper.Duration
-	// fresh is when the caller last got something new.
+	// lastNewToken is the time at which the caller last received new tokens.
 	lastNewToken timekeeper.Time
 	longestWait  timekeeper.Duration
-	// answers lists all outcomes that the caller was told, in order.
+	// finalAnswers holds all final answers received, in order.
 	finalAnswers []finalAnswer
 	done         bool
-	// cancelled tells that the caller gave the request up.
+	// cancelled is set when the caller cancels the request.
 	cancelled       bool
 	lostConnections int
 }
 
-// told is one final answer that a caller was given.
+// finalAnswer is a final answer that a caller received.
 type finalAnswer struct {
 	at      timekeeper.Time
 	node    identifier.VMID
@@ -54,7 +54,7 @@
 	reason  messenger.Reason
 }
 
-// call makes a caller that sends its request to a node now.
+// call creates a caller that immediately sends its request to a node.
 func (cl *cluster) call(name string, service identifier.ServiceName, key identifier.IdempotencyKey, at identifier.VMID) *caller {
 	return cl.callFor("agent", name, service, key, at)
 }
@@ -86,7 +86,8 @@
 	c.schedulePoll()
 }
 
-// newSpec names the request: by its key, or freshly.
+// newSpec returns the request, whose id is derived from the key, or is new for each
+// try if there is none.
 func (c *caller) newSpec(n *node) messenger.RequestSpec {
 	id := identifier.RequestID(fmt.Sprintf("%s-%d", c.name, c.tries))
 	if c.key != "" {
@@ -109,8 +110,8 @@
 	}
 }
 
-// service returns a service as the node knows it. Before its first
-// configuration it knows none, and refuses.
+// service returns a service of the node's configuration, or the zero value if the
+// node has none yet.
 func (n *node) service(name identifier.ServiceName) catalog.Service {
 	if c := n.r.Catalog(); c != nil {
 		return c.Services[name]
@@ -118,7 +119,7 @@
 	return catalog.Service{}
 }
 
-// follow looks at the answer again and again until it has ended.
+// schedulePoll schedules the next poll of the current try.
 func (c *caller) schedulePoll() {
 	tries := c.tries
 	c.cluster.after(callerPollInterval, func() {
@@ -185,16 +186,16 @@
 	}
 }
 
-// diverges reports whether the node's answer does not go on from what the
-// caller has: the event id that the caller resumes from carries a digest.
+// diverges reports whether the node's answer does not continue the tokens that the
+// caller has. Real callers detect this by the digest in the event id.
 func (c *caller) diverges(a *answer) bool {
-	k := len(c.tokens)
-	return k > 0 && len(a.tokens) >= k && a.tokens[k-1] != c.tokens[k-1]
+	received := len(c.tokens)
+	return received > 0 && len(a.tokens) >= received && a.tokens[received-1] != c.tokens[received-1]
 }
 
-// ended takes a final answer, and comes back if it says so or if the answer
-// leaves the caller without a result that it may ask for again.
-func (c *caller) receiveFinalAnswer(n *node, o messenger.Outcome, reason messenger.Reason, after timekeeper.Duration) {
+// receiveFinalAnswer records a final answer, and repeats the request if it has no
+// result and may be repeated.
+func (c *caller) receiveFinalAnswer(n *node, o messenger.Outcome, reason messenger.Reason, retryAfter timekeeper.Duration) {
 	c.finalAnswers = append(c.finalAnswers, finalAnswer{
 		at:      c.cluster.now,
 		node:    n.vm,
@@ -202,18 +203,18 @@
 		reason:  reason,
 	})
 	c.cluster.recordf("%s was told %s (%s) by %s", c.name, o, reason, n.vm)
-	again := !c.cancelled && o != messenger.Done && c.mayRepeat(o) && c.cluster.now.Before(c.repeatDeadline())
-	if !again {
+	repeat := !c.cancelled && o != messenger.Done && c.mayRepeat(o) && c.cluster.now.Before(c.repeatDeadline())
+	if !repeat {
 		c.done = true
 		return
 	}
 	c.tokens = nil
-	c.later(max(after, 200*timekeeper.Millisecond), func() { c.submit(c.nextNode()) })
+	c.later(max(retryAfter, 200*timekeeper.Millisecond), func() { c.submit(c.nextNode()) })
 }
 
-// repeatBy is when the caller stops sending its request again. A key is
-// remembered for its window only, so that it is repeated well within that,
-// counted from the first time that anybody sent it.
+// repeatDeadline returns the time after which the caller does not repeat its
+// request. A key is deduplicated only for its window, so repeats end well before
+// the window does, counted from the first use of the key by any caller.
 func (c *caller) repeatDeadline() timekeeper.Time {
 	deadline := c.startedAt.Add(callerTimeLimit)
 	if c.key == "" {
@@ -228,8 +229,8 @@
 	return deadline
 }
 
-// mayRepeat reports whether the caller may send the request once more: a
-// booking without a key only where it did not run.
+// mayRepeat reports whether the caller may send the request again. A
+// non-idempotent request without a key may be repeated only if it did not run.
 func (c *caller) mayRepeat(o messenger.Outcome) bool {
 	idempotent := c.spec.Idempotent
 	return idempotent || o == messenger.NotRun || c.key != "" && o != messenger.Failed
@@ -244,7 +245,7 @@
 	})
 }
 
-// another picks the next node to use, as the address list would name it.
+// nextNode returns another usable node from the address list.
 func (c *caller) nextNode() *node {
 	for _, n := range c.cluster.nodes {
 		if n.dead || n.exited || c.cluster.now < n.frozenUntil || n == c.node && c.lostConnections > 0 {
@@ -260,15 +261,15 @@
 	return c.node
 }
 
-// cutOff goes on after the connection to a node was lost: it asks the others
-// for the request, and sends it again only where that is allowed.
+// connectionLost handles a lost connection to a node: it queries the other nodes
+// for the request, and sends it again only if that is allowed.
 func (c *caller) connectionLost(why string) {
 	c.cluster.recordf("%s lost %s: %s", c.name, c.node.vm, why)
 	c.lostConnections++
 	c.locate(0)
 }
 
-// locate asks one node after the other for the request by its id.
+// locate queries one node after the other for the request by its id.
 func (c *caller) locate(i int) {
 	if c.cluster.now.Sub(c.startedAt) > callerTimeLimit {
 		c.done = true
@@ -295,7 +296,7 @@
 	case c.cancelled:
 		c.done = true
 	case c.spec.Long && c.acceptedAt != 0:
-		c.locate(0) // It is owed: nothing but the answer will do.
+		c.locate(0) // The request was accepted, so its answer must be found.
 	case c.spec.Idempotent || c.key != "":
 		c.tokens = nil
 		c.submit(c.nextNode())
@@ -304,8 +305,7 @@
 	}
 }
 
-// moved reports whether the node knows only that another has the request, and
-// that one is dead.
+// movedToDeadNode reports whether the node redirects the request to a dead node.
 func (n *node) movedToDeadNode(a *answer) bool {
 	return a.movedTo != "" && n.cluster.node(a.movedTo).dead
 }
--- a/internal/prover/control_test.go
+++ b/internal/prover/control_test.go
@@ -10,8 +10,8 @@
 	"github.com/dotterelhollow/dotterelhollow/internal/conductor"
 )
 
-// control names the cells in which the checker has to object once a safeguard
-// is off, and the words of its objection.
+// control names cells in which the checker must report a violation with the given
+// text while the safeguard is off.
 type control struct {
 	safeguard string
 	scenario  string
@@ -88,19 +88,18 @@
 	},
 }
 
-// TestControls plays cells with one safeguard off. Every safeguard has a
-// control, and the checker objects in at least one of its cells: a checker
-// that can't object proves nothing.
+// TestControls verifies that the checker detects a violation in at least one cell
+// of each control, which guards against checks that never fail.
 func TestControls(t *testing.T) {
-	switches := reflect.TypeFor[conductor.Safeguards]()
-	require.Len(t, controls, switches.NumField(), "one control for each safeguard")
+	safeguardFields := reflect.TypeFor[conductor.Safeguards]()
+	require.Len(t, controls, safeguardFields.NumField(), "one control for each safeguard")
 	for _, c := range controls {
 		t.Run(c.safeguard, func(t *testing.T) {
-			guards := conductor.AllSafeguards()
-			reflect.ValueOf(&guards).Elem().FieldByName(c.safeguard).SetBool(false)
+			safeguards := conductor.AllSafeguards()
+			reflect.ValueOf(&safeguards).Elem().FieldByName(c.safeguard).SetBool(false)
 			s := scenarioNamed(c.scenario)
 			steps, _ := stepsOf(s, *seedFlag)
-			outcomes := runCells(s, steps, []fault{faultNamed(c.fault)}, *seedFlag, guards)
+			outcomes := runCells(s, steps, []fault{faultNamed(c.fault)}, *seedFlag, safeguards)
 			violating := 0
 			for _, o := range outcomes {
 				if strings.Contains(strings.Join(o.violations, "; "), c.violation) {
--- a/internal/prover/exchange_matrix_test.go
+++ b/internal/prover/exchange_matrix_test.go
@@ -13,31 +13,31 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// exchangeFault is a fault of the matrix.
+// exchangeFault is a fault of the matrix of opaque exchanges.
 type exchangeFault struct {
 	name   string
-	strike func(*exchangeCluster)
+	inject func(*exchangeCluster)
 }
 
-// lasting is how long faults that pass last.
+// faultTime is the duration of temporary faults.
 const faultTime = 4 * timekeeper.Second
 
 var exchangeFaults = []exchangeFault{
 	{
 		name:   "none",
-		strike: func(*exchangeCluster) {},
+		inject: func(*exchangeCluster) {},
 	},
 	{
 		name:   "the holder of the duties dies",
-		strike: func(cl *exchangeCluster) { cl.kill(cl.leader(), faultTime) },
+		inject: func(cl *exchangeCluster) { cl.kill(cl.leader(), faultTime) },
 	},
 	{
 		name:   "the holder of the duties restarts at once",
-		strike: func(cl *exchangeCluster) { cl.kill(cl.leader(), 300) },
+		inject: func(cl *exchangeCluster) { cl.kill(cl.leader(), 300) },
 	},
 	{
 		name: "all nodes die",
-		strike: func(cl *exchangeCluster) {
+		inject: func(cl *exchangeCluster) {
 			for _, vm := range slices.Sorted(maps.Keys(cl.nodes)) {
 				cl.kill(cl.nodes[vm], 500)
 			}
@@ -45,11 +45,11 @@
 	},
 	{
 		name:   "the holder freezes",
-		strike: func(cl *exchangeCluster) { cl.leader().frozenUntil = cl.now.Add(faultTime) },
+		inject: func(cl *exchangeCluster) { cl.leader().frozenUntil = cl.now.Add(faultTime) },
 	},
 	{
 		name: "the holder is cut off from its peers",
-		strike: func(cl *exchangeCluster) {
+		inject: func(cl *exchangeCluster) {
 			n := cl.leader()
 			n.cutFromPeers = true
 			cl.after(faultTime, func() { n.cutFromPeers = false })
@@ -57,7 +57,7 @@
 	},
 	{
 		name: "the holder is cut off from the store",
-		strike: func(cl *exchangeCluster) {
+		inject: func(cl *exchangeCluster) {
 			n := cl.leader()
 			n.cutFromStore = true
 			cl.after(faultTime, func() { n.cutFromStore = false })
@@ -65,21 +65,21 @@
 	},
 	{
 		name: "the store is down",
-		strike: func(cl *exchangeCluster) {
+		inject: func(cl *exchangeCluster) {
 			cl.storeDown = true
 			cl.after(faultTime, cl.endStoreOutage)
 		},
 	},
 	{
 		name: "appends are carried out late",
-		strike: func(cl *exchangeCluster) {
+		inject: func(cl *exchangeCluster) {
 			cl.appendDelay = 2 * timekeeper.Second
 			cl.after(faultTime, func() { cl.appendDelay = 0 })
 		},
 	},
 	{
 		name: "half of the servers leave while a node is cut off from the store",
-		strike: func(cl *exchangeCluster) {
+		inject: func(cl *exchangeCluster) {
 			n := cl.nodes[exchangeNode(1)]
 			n.cutFromStore = true
 			cl.after(faultTime, func() { n.cutFromStore = false })
@@ -91,7 +91,7 @@
 	},
 	{
 		name: "all servers leave and start again under their ids",
-		strike: func(cl *exchangeCluster) {
+		inject: func(cl *exchangeCluster) {
 			for i := range 6 {
 				cl.restart(exchangeServer(i))
 			}
@@ -99,7 +99,7 @@
 	},
 	{
 		name: "a change while a node is cut off from the store",
-		strike: func(cl *exchangeCluster) {
+		inject: func(cl *exchangeCluster) {
 			n := cl.nodes[exchangeNode(2)]
 			n.cutFromStore = true
 			cl.publish(cl.catalogs[len(cl.catalogs)-1].Revision + 3)
@@ -107,7 +107,7 @@
 	},
 	{
 		name: "two changes, and a node starts in between",
-		strike: func(cl *exchangeCluster) {
+		inject: func(cl *exchangeCluster) {
 			cl.publish(cl.catalogs[len(cl.catalogs)-1].Revision + 1)
 			cl.kill(cl.nodes[exchangeNode(3)], 100)
 			cl.after(200, func() { cl.publish(cl.catalogs[len(cl.catalogs)-1].Revision + 1) })
@@ -120,59 +120,58 @@
 	serverFault(messenger.AttemptFailed),
 }
 
-// serverFault makes every other attempt end so for a while.
+// serverFault makes about half of the attempts end with result for faultTime.
 func serverFault(result messenger.AttemptResult) exchangeFault {
 	return exchangeFault{
 		name: "servers: " + string(result),
-		strike: func(cl *exchangeCluster) {
+		inject: func(cl *exchangeCluster) {
 			cl.serverFault = result
 			cl.after(faultTime, func() { cl.serverFault = "" })
 		},
 	}
 }
 
-// exchangeSteps are the instants at which faults strike: among the first reads,
-// around grants, renewals and reports, and in steady state.
+// exchangeSteps are the times at which faults are injected: during the first reads,
+// around lease grants, renewals and reports, and in steady state.
 var exchangeSteps = []timekeeper.Duration{
 	40, 700, 1600, 2300, 3050, 4100, 5333, 6000, 7777, 9001,
 }
 
-// Each fault strikes at each step, and a second one strikes beside it. Callers
-// and servers, the cloud and the operators must see no promise broken: a request
-// that may run once runs once, what was refused has not run and never will, a
-// leaving server gets no new work, a configuration is in force soon and never
-// goes back, no fence serves two processes, and no window is reported twice with
-// different counts.
+// Every fault is injected at every step, alone and followed by a second one. A
+// non-repeatable request must run at most once, a refused one never, a leaving
+// server must receive no new work, configurations must be applied in time and never
+// reverted, no two processes may use one fence, and no usage window may be reported
+// with different counts.
 func TestMatrixOfExchanges(t *testing.T) {
 	for _, fault := range exchangeFaults {
 		t.Run(fault.name, func(t *testing.T) {
 			for i, step := range exchangeSteps {
 				second := exchangeFaults[(i*7+len(fault.name))%len(exchangeFaults)]
-				for k, beside := range []exchangeFault{exchangeFaults[0], second} {
+				for k, other := range []exchangeFault{exchangeFaults[0], second} {
 					if (2*i+k)%cellStride != 0 {
 						continue
 					}
 					cl := newExchangeCluster(t, uint64(i))
-					cl.at(step, func() { fault.strike(cl) })
-					cl.at(step+faultTime/2, func() { beside.strike(cl) })
+					cl.at(step, func() { fault.inject(cl) })
+					cl.at(step+faultTime/2, func() { other.inject(cl) })
 					cl.run()
-					require.Empty(t, cl.violations, "at %d, beside %q", step, beside.name)
+					require.Empty(t, cl.violations, "at %d, beside %q", step, other.name)
 				}
 			}
 		})
 	}
 }
 
-// The checker objects to what must not be, so that its silence means something.
+// The checker must detect each kind of violation.
 func TestControlsOfExchanges(t *testing.T) {
 	tests := []struct {
 		name   string
-		strike func(*exchangeCluster)
+		inject func(*exchangeCluster)
 		want   string
 	}{
 		{
 			name: "a server runs what it says it refused",
-			strike: func(cl *exchangeCluster) {
+			inject: func(cl *exchangeCluster) {
 				cl.serverFault = messenger.AttemptRefused
 				cl.ranAt["r-1"] = []identifier.VMID{"i-0"}
 				for id := range 400 {
@@ -183,7 +182,7 @@
 		},
 		{
 			name: "leaving servers are never published",
-			strike: func(cl *exchangeCluster) {
+			inject: func(cl *exchangeCluster) {
 				for i := range 6 {
 					cl.leftAt[exchangeServer(i)] = cl.now
 				}
@@ -192,7 +191,7 @@
 		},
 		{
 			name: "a node hears of no change",
-			strike: func(cl *exchangeCluster) {
+			inject: func(cl *exchangeCluster) {
 				n := cl.nodes[exchangeNode(2)]
 				n.cutFromStore = true
 				n.cutFromPeers = true
@@ -202,7 +201,7 @@
 		},
 		{
 			name: "two processes use one fence",
-			strike: func(cl *exchangeCluster) {
+			inject: func(cl *exchangeCluster) {
 				for fence := range identifier.Fence(200) {
 					cl.fenceHolders[fence] = process{vm: "entry-9"}
 				}
@@ -211,7 +210,7 @@
 		},
 		{
 			name: "a window is reported by counts of one's own",
-			strike: func(cl *exchangeCluster) {
+			inject: func(cl *exchangeCluster) {
 				for window := range identifier.UsageWindow(20) {
 					cl.reports[identifier.UsageWindow(int64(exchangeStart)/2000)+window] = map[identifier.AccountID]int{"agency": 1}
 				}
@@ -220,7 +219,7 @@
 		},
 		{
 			name: "nothing is served",
-			strike: func(cl *exchangeCluster) {
+			inject: func(cl *exchangeCluster) {
 				for i := range 6 {
 					cl.writeEntry(exchangeServer(i), messenger.ServerRemoved)
 				}
@@ -231,7 +230,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			cl := newExchangeCluster(t, 1)
-			cl.at(3500, func() { test.strike(cl) })
+			cl.at(3500, func() { test.inject(cl) })
 			cl.run()
 			require.NotEmpty(t, cl.violations)
 			require.Contains(t, fmt.Sprint(cl.violations), test.want)
--- a/internal/prover/exchange_world_test.go
+++ b/internal/prover/exchange_world_test.go
@@ -17,22 +17,19 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// The world of opaque exchanges: the reducers of a few nodes, and fakes of the
-// store, the cloud and the backend servers, in virtual time and one goroutine. A
-// checker sees what callers, servers and the platform could see.
-
 const (
 	exchangeStart     timekeeper.Time = 1_000_000_000
 	exchangeRunTime                   = 24 * timekeeper.Second
 	exchangeNodeCount                 = 4
 	exchangeInterval                  = 60 * timekeeper.Millisecond
-	// leaveBound is how long after its notice a server may get new work, and
-	// revisionBound how long a configuration may take to be in force.
+	// maxLeaveDelay is the time after its leaving mark within which a server may
+	// still receive new work.
+	// maxRevisionDelay is the time within which nodes must apply a configuration.
 	maxLeaveDelay    = 2 * timekeeper.Second
 	maxRevisionDelay = 2 * timekeeper.Second
 )
 
-// task is something that happens at an instant.
+// task is an action scheduled at a time.
 type task struct {
 	at  timekeeper.Time
 	seq int
@@ -54,28 +51,31 @@
 	return last
 }
 
-// gatewayNode is one node's process.
+// gatewayNode is the process of a node.
 type gatewayNode struct {
 	vm          identifier.VMID
 	r           *reducer.Reducer
 	incarnation identifier.Incarnation
 	alive       bool
 	frozenUntil timekeeper.Time
-	// cut tells that it reaches no peer, offStore that it does not reach the
-	// store.
+	// cutFromPeers and cutFromStore simulate network partitions.
 	cutFromPeers bool
 	cutFromStore bool
 	readOffsets  map[identifier.LogStream]int
 	entriesRead  int
-	// era is that of the store as the node knows it.
+	// generation is the store generation that the node last read.
 	generation identifier.StoreGeneration
 	revision   identifier.Revision
 	startedAt  timekeeper.Time
-	// troubled is when the node or its ways were last harmed.
+	// lastDisturbed is the last time at which the node, its network or the store was
+	// affected by a fault.
 	lastDisturbed timekeeper.Time
 }
 
-// exchangeWorld is the nodes and the fakes around them.
+// exchangeCluster simulates a cluster that serves opaque exchanges: the reducers of
+// a few nodes, and fakes of the store, the cloud and the backend servers, in virtual
+// time and in one goroutine. It verifies only what callers, servers and the platform
+// can observe.
 type exchangeCluster struct {
 	t     testing.TB
 	now   timekeeper.Time
@@ -89,18 +89,18 @@
 	catalogs    []*catalog.Catalog
 	publishedAt timekeeper.Time
 	storeDown   bool
-	// era is the store's, entered when each entry was written, and shown the last
-	// state of each server by itself.
+	// generation is that of the store. entryTimes holds the time at which each entry
+	// was written, and lastEntries the last entry of each server.
 	generation identifier.StoreGeneration
 	entryTimes []timekeeper.Time
-	// eraIgnored keeps nodes from hearing of it.
+	// generationIgnored suppresses the events that report a restored store.
 	generationIgnored bool
 	lastEntries       map[identifier.VMID]messenger.PublishedServer
-	// waiting are the entries that servers could not write yet.
+	// pendingEntries are the writes of entries that wait for the store to recover.
 	pendingEntries []func()
 	appendDelay    timekeeper.Duration
 
-	// ran holds where each request ran.
+	// ranAt holds the servers at which each request ran.
 	ranAt        map[identifier.RequestID][]identifier.VMID
 	repetitions  map[identifier.RequestID]catalog.Repetition
 	requests     map[identifier.ExchangeID]identifier.RequestID
@@ -111,14 +111,14 @@
 	answered     int
 	refused      int
 	violations   []string
-	// serverFault is how servers answer; empty means well.
+	// serverFault is the result of failing attempts; if empty, none fail.
 	serverFault messenger.AttemptResult
-	// alwaysFails lets each attempt end so, not every other one.
+	// alwaysFails makes all attempts fail instead of about half of them.
 	alwaysFails bool
 	repeats     repeats
-	// work is how long a server needs for a request.
+	// serviceTime is the time for which a server processes a request.
 	serviceTime timekeeper.Duration
-	endings
+	crashes
 	rollouts     rollouts
 	limits       limits
 	size         clusterSize
@@ -130,15 +130,15 @@
 	incarnation identifier.Incarnation
 }
 
-// worldSize is how much there is in a world.
+// clusterSize holds the numbers of nodes and servers and the request load.
 type clusterSize struct {
 	nodes   int
 	servers int
-	// every is the spacing of requests, and tokens what their account may have in a
-	// second.
+	// requestInterval is the time between requests, and tokensPerSecond the limit of
+	// their account.
 	requestInterval timekeeper.Duration
 	tokensPerSecond float64
-	// listed tells nodes from the start on which others there are.
+	// nodesListed makes the platform's list of nodes available from the start.
 	nodesListed bool
 }
 
@@ -169,7 +169,7 @@
 		fenceHolders: map[identifier.Fence]process{},
 		reports:      map[identifier.UsageWindow]map[identifier.AccountID]int{},
 		serviceTime:  20,
-		endings:      newEndings(),
+		crashes:      newCrashes(),
 	}
 	cl.publish(1)
 	for i := range size.servers {
@@ -200,11 +200,11 @@
 	cl.at(cl.now.Sub(exchangeStart)+d, do)
 }
 
-func (cl *exchangeCluster) violate(format string, args ...any) {
+func (cl *exchangeCluster) violatef(format string, args ...any) {
 	cl.violations = append(cl.violations, fmt.Sprintf("%6d: ", cl.now.Sub(exchangeStart))+fmt.Sprintf(format, args...))
 }
 
-// publish puts a new configuration into the store.
+// publish writes a new configuration to the store.
 func (cl *exchangeCluster) publish(revision identifier.Revision) {
 	var routes []*catalog.Route
 	for _, r := range []catalog.Repetition{catalog.AtMostOnce, catalog.Repeatable, catalog.Resumable} {
@@ -253,9 +253,8 @@
 	})
 }
 
-// enter puts a server's entry into the store, or where that is down, as soon as it
-// is back: nothing is acknowledged before, and the time in which nodes have to hear
-// of it counts from there.
+// writeEntry writes a server's entry to the store. If the store is down, the entry is
+// written when it recovers, and the delays allowed to nodes count from then.
 func (cl *exchangeCluster) writeEntry(vm identifier.VMID, state messenger.ServerState) {
 	cl.writeVersionEntry(vm, state, "v1")
 }
@@ -282,7 +281,7 @@
 	cl.entryTimes = append(cl.entryTimes, cl.now)
 }
 
-// storeBack lets the store serve again. It takes the entries that waited in order.
+// endStoreOutage makes the store available and writes the pending entries in order.
 func (cl *exchangeCluster) endStoreOutage() {
 	cl.storeDown = false
 	pending := cl.pendingEntries
@@ -292,16 +291,16 @@
 	}
 }
 
-// restart lets a server leave and start again under its id. The entry of its
-// earlier start is written once more after that of its later one.
+// restart makes a server leave and start again under the same instance id. The entry
+// of the earlier start is repeated after that of the later one.
 func (cl *exchangeCluster) restart(vm identifier.VMID) {
-	again := identifier.ServerStart(vm.Instance(), identifier.Incarnation(cl.now))
+	newStart := identifier.ServerStart(vm.Instance(), identifier.Incarnation(cl.now))
 	cl.writeEntry(vm, messenger.ServerLeaving)
-	cl.after(900, func() { cl.writeEntry(again, messenger.ServerReady) })
+	cl.after(900, func() { cl.writeEntry(newStart, messenger.ServerReady) })
 	cl.after(1500, func() { cl.writeEntry(vm, messenger.ServerLeaving) })
 }
 
-// start starts a node's process.
+// start starts the process of a node with its periodic reads.
 func (cl *exchangeCluster) start(vm identifier.VMID) {
 	incarnation := identifier.Incarnation(cl.now)
 	var seeds []string
@@ -345,7 +344,8 @@
 	}
 }
 
-// every does something again and again while the process lives.
+// every schedules do with period d while the process is alive, and skips it while the
+// process is frozen.
 func (cl *exchangeCluster) every(n *gatewayNode, d timekeeper.Duration, do func()) {
 	cl.after(d, func() {
 		if !n.alive {
@@ -414,7 +414,7 @@
 	}
 }
 
-// apply gives a node an event and carries its effects out.
+// apply applies an event to a node's reducer and executes the effects.
 func (cl *exchangeCluster) apply(n *gatewayNode, body messenger.EventBody) {
 	if !n.alive {
 		return
@@ -425,7 +425,7 @@
 	})
 	if c := n.r.Catalog(); c != nil {
 		if c.Revision < n.revision {
-			cl.violate("%s goes back from revision %d to %d", n.vm, n.revision, c.Revision)
+			cl.violatef("%s goes back from revision %d to %d", n.vm, n.revision, c.Revision)
 		}
 		n.revision = c.Revision
 	}
@@ -434,7 +434,8 @@
 	}
 }
 
-// deliver gives a peer an event, unless one of both is cut off or gone.
+// deliver delivers an event to a peer, unless one of the two is partitioned or the
+// peer is frozen or dead.
 func (cl *exchangeCluster) deliver(n *gatewayNode, address string, event func(to *gatewayNode) messenger.EventBody) {
 	cl.after(1, func() {
 		to := cl.nodes[identifier.VMID(address)]
@@ -498,14 +499,14 @@
 	}
 }
 
-// question is what a node asks a peer, which answers with one effect.
+// peerQuery is a call to a peer, which answers with an effect.
 type peerQuery struct {
 	address string
 	request messenger.EventBody
-	// answer returns the event that the effect of the peer is to the node that asked,
-	// or nil where it is another effect.
+	// answer converts an effect of the peer to the event for the calling node. It
+	// returns nil for unrelated effects.
 	answer func(messenger.Effect) messenger.EventBody
-	// silence is the event where the peer does not answer.
+	// timeoutEvent is applied if the peer does not answer.
 	timeoutEvent messenger.EventBody
 }
 
@@ -553,8 +554,8 @@
 	})
 }
 
-// append appends a record, late where appends are; while the store is down
-// nothing is.
+// append appends a record with the current delay. The record is lost if the store is
+// unreachable.
 func (cl *exchangeCluster) append(n *gatewayNode, e messenger.AppendRecord) {
 	cl.after(4+cl.appendDelay, func() {
 		if cl.storeDown || n.cutFromStore {
@@ -579,19 +580,20 @@
 	})
 }
 
-// duty is a call under a fence, as the cloud takes it.
+// callLeaderTask simulates a call of the cloud API with a fence, and reports whether
+// it is accepted.
 func (cl *exchangeCluster) callLeaderTask(n *gatewayNode, subject string, fence identifier.Fence, notAfter timekeeper.Time) bool {
 	if !cl.now.Before(notAfter) || n.cutFromStore && n.cutFromPeers {
 		return false
 	}
-	holder := process{
+	caller := process{
 		vm:          n.vm,
 		incarnation: n.incarnation,
 	}
-	if other, used := cl.fenceHolders[fence]; used && other != holder {
-		cl.violate("fence %d used by %v and %v", fence, other, holder)
+	if other, used := cl.fenceHolders[fence]; used && other != caller {
+		cl.violatef("fence %d used by %v and %v", fence, other, caller)
 	}
-	cl.fenceHolders[fence] = holder
+	cl.fenceHolders[fence] = caller
 	if fence < cl.fences[subject] {
 		return false
 	}
@@ -600,13 +602,13 @@
 }
 
 func (cl *exchangeCluster) report(e messenger.ReportUsage) {
-	if before, ok := cl.reports[e.Window]; ok && !maps.Equal(before, e.Counts) {
-		cl.violate("window %d reported as %v and %v", e.Window, before, e.Counts)
+	if earlier, ok := cl.reports[e.Window]; ok && !maps.Equal(earlier, e.Counts) {
+		cl.violatef("window %d reported as %v and %v", e.Window, earlier, e.Counts)
 	}
 	cl.reports[e.Window] = e.Counts
 }
 
-// anyReady returns a node that callers would be sent to, or nil.
+// anyReady returns a random ready node, or nil if there is none.
 func (cl *exchangeCluster) anyReady() *gatewayNode {
 	var ready []*gatewayNode
 	for _, vm := range slices.Sorted(maps.Keys(cl.nodes)) {
@@ -620,23 +622,23 @@
 	return ready[cl.rng.IntN(len(ready))]
 }
 
-// ask sends a request to a node that callers would be sent to.
+// sendRequest sends a new request of random repetition to a ready node.
 func (cl *exchangeCluster) sendRequest() {
 	n := cl.anyReady()
 	if n == nil {
 		return
 	}
-	kinds := []catalog.Repetition{catalog.AtMostOnce, catalog.Repeatable, catalog.Resumable}
-	kind := kinds[cl.rng.IntN(len(kinds))]
+	repetitions := []catalog.Repetition{catalog.AtMostOnce, catalog.Repeatable, catalog.Resumable}
+	repetition := repetitions[cl.rng.IntN(len(repetitions))]
 	cl.lastExchange++
 	id := identifier.RequestID(fmt.Sprintf("r-%d", cl.lastExchange))
-	cl.repetitions[id] = kind
+	cl.repetitions[id] = repetition
 	cl.requests[cl.lastExchange] = id
-	cl.receive(n, id, kind, contentOf(id))
+	cl.receive(n, id, repetition, contentOf(id))
 }
 
-// receive gives a node a request.
-func (cl *exchangeCluster) receive(n *gatewayNode, id identifier.RequestID, kind catalog.Repetition, content identifier.ContentHash) {
+// receive applies the arrival of a request to a node.
+func (cl *exchangeCluster) receive(n *gatewayNode, id identifier.RequestID, repetition catalog.Repetition, content identifier.ContentHash) {
 	cl.contents[id] = content
 	cl.repeats.requests = append(cl.repeats.requests, cl.now)
 	cl.apply(n, messenger.ExchangeReceived{
@@ -644,7 +646,7 @@
 			Exchange:     cl.lastExchange,
 			Request:      id,
 			Host:         "api.example",
-			Path:         "/" + string(kind) + "/1",
+			Path:         "/" + string(repetition) + "/1",
 			Key:          "secret",
 			Received:     cl.now,
 			TimeLimit:    5 * timekeeper.Second,
@@ -655,14 +657,14 @@
 	})
 }
 
-// serve is a backend server with an attempt.
+// serve simulates an attempt at a backend server.
 func (cl *exchangeCluster) serve(n *gatewayNode, e messenger.SendExchange) {
 	if cl.refuseAtEnded(n, e) {
 		return
 	}
 	id := cl.requests[e.Exchange]
-	if left, leaving := cl.leftAt[e.Server]; leaving && cl.now.Sub(left) > maxLeaveDelay && !n.cutFromPeers && !n.cutFromStore {
-		cl.violate("%s sends %s to %s, which left %d ms ago", n.vm, id, e.Server, cl.now.Sub(left))
+	if leftAt, leaving := cl.leftAt[e.Server]; leaving && cl.now.Sub(leftAt) > maxLeaveDelay && !n.cutFromPeers && !n.cutFromStore {
+		cl.violatef("%s sends %s to %s, which left %d ms ago", n.vm, id, e.Server, cl.now.Sub(leftAt))
 	}
 	if e.Attempt > 1 {
 		cl.repeats.repeated = append(cl.repeats.repeated, cl.now)
@@ -677,7 +679,7 @@
 	if result != messenger.AttemptNotSent && result != messenger.AttemptRefused {
 		cl.ranAt[id] = append(cl.ranAt[id], e.Server)
 		if cl.repetitions[id] == catalog.AtMostOnce && len(cl.ranAt[id]) > 1 {
-			cl.violate("%s ran at %v", id, cl.ranAt[id])
+			cl.violatef("%s ran at %v", id, cl.ranAt[id])
 		}
 	}
 	f := cl.begin(n, e)
@@ -715,11 +717,11 @@
 	cl.refused++
 	cl.recordRefusal(e)
 	if id := cl.requests[e.Exchange]; len(cl.ranAt[id]) > 0 {
-		cl.violate("%s was refused and ran at %v", id, cl.ranAt[id])
+		cl.violatef("%s was refused and ran at %v", id, cl.ranAt[id])
 	}
 }
 
-// holder returns the node that gave the last order, or some node.
+// leader returns the node that used the largest fence, or the first node.
 func (cl *exchangeCluster) leader() *gatewayNode {
 	var last identifier.Fence
 	for fence := range cl.fenceHolders {
@@ -736,7 +738,8 @@
 	cl.after(down, func() { cl.start(n.vm) })
 }
 
-// run plays the day and looks at its end.
+// run executes the scheduled tasks up to exchangeRunTime and verifies the final
+// state.
 func (cl *exchangeCluster) run() {
 	for cl.queue.Len() > 0 && cl.queue[0].at.Before(exchangeStart.Add(exchangeRunTime)) {
 		next := heap.Pop(&cl.queue).(task)
@@ -744,15 +747,15 @@
 		next.do()
 	}
 	for _, n := range cl.nodes {
-		behind := n.alive && n.revision < cl.catalogs[len(cl.catalogs)-1].Revision
-		if behind && cl.now.Sub(cl.publishedAt) > maxRevisionDelay && cl.now.Sub(n.startedAt) > maxRevisionDelay && !cl.now.Before(n.frozenUntil) {
-			cl.violate("%s has revision %d long after %d", n.vm, n.revision, cl.catalogs[len(cl.catalogs)-1].Revision)
+		outdated := n.alive && n.revision < cl.catalogs[len(cl.catalogs)-1].Revision
+		if outdated && cl.now.Sub(cl.publishedAt) > maxRevisionDelay && cl.now.Sub(n.startedAt) > maxRevisionDelay && !cl.now.Before(n.frozenUntil) {
+			cl.violatef("%s has revision %d long after %d", n.vm, n.revision, cl.catalogs[len(cl.catalogs)-1].Revision)
 		}
 	}
 	if cl.answered < 200 {
-		cl.violate("only %d requests answered, %d refused", cl.answered, cl.refused)
+		cl.violatef("only %d requests answered, %d refused", cl.answered, cl.refused)
 	}
 	if len(cl.reports) < 4 {
-		cl.violate("only %d windows reported", len(cl.reports))
+		cl.violatef("only %d windows reported", len(cl.reports))
 	}
 }
--- a/internal/prover/facts_test.go
+++ b/internal/prover/facts_test.go
@@ -9,15 +9,15 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// facts is what callers, backend servers and operators saw of a run. The
-// checker reads nothing else.
+// observations holds what callers, backend servers and operators observed in a
+// run, and the violations found so far.
 type observations struct {
-	// runs lists when each keyed or named plain call ran.
+	// runs holds the times at which each plain call ran, by runKey.
 	runs map[string][]timekeeper.Time
-	// noticed is when the cloud announced that it will take a VM away.
+	// noticedAt holds the time of each VM's reclaim notice.
 	noticedAt map[identifier.VMID]timekeeper.Time
-	// lateWork is the longest time after a notice at which a server was still
-	// given new work.
+	// maxWorkDelay is the longest time after its notice at which a server received
+	// new work.
 	maxWorkDelay timekeeper.Duration
 	verdicts     map[verdictKey]messenger.ChangeVerdict
 	violations   []string
@@ -28,12 +28,11 @@
 	ticket identifier.Ticket
 }
 
-// longestWait bounds the wait of an accepted long request's caller for its
-// next token.
+// maxTokenWait bounds the time between tokens of an accepted long request.
 const maxTokenWait = 25 * timekeeper.Second
 
-// newWorkBound is the "few seconds" after which a leaving server gets no new
-// work.
+// maxNewWorkDelay is the time after its notice from which a server must receive no
+// new work.
 const maxNewWorkDelay = 3 * timekeeper.Second
 
 func newObservations() observations {
@@ -44,7 +43,7 @@
 	}
 }
 
-func (f *observations) violate(format string, args ...any) {
+func (f *observations) violatef(format string, args ...any) {
 	f.violations = append(f.violations, fmt.Sprintf(format, args...))
 }
 
@@ -52,7 +51,8 @@
 	f.runs[key] = append(f.runs[key], at)
 }
 
-// newWork notes that a server was given work.
+// recordNewWork records that a server received new work, and reports a violation
+// if that was more than maxNewWorkDelay after its notice.
 func (f *observations) recordNewWork(s *server, r identifier.RequestID) {
 	since, leaving := f.noticedAt[s.vm]
 	if !leaving {
@@ -61,14 +61,13 @@
 	late := s.cluster.now.Sub(since)
 	f.maxWorkDelay = max(f.maxWorkDelay, late)
 	if late > maxNewWorkDelay {
-		f.violate("%s got new work (%s) %s after its notice", s.vm, r, late)
+		f.violatef("%s got new work (%s) %s after its notice", s.vm, r, late)
 	}
 }
 
-// judge returns what the run did wrong.
+// verify checks the whole run and returns its violations.
 //
-// Where every node is dead nobody is left to answer, and what was accepted or
-// wanted is not asked for; what ran is judged all the same.
+// If all nodes are dead, no answers are required, but verifyRuns still applies.
 func (cl *cluster) verify() []string {
 	if !cl.anyNodeAlive() {
 		cl.verifyRuns()
@@ -88,28 +87,28 @@
 func (cl *cluster) verifyCaller(c *caller) {
 	cl.verifyAnswer(c)
 	if c.spec.Long && c.acceptedAt != 0 && c.longestWait > maxTokenWait {
-		cl.observed.violate("%s: waited %s for the next token", c.name, c.longestWait)
+		cl.observed.violatef("%s: waited %s for the next token", c.name, c.longestWait)
 	}
 	finished := len(c.finalAnswers) > 0 && c.finalAnswers[len(c.finalAnswers)-1].outcome == messenger.Done
 	switch {
 	case c.cancelled:
 	case c.spec.Long && c.acceptedAt != 0 && !finished:
-		cl.observed.violate("%s: the accepted long request did not get its answer (%d tokens, told %v)", c.name, len(c.tokens), c.finalAnswers)
+		cl.observed.violatef("%s: the accepted long request did not get its answer (%d tokens, told %v)", c.name, len(c.tokens), c.finalAnswers)
 	case c.spec.Idempotent && !finished:
-		cl.observed.violate("%s: never answered (told %v)", c.name, c.finalAnswers)
+		cl.observed.violatef("%s: never answered (told %v)", c.name, c.finalAnswers)
 	case len(c.finalAnswers) == 0 && c.key != "":
-		cl.observed.violate("%s: never told anything", c.name)
+		cl.observed.violatef("%s: never told anything", c.name)
 	}
 	cl.verifyNotRun(c)
 }
 
-// judgeAnswer checks that what the caller got is one answer to its own prompt,
-// each token once and in order.
+// verifyAnswer checks that the caller received the tokens of a single answer to its
+// own prompt, in order and without duplicates.
 func (cl *cluster) verifyAnswer(c *caller) {
 	prev := promptHash(c.spec.Request)
 	for i, t := range c.tokens {
 		if t.prev != prev {
-			cl.observed.violate("%s: token %d does not follow the one before it", c.name, i+1)
+			cl.observed.violatef("%s: token %d does not follow the one before it", c.name, i+1)
 			return
 		}
 		prev = t.self
@@ -118,15 +117,15 @@
 		return
 	}
 	if want := int(c.spec.MaxTokens); len(c.tokens) != want {
-		cl.observed.violate("%s: told done with %d of %d tokens", c.name, len(c.tokens), want)
+		cl.observed.violatef("%s: told done with %d of %d tokens", c.name, len(c.tokens), want)
 	}
 	if c.spec.MaxTokens == 0 && !c.replied {
-		cl.observed.violate("%s: told done without a reply", c.name)
+		cl.observed.violatef("%s: told done without a reply", c.name)
 	}
 }
 
-// judgeNotRun checks that what was called not run did not run: not before the
-// caller was told, and not later but by a try that it made afterwards.
+// verifyNotRun checks that a request reported as not run did not run before the
+// report, and ran later only if a caller repeated it.
 func (cl *cluster) verifyNotRun(c *caller) {
 	if c.spec.Idempotent || len(c.finalAnswers) == 0 {
 		return
@@ -138,13 +137,13 @@
 		last := i == len(c.finalAnswers)-1
 		for _, ran := range cl.observed.runs[runKey(c.spec)] {
 			if !ran.After(t.at) || last && !cl.repeatedByOther(c, t.at) {
-				cl.observed.violate("%s was told not_run at %d, and it ran at %d", c.name, t.at-1_000_000, ran-1_000_000)
+				cl.observed.violatef("%s was told not_run at %d, and it ran at %d", c.name, t.at-1_000_000, ran-1_000_000)
 			}
 		}
 	}
 }
 
-// sentElsewhere reports whether another caller repeated the key after t.
+// repeatedByOther reports whether another caller sent the same key after t.
 func (cl *cluster) repeatedByOther(c *caller, t timekeeper.Time) bool {
 	for _, o := range cl.callers {
 		if o != c && o.key == c.key && o.account == c.account && o.lastSent().After(t) {
@@ -156,7 +155,7 @@
 
 func (c *caller) lastSent() timekeeper.Time { return c.spec.Received }
 
-// judgeRuns checks that nothing that must not be repeated ran twice.
+// verifyRuns checks that no booking ran twice, and that every completed one ran.
 func (cl *cluster) verifyRuns() {
 	for _, c := range cl.callers {
 		if c.spec.Idempotent || c.spec.Service != "booking" {
@@ -164,10 +163,10 @@
 		}
 		runs := cl.observed.runs[runKey(c.spec)]
 		if len(runs) > 1 {
-			cl.observed.violate("%s ran %d times", runKey(c.spec), len(runs))
+			cl.observed.violatef("%s ran %d times", runKey(c.spec), len(runs))
 		}
 		if c.replied && len(runs) == 0 {
-			cl.observed.violate("%s: told done, but it never ran", c.name)
+			cl.observed.violatef("%s: told done, but it never ran", c.name)
 		}
 	}
 }
--- a/internal/prover/fault_test.go
+++ b/internal/prover/fault_test.go
@@ -11,8 +11,8 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// step names an effect: the node that is about to carry it out and which one
-// of its kind it is, counted from the start of the scenario.
+// step identifies an effect by its node, its kind, and its number among the effects
+// of that kind and node since the start of the scenario.
 type step struct {
 	node  identifier.VMID
 	kind  string
@@ -21,13 +21,13 @@
 
 func (s step) String() string { return fmt.Sprintf("%s.%s.%d", s.node, s.kind, s.count) }
 
-// cell is one fault at one step.
+// cell is a fault to inject at a step.
 type cell struct {
 	step  step
 	fault fault
 }
 
-// fate tells what becomes of an effect's message.
+// deliveryMode says whether the messages of an effect are delivered.
 type deliveryMode int
 
 const (
@@ -36,25 +36,26 @@
 	loseAnswer
 )
 
-// fault is one row of the table of faults.
+// fault is a row of the table of faults.
 type fault struct {
 	name string
-	// deadly tells that a node dies of it, or is as good as dead, unannounced.
+	// killsNode is set if the fault kills a node, or makes it unavailable past all
+	// deadlines, without notice.
 	killsNode bool
-	// strike does the harm right before the effect. It returns what becomes
-	// of the effect itself.
+	// inject applies the fault immediately before the effect, and returns how to
+	// execute the effect.
 	inject func(cl *cluster, n *node, e messenger.Effect) injection
 }
 
-// strike tells what becomes of the effect that a fault met.
+// injection describes how to execute the effect at which a fault is injected.
 type injection struct {
 	mode  deliveryMode
 	skip  bool
 	twice bool
 	delay timekeeper.Duration
-	// thawed carries the effect out once the node has thawed.
+	// onResume executes the effect when the node resumes.
 	onResume bool
-	// then happens after the effect.
+	// then is called after the effect.
 	then func()
 }
 
@@ -66,7 +67,8 @@
 	noticeTime    = 5 * timekeeper.Second
 )
 
-// watched tells which effects are steps. Periodic and local ones are not.
+// stepKind returns the kind of an effect, and whether it counts as a step. Load polls
+// and timeline entries do not.
 func stepKind(e messenger.Effect) (string, bool) {
 	name := reflect.TypeOf(e).Name()
 	switch e := e.(type) {
@@ -79,7 +81,7 @@
 	return name, true
 }
 
-// meet carries out an effect, with the armed fault if this is its step.
+// runStep executes an effect, with the fault that is planned for its step, if any.
 func (n *node) runStep(e messenger.Effect) {
 	cl := n.cluster
 	kind, ok := stepKind(e)
@@ -115,8 +117,8 @@
 		n.later(s.delay, func() { n.execute(e, s.mode) })
 	default:
 		n.execute(e, s.mode)
-		// A cloud API that ignores client tokens takes each call for a new
-		// one. Nothing repeats a call by itself there: it is a POST.
+		// A cloud API that ignores client tokens would buy twice, and no layer
+		// repeats a POST request on its own.
 		if _, buys := e.(messenger.BuyVM); s.twice && (!buys || !n.cluster.list.ignoresClientTokens) {
 			n.execute(e, s.mode)
 		}
@@ -126,7 +128,7 @@
 	}
 }
 
-// aimOf returns the VM that an effect is meant for, if any.
+// targetOf returns the VM that receives an effect's message, if any.
 func targetOf(e messenger.Effect) identifier.VMID {
 	switch e := e.(type) {
 	case messenger.SendAttempt:
@@ -149,7 +151,7 @@
 	return ""
 }
 
-// requestOf returns the request that an effect concerns, if any.
+// requestOf returns the request of an effect, if any.
 func requestOf(e messenger.Effect) identifier.RequestID {
 	v := reflect.ValueOf(e).FieldByName("Request")
 	if !v.IsValid() {
@@ -158,8 +160,8 @@
 	return identifier.RequestID(v.String())
 }
 
-// links returns the ends that a cut at this step separates from the node: the
-// effect's own aim, or all other nodes.
+// linkEnds returns the VMs that a network partition at this step separates from the
+// node: the effect's target, or all other nodes if it has none.
 func linkEnds(cl *cluster, n *node, e messenger.Effect) []string {
 	if target := targetOf(e); target != "" {
 		return []string{string(target)}
@@ -194,7 +196,6 @@
 	}
 }
 
-// faults is the table of faults.
 var faults = []fault{
 	{
 		name:      "killed before",
@@ -467,7 +468,7 @@
 	},
 }
 
-// both lets two faults strike at one step.
+// combineFaults returns a fault that injects both a and b at one step.
 func combineFaults(a, b fault) fault {
 	return fault{
 		name: a.name + " + " + b.name,
@@ -491,7 +492,7 @@
 	}
 }
 
-// cancelled lets all callers of the request give it up.
+// cancelCallers makes all callers of the effect's request cancel it.
 func cancelCallers(cl *cluster, n *node, e messenger.Effect) injection {
 	id := requestOf(e)
 	return injection{then: func() {
@@ -504,9 +505,9 @@
 	}}
 }
 
-// lateBy delays an effect that travels. The others are carried out within the
-// process, in their order; a push travels after its Hold and is not delayed
-// here either, since the effect only names the holder.
+// delayBy delays an effect that sends a message. Effects within the process are
+// executed in order. A Hold only selects the holder, and the subsequent push is not
+// delayed either.
 func delayBy(e messenger.Effect, d timekeeper.Duration) injection {
 	switch e.(type) {
 	case messenger.Refuse, messenger.Accept, messenger.Finish, messenger.Redirect, messenger.Adopt,
@@ -522,8 +523,8 @@
 	return identifier.Zone(zones[(i+1)%len(zones)])
 }
 
-// isolated cuts a node off from all other nodes. Its engine dies, it goes on
-// elsewhere by itself, and then dies too.
+// isolateAndKill partitions a node from all other nodes, kills the servers of its
+// streams, so that it resumes them elsewhere, and finally kills the node.
 func isolateAndKill(cl *cluster, n *node, _ messenger.Effect) injection {
 	for _, end := range linkEnds(cl, n, messenger.Exit{}) {
 		cl.cutLink(string(n.vm), end)
@@ -541,8 +542,8 @@
 	}}
 }
 
-// silence makes every open connection of the node go silent for good, while
-// new ones work.
+// silenceConnections stops all traffic on the node's open connections without closing
+// them. New connections work.
 func (n *node) silenceConnections() {
 	for _, s := range n.cluster.servers {
 		for _, c := range s.conns {
@@ -559,9 +560,9 @@
 	})
 }
 
-// crossed brings the node messages of attempts that are not the current one:
-// earlier ones of the request itself and those of all other requests; and
-// messages of peers that are not the chosen holder or successor.
+// injectStrayMessages delivers messages to the node that it must ignore: those of
+// attempts other than the current one, of this and of other requests, and those of
+// peers other than the current holder or successor.
 func injectStrayMessages(cl *cluster, n *node, e messenger.Effect) injection {
 	r := requestOf(e)
 	if r == "" {
@@ -593,12 +594,12 @@
 	}
 }
 
-// attemptsBut yields the numbers of all attempts of all requests so far, and
-// the neighbours of the current one, but not the current one itself.
+// otherAttempts yields the numbers before and after the current attempt and those of
+// all attempts so far, except the current one.
 func (cl *cluster) otherAttempts(current identifier.AttemptNumber) iter.Seq[identifier.AttemptNumber] {
 	return func(yield func(identifier.AttemptNumber) bool) {
-		for _, k := range append([]identifier.AttemptNumber{current - 1, current + 1}, cl.attempts...) {
-			if k != current && !yield(k) {
+		for _, attempt := range append([]identifier.AttemptNumber{current - 1, current + 1}, cl.attempts...) {
+			if attempt != current && !yield(attempt) {
 				return
 			}
 		}
--- a/internal/prover/hold_test.go
+++ b/internal/prover/hold_test.go
@@ -6,7 +6,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// hold starts pushing an answer to its holder.
+// hold selects the holder of an answer and starts pushing the answer to it.
 func (n *node) hold(e messenger.Hold) {
 	a := n.answers[e.Request]
 	if a == nil {
@@ -21,7 +21,8 @@
 	n.push(a)
 }
 
-// push sends the holder what it lacks, one push at a time.
+// push sends a copy of the answer to the holder, one at a time, until the holder is up
+// to date.
 func (n *node) push(a *answer) {
 	if a.holder == "" || a.pushing || a.acked && a.pushed == len(a.tokens) {
 		return
@@ -49,7 +50,7 @@
 			Holder:  holder,
 		})
 	case !ok && a.end != nil:
-		a.holder = "" // The copy stands as it is; the caller need not wait.
+		a.holder = "" // The answer is complete, so it is released without the holder.
 		a.blocked = false
 		n.release(a)
 	case !ok:
@@ -74,13 +75,13 @@
 	}
 }
 
-// keepCopy is the holder's side of a push. It reports whether the holder owns
-// the request itself, with a larger epoch or, of two equal ones, the smaller
-// name.
+// storeCopy handles a push at the holder. It reports whether the holder rejects it
+// because it owns the request itself: its own answer has ended, or has a larger epoch,
+// or the same epoch and the holder the smaller VM id.
 func (n *node) storeCopy(owner identifier.VMID, snapshot *answer) bool {
 	id := snapshot.spec.Request
-	if own := n.answers[id]; own != nil && own.movedTo == "" && own.verdict != nil && own.verdict.Reason == "" {
-		if !n.cluster.guards.LaterOwner || own.epoch > snapshot.epoch || own.epoch == snapshot.epoch && n.vm < owner || own.end != nil {
+	if existing := n.answers[id]; existing != nil && existing.movedTo == "" && existing.verdict != nil && existing.verdict.Reason == "" {
+		if !n.cluster.safeguards.LaterOwner || existing.epoch > snapshot.epoch || existing.epoch == snapshot.epoch && n.vm < owner || existing.end != nil {
 			return true
 		}
 	}
@@ -97,8 +98,8 @@
 	return false
 }
 
-// unhold ends delivery through a holder. After the end of the answer the
-// holder keeps its copy until a caller has read the end.
+// unhold stops using a holder. The holder of a completed answer keeps its copy until a
+// caller has read the end, for at most 30 s.
 func (n *node) unhold(e messenger.Unhold) {
 	a := n.answers[e.Request]
 	if a != nil && e.Holder != "" && a.holder == e.Holder && a.end != nil && a.end.Outcome == messenger.Done {
@@ -111,7 +112,7 @@
 		n.release(a)
 	}
 	if a != nil && a.end == nil && a.holder == e.Holder {
-		a.holder = "" // It stays blocked until the next Hold or Unhold.
+		a.holder = "" // The answer stays blocked until the next Hold or Unhold.
 	}
 	n.sendUnhold(e)
 }
@@ -139,8 +140,8 @@
 	}, func(bool) {})
 }
 
-// handOver gives a request to a successor. Nothing more goes to callers until
-// it is known who has it.
+// handOver hands a request over to a successor. The answer is paused until it is known
+// which node owns the request.
 func (n *node) handOver(e messenger.HandOver, mode deliveryMode) {
 	a := n.answers[e.Request]
 	if a == nil {
@@ -172,13 +173,13 @@
 }
 
 func (n *node) receiveHandover(from identifier.VMID, e messenger.HandOver, snapshot *answer, answer func()) {
-	own := n.answers[e.Request]
-	if own != nil && own.end != nil {
+	existing := n.answers[e.Request]
+	if existing != nil && existing.end != nil {
 		answer()
 		return
 	}
 	n.unconfirmed[e.Request] = append(n.unconfirmed[e.Request], answer)
-	if own == nil || own.movedTo != "" {
+	if existing == nil || existing.movedTo != "" {
 		delete(n.copies, e.Request)
 		snapshot.epoch = e.Epoch + 1
 		n.takeOwnership(snapshot)
@@ -194,7 +195,8 @@
 	})
 }
 
-// answerFrom answers the caller of a lost claim from the winner.
+// answerFrom answers a caller whose key was claimed by another request, from the
+// recorded outcome or from the node that won the claim.
 func (n *node) answerFrom(e messenger.AnswerFrom) {
 	a := n.answers[e.Request]
 	if a == nil {
--- a/internal/prover/limit_test.go
+++ b/internal/prover/limit_test.go
@@ -11,35 +11,38 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// The users' bound on what arrives at a server that states a limit: from limitSettles
-// after it first did, in any limitSpan limitFactor times what that allows and limitSlack
-// requests, of the nodes that passed on an answer with the limit limitKnown earlier.
+// The required bound on the requests that arrive at a server with a stated limit. Once
+// limitSettleTime has passed since the server first stated it, at most limitFactor times
+// the limit plus limitSlack requests may arrive in any limitSpan. The bound applies to the
+// requests of nodes that received the limit at least limitDelay ago.
 const (
 	limitSettleTime = 3 * timekeeper.Second
 	limitSpan       = 4 * timekeeper.Second
 	limitFactor     = 1.5
 	limitSlack      = 5
 	limitDelay      = 500 * timekeeper.Millisecond
-	// excusedFor is how long after its end a restart, freeze or cut excuses a node.
+	// excuseTime is the time after a restart, freeze or partition during which a node's
+	// requests are not counted.
 	excuseTime = 3 * timekeeper.Second
 
-	// Servers state a limit from limitFrom to limitUntil.
+	// Servers state limits from limitFrom to limitUntil.
 	limitFrom  = 7 * timekeeper.Second
 	limitUntil = 17 * timekeeper.Second
 )
 
-// limits is what the world knows of servers that state a limit.
+// limits holds the limits that servers state and the requests that arrived under them.
 type limits struct {
 	rates    map[identifier.VMID]identifier.RequestRate
 	statedAt map[identifier.VMID]timekeeper.Time
-	// passed is when each node first passed on an answer of a server with a limit.
+	// firstForwarded is the time at which each node first received an answer that
+	// states the server's limit, by server and node.
 	firstForwarded map[identifier.VMID]map[identifier.VMID]timekeeper.Time
-	// arrivals are those that count, and all those of all nodes that are not excused
-	// since the limit settled.
+	// arrivals are the requests of nodes that know the limit. allArrivals are those of
+	// all nodes that are not excused, after limitSettleTime.
 	arrivals    map[identifier.VMID][]timekeeper.Time
 	allArrivals map[identifier.VMID][]timekeeper.Time
 	lastHarmed  map[identifier.VMID]timekeeper.Time
-	// worst is the largest part of what is allowed that arrived in some span.
+	// maxRatio is the largest ratio of arrived to allowed requests in any span.
 	maxRatio float64
 }
 
@@ -54,7 +57,7 @@
 	}
 }
 
-// limit lets a server state a limit for a while.
+// limit makes a server state a limit from limitFrom to limitUntil.
 func (cl *exchangeCluster) limit(server identifier.VMID, rate identifier.RequestRate) {
 	cl.at(limitFrom, func() {
 		cl.limits.rates[server] = rate
@@ -64,9 +67,9 @@
 	cl.at(limitUntil, func() { delete(cl.limits.rates, server) })
 }
 
-// limitArrival counts a request that reaches a server. The users count those of nodes that
-// passed on the limit; the limit is one for all nodes, which have heard of it once it
-// settled.
+// limitArrival records the arrival of a request at a server. The bound applies to the
+// requests of nodes that received the limit and, once the limit has settled, to those of
+// all nodes together.
 func (cl *exchangeCluster) limitArrival(n *gatewayNode, server identifier.VMID) {
 	l := &cl.limits
 	rate, limited := l.rates[server]
@@ -93,11 +96,12 @@
 	allowed := limitFactor*float64(rate)*limitSpan.Seconds() + limitSlack
 	cl.limits.maxRatio = max(cl.limits.maxRatio, float64(count)/allowed)
 	if float64(count) > allowed {
-		cl.violate("%s, with a limit of %g a second, gets %d requests in %s", server, rate, count, limitSpan)
+		cl.violatef("%s, with a limit of %g a second, gets %d requests in %s", server, rate, count, limitSpan)
 	}
 }
 
-// stateLimit tells a node what a server's answer states.
+// stateLimit reports to a node the limit that a server's answer states, or that it
+// states none.
 func (cl *exchangeCluster) stateLimit(n *gatewayNode, server identifier.VMID, sent timekeeper.Time, result messenger.AttemptResult) {
 	answered := result == messenger.AttemptComplete || result == messenger.AttemptFailed || result == messenger.AttemptRefused
 	if !answered {
@@ -117,7 +121,7 @@
 	})
 }
 
-// watchHarm notes which nodes are cut off or frozen.
+// recordExcused periodically records which nodes are partitioned or frozen.
 func (cl *exchangeCluster) recordExcused() {
 	for _, n := range cl.nodes {
 		if n.cutFromPeers || cl.now.Before(n.frozenUntil) {
@@ -127,7 +131,7 @@
 	cl.after(20, cl.recordExcused)
 }
 
-// list tells a node which nodes there are, as the platform's list does.
+// list delivers the platform's list of all nodes to a node.
 func (cl *exchangeCluster) list(n *gatewayNode) {
 	cl.after(100, func() {
 		listed := messenger.ListRead{AsOf: cl.now}
@@ -141,11 +145,11 @@
 	})
 }
 
-// limitDay is a day on which servers state a limit.
+// limitCase is a run in which servers state a limit.
 type limitCase struct {
 	name string
 	size clusterSize
-	// limited is how many servers do, the first ones.
+	// limited is the number of servers that state a limit.
 	limited int
 	rate    identifier.RequestRate
 }
@@ -159,7 +163,7 @@
 	return cl
 }
 
-// fewNodes has more requests than servers may take, of nodes that all meet each server.
+// fewNodes has a load above the limits, in which every node sends to every server.
 var fewNodes = clusterSize{
 	nodes:           6,
 	servers:         6,
@@ -167,7 +171,7 @@
 	tokensPerSecond: 1e6,
 }
 
-// manyNodes returns a world in which each node has few requests.
+// manyNodes returns a size in which each node receives few requests.
 func manyNodes(nodes int) clusterSize {
 	return clusterSize{
 		nodes:           nodes,
@@ -178,9 +182,9 @@
 	}
 }
 
-// Servers state a limit that holds for all nodes together, and each node sends as if it were alone.
-func TestServersGetNoMoreThanTheLimitTheyState(t *testing.T) {
-	for _, day := range []limitCase{
+// Guards against nodes that each use the whole limit, which applies to all of them together.
+func TestServersReceiveNoMoreThanStatedLimit(t *testing.T) {
+	for _, test := range []limitCase{
 		{
 			name:    "one server of six",
 			size:    fewNodes,
@@ -224,11 +228,11 @@
 			rate:    1,
 		},
 	} {
-		if day.size.nodes > maxNodes {
+		if test.size.nodes > maxNodes {
 			continue
 		}
-		t.Run(day.name, func(t *testing.T) {
-			cl := day.newCluster(t, 1)
+		t.Run(test.name, func(t *testing.T) {
+			cl := test.newCluster(t, 1)
 			cl.run()
 			require.Empty(t, cl.violations)
 			t.Logf("worst %.2f of what is allowed, %d answered, %d refused", cl.limits.maxRatio, cl.answered, cl.refused)
@@ -236,8 +240,8 @@
 	}
 }
 
-// Each fault of the matrix strikes while servers state limits: grants change hands, nodes restart, servers leave.
-func TestLimitsHoldBesideFaults(t *testing.T) {
+// The limits must also hold when faults make allocators change, nodes restart and servers leave.
+func TestLimitsHoldDuringFaults(t *testing.T) {
 	steps := []timekeeper.Duration{6500, 9001, 12_345}
 	for _, fault := range exchangeFaults {
 		t.Run(fault.name, func(t *testing.T) {
@@ -246,13 +250,13 @@
 					if (2*i+limited/6)%cellStride != 0 {
 						continue
 					}
-					day := limitCase{
+					test := limitCase{
 						size:    fewNodes,
 						limited: limited,
 						rate:    1,
 					}
-					cl := day.newCluster(t, uint64(i))
-					cl.at(step, func() { fault.strike(cl) })
+					cl := test.newCluster(t, uint64(i))
+					cl.at(step, func() { fault.inject(cl) })
 					cl.run()
 					require.Empty(t, cl.violations, "at %d, %d servers", step, limited)
 				}
@@ -261,7 +265,7 @@
 	}
 }
 
-// askPermit asks a peer for a permit, and passes its answer on.
+// requestPermit requests a permit from a peer.
 func (cl *exchangeCluster) requestPermit(n *gatewayNode, e messenger.RequestPermit) {
 	cl.queryPeer(n, peerQuery{
 		address: e.Address,
@@ -281,7 +285,8 @@
 	})
 }
 
-// arrived returns how many requests reached servers in each second of settled limits.
+// arrivalRate returns the requests per second that reached servers while the limits were
+// settled.
 func (cl *exchangeCluster) arrivalRate() float64 {
 	sum := 0
 	for _, arrivals := range cl.limits.allArrivals {
@@ -290,7 +295,7 @@
 	return float64(sum) / (limitUntil - limitFrom - limitSettleTime).Seconds()
 }
 
-// Callers are refused while their servers have room left within the limits.
+// Guards against refusing requests while the limits allow more.
 func TestLimitsAreUsed(t *testing.T) {
 	for _, nodes := range []int{6, 69, 300} {
 		if nodes > maxNodes {
@@ -299,30 +304,30 @@
 		t.Run(fmt.Sprintf("%d nodes", nodes), func(t *testing.T) {
 			size := manyNodes(nodes)
 			size.servers = 4
-			day := limitCase{
+			test := limitCase{
 				size:    size,
 				limited: 4,
 				rate:    8,
 			}
-			cl := day.newCluster(t, 1)
+			cl := test.newCluster(t, 1)
 			cl.run()
 			require.Empty(t, cl.violations)
-			t.Logf("%.1f requests a second of %g", cl.arrivalRate(), float64(day.limited)*float64(day.rate))
-			require.Greater(t, cl.arrivalRate(), 0.7*float64(day.limited)*float64(day.rate))
+			t.Logf("%.1f requests a second of %g", cl.arrivalRate(), float64(test.limited)*float64(test.rate))
+			require.Greater(t, cl.arrivalRate(), 0.7*float64(test.limited)*float64(test.rate))
 		})
 	}
 }
 
-// A limit that is over still holds requests back, since few of them would learn of its end.
+// Guards against enforcing a limit that the server no longer states.
 func TestLiftedLimitFreesServer(t *testing.T) {
 	for _, rate := range []identifier.RequestRate{0, 1} {
 		t.Run(fmt.Sprintf("%g a second", rate), func(t *testing.T) {
-			day := limitCase{
+			test := limitCase{
 				size:    fewNodes,
 				limited: 6,
 				rate:    rate,
 			}
-			cl := day.newCluster(t, 1)
+			cl := test.newCluster(t, 1)
 			refused := 0
 			cl.at(exchangeRunTime-1, func() { refused = cl.refused - refused })
 			cl.at(exchangeRunTime-2000, func() { refused = cl.refused })
--- a/internal/prover/main_test.go
+++ b/internal/prover/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain lets the heap grow: each world lives for a few milliseconds, and
-// collecting in between takes a third of the time.
+// TestMain makes garbage collection rarer, since the tests allocate many
+// short-lived clusters.
 func TestMain(m *testing.M) {
 	debug.SetGCPercent(800)
 	os.Exit(m.Run())
--- a/internal/prover/matrix_test.go
+++ b/internal/prover/matrix_test.go
@@ -23,13 +23,13 @@
 
 const (
 	workers = 6
-	// stepsOfKind bounds how many steps of one kind at one node get cells.
+	// maxStepsPerKind bounds the steps of one kind at one node that are tested.
 	maxStepsPerKind = 2
 )
 
-// play runs a scenario, with a fault at a step where one is armed.
-func runScenario(s scenario, plannedFaults []cell, seed uint64, guards conductor.Safeguards) *cluster {
-	cl := newCluster(seed, guards, s)
+// runScenario runs and verifies a scenario with the planned faults.
+func runScenario(s scenario, plannedFaults []cell, seed uint64, safeguards conductor.Safeguards) *cluster {
+	cl := newCluster(seed, safeguards, s)
 	cl.plannedFaults = plannedFaults
 	start := cl.now.Add(bootTime)
 	cl.run(start, never)
@@ -44,7 +44,7 @@
 	return cl
 }
 
-// settledDown reports whether all callers are done.
+// callersDone reports whether all callers are done.
 func (cl *cluster) callersDone() bool {
 	for _, c := range cl.callers {
 		if !c.done {
@@ -54,7 +54,8 @@
 	return true
 }
 
-// stepsOf lists the steps of a scenario, from a run without faults.
+// stepsOf returns the steps of a scenario and the cluster of the run without
+// faults in which they were recorded.
 func stepsOf(s scenario, seed uint64) ([]step, *cluster) {
 	cl := runScenario(s, nil, seed, conductor.AllSafeguards())
 	var out []step
@@ -84,8 +85,8 @@
 	return name
 }
 
-// runCells plays all cells of a scenario.
-func runCells(s scenario, steps []step, faults []fault, seed uint64, guards conductor.Safeguards) []outcome {
+// runCells runs a scenario once for each combination of a step and a fault.
+func runCells(s scenario, steps []step, faults []fault, seed uint64, safeguards conductor.Safeguards) []outcome {
 	var runs [][]cell
 	for _, st := range steps {
 		for _, f := range faults {
@@ -95,16 +96,16 @@
 			}})
 		}
 	}
-	return runAll(s, runs, seed, guards)
+	return runAll(s, runs, seed, safeguards)
 }
 
-// runAll plays a scenario once for each set of cells.
-func runAll(s scenario, runs [][]cell, seed uint64, guards conductor.Safeguards) []outcome {
+// runAll runs a scenario once for each element of runs, injecting all its cells.
+func runAll(s scenario, runs [][]cell, seed uint64, safeguards conductor.Safeguards) []outcome {
 	out := make([]outcome, len(runs))
 	var wg sync.WaitGroup
-	for k := range workers {
+	for worker := range workers {
 		wg.Go(func() {
-			for i := k; i < len(runs); i += workers {
+			for i := worker; i < len(runs); i += workers {
 				if i%cellStride != 0 && len(runs) > len(faults) {
 					out[i] = outcome{
 						cells:    runs[i],
@@ -113,7 +114,7 @@
 					}
 					continue
 				}
-				out[i] = runCell(s, runs[i], seed, guards)
+				out[i] = runCell(s, runs[i], seed, safeguards)
 			}
 		})
 	}
@@ -121,8 +122,8 @@
 	return out
 }
 
-func runCell(s scenario, cells []cell, seed uint64, guards conductor.Safeguards) outcome {
-	cl := runScenario(s, cells, seed, guards)
+func runCell(s scenario, cells []cell, seed uint64, safeguards conductor.Safeguards) outcome {
+	cl := runScenario(s, cells, seed, safeguards)
 	return outcome{
 		cells:          cells,
 		scenario:       s,
@@ -133,7 +134,7 @@
 	}
 }
 
-// TestMatrix plays every fault at every step of every scenario.
+// TestMatrix injects every fault at every step of every scenario.
 func TestMatrix(t *testing.T) {
 	var worst timekeeper.Duration
 	var tables strings.Builder
@@ -176,8 +177,8 @@
 	}
 }
 
-// table draws steps against faults: a dot holds, an X does not, a blank was
-// not played.
+// table formats the outcomes by step and fault: a dot is a success, an X a
+// violation, and a blank was not run.
 func table(s scenario, steps []step, outcomes []outcome) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "### %s\n\n```\n%-28s", s.name, "")
@@ -200,7 +201,7 @@
 	return b.String() + "\n```\n"
 }
 
-// legend numbers the faults as the tables do.
+// legend lists the faults with the column numbers of the tables.
 func legend() string {
 	var b strings.Builder
 	for i, f := range faults {
--- a/internal/prover/node_test.go
+++ b/internal/prover/node_test.go
@@ -10,7 +10,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// node is a reducer with a small fake of its runner.
+// node is a reducer with a fake runner.
 type node struct {
 	cluster     *cluster
 	vm          identifier.VMID
@@ -24,11 +24,11 @@
 	frozenUntil timekeeper.Time
 	revision    identifier.Revision
 	tails       map[identifier.LogStream]identifier.Offset
-	// unconfirmed are the handovers that wait for ConfirmHandover.
+	// unconfirmed holds the answers to handovers that wait for ConfirmHandover.
 	unconfirmed map[identifier.RequestID][]func()
 }
 
-// answer is an answer in flight, or the copy of one.
+// answer is an answer in progress, or a copy of one.
 type answer struct {
 	spec     messenger.RequestSpec
 	epoch    identifier.Epoch
@@ -38,7 +38,7 @@
 	conn     *conn
 	attempt  messenger.SendAttempt
 	holder   identifier.VMID
-	// successor is the node that was last asked to take the request over.
+	// successor is the target of the last handover.
 	successor identifier.VMID
 	blocked   bool
 	paused    bool
@@ -73,7 +73,7 @@
 		Seed:          seed + uint64(len(cl.nodes)),
 		LogRetention:  timekeeper.Hour,
 		LoadTime:      2 * timekeeper.Second,
-		Safeguards:    cl.guards,
+		Safeguards:    cl.safeguards,
 	})
 	cl.nodes = append(cl.nodes, n)
 	n.ticks(timekeeper.Duration(len(cl.nodes)))
@@ -83,8 +83,8 @@
 	return n
 }
 
-// later does something at this node after a while: when it is frozen, after
-// it thaws; when it is dead, never.
+// later schedules do at this node after d, or when the node resumes if it is frozen
+// then. A dead node never executes it.
 func (n *node) later(d timekeeper.Duration, do func()) {
 	n.cluster.after(d, func() { n.whenResumed(do) })
 }
@@ -106,8 +106,8 @@
 	})
 }
 
-// tail follows one stream of the log by long polls: a read returns when the
-// stream grows, which the log sees to, or when its wait is over.
+// tail follows a stream of the log by long polls. This covers reads that time out; the
+// log triggers those that return new records.
 func (n *node) tail(stream identifier.LogStream) {
 	n.later(logPollTimeout, func() {
 		n.readLog(stream)
@@ -121,8 +121,8 @@
 		return
 	}
 	read := n.cluster.log.read(stream, n.tails[stream]+1)
-	if k := len(read.Records); k > 0 {
-		n.tails[stream] = read.Records[k-1].Offset
+	if count := len(read.Records); count > 0 {
+		n.tails[stream] = read.Records[count-1].Offset
 	}
 	n.apply(read)
 }
@@ -145,7 +145,7 @@
 	n.cluster.recordf("FROZEN %s until %d", n.vm, n.frozenUntil-1_000_000)
 }
 
-// apply gives the reducer an event and carries out its effects.
+// apply applies an event to the reducer and executes the effects.
 func (n *node) apply(body messenger.EventBody) {
 	if n.dead {
 		return
@@ -163,19 +163,19 @@
 	}
 }
 
-// watchRevision checks that the configuration in force never goes back.
+// watchRevision verifies that the configuration never reverts to an older revision.
 func (n *node) watchRevision() {
 	c := n.r.Catalog()
 	if c == nil {
 		return
 	}
 	if c.Revision < n.revision {
-		n.cluster.observed.violate("configuration of %s reverted from %d to %d", n.vm, n.revision, c.Revision)
+		n.cluster.observed.violatef("configuration of %s reverted from %d to %d", n.vm, n.revision, c.Revision)
 	}
 	n.revision = c.Revision
 }
 
-// perform carries out an effect.
+// execute simulates the runner's execution of an effect.
 func (n *node) execute(e messenger.Effect, mode deliveryMode) {
 	switch e := e.(type) {
 	case messenger.Refuse:
@@ -217,8 +217,8 @@
 			n.takeOwnership(c)
 		}
 	case messenger.ConfirmHandover:
-		for _, tell := range n.unconfirmed[e.Request] {
-			tell()
+		for _, answer := range n.unconfirmed[e.Request] {
+			answer()
 		}
 		delete(n.unconfirmed, e.Request)
 	case messenger.Forget:
@@ -256,18 +256,19 @@
 	}
 }
 
-// exit ends the process of a planned stop, after its callers were told.
+// exit verifies that a planned stop left no request in flight, and ends the process
+// after a delay for the callers' last polls.
 func (n *node) exit() {
 	n.exited = true
 	for id, a := range n.answers {
 		if a.end == nil && a.movedTo == "" && a.verdict != nil && a.verdict.Reason == "" {
-			n.cluster.observed.violate("%s stopped as planned with %s in flight", n.vm, id)
+			n.cluster.observed.violatef("%s stopped as planned with %s in flight", n.vm, id)
 		}
 	}
 	n.later(timekeeper.Second, func() { n.kill("stopped as planned") })
 }
 
-// own makes a copy, or a request handed over, this node's own answer.
+// takeOwnership makes the node the owner of a copy or of a handed-over request.
 func (n *node) takeOwnership(a *answer) *answer {
 	a.verdict = &messenger.Refusal{}
 	a.holder = ""
@@ -277,7 +278,7 @@
 	return a
 }
 
-// copyOf returns what a peer gets of an answer.
+// copyOf returns the copy of an answer to send to a peer.
 func (a *answer) copyOf() *answer {
 	return &answer{
 		spec:    a.spec,
@@ -288,7 +289,7 @@
 	}
 }
 
-// submit takes a request from a caller, as the runner's Submit does.
+// submit accepts a request from a caller, like Submit of the runner.
 func (n *node) submit(spec messenger.RequestSpec) {
 	if a := n.answers[spec.Request]; a != nil && !mayRestart(a) {
 		return
@@ -338,7 +339,8 @@
 	}
 }
 
-// gossipDelays tells when a message arrives: never, once or twice.
+// gossipDelays returns the delay of each delivery of a message; there may be none, one
+// or two.
 func (cl *cluster) gossipDelays() []timekeeper.Duration {
 	late := 2 * timekeeper.Second
 	if cl.now < cl.gossipFaultyUntil {
@@ -395,8 +397,8 @@
 
 func (n *node) poll(e messenger.PollServer) {
 	s := n.cluster.server(e.Server)
-	deaf := s == nil || s.dead || s.frozen() || !n.cluster.linkUp(string(n.vm), string(s.vm)) || !n.cluster.linkUp(string(s.vm), string(n.vm))
-	if deaf {
+	unreachable := s == nil || s.dead || s.frozen() || !n.cluster.linkUp(string(n.vm), string(s.vm)) || !n.cluster.linkUp(string(s.vm), string(n.vm))
+	if unreachable {
 		n.later(300*timekeeper.Millisecond, func() { n.apply(messenger.LoadMissed{Server: e.Server}) })
 		return
 	}
--- a/internal/prover/pair_test.go
+++ b/internal/prover/pair_test.go
@@ -12,7 +12,7 @@
 	"github.com/dotterelhollow/dotterelhollow/internal/conductor"
 )
 
-// namedPairs are the faults that the brief and the issue name together.
+// namedPairs are the combinations of faults that are tested at every step.
 var namedPairs = []string{
 	"link cut + zone wave, log out",
 	"notice to node + killed after",
@@ -28,7 +28,7 @@
 	"repeated + gossip lost, late, repeated",
 }
 
-// pairScenarios are the scenarios that faults meet in pairs.
+// pairScenarios are the scenarios that are tested with pairs of faults.
 var pairScenarios = []string{
 	"long",
 	"booking, one key at two nodes",
@@ -41,7 +41,7 @@
 	"two operators change one file",
 }
 
-// TestMatrixNamedPairs lets the named pairs strike together at every step.
+// TestMatrixNamedPairs injects each named pair at every step.
 func TestMatrixNamedPairs(t *testing.T) {
 	var both []fault
 	for _, name := range namedPairs {
@@ -56,13 +56,13 @@
 	}
 }
 
-// sampledPairs is the number of drawn pairs of each scenario.
+// sampledPairs is the number of random pairs per scenario.
 const sampledPairs = 120
 
-// TestMatrixDrawnPairs lets two faults strike at two steps, drawn by the seed;
-// every fourth draw is one fault twice. Two nodes that die unannounced within
-// moments may take the home and the only copy of a long request with them, so
-// that at most one fault of a pair is deadly.
+// TestMatrixDrawnPairs injects two random faults at two random steps. In every
+// fourth run both are the same fault. At most one of them kills a node, since the
+// loss of two nodes at about the same time may include both the owner and the only
+// copy of a long request.
 func TestMatrixDrawnPairs(t *testing.T) {
 	for _, name := range pairScenarios {
 		t.Run(name, func(t *testing.T) {
@@ -80,9 +80,9 @@
 	}
 }
 
-// survivable reports whether not both faults are as good as the unannounced
-// death of a node. Where the scenario reclaims VMs, a frozen node is one: it
-// is taken away before it thaws.
+// survivable reports whether at most one fault of the pair kills a node without
+// notice. If the scenario reclaims VMs, freezing counts as killing, because the VM
+// is reclaimed before the node resumes.
 func survivable(s scenario, pair []cell) bool {
 	reclaims := strings.Contains(s.name, "reclaimed")
 	for _, c := range pair {
@@ -123,8 +123,8 @@
 	t.Logf("seed %d: %d runs, %d faults struck", *seedFlag, len(outcomes), injected)
 }
 
-// TestSameStory plays cells twice and requires the same story: a verdict that
-// hangs on the order of a map or on the machine could not be looked into.
+// TestSameStory runs cells twice and requires identical run logs, since a result
+// that depends on map order or on the machine could not be reproduced.
 func TestSameStory(t *testing.T) {
 	for _, name := range pairScenarios {
 		s := scenarioNamed(name)
@@ -144,7 +144,8 @@
 	}
 }
 
-// TestMatrixSeeds plays every eighth cell of the reclaims with further seeds.
+// TestMatrixSeeds runs every eighth cell of the first seven scenarios of
+// pairScenarios with other seeds.
 func TestMatrixSeeds(t *testing.T) {
 	for seed := *seedFlag + 1; seed <= *seedFlag+3; seed++ {
 		for _, name := range pairScenarios[:7] {
--- a/internal/prover/platform_test.go
+++ b/internal/prover/platform_test.go
@@ -13,14 +13,13 @@
 )
 
 const (
-	// readTime is how long a record takes to a node that waits for it, and
-	// pollWait how long a read waits for a record.
+	// logReadDelay is the time for delivering a record to a waiting read, and
+	// logPollTimeout the time for which a read waits for a record.
 	logReadDelay   = 15 * timekeeper.Millisecond
 	logPollTimeout = 250 * timekeeper.Millisecond
 )
 
-// fakeLog is the platform's log: records in one order, and the faults that
-// the brief names.
+// fakeLog simulates the platform's log and its faults. All records have a total order.
 type fakeLog struct {
 	cluster   *cluster
 	next      identifier.Offset
@@ -28,11 +27,11 @@
 	streams   map[identifier.LogStream][]messenger.Record
 	downUntil timekeeper.Time
 	slowUntil timekeeper.Time
-	// lieNext counts appends that take effect and are answered "failed";
-	// muteNext counts those whose answer never comes.
+	// lieNext is the number of subsequent appends that succeed but are reported as
+	// failed; muteNext is the number of those that are not answered.
 	lieNext  int
 	muteNext int
-	// retention is how long the log keeps a record; zero is for ever.
+	// retention is the time for which the log keeps a record; zero means without limit.
 	retention timekeeper.Duration
 }
 
@@ -54,7 +53,7 @@
 	return 4 * timekeeper.Millisecond
 }
 
-// append appends for a node and answers it.
+// append appends a record for a node and reports the result to the node.
 func (l *fakeLog) append(n *node, stream identifier.LogStream, data []byte, done func(ok bool)) {
 	if l.down() {
 		n.later(networkDelay, func() { done(false) })
@@ -90,7 +89,7 @@
 	}
 }
 
-// read returns a stream's records from an offset on.
+// read returns the retained records of a stream, starting at an offset.
 func (l *fakeLog) read(stream identifier.LogStream, from identifier.Offset) messenger.LogRead {
 	l.expire()
 	read := messenger.LogRead{
@@ -106,7 +105,7 @@
 	return read
 }
 
-// expire drops the records that the log has kept for its retention.
+// expire removes the records older than the retention time.
 func (l *fakeLog) expire() {
 	if l.retention == 0 {
 		return
@@ -120,14 +119,15 @@
 	}
 }
 
-// fakeList is the platform's lagging list of VMs and its cloud API.
+// fakeList simulates the platform's delayed list of VMs and its cloud API.
 type fakeList struct {
 	cluster *cluster
-	// stale keeps a leaving VM live, and one live VM missing, on the list.
+	// Until staleUntil the list shows leaving VMs as running and omits hiddenVM.
 	staleUntil       timekeeper.Time
 	hiddenVM         identifier.VMID
 	refusesPurchases bool
-	// tokensIgnored sells one VM for each call; sold counts them.
+	// ignoresClientTokens makes every call buy a VM. sold is the number of VMs bought by
+	// client token.
 	ignoresClientTokens bool
 	sold                map[string]int
 	leaving             map[identifier.VMID]timekeeper.Time
@@ -147,7 +147,7 @@
 
 const listLag = 1 * timekeeper.Second
 
-// refresh shows the list, as it was a while ago, to all nodes.
+// refresh delivers the current list to all nodes after listLag.
 func (l *fakeList) refresh() {
 	var vms []messenger.VMState
 	for _, n := range l.cluster.nodes {
@@ -187,8 +187,8 @@
 	}
 }
 
-// notice takes a VM away at the deadline, and says so to every node that
-// listens now.
+// notice sends a reclaim notice for a VM to all nodes, and reclaims the VM at the
+// deadline.
 func (l *fakeList) notice(vm identifier.VMID, deadline timekeeper.Time) {
 	if _, known := l.leaving[vm]; known {
 		return
@@ -203,7 +203,7 @@
 	l.cluster.queue.add(deadline, func() { l.cluster.takeAway(vm) })
 }
 
-// stopPlanned takes a VM away without a notice: only the list says so.
+// stopPlanned reclaims a VM in 15 s without a notice, so that only the list reports it.
 func (l *fakeList) stopPlanned(vm identifier.VMID) {
 	if _, known := l.leaving[vm]; known {
 		return
@@ -215,7 +215,7 @@
 	l.cluster.queue.add(deadline, func() { l.cluster.takeAway(vm) })
 }
 
-// takeAway ends a VM without further ado.
+// takeAway kills the node or server on a VM.
 func (cl *cluster) takeAway(vm identifier.VMID) {
 	if n := cl.node(vm); n != nil {
 		n.kill("reclaimed")
@@ -225,7 +225,7 @@
 	}
 }
 
-// buy sells a VM for a client token, once.
+// buy returns a new VM, or the one already bought with the same client token.
 func (l *fakeList) buy(e messenger.BuyVM) (identifier.VMID, bool) {
 	if vm, known := l.bought[e.ClientToken]; known && !l.ignoresClientTokens {
 		return vm, true
@@ -245,7 +245,7 @@
 	l.cluster.takeAway(vm)
 }
 
-// settings is the operators' folder of the world, as one file.
+// settings is the default operators' folder, as one file.
 const settings = `
 [log]
 retention = 1h
@@ -333,9 +333,8 @@
 token_burst = 100000
 `
 
-// bootConfig puts the settings into the log before the nodes start, as an
-// operator's accepted change. Settings with faults would be rejected by all
-// nodes, and the scenario play without a configuration.
+// bootConfig appends the settings to the log as an accepted change. It panics if they
+// have faults, because all nodes would reject them and run without a configuration.
 func (cl *cluster) bootConfig() {
 	files := map[identifier.FileName][]byte{"10-world.ini": []byte(cl.settings)}
 	if _, faults := configurer.Check(files); len(faults) > 0 {
--- a/internal/prover/query_test.go
+++ b/internal/prover/query_test.go
@@ -14,53 +14,53 @@
 )
 
 const (
-	// endsAllowed is how many servers may end under one request. knownAfter is the
-	// users' bound for all nodes to know of the last of these, and strays the sends
-	// that they bear after it.
+	// maxServersEnded is the number of servers that one query of death may end before
+	// it is quarantined. quarantineDelay is the time within which all nodes must then
+	// know of it, and maxLateSends the number of sends tolerated afterwards.
 	maxServersEnded = 3
 	quarantineDelay = 3 * timekeeper.Second
 	maxLateSends    = 3
-	// endsAfter is how long a query of death runs before its server ends.
+	// crashDelay is the time for which a query of death runs before its server ends.
 	crashDelay = 60 * timekeeper.Millisecond
-	// restartTime is when a server that ended is there again, under a new id, and
-	// lapseTime when the entry of its earlier start lapses.
+	// restartTime is the time after which a server restarts under a new id, and
+	// lapseTime the time after which its old entry expires.
 	restartTime = 1 * timekeeper.Second
 	lapseTime   = 3 * timekeeper.Second
 )
 
-// endings is what the world knows of servers that end, and of the requests under
-// which they do.
-type endings struct {
+// endings holds the servers that ended and the requests that caused it.
+type crashes struct {
 	contents map[identifier.RequestID]identifier.ContentHash
-	// deadly are the contents that end each server that runs them.
+	// deadly holds the contents that end every server that runs them.
 	deadly map[identifier.ContentHash]bool
-	// ended are the servers whose process is gone, and flights what runs where.
+	// ended holds the servers whose process has ended, and attempts the running attempts
+	// by server.
 	ended    map[identifier.VMID]bool
 	attempts map[identifier.VMID][]*serverAttempt
-	// under counts the servers that ended under a content, third is when the last
-	// of those allowed did, and late counts the sends after all have to know.
+	// endsByContent is the number of servers that a content ended, maxReachedAt the time
+	// at which that reached maxServersEnded, and lateSends the number of sends after
+	// quarantineDelay.
 	endsByContent map[identifier.ContentHash]int
 	maxReachedAt  map[identifier.ContentHash]timekeeper.Time
 	lateSends     map[identifier.ContentHash]int
-	// quarantined counts the refusals of a content for the servers that ended
-	// under it.
+	// quarantined is the number of refusals of a content because servers ended.
 	quarantined map[identifier.ContentHash]int
 	booted      int
-	// persistent callers ask again after a failure, so many times; asked counts the
-	// tries of a content.
+	// maxRepeats is the number of times that callers repeat a failed request, and
+	// repeatsByContent the number of repeats so far.
 	maxRepeats       int
 	repeatsByContent map[identifier.ContentHash]int
 }
 
-// running is an attempt at a server.
+// serverAttempt is an attempt that runs at a server.
 type serverAttempt struct {
 	n     *gatewayNode
 	e     messenger.SendExchange
 	ended bool
 }
 
-func newEndings() endings {
-	return endings{
+func newCrashes() crashes {
+	return crashes{
 		contents:         map[identifier.RequestID]identifier.ContentHash{},
 		deadly:           map[identifier.ContentHash]bool{},
 		ended:            map[identifier.VMID]bool{},
@@ -73,12 +73,13 @@
 	}
 }
 
-// contentOf is the content of a request that is asked once.
+// contentOf returns a content unique to the request.
 func contentOf(id identifier.RequestID) identifier.ContentHash {
 	return identifier.ContentHash(xxhash.Sum64String(string(id)))
 }
 
-// refusedByEnded answers an attempt at a server whose process is gone.
+// refuseAtEnded refuses an attempt if the server's process has ended, and reports whether
+// it did.
 func (cl *exchangeCluster) refuseAtEnded(n *gatewayNode, e messenger.SendExchange) bool {
 	if !cl.ended[e.Server] {
 		return false
@@ -94,8 +95,8 @@
 	return true
 }
 
-// begin notes an attempt that a server runs, and lets the server end under it where
-// its content is deadly.
+// begin records an attempt that a server runs, and schedules the end of the server if
+// the content is deadly.
 func (cl *exchangeCluster) begin(n *gatewayNode, e messenger.SendExchange) *serverAttempt {
 	f := &serverAttempt{
 		n: n,
@@ -109,7 +110,7 @@
 	if reachedAt := cl.maxReachedAt[content]; reachedAt != 0 && cl.now.Sub(reachedAt) > quarantineDelay && cl.undisturbed(n) {
 		cl.lateSends[content]++
 		if cl.lateSends[content] == maxLateSends+1 {
-			cl.violate("%s sends a request under which %d servers had ended, once too often since all know", n.vm, maxServersEnded)
+			cl.violatef("%s sends a request under which %d servers had ended, once too often since all know", n.vm, maxServersEnded)
 		}
 	}
 	cl.after(crashDelay, func() {
@@ -125,7 +126,7 @@
 	return f
 }
 
-// end ends a server's process: its connections break, and it starts again.
+// endServer ends a server's process, breaks its connections, and schedules its restart.
 func (cl *exchangeCluster) endServer(vm identifier.VMID) {
 	if cl.ended[vm] {
 		return
@@ -151,13 +152,13 @@
 	cl.after(lapseTime, func() { cl.writeEntry(vm, messenger.ServerRemoved) })
 }
 
-// inTouch reports whether nothing has harmed a node, its ways or the store for so
-// long that the users' bounds hold for it.
+// undisturbed reports whether no fault affected the node, its network or the store for
+// quarantineDelay, so that the bounds apply to it.
 func (cl *exchangeCluster) undisturbed(n *gatewayNode) bool {
 	return cl.now.Sub(max(n.startedAt, n.lastDisturbed)) >= quarantineDelay
 }
 
-// watchTrouble notes which nodes are harmed.
+// recordDisturbances periodically records which nodes are affected by faults.
 func (cl *exchangeCluster) recordDisturbances() {
 	for _, n := range cl.nodes {
 		if n.cutFromPeers || n.cutFromStore || cl.now.Before(n.frozenUntil) || cl.storeDown || cl.appendDelay > 0 {
@@ -174,32 +175,32 @@
 	}
 	cl.quarantined[content]++
 	if e.Refusal.Outcome != messenger.NotRun || e.Refusal.RetryAfter < timekeeper.Minute {
-		cl.violate("a query of death is told %v", e.Refusal)
+		cl.violatef("a query of death is told %v", e.Refusal)
 	}
 }
 
-// returns lets a caller send the same request again and again, each time under
-// another id and to any node.
-func (cl *exchangeCluster) sendRepeatedly(content identifier.ContentHash, kind catalog.Repetition, from, until, spacing timekeeper.Duration) {
+// sendRepeatedly makes a caller send the same content periodically, each time with a new
+// id and to a random node.
+func (cl *exchangeCluster) sendRepeatedly(content identifier.ContentHash, repetition catalog.Repetition, from, until, spacing timekeeper.Duration) {
 	for at := from; at < until; at += spacing {
-		cl.at(at, func() { cl.sendContent(content, kind) })
+		cl.at(at, func() { cl.sendContent(content, repetition) })
 	}
 }
 
-// askContent sends a request with some content under an id of its own.
-func (cl *exchangeCluster) sendContent(content identifier.ContentHash, kind catalog.Repetition) {
+// sendContent sends a request with the given content and a new id to a random node.
+func (cl *exchangeCluster) sendContent(content identifier.ContentHash, repetition catalog.Repetition) {
 	n := cl.anyReady()
 	if n == nil {
 		return
 	}
 	cl.lastExchange++
 	id := identifier.RequestID(fmt.Sprintf("q-%d-%d", content, cl.lastExchange))
-	cl.repetitions[id] = kind
+	cl.repetitions[id] = repetition
 	cl.requests[cl.lastExchange] = id
-	cl.receive(n, id, kind, content)
+	cl.receive(n, id, repetition, content)
 }
 
-// askAgain lets the caller of a request that failed send it again, where callers do.
+// repeatRequest makes the caller repeat a failed request, up to maxRepeats times.
 func (cl *exchangeCluster) repeatRequest(id identifier.RequestID) {
 	content := cl.contents[id]
 	if cl.deadly[content] || cl.repeatsByContent[content] >= cl.maxRepeats {
@@ -209,9 +210,9 @@
 	cl.after(100, func() { cl.sendContent(content, cl.repetitions[id]) })
 }
 
-// blameless counts the requests that were refused for servers that ended for others,
-// and those that were asked.
-func (cl *exchangeCluster) unrelatedRequests() (refused, asked int) {
+// unrelatedRequests returns the number of contents that are not deadly but were refused
+// as if they were, and the total number of contents that are not deadly.
+func (cl *exchangeCluster) unrelatedRequests() (refused, total int) {
 	contents := map[identifier.ContentHash]bool{}
 	for _, content := range cl.contents {
 		if !cl.deadly[content] {
@@ -226,8 +227,8 @@
 	return refused, len(contents)
 }
 
-// newQueryWorld is a world in which servers need some time for a request, so that
-// others run beside a query of death when its server ends.
+// newQueryCluster returns a cluster with a longer service time, so that other requests
+// run concurrently when a query of death ends a server.
 func newQueryCluster(t testing.TB, seed uint64) *exchangeCluster {
 	cl := newExchangeCluster(t, seed)
 	cl.serviceTime = 150
@@ -235,14 +236,8 @@
 	return cl
 }
 
-// A caller's request ends each server that begins to run it. The caller gets 502 and
-// sends it again, to any node and under another id, twice a second. Each node knew it
-// only as long as the one exchange lasted and gave it two servers each time: 36 servers
-// ended within eight seconds, and callers with other requests were refused or got half
-// an answer. Evidence: on 35 of the 36 ran a request of one route, account and size,
-// under twenty ids at six nodes, each with exactly two broken attempts. Every fault
-// strikes beside it, that of losing all nodes at once too: after the third server, and
-// the time that news may take, it gets no more than a few.
+// Queries of death that their callers repeat with new ids at random nodes must be
+// quarantined after maxServersEnded servers and quarantineDelay, also during each fault.
 func TestQueriesOfDeath(t *testing.T) {
 	steps := []timekeeper.Duration{3200, 5333, 9001}
 	for _, fault := range exchangeFaults {
@@ -255,7 +250,7 @@
 					cl.deadly[content] = true
 					cl.sendRepeatedly(content, kind, 4000+timekeeper.Duration(700*k), exchangeRunTime, 500)
 				}
-				cl.at(step, func() { fault.strike(cl) })
+				cl.at(step, func() { fault.inject(cl) })
 				cl.run()
 				require.Empty(t, cl.violations, "at %d", step)
 				for k := range kinds {
@@ -268,24 +263,25 @@
 	}
 }
 
-// crashDay is a day on which servers end under queries of death, or by themselves.
+// crashCase is a kind of run in which queries of death end servers, or servers crash on
+// their own.
 type crashCase struct {
 	name string
-	// queries is how many queries of death come, twice a second each.
+	// queries is the number of queries of death, each of which is sent twice per second.
 	queries int
-	// each is the spacing of ends of servers by themselves; zero for none.
+	// endInterval is the time between independent server crashes; zero means none.
 	endInterval timekeeper.Duration
 }
 
-// crashDays is how many days of a kind are played; the race detector, which finds
-// nothing in one that it has not in the next, plays a part of them.
+// crashRuns is the number of runs of a crashCase, which is smaller under the race
+// detector.
 const crashRuns = 100 / cellStride
 
-// play plays such days and returns how many blameless requests were refused of those
-// that were asked, and how many servers ended under each query. Callers send again
-// what failed, up to five times.
-func (d crashCase) run(t testing.TB) (refused, asked int, endedPerQuery float64) {
-	ends := 0
+// run runs the case crashRuns times. It returns the numbers of refused and of all
+// unrelated requests, and the average number of servers ended per query of death.
+// Callers repeat failed requests up to five times.
+func (d crashCase) run(t testing.TB) (refused, total int, endedPerQuery float64) {
+	serversEnded := 0
 	for seed := range uint64(crashRuns) {
 		cl := newQueryCluster(t, seed)
 		cl.maxRepeats = 5
@@ -297,21 +293,20 @@
 			cl.at(at, cl.endAnyServer)
 		}
 		cl.run()
-		r, a := cl.unrelatedRequests()
-		refused += r
-		asked += a
+		refusedInRun, askedInRun := cl.unrelatedRequests()
+		refused += refusedInRun
+		total += askedInRun
 		for k := range d.queries {
-			ends += cl.endsByContent[identifier.ContentHash(k+1)]
+			serversEnded += cl.endsByContent[identifier.ContentHash(k+1)]
 		}
 	}
-	return refused, asked, float64(ends) / float64(max(crashRuns*d.queries, 1))
+	return refused, total, float64(serversEnded) / float64(max(crashRuns*d.queries, 1))
 }
 
-// Callers whose requests run beside a query of death, or on servers that end by
-// themselves, send them again and meet the next server that ends. Were each request
-// refused that met three of them theirs would be, for minutes.
-func TestBlamelessRequestsAreServed(t *testing.T) {
-	for _, day := range []crashCase{
+// Guards against quarantining requests that merely ran concurrently with a query of
+// death, or on servers that crashed on their own.
+func TestUnrelatedRequestsAreServed(t *testing.T) {
+	for _, test := range []crashCase{
 		{
 			name:    "beside a query of death",
 			queries: 1,
@@ -330,21 +325,18 @@
 			endInterval: 1000,
 		},
 	} {
-		t.Run(day.name, func(t *testing.T) {
-			refused, asked, _ := day.run(t)
-			require.Zero(t, refused, "of %d", asked)
+		t.Run(test.name, func(t *testing.T) {
+			refused, total, _ := test.run(t)
+			require.Zero(t, refused, "of %d", total)
 		})
 	}
 }
 
-// BenchmarkThreeQueriesAtOnce tells how many of 10,000 blameless requests are refused
-// beside three queries of death that take all six servers within 0.4 s, and how many
-// servers end under each of these. Where a request is refused that met three servers
-// which ended, whatever else ran there, they are 9.7 and 3; 1.4 and 3.7 with the rule of
-// what explains an end. With one more server in a second that ends by itself they are
-// 18 and 3, and 3.7 and 3.8.
+// BenchmarkThreeQueriesAtOnce measures how many of 10,000 unrelated requests are refused
+// while three queries of death end all six servers within 0.4 s, and how many servers
+// each query ends.
 func BenchmarkThreeQueriesAtOnce(b *testing.B) {
-	for _, day := range []crashCase{
+	for _, bench := range []crashCase{
 		{
 			name:    "alone",
 			queries: 3,
@@ -355,17 +347,17 @@
 			endInterval: 1000,
 		},
 	} {
-		b.Run(day.name, func(b *testing.B) {
+		b.Run(bench.name, func(b *testing.B) {
 			for b.Loop() {
-				refused, asked, taken := day.run(b)
-				b.ReportMetric(1e4*float64(refused)/float64(asked), "refused/10000")
+				refused, total, taken := bench.run(b)
+				b.ReportMetric(1e4*float64(refused)/float64(total), "refused/10000")
 				b.ReportMetric(taken, "servers/query")
 			}
 		})
 	}
 }
 
-// endAny lets a server end that has not ended yet.
+// endAnyServer ends a random server that has not ended yet.
 func (cl *exchangeCluster) endAnyServer() {
 	var live []identifier.VMID
 	for _, e := range cl.entries {
--- a/internal/prover/queue_test.go
+++ b/internal/prover/queue_test.go
@@ -6,7 +6,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// queue holds what will happen, in order of time and then of entry.
+// queue holds scheduled actions, ordered by time and then by insertion.
 type queue struct {
 	items itemHeap
 	seq   uint64
--- a/internal/prover/race_test.go
+++ b/internal/prover/race_test.go
@@ -2,12 +2,12 @@
 
 package prover
 
-// cellStride plays every seventh cell of each table under the race detector,
-// which makes a cell five times as slow. It shares no factor with the number
-// of workers, or one of them would play all of these cells. A world runs in one goroutine, so the
-// detector has nothing to find in a cell that it has not in the next; all
-// cells are played without it, by make matrix.
+// cellStride runs every seventh cell of each table under the race detector, which
+// makes cells several times slower. It is coprime to the number of workers, so
+// that the cells are spread over all of them. Each cluster runs in one goroutine,
+// so the detector would find nothing more in the other cells; make matrix runs
+// them all without it.
 const cellStride = 7
 
-// maxNodes is the largest world that the race detector plays.
+// maxNodes is the size of the largest simulated cluster under the race detector.
 const maxNodes = 69
--- a/internal/prover/restored_test.go
+++ b/internal/prover/restored_test.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// copyAge is how old the copy is from which the store comes back, and writtenAgain
-	// when servers have written their entries there again.
+	// backupAge is the age of the copy from which the store is restored, and
+	// rewriteDelay the time after which servers have rewritten their entries.
 	backupAge    = 3 * timekeeper.Second
 	rewriteDelay = 1200 * timekeeper.Millisecond
 )
 
-// restore lets the store come back from a copy some seconds old: what was written since
-// is gone, and its places are given out again. Servers write their entries again.
+// restore restores the store from a copy of age backupAge. Later writes are lost, and
+// their positions are reused. Servers then rewrite their entries.
 func (cl *exchangeCluster) restore() {
 	cl.generation++
 	since := cl.now.Add(-backupAge)
@@ -51,7 +51,7 @@
 	})
 }
 
-// enterAgain writes an entry that says nothing new.
+// rewriteEntry writes the last entry of a server again.
 func (cl *exchangeCluster) rewriteEntry(s messenger.PublishedServer) {
 	if cl.storeDown {
 		cl.pendingEntries = append(cl.pendingEntries, func() { cl.rewriteEntry(s) })
@@ -61,7 +61,7 @@
 	cl.entryTimes = append(cl.entryTimes, cl.now)
 }
 
-// noteEra tells a node that reaches the store that it came back.
+// applyGeneration reports a restored store to a node that reads from it.
 func (cl *exchangeCluster) applyGeneration(n *gatewayNode) {
 	if n.generation == cl.generation || cl.generationIgnored {
 		return
@@ -72,33 +72,32 @@
 	cl.apply(n, messenger.StoreRestored{Generation: cl.generation})
 }
 
-// The store comes back from a copy at any step, beside each other fault and while a version
-// is rolled out. What held must hold on: no fence serves two processes, no window is
-// reported twice with different counts, a server that left gets nothing, a configuration
-// never goes back, and operators read one final state of a roll-out.
-func TestMatrixOfCopies(t *testing.T) {
+// The store is restored from a copy at any step of a rollout, shortly before or after
+// each other fault. The guarantees of TestMatrixOfExchanges must hold, and operators must
+// read a single final state of the rollout.
+func TestMatrixOfRestores(t *testing.T) {
 	for _, fault := range exchangeFaults {
 		t.Run(fault.name, func(t *testing.T) {
 			for i, step := range []timekeeper.Duration{2300, 4100, 6300, 9001, 12500} {
 				if i%cellStride != 0 {
 					continue
 				}
-				for _, beside := range []timekeeper.Duration{-600, 150, 1700} {
+				for _, offset := range []timekeeper.Duration{-600, 150, 1700} {
 					cl := newExchangeCluster(t, uint64(i))
 					cl.at(rolloutOrdered, func() { cl.orderRollout(i%2 == 0) })
 					cl.at(step, cl.restore)
-					cl.at(step+beside, func() { fault.strike(cl) })
+					cl.at(step+offset, func() { fault.inject(cl) })
 					cl.run()
 					cl.checkRollout(false)
-					require.Empty(t, cl.violations, "at %d, %d", step, beside)
+					require.Empty(t, cl.violations, "at %d, %d", step, offset)
 				}
 			}
 		})
 	}
 }
 
-// Two drills within a lease.
-func TestTwoCopiesWithinALease(t *testing.T) {
+// Two restores happen within the duration of a lease.
+func TestTwoRestoresWithinALease(t *testing.T) {
 	for seed := range uint64(4) {
 		cl := newExchangeCluster(t, seed)
 		cl.at(5000, cl.restore)
@@ -109,18 +108,18 @@
 	}
 }
 
-// Were the era ignored, the checks would show it: a lease is granted at a place of the log
-// that was given out before.
-func TestControlsOfCopies(t *testing.T) {
+// If nodes ignored the store generation, a lease would be granted at a reused log position.
+// The checker must detect this.
+func TestControlsOfRestores(t *testing.T) {
 	allFaults := ""
 	for step := timekeeper.Duration(2000); step < 6000; step += 200 {
 		cl := newExchangeCluster(t, 1)
 		cl.generationIgnored = true
 		cl.at(step, func() {
-			holder := cl.leader()
+			leader := cl.leader()
 			cl.restore()
 			cl.generation = 0
-			cl.kill(holder, faultTime)
+			cl.kill(leader, faultTime)
 		})
 		cl.run()
 		allFaults += fmt.Sprint(cl.violations)
--- a/internal/prover/retry_test.go
+++ b/internal/prover/retry_test.go
@@ -12,23 +12,24 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// The users' bound on what arrives at servers beyond the first time of each request:
-// in any span a share of the requests of that span, of the one before or of the one
-// half a span earlier, whichever has most, and a number for each service.
+// The required bound on repeated attempts. In any repeatSpan at most repeatSlack plus
+// repeatShare times the number of requests may arrive at servers again. The number of
+// requests is the maximum over that span, the preceding span, and the span that starts
+// half a span earlier.
 const (
 	repeatSpan  = 10 * timekeeper.Second
 	repeatShare = 0.2
-	// repeatSlack is that for the nodes of an exchangeWorld: 40 and two a node.
+	// repeatSlack is 40 plus two per node.
 	repeatSlack = 40 + 2*exchangeNodeCount
 )
 
-// repeats are the instants of requests, and of arrivals beyond the first of each.
+// repeats holds the times of requests and of the repeated attempts for them.
 type repeats struct {
 	requests []timekeeper.Time
 	repeated []timekeeper.Time
 }
 
-// excess returns by how much the repeats of some span exceed the bound at the most.
+// excess returns the maximum over all spans of the number of repeats minus the bound.
 func (r repeats) excess() float64 {
 	worst := -1e9
 	for _, from := range r.repeated {
@@ -52,30 +53,29 @@
 	return n
 }
 
-// Servers fail every request for the rest of a day. Callers of all nodes together have
-// more sent again than the users bear, since each node's part of what may be spent at
-// once and of what comes back within ten seconds adds up to twice as much; a loss of
-// all nodes begins all parts anew.
+// The retry budgets of all nodes together must respect the bound while every attempt
+// fails. Guards against burst and refill adding up to twice the bound, and against a
+// restart of all nodes renewing their budgets.
 func TestRetriesOfAllNodesStayWithinTheBound(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		every  timekeeper.Duration
-		strike func(*exchangeCluster)
+		inject func(*exchangeCluster)
 	}{
 		{
 			name:   "few requests",
 			every:  250,
-			strike: func(*exchangeCluster) {},
+			inject: func(*exchangeCluster) {},
 		},
 		{
 			name:   "many requests",
 			every:  10,
-			strike: func(*exchangeCluster) {},
+			inject: func(*exchangeCluster) {},
 		},
 		{
 			name:  "all nodes are killed twice",
 			every: 60,
-			strike: func(cl *exchangeCluster) {
+			inject: func(cl *exchangeCluster) {
 				for _, at := range []timekeeper.Duration{11_000, 14_000} {
 					cl.at(at, func() {
 						for _, n := range cl.nodes {
@@ -91,7 +91,7 @@
 			for at := timekeeper.Duration(3030); at < exchangeRunTime; at += test.every {
 				cl.at(at, cl.sendRequest)
 			}
-			test.strike(cl)
+			test.inject(cl)
 			cl.at(8000, func() {
 				cl.serverFault = messenger.AttemptBroken
 				cl.alwaysFails = true
@@ -103,10 +103,9 @@
 	}
 }
 
-// Nodes have just started and have had no request yet. The first ones break off at their
-// servers, and go on at others: were retries earned by requests alone, a node's first
-// six would not, and their callers would have half an answer.
-func TestFirstRequestsAreSentAgain(t *testing.T) {
+// Nodes that have just started must be able to retry their first requests. Guards
+// against retry budgets that are earned only by earlier requests.
+func TestFirstRequestsAreRetried(t *testing.T) {
 	cl := newExchangeCluster(t, 1)
 	cl.at(2999, func() {
 		cl.serverFault = messenger.AttemptBroken
--- a/internal/prover/rollout_test.go
+++ b/internal/prover/rollout_test.go
@@ -14,44 +14,45 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// The users' bounds on a version that is not trusted yet, for the nodes of an
-// exchangeWorld.
+// Parameters of a rollout. The exposure constants bound the requests that reach a
+// version under evaluation.
 const (
 	exposureShare = 0.1
 	exposureSlack = 50
 	rolloutLimit  = 14 * timekeeper.Second
-	// rolloutOrdered is when a version is ordered, a while after the nodes' start.
+	// rolloutOrdered is the time at which the rollout is ordered, after all nodes are
+	// ready.
 	rolloutOrdered = 4 * timekeeper.Second
 )
 
-// rollouts is what the platform, servers and operators saw of a roll-out.
+// rollouts holds what the platform, servers and operators observed of a rollout.
 type rollouts struct {
 	orders []messenger.RolloutOrder
-	// kept is what the store has, and claimed the largest fence that it saw.
+	// stored is the state in the store, and maxFence the largest fence that claimed it.
 	stored   map[identifier.ServiceName]messenger.Rollout
 	maxFence identifier.Fence
 	final    messenger.RolloutPhase
-	// ended is when the final state was written, and lost tells that it is not in the
-	// copy from which the store came back.
+	// finalAt is the time at which the final state was written. finalLost is set if the
+	// store was restored from a copy without it.
 	finalAt   timekeeper.Time
 	finalLost bool
-	// history is what the store had at earlier instants.
+	// history holds the earlier states of the store.
 	history []storedState
-	// fails tells that the new version fails every third request.
+	// newVersionFails makes the new version fail every third request.
 	newVersionFails bool
 	arrivals        int
 	exposed         int
 	failures        int
 }
 
-// keptState is what the store had of roll-outs at an instant.
+// storedState is the state of the rollouts in the store since a time.
 type storedState struct {
 	at       timekeeper.Time
 	stored   map[identifier.ServiceName]messenger.Rollout
 	maxFence identifier.Fence
 }
 
-// orders are the operators' as the store has them now.
+// orders returns the operators' orders with offsets of the current store generation.
 func (cl *exchangeCluster) orders() []messenger.RolloutOrder {
 	out := slices.Clone(cl.rollouts.orders)
 	for i := range out {
@@ -60,7 +61,7 @@
 	return out
 }
 
-// order gives an order for a version, whose servers start beside the old ones.
+// orderRollout orders a new version and starts its servers in addition to the old ones.
 func (cl *exchangeCluster) orderRollout(fails bool) {
 	cl.rollouts.newVersionFails = fails
 	cl.rollouts.stored = map[identifier.ServiceName]messenger.Rollout{}
@@ -79,7 +80,8 @@
 
 func hasNewVersion(vm identifier.VMID) bool { return strings.HasPrefix(string(vm), "n-") }
 
-// claimRollouts and keepRollout are the store, which takes nothing from earlier holders.
+// claimRollouts simulates a claim at the store. As in storeRollout, the store rejects
+// fences of earlier leaders.
 func (cl *exchangeCluster) claimRollouts(n *gatewayNode, e messenger.ClaimRollouts) {
 	cl.after(8+cl.appendDelay, func() {
 		if cl.storeDown || n.cutFromStore || e.Fence < cl.rollouts.maxFence {
@@ -101,7 +103,7 @@
 		}
 		r := &cl.rollouts
 		if r.final != "" && r.final != e.Rollout.Phase && !cl.finalForgotten() {
-			cl.violate("roll-out is %s after %s", e.Rollout.Phase, r.final)
+			cl.violatef("roll-out is %s after %s", e.Rollout.Phase, r.final)
 		}
 		if e.Rollout.Phase.Final() && r.final == "" {
 			r.final = e.Rollout.Phase
@@ -125,9 +127,9 @@
 	})
 }
 
-// forgotten reports whether nobody can know any more how the roll-out ended: all nodes died
-// since, and the store came back from a copy without it. A node that starts then finds an
-// order and no state, as it does for one that was just given.
+// finalForgotten reports whether the final state of the rollout is lost, because all nodes
+// restarted since and the store was restored from a copy without it. New nodes can't
+// distinguish this from a rollout that was just ordered.
 func (cl *exchangeCluster) finalForgotten() bool {
 	for _, n := range cl.nodes {
 		if !n.startedAt.After(cl.rollouts.finalAt) {
@@ -137,8 +139,8 @@
 	return cl.rollouts.finalLost
 }
 
-// endRollout is the platform, which stops the old servers at once or lets the new ones
-// leave.
+// endRollout simulates the platform at the end of a rollout: after a rollback the new
+// servers leave, otherwise the old ones are removed immediately.
 func (cl *exchangeCluster) endRollout(phase messenger.RolloutPhase) {
 	if phase == messenger.RolloutRolledBack {
 		cl.after(2000, func() {
@@ -154,7 +156,7 @@
 	}
 }
 
-// arrives counts a request at a server, and reports whether that fails it.
+// recordArrival records a request at a server and reports whether the request fails.
 func (r *rollouts) recordArrival(vm identifier.VMID) (fails bool) {
 	if len(r.orders) == 0 {
 		return false
@@ -171,24 +173,24 @@
 	return fails
 }
 
-// check looks at the end of a roll-out.
+// checkRollout verifies the final state of a rollout. mustComplete requires that a good
+// version is completed.
 func (cl *exchangeCluster) checkRollout(mustComplete bool) {
 	r := &cl.rollouts
 	if r.newVersionFails && float64(r.exposed) > exposureShare*float64(r.arrivals)+exposureSlack {
-		cl.violate("%d of %d requests at the bad version", r.exposed, r.arrivals)
+		cl.violatef("%d of %d requests at the bad version", r.exposed, r.arrivals)
 	}
 	if r.newVersionFails && r.final == messenger.RolloutCompleted {
-		cl.violate("the bad version is completed")
+		cl.violatef("the bad version is completed")
 	}
 	if !r.newVersionFails && mustComplete && r.final != messenger.RolloutCompleted {
-		cl.violate("the good version is %q", r.final)
+		cl.violatef("the good version is %q", r.final)
 	}
 }
 
-// A version is rolled out, and a fault strikes at any step of it: while it is ordered,
-// tried, trusted and moved to. Beside what always holds, operators must read one final
-// state, and a bad version must get no more than its part of the requests and never be
-// completed. Without a fault a good one is completed.
+// Faults are injected in every phase of a rollout. Operators must read a single final
+// state, and a bad version must not exceed its exposure bound or be completed. Without
+// faults a good version must be completed.
 func TestMatrixOfRollouts(t *testing.T) {
 	for _, fault := range exchangeFaults {
 		t.Run(fault.name, func(t *testing.T) {
@@ -199,7 +201,7 @@
 				for _, fails := range []bool{true, false} {
 					cl := newExchangeCluster(t, uint64(i))
 					cl.at(rolloutOrdered, func() { cl.orderRollout(fails) })
-					cl.at(step, func() { fault.strike(cl) })
+					cl.at(step, func() { fault.inject(cl) })
 					cl.run()
 					cl.checkRollout(fault.name == "none")
 					require.Empty(t, cl.violations, "at %d, fails %t, final %q", step, fails, cl.rollouts.final)
@@ -209,7 +211,7 @@
 	}
 }
 
-// The checks of roll-outs object to what must not be.
+// The checker must detect violations of the rollout guarantees.
 func TestControlsOfRollouts(t *testing.T) {
 	cl := newExchangeCluster(t, 1)
 	cl.at(rolloutOrdered, func() { cl.orderRollout(true) })
--- a/internal/prover/scenario_test.go
+++ b/internal/prover/scenario_test.go
@@ -11,22 +11,23 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// scenario is a piece of life whose every step meets every fault.
+// scenario is a workload at whose steps faults are injected.
 type scenario struct {
 	name string
-	// start makes the callers and operators act, once the nodes have booted.
+	// start schedules the actions of callers and operators, after bootTime.
 	start func(cl *cluster)
-	// check adds what the general checker does not look at, after the end.
+	// check verifies conditions specific to the scenario at the end of a run. It
+	// may be nil.
 	check func(cl *cluster)
-	// keeps names the effects that are steps; without it all watched ones of
-	// requests are.
+	// isStep selects the steps at which faults are injected.
 	isStep func(s step) bool
-	// settings holds pairs of what to replace in the world's settings, and by
-	// what.
+	// settingsChanges holds pairs of old and new text, which are replaced in the
+	// default settings.
 	settingsChanges []string
-	// tokensIgnored makes a cloud API that doesn't honour client tokens.
+	// ignoresClientTokens simulates a cloud API that does not deduplicate
+	// purchases by client token.
 	ignoresClientTokens bool
-	// lasts is how long the scenario runs at least.
+	// minDuration is the minimum duration of a run.
 	minDuration timekeeper.Duration
 }
 
@@ -48,7 +49,6 @@
 	return s.kind == "AppendRecord/leases" || s.kind == "GiveOrder" || s.kind == "BuyVM" || s.kind == "ReleaseVM"
 }
 
-// scenarios is the table of scenarios.
 var scenarios = []scenario{
 	{
 		name:   "interactive",
@@ -121,7 +121,7 @@
 		},
 	},
 	{
-		// Claims live in the log for 40 s here, and a key for 15 s.
+		// The log retains records for 80 s, and the key window is 40 s.
 		name:            "booking repeated late in its window",
 		settingsChanges: shortWindow,
 		isStep:          isRequestStep,
@@ -229,8 +229,8 @@
 	},
 }
 
-// shortRetention makes the log drop records after 40 seconds, and shortWindow
-// after 80, with the shortest window that a booking of 20 seconds may have.
+// shortRetention makes the log drop records after 40 s, and shortWindow after 80 s
+// with the shortest key window allowed for a booking with a deadline of 20 s.
 var (
 	shortRetention = []string{
 		"retention = 1h", "retention = 40s",
@@ -243,8 +243,8 @@
 	}
 )
 
-// startRolling replaces all six nodes one by one: a new one joins, then an old
-// one stops as planned, while callers go on.
+// startRolling replaces all six nodes one by one under load: a new node joins, then
+// an old one performs a planned stop.
 func startRolling(cl *cluster) {
 	for i := range 6 {
 		old := cl.nodes[i]
@@ -261,7 +261,7 @@
 	}
 }
 
-// listed returns a node that the live nodes name to callers.
+// listedNode returns an entry of the address list that live nodes serve to callers.
 func (cl *cluster) listedNode(i int) identifier.VMID {
 	for _, n := range cl.nodes {
 		if list := n.r.Addresses(cl.now, "agent"); !n.dead && !n.exited && len(list) > 0 {
@@ -271,18 +271,19 @@
 	return "n1"
 }
 
-// checkRolling requires that no planned stop cut a connection. A fault may.
+// checkRolling requires that planned stops break no connections in a run without
+// faults.
 func checkRolling(cl *cluster) {
 	for _, c := range cl.callers {
 		if c.lostConnections > 0 && cl.plannedFaults == nil {
-			cl.observed.violate("%s was cut off by a planned stop", c.name)
+			cl.observed.violatef("%s was cut off by a planned stop", c.name)
 		}
 	}
 	cl.verifyAgreement()
 }
 
-// startExpiry changes the configuration once, and lets a node start when the
-// records of the change have expired.
+// startExpiry changes the configuration, and starts a node after the records of the
+// change have expired.
 func startExpiry(cl *cluster) {
 	cl.propose("n1", 11, firstText)
 	cl.after(90*timekeeper.Second, func() { cl.addNode("n7", "c", 7) })
@@ -294,16 +295,16 @@
 		ticket: 11,
 	}].Accepted {
 		for _, n := range cl.nodes {
-			fresh := cl.now.Sub(n.startedAt) < maxConfigDelay
-			if text := string(n.r.Files()[raceFile].Content); !n.dead && !fresh && text != firstText {
-				cl.observed.violate("%s lacks the accepted change: it has %q", n.vm, text)
+			recentlyStarted := cl.now.Sub(n.startedAt) < maxConfigDelay
+			if text := string(n.r.Files()[raceFile].Content); !n.dead && !recentlyStarted && text != firstText {
+				cl.observed.violatef("%s lacks the accepted change: it has %q", n.vm, text)
 			}
 		}
 	}
 	cl.verifyAgreement()
 }
 
-// noticeServerOf announces the end of the server that runs a caller's stream.
+// noticeServerOf sends a reclaim notice for the server that runs a caller's stream.
 func (cl *cluster) noticeServerOf(c *caller) {
 	for _, n := range cl.nodes {
 		if a := n.answers[c.spec.Request]; a != nil && a.conn != nil && !n.dead {
@@ -319,7 +320,7 @@
 	secondText string              = "[service tag]\ndeadline = 32s\n"
 )
 
-// startRace lets two operators change one file at the same moment.
+// startRace makes two operators change the same file at the same time.
 func startRace(cl *cluster) {
 	cl.propose("n1", 11, firstText)
 	cl.propose("n2", 12, secondText)
@@ -336,8 +337,8 @@
 	})
 }
 
-// checkRace requires that at most one of the two was accepted, that what was
-// accepted is in force on every live node, and that what was rejected is not.
+// checkRace requires that at most one of the two changes was accepted, and that all
+// live nodes apply the accepted change and no rejected one.
 func checkRace(cl *cluster) {
 	first := cl.observed.verdicts[verdictKey{
 		node:   "n1",
@@ -348,7 +349,7 @@
 		ticket: 12,
 	}]
 	if first.Accepted && second.Accepted {
-		cl.observed.violate("both operators were told that their change was accepted")
+		cl.observed.violatef("both operators were told that their change was accepted")
 	}
 	for _, n := range cl.nodes {
 		if n.dead {
@@ -357,9 +358,9 @@
 		text := string(n.r.Files()[raceFile].Content)
 		switch {
 		case first.Accepted && text != firstText, second.Accepted && text != secondText:
-			cl.observed.violate("%s lacks the accepted change: it has %q", n.vm, text)
+			cl.observed.violatef("%s lacks the accepted change: it has %q", n.vm, text)
 		case rejected(first) && text == firstText, rejected(second) && text == secondText:
-			cl.observed.violate("%s has a rejected change in force", n.vm)
+			cl.observed.violatef("%s has a rejected change in force", n.vm)
 		}
 	}
 	cl.verifyAgreement()
@@ -369,29 +370,29 @@
 	return !v.Accepted && !v.Unknown && len(v.Faults) > 0
 }
 
-// inForceBound is the "within seconds" after which a node has the
-// configuration.
+// maxConfigDelay is the time after its start within which a node must have the
+// current configuration.
 const maxConfigDelay = 5 * timekeeper.Second
 
-// judgeAgreement requires one revision on all live nodes.
+// verifyAgreement requires the same revision on all live nodes.
 func (cl *cluster) verifyAgreement() {
 	seen := map[identifier.Revision]identifier.VMID{}
 	for _, n := range cl.nodes {
 		switch c := n.r.Catalog(); {
 		case n.dead || cl.now.Sub(n.startedAt) < maxConfigDelay:
 		case c == nil:
-			cl.observed.violate("%s has no configuration", n.vm)
+			cl.observed.violatef("%s has no configuration", n.vm)
 		default:
 			seen[c.Revision] = n.vm
 		}
 	}
 	if len(seen) > 1 {
-		cl.observed.violate("live nodes have different configurations in force: %v", seen)
+		cl.observed.violatef("live nodes have different configurations in force: %v", seen)
 	}
 }
 
-// startOrders changes the model wanted of the engines and takes one of them
-// away, so that the lease's holder gives orders and buys.
+// startOrders changes the configured model twice and reclaims an engine, so that the
+// lease holder sends orders and buys VMs.
 func startOrders(cl *cluster) {
 	cl.propose("n3", 13, "[service report]\nmodel = reader-2\n[service tag]\nmodel = reader-2\n")
 	cl.after(2*timekeeper.Second, func() { cl.notice(noticeTime, "e4") })
@@ -400,7 +401,7 @@
 	})
 }
 
-// modelInForce returns the model that the nodes' configuration asks for.
+// modelInForce returns the model of the service report in the nodes' configuration.
 func (cl *cluster) modelInForce() identifier.ModelName {
 	for _, n := range cl.nodes {
 		if c := n.r.Catalog(); !n.dead && c != nil {
@@ -418,18 +419,18 @@
 		}
 		live++
 		if s.model != wanted {
-			cl.observed.violate("%s runs %s in the end", s.vm, s.model)
+			cl.observed.violatef("%s runs %s in the end", s.vm, s.model)
 		}
 	}
 	if live < 6 && !cl.list.refusesPurchases {
-		cl.observed.violate("%d engines in the end, 6 wanted", live)
+		cl.observed.violatef("%d engines in the end, 6 wanted", live)
 	}
 	if live > 7 {
-		cl.observed.violate("%d engines in the end: bought too many", live)
+		cl.observed.violatef("%d engines in the end: bought too many", live)
 	}
 	for _, token := range slices.Sorted(maps.Keys(cl.list.sold)) {
 		if cl.list.sold[token] > 1 {
-			cl.observed.violate("%s was bought %d times", token, cl.list.sold[token])
+			cl.observed.violatef("%s was bought %d times", token, cl.list.sold[token])
 		}
 	}
 	cl.verifyAgreement()
--- a/internal/prover/server_test.go
+++ b/internal/prover/server_test.go
@@ -14,14 +14,14 @@
 const (
 	prefillTime     = 300 * timekeeper.Millisecond
 	decodeInterval  = 100 * timekeeper.Millisecond
-	tokensPerDecode = 2 // tokens each time: 20 a second
+	tokensPerDecode = 2 // 20 tokens per second
 	callTime        = 60 * timekeeper.Millisecond
 	exportTime      = 400 * timekeeper.Millisecond
 )
 
-// token is a token of an answer. Each is bound to the one before it and to the
-// stream that made it: engines sample, so that two streams that start from the
-// same point go on differently, and a splice of two answers shows.
+// token is a token of an answer. It contains hashes of the preceding token and of the
+// stream that generated it. Since engines sample, two streams with the same start
+// diverge, and the hashes reveal an answer spliced from both.
 type token struct {
 	prev uint64
 	self uint64
@@ -40,7 +40,7 @@
 	})
 }
 
-// stream is an engine's stream. It goes on without a reader.
+// stream is a stream of an engine. It continues without a reader.
 type stream struct {
 	root         uint64
 	salt         string
@@ -50,7 +50,7 @@
 	ended        bool
 }
 
-// server is a backend server: an engine or a plain server.
+// server simulates a backend server, which is an engine or a plain server.
 type server struct {
 	cluster     *cluster
 	vm          identifier.VMID
@@ -58,7 +58,7 @@
 	pool        identifier.PoolName
 	dead        bool
 	frozenUntil timekeeper.Time
-	// overloaded refuses new work, and says that it did not run.
+	// Until overloadedUntil the server refuses new work without running it.
 	overloadedUntil timekeeper.Time
 	streams         map[identifier.StreamName]*stream
 	imported        map[identifier.StreamName]*stream
@@ -98,7 +98,7 @@
 	s.conns = nil
 }
 
-// decode lets every stream make its tokens and sends them to its readers.
+// decode generates the next tokens of all streams and sends them to the readers.
 func (s *server) decode() {
 	if s.dead || s.frozen() {
 		return
@@ -121,9 +121,9 @@
 	s.conns = live
 }
 
-// start begins or joins a stream. It returns the result that ends the attempt
-// at once, or none.
-func (s *server) start(e messenger.SendAttempt, root uint64, given []token, want int) (*stream, messenger.AttemptResult) {
+// start starts or joins a stream. If it can't, it returns the result of the attempt
+// instead.
+func (s *server) start(e messenger.SendAttempt, root uint64, answerSoFar []token, targetTokens int) (*stream, messenger.AttemptResult) {
 	if st, known := s.streams[e.Stream]; known {
 		return st, ""
 	}
@@ -137,14 +137,14 @@
 	st := &stream{
 		root:         root,
 		salt:         fmt.Sprintf("%s@%s", e.Stream, s.vm),
-		tokens:       append([]token(nil), given...),
-		targetTokens: want,
+		tokens:       append([]token(nil), answerSoFar...),
+		targetTokens: targetTokens,
 		ready:        s.cluster.now.Add(prefillTime),
 	}
 	if moved, ok := s.imported[e.Stream]; ok {
 		st.salt = moved.salt
 		st.ready = s.cluster.now
-		if len(moved.tokens) > len(given) {
+		if len(moved.tokens) > len(answerSoFar) {
 			st.tokens = append([]token(nil), moved.tokens...)
 		}
 	}
@@ -152,7 +152,8 @@
 	return st, ""
 }
 
-// call runs a plain call. The effect stands from this moment on.
+// call runs a plain call, which takes effect immediately. It returns AttemptRefused if
+// the server is overloaded.
 func (s *server) call(e messenger.SendAttempt, key string) messenger.AttemptResult {
 	if s.cluster.now < s.overloadedUntil {
 		return messenger.AttemptRefused
@@ -162,8 +163,8 @@
 	return ""
 }
 
-// order takes an order to load a model. It looks at the fencing number only if
-// the settings of the world say so, and then reports an order that is stale.
+// order accepts an order to load a model. It rejects a stale fence only if the settings
+// contain checks_fence = true.
 func (s *server) order(o messenger.Order) (stale bool) {
 	if o.Fence < s.fence && strings.Contains(s.cluster.settings, "checks_fence = true") {
 		return true
@@ -193,7 +194,7 @@
 	}
 }
 
-// conn is an open connection from a node to a server, for one attempt.
+// conn is the connection from a node to a server for one attempt.
 type conn struct {
 	n            *node
 	s            *server
@@ -206,7 +207,7 @@
 	started      bool
 }
 
-// push sends the reader what it lacks.
+// push sends the tokens that the reader does not have yet.
 func (c *conn) push() {
 	if c.silent || c.stream == nil || !c.s.cluster.linkUp(string(c.s.vm), string(c.n.vm)) {
 		return
@@ -218,13 +219,13 @@
 	if from > len(tokens) {
 		return
 	}
-	fresh := append([]token(nil), tokens[from:]...)
+	newTokens := append([]token(nil), tokens[from:]...)
 	c.sent = len(tokens)
 	ended := c.stream.ended
-	c.n.later(networkDelay, func() { c.n.received(c, from, fresh, ended) })
+	c.n.later(networkDelay, func() { c.n.received(c, from, newTokens, ended) })
 }
 
-// breakOff ends the connection as the node sees it.
+// closeBroken ends the connection with AttemptBroken at the node.
 func (c *conn) closeBroken() {
 	if c.closed {
 		return
--- a/internal/prover/stream_test.go
+++ b/internal/prover/stream_test.go
@@ -6,12 +6,11 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// sendAttempt opens a connection and starts or joins the stream, or makes the
-// plain call.
+// sendAttempt opens a connection to a server and sends an attempt.
 func (n *node) sendAttempt(e messenger.SendAttempt, mode deliveryMode) {
 	a := n.answers[e.Request]
 	if a == nil || a.attempt.Attempt >= e.Attempt {
-		return // The same attempt is never sent twice.
+		return // An attempt is not sent twice.
 	}
 	if a.conn != nil {
 		a.conn.closed = true
@@ -41,7 +40,7 @@
 	n.cluster.after(networkDelay, func() { c.arrive(a, mode) })
 }
 
-// arrive is the attempt at the server.
+// arrive simulates the arrival of the attempt at the server.
 func (c *conn) arrive(a *answer, mode deliveryMode) {
 	s := c.s
 	if s.dead {
@@ -70,7 +69,7 @@
 	c.n.later(networkDelay, func() { c.n.started(c) })
 }
 
-// call makes a plain call and brings the reply after its time.
+// call runs a plain call at the server and delivers the reply after callTime.
 func (c *conn) call(a *answer, mode deliveryMode) messenger.AttemptResult {
 	if refused := c.s.call(c.effect, runKey(a.spec)); refused != "" {
 		return refused
@@ -89,7 +88,8 @@
 	return ""
 }
 
-// runKey names what runs: the caller's key, or the request.
+// runKey returns the identity of a run: the account and key, or the request id if there
+// is no key.
 func runKey(s messenger.RequestSpec) string {
 	if s.Key != "" {
 		return string(s.Account) + "/" + string(s.Key)
@@ -109,22 +109,22 @@
 	})
 }
 
-// received takes tokens of a stream. As in the runner's answers, only the
-// current attempt's next token is taken.
-func (n *node) received(c *conn, from int, fresh []token, ended bool) {
+// received appends tokens of a stream to the answer. Like the runner, it accepts only
+// the next tokens of the current attempt.
+func (n *node) received(c *conn, from int, newTokens []token, ended bool) {
 	a := n.answers[c.effect.Request]
 	if c.closed || a == nil || a.conn != c {
 		return
 	}
 	c.lastReceived = n.cluster.now
-	for i, t := range fresh {
+	for i, t := range newTokens {
 		if from+i == len(a.tokens) {
 			a.tokens = append(a.tokens, t)
 		}
 	}
 	n.release(a)
 	n.push(a)
-	if len(fresh) > 0 {
+	if len(newTokens) > 0 {
 		n.apply(messenger.AttemptProgress{
 			Request:   c.effect.Request,
 			Attempt:   c.effect.Attempt,
@@ -136,7 +136,8 @@
 	}
 }
 
-// release lets callers have what the holder has, or everything without one.
+// release makes tokens available to callers: those that the holder has, or all if there
+// is no holder.
 func (n *node) release(a *answer) {
 	switch {
 	case a.paused:
@@ -164,7 +165,7 @@
 	})
 }
 
-// watchSilence ends an attempt that hears nothing for too long.
+// watchSilence ends an attempt that exceeds its event timeouts.
 func (n *node) watchSilence(c *conn) {
 	n.later(200*timekeeper.Millisecond, func() {
 		if c.closed {
@@ -193,7 +194,7 @@
 	}
 }
 
-// moveKV copies a stream's KV cache and what it has made so far.
+// moveKV copies a stream's KV cache and its tokens to another server.
 func (n *node) moveKV(e messenger.MoveKV, mode deliveryMode) {
 	from, to := n.cluster.server(identifier.VMID(e.FromAddress)), n.cluster.server(e.To)
 	n.cluster.after(exportTime, func() {
--- a/internal/prover/whole_test.go
+++ b/internal/prover/whole_test.go
@@ -2,8 +2,8 @@
 
 package prover
 
-// playEvery plays every cell of the matrix.
+// cellStride is 1 to run every cell of the matrix.
 const cellStride = 1
 
-// mostNodes is the largest world that is played.
+// maxNodes is the size of the largest simulated cluster.
 const maxNodes = 300
--- a/internal/prover/world_test.go
+++ b/internal/prover/world_test.go
@@ -12,7 +12,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// The times of the world, one way.
+// Delays and timeouts of the simulated cluster. networkDelay is one way.
 const (
 	networkDelay = 1 * timekeeper.Millisecond
 	rpcTimeout   = 1 * timekeeper.Second
@@ -21,8 +21,8 @@
 	maxRunTime   = 75 * timekeeper.Second
 )
 
-// world is everything outside the reducers: the nodes' runners, the platform,
-// the backend servers, the callers and the network between them.
+// cluster simulates everything outside the reducers: the nodes' runners, the
+// platform, the backend servers, the callers and the network between them.
 type cluster struct {
 	now          timekeeper.Time
 	queue        queue
@@ -33,32 +33,33 @@
 	log          *fakeLog
 	list         *fakeList
 	blockedLinks map[[2]string]bool
-	// attempts lists the numbers of all attempts that were sent.
-	attempts []identifier.AttemptNumber
-	guards   conductor.Safeguards
+	// attempts holds the numbers of all attempts sent so far.
+	attempts   []identifier.AttemptNumber
+	safeguards conductor.Safeguards
 
-	// armed are the faults of this run; counts counts the steps so far and
-	// trace lists them.
+	// plannedFaults are the faults to inject in this run. stepCounts holds the
+	// number of steps so far by node and kind, and steps lists them all.
 	plannedFaults  []cell
 	stepCounts     map[step]int
 	steps          []step
 	faultsInjected int
 	stepsFrom      timekeeper.Time
 
-	// badGossipTil is until when gossip is lost, late or repeated by chance.
+	// gossipFaultyUntil is the end of the time in which gossip messages are
+	// randomly lost, delayed or duplicated.
 	gossipFaultyUntil timekeeper.Time
 	settings          string
 	observed          observations
 	runLog            []string
 }
 
-// newWorld returns a world whose nodes have just started.
-func newCluster(seed uint64, guards conductor.Safeguards, s scenario) *cluster {
+// newCluster returns a cluster whose nodes have just started.
+func newCluster(seed uint64, safeguards conductor.Safeguards, s scenario) *cluster {
 	cl := &cluster{
 		now:          1_000_000,
 		rng:          rand.New(rand.NewPCG(seed, 1)),
 		blockedLinks: map[[2]string]bool{},
-		guards:       guards,
+		safeguards:   safeguards,
 		stepCounts:   map[step]int{},
 	}
 	cl.log = newFakeLog(cl)
@@ -87,10 +88,10 @@
 	return cl
 }
 
-// after does something after a while.
+// after schedules do after d.
 func (cl *cluster) after(d timekeeper.Duration, do func()) { cl.queue.add(cl.now.Add(d), do) }
 
-// every does something over and over.
+// every schedules do with period d.
 func (cl *cluster) every(d timekeeper.Duration, do func()) {
 	cl.after(d, func() {
 		do()
@@ -98,8 +99,8 @@
 	})
 }
 
-// run lets the world go on until an instant, or until quiet says that nothing
-// more is awaited.
+// run executes scheduled actions up to the given time, or until finished reports
+// true.
 func (cl *cluster) run(until timekeeper.Time, finished func() bool) {
 	for len(cl.queue.items) > 0 && cl.queue.items[0].at <= until {
 		next := cl.queue.next()
@@ -114,18 +115,18 @@
 
 func never() bool { return false }
 
-// tell adds a line to the story of the run, which a failing cell prints.
+// recordf adds a line to the run log, which is printed for the selected cell.
 func (cl *cluster) recordf(format string, args ...any) {
 	if len(cl.runLog) < 4000 {
 		cl.runLog = append(cl.runLog, fmt.Sprintf("%7d ", cl.now-1_000_000)+fmt.Sprintf(format, args...))
 	}
 }
 
-// cut and mend change one direction of a link. Ends are VM ids.
+// cutLink and restoreLink change one direction of the link between two VMs.
 func (cl *cluster) cutLink(from, to string)     { cl.blockedLinks[[2]string{from, to}] = true }
 func (cl *cluster) restoreLink(from, to string) { delete(cl.blockedLinks, [2]string{from, to}) }
 
-// passes reports whether something sent now arrives.
+// linkUp reports whether a message sent now is delivered.
 func (cl *cluster) linkUp(from, to string) bool { return !cl.blockedLinks[[2]string{from, to}] }
 
 func (cl *cluster) node(vm identifier.VMID) *node {
@@ -146,10 +147,9 @@
 	return nil
 }
 
-// rpc sends a message from one node to another and brings back the answer.
-// serve runs at the receiver; done runs at the sender, once, with ok false
-// where no answer came in time. The message may have taken effect all the
-// same.
+// rpc simulates a call from one node to another. serve runs at the receiver. done
+// runs once at the sender, with ok false if no answer arrives in time, in which
+// case serve may still have run.
 func (cl *cluster) rpc(from, to *node, mode deliveryMode, serve func(), done func(ok bool)) {
 	cl.rpcAsync(from, to, mode, func(answer func()) {
 		serve()
@@ -157,7 +157,7 @@
 	}, done)
 }
 
-// rpcLater is rpc with an answer that the receiver gives when it is ready.
+// rpcAsync is like rpc, but the receiver answers by calling answer, at any time.
 func (cl *cluster) rpcAsync(from, to *node, mode deliveryMode, serve func(answer func()), done func(ok bool)) {
 	ended := false
 	end := func(ok bool) {
@@ -184,14 +184,14 @@
 	})
 }
 
-// notice announces that the VMs will be taken away.
+// notice sends a reclaim notice for each VM.
 func (cl *cluster) notice(notice timekeeper.Duration, vms ...identifier.VMID) {
 	for _, vm := range vms {
 		cl.list.notice(vm, cl.now.Add(notice))
 	}
 }
 
-// zoneVMs returns the VMs of a zone, nodes and servers.
+// zoneVMs returns the live nodes and servers of a zone.
 func (cl *cluster) zoneVMs(z identifier.Zone) []identifier.VMID {
 	var out []identifier.VMID
 	for _, n := range cl.nodes {
@@ -207,7 +207,7 @@
 	return out
 }
 
-// broadcast gives an event to all nodes that live.
+// broadcast delivers an event to all live nodes.
 func (cl *cluster) broadcast(body messenger.EventBody) {
 	for _, n := range cl.nodes {
 		n.later(networkDelay, func() { n.apply(body) })
--- a/internal/starter/starter_test.go
+++ b/internal/starter/starter_test.go
@@ -33,7 +33,7 @@
 	require.Equal(t, identifier.VMID("entry-1"), settings.VM)
 }
 
-func TestEveryFaultAtOnce(t *testing.T) {
+func TestCheckReportsAllFaults(t *testing.T) {
 	_, faults := starter.Check(map[identifier.FileName][]byte{
 		"a.ini": []byte("[node]\nvm = entry 1\nzone = z\ncolour = red\n[caller_port]\nlisten = 0.0.0.0:80\n[peer_port]\nlisten = localhost:80\n[ports]\n"),
 	})
