--- a/internal/prover/exchange_world_test.go
+++ b/internal/prover/exchange_world_test.go
@@ -73,7 +73,7 @@
 }
 
 // exchangeCluster simulates a cluster that serves opaque exchanges: the reducers of
-// a few nodes, and fakes of the store, the cloud and the backend servers, in virtual
+// the nodes, and fakes of the store, the cloud and the backend servers, in virtual
 // time and in one goroutine. It verifies only what callers, servers and the platform
 // can observe.
 type exchangeCluster struct {
--- a/internal/prover/limit_test.go
+++ b/internal/prover/limit_test.go
@@ -36,24 +36,24 @@
 	statedAt map[identifier.VMID]timekeeper.Time
 	// firstForwarded is the time at which each node first received an answer that
 	// states the server's limit, by server and node.
-	firstForwarded map[identifier.VMID]map[identifier.VMID]timekeeper.Time
+	firstReceived map[identifier.VMID]map[identifier.VMID]timekeeper.Time
 	// arrivals are the requests of nodes that know the limit. allArrivals are those of
 	// all nodes that are not excused, after limitSettleTime.
 	arrivals    map[identifier.VMID][]timekeeper.Time
 	allArrivals map[identifier.VMID][]timekeeper.Time
-	lastHarmed  map[identifier.VMID]timekeeper.Time
+	lastFaulty  map[identifier.VMID]timekeeper.Time
 	// maxRatio is the largest ratio of arrived to allowed requests in any span.
 	maxRatio float64
 }
 
 func newLimits() limits {
 	return limits{
-		rates:          map[identifier.VMID]identifier.RequestRate{},
-		statedAt:       map[identifier.VMID]timekeeper.Time{},
-		firstForwarded: map[identifier.VMID]map[identifier.VMID]timekeeper.Time{},
-		arrivals:       map[identifier.VMID][]timekeeper.Time{},
-		allArrivals:    map[identifier.VMID][]timekeeper.Time{},
-		lastHarmed:     map[identifier.VMID]timekeeper.Time{},
+		rates:         map[identifier.VMID]identifier.RequestRate{},
+		statedAt:      map[identifier.VMID]timekeeper.Time{},
+		firstReceived: map[identifier.VMID]map[identifier.VMID]timekeeper.Time{},
+		arrivals:      map[identifier.VMID][]timekeeper.Time{},
+		allArrivals:   map[identifier.VMID][]timekeeper.Time{},
+		lastFaulty:    map[identifier.VMID]timekeeper.Time{},
 	}
 }
 
@@ -62,7 +62,7 @@
 	cl.at(limitFrom, func() {
 		cl.limits.rates[server] = rate
 		cl.limits.statedAt[server] = cl.now
-		cl.limits.firstForwarded[server] = map[identifier.VMID]timekeeper.Time{}
+		cl.limits.firstReceived[server] = map[identifier.VMID]timekeeper.Time{}
 	})
 	cl.at(limitUntil, func() { delete(cl.limits.rates, server) })
 }
@@ -73,7 +73,7 @@
 func (cl *exchangeCluster) limitArrival(n *gatewayNode, server identifier.VMID) {
 	l := &cl.limits
 	rate, limited := l.rates[server]
-	if !limited || cl.now.Sub(max(n.startedAt, l.lastHarmed[n.vm])) < excuseTime {
+	if !limited || cl.now.Sub(max(n.startedAt, l.lastFaulty[n.vm])) < excuseTime {
 		return
 	}
 	settled := cl.now.Sub(l.statedAt[server]) >= limitSettleTime
@@ -81,8 +81,8 @@
 		l.allArrivals[server] = append(l.allArrivals[server], cl.now)
 		cl.checkLimit(server, rate, l.allArrivals[server])
 	}
-	passed, known := l.firstForwarded[server][n.vm]
-	if !known || cl.now.Sub(passed) < limitDelay {
+	receivedAt, known := l.firstReceived[server][n.vm]
+	if !known || cl.now.Sub(receivedAt) < limitDelay {
 		return
 	}
 	l.arrivals[server] = append(l.arrivals[server], cl.now)
@@ -108,8 +108,8 @@
 		return
 	}
 	rate, limited := cl.limits.rates[server]
-	if _, passed := cl.limits.firstForwarded[server][n.vm]; limited && !passed {
-		cl.limits.firstForwarded[server][n.vm] = cl.now
+	if _, received := cl.limits.firstReceived[server][n.vm]; limited && !received {
+		cl.limits.firstReceived[server][n.vm] = cl.now
 	}
 	cl.apply(n, messenger.ServerLimitReceived{
 		Server: server,
@@ -125,7 +125,7 @@
 func (cl *exchangeCluster) recordExcused() {
 	for _, n := range cl.nodes {
 		if n.cutFromPeers || cl.now.Before(n.frozenUntil) {
-			cl.limits.lastHarmed[n.vm] = cl.now
+			cl.limits.lastFaulty[n.vm] = cl.now
 		}
 	}
 	cl.after(20, cl.recordExcused)
--- a/internal/prover/query_test.go
+++ b/internal/prover/query_test.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// maxServersEnded is the number of servers that one query of death may end before
+	// maxServersEnded is the number of servers that one query of death may crash before
 	// it is quarantined. quarantineDelay is the time within which all nodes must then
 	// know of it, and maxLateSends the number of sends tolerated afterwards.
 	maxServersEnded = 3
 	quarantineDelay = 3 * timekeeper.Second
 	maxLateSends    = 3
-	// crashDelay is the time for which a query of death runs before its server ends.
+	// crashDelay is the time for which a query of death runs before its server crashes.
 	crashDelay = 60 * timekeeper.Millisecond
 	// restartTime is the time after which a server restarts under a new id, and
 	// lapseTime the time after which its old entry expires.
@@ -28,22 +28,22 @@
 	lapseTime   = 3 * timekeeper.Second
 )
 
-// endings holds the servers that ended and the requests that caused it.
+// crashes holds the servers that crashed and the requests that caused it.
 type crashes struct {
 	contents map[identifier.RequestID]identifier.ContentHash
-	// deadly holds the contents that end every server that runs them.
+	// deadly holds the contents that crash every server that runs them.
 	deadly map[identifier.ContentHash]bool
 	// ended holds the servers whose process has ended, and attempts the running attempts
 	// by server.
 	ended    map[identifier.VMID]bool
 	attempts map[identifier.VMID][]*serverAttempt
-	// endsByContent is the number of servers that a content ended, maxReachedAt the time
+	// endsByContent is the number of servers that a content crashed, maxReachedAt the time
 	// at which that reached maxServersEnded, and lateSends the number of sends after
 	// quarantineDelay.
 	endsByContent map[identifier.ContentHash]int
 	maxReachedAt  map[identifier.ContentHash]timekeeper.Time
 	lateSends     map[identifier.ContentHash]int
-	// quarantined is the number of refusals of a content because servers ended.
+	// quarantined is the number of refusals of a content because it was quarantined.
 	quarantined map[identifier.ContentHash]int
 	booted      int
 	// maxRepeats is the number of times that callers repeat a failed request, and
@@ -95,7 +95,7 @@
 	return true
 }
 
-// begin records an attempt that a server runs, and schedules the end of the server if
+// begin records an attempt that a server runs, and schedules a crash of the server if
 // the content is deadly.
 func (cl *exchangeCluster) begin(n *gatewayNode, e messenger.SendExchange) *serverAttempt {
 	f := &serverAttempt{
@@ -228,7 +228,7 @@
 }
 
 // newQueryCluster returns a cluster with a longer service time, so that other requests
-// run concurrently when a query of death ends a server.
+// run concurrently when a query of death crashes a server.
 func newQueryCluster(t testing.TB, seed uint64) *exchangeCluster {
 	cl := newExchangeCluster(t, seed)
 	cl.serviceTime = 150
@@ -263,8 +263,8 @@
 	}
 }
 
-// crashCase is a kind of run in which queries of death end servers, or servers crash on
-// their own.
+// crashCase is a kind of run in which servers crash, because of queries of death or
+// on their own.
 type crashCase struct {
 	name string
 	// queries is the number of queries of death, each of which is sent twice per second.
@@ -278,7 +278,7 @@
 const crashRuns = 100 / cellStride
 
 // run runs the case crashRuns times. It returns the numbers of refused and of all
-// unrelated requests, and the average number of servers ended per query of death.
+// unrelated requests, and the average number of servers crashed per query of death.
 // Callers repeat failed requests up to five times.
 func (d crashCase) run(t testing.TB) (refused, total int, endedPerQuery float64) {
 	serversEnded := 0
@@ -333,8 +333,8 @@
 }
 
 // BenchmarkThreeQueriesAtOnce measures how many of 10,000 unrelated requests are refused
-// while three queries of death end all six servers within 0.4 s, and how many servers
-// each query ends.
+// while three queries of death crash all six servers within 0.4 s, and how many servers
+// each query crashes.
 func BenchmarkThreeQueriesAtOnce(b *testing.B) {
 	for _, bench := range []crashCase{
 		{
@@ -357,7 +357,7 @@
 	}
 }
 
-// endAnyServer ends a random server that has not ended yet.
+// endAnyServer ends the process of a random running server.
 func (cl *exchangeCluster) endAnyServer() {
 	var live []identifier.VMID
 	for _, e := range cl.entries {
--- a/internal/prover/world_test.go
+++ b/internal/prover/world_test.go
@@ -38,7 +38,8 @@
 	safeguards conductor.Safeguards
 
 	// plannedFaults are the faults to inject in this run. stepCounts holds the
-	// number of steps so far by node and kind, and steps lists them all.
+	// number of steps so far by node and kind, and steps lists them all. Effects before
+	// stepsFrom are not steps.
 	plannedFaults  []cell
 	stepCounts     map[step]int
 	steps          []step
@@ -115,7 +116,7 @@
 
 func never() bool { return false }
 
-// recordf adds a line to the run log, which is printed for the selected cell.
+// recordf adds a line to the run log, which is printed for cells selected by -cell.
 func (cl *cluster) recordf(format string, args ...any) {
 	if len(cl.runLog) < 4000 {
 		cl.runLog = append(cl.runLog, fmt.Sprintf("%7d ", cl.now-1_000_000)+fmt.Sprintf(format, args...))
