--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,7 +1,7 @@
-// Package catalog declares what a valid configuration says: the services, the
-// client accounts that call them, the pools of backend servers behind them and
-// the prices of VMs. A Catalog is immutable once built; package configurer
-// builds it from the operators' folder, and all decision packages read it.
+// Package catalog declares the contents of a valid configuration: services, client
+// accounts, pools of backend servers, prices of VMs, and routes. A Catalog is
+// immutable once built. Package configurer builds it from the operators' folder,
+// package platform from the record in the platform's store.
 package catalog
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Catalog is one accepted state of the configuration.
+// Catalog is an accepted revision of the configuration.
 type Catalog struct {
 	// Revision is the log offset of the last accepted change in it.
 	Revision identifier.Revision
@@ -18,26 +18,25 @@
 	Pools    map[identifier.PoolName]Pool
 	Classes  map[identifier.VMClass]Class
 	Zones    map[identifier.Zone]ZoneSpec
-	// LogRetention is how long the platform's log keeps a record, as the
-	// operators were told by the platform.
+	// LogRetention is the time for which the platform's log keeps a record, as
+	// configured by the operators.
 	LogRetention timekeeper.Duration
-	// Routing is nil where no routes of opaque exchanges are published.
+	// Routing is nil if no routes of opaque exchanges are published.
 	Routing *Routing
 }
 
-// ServiceKind tells what stands behind a service.
+// ServiceKind is the kind of backend servers behind a service.
 type ServiceKind string
 
 // The kinds of service.
 const (
 	// ModelService is answered by model engines, as streams of tokens.
 	ModelService ServiceKind = "model"
-	// PlainService is answered by plain servers, as one whole body.
+	// PlainService is answered by plain servers, with a single body.
 	PlainService ServiceKind = "plain"
 )
 
-// Priority orders work when there is not room for all of it. A larger value
-// goes first.
+// Priority orders requests when capacity is short. A larger value is served first.
 type Priority int
 
 // The priorities of services.
@@ -47,28 +46,28 @@
 	Interactive Priority = 2
 )
 
-// Service is what callers ask for.
+// Service is a service that callers send requests to.
 type Service struct {
 	Name     identifier.ServiceName
 	Kind     ServiceKind
 	Pool     identifier.PoolName
 	Model    identifier.ModelName
 	Priority Priority
-	// Long marks requests that must survive any announced reclaim once they
-	// are accepted.
+	// Long marks a service whose accepted requests must survive any announced
+	// reclaim.
 	Long bool
-	// Idempotent tells that a request may be run again with no harm.
+	// Idempotent marks a service whose requests may run more than once.
 	Idempotent bool
-	// Deadline bounds a request whose caller set no bound of its own.
+	// Deadline is the time limit of requests whose caller sets none.
 	Deadline timekeeper.Duration
-	// MaxBody bounds the caller's body.
+	// MaxBody bounds the size of a request body.
 	MaxBody identifier.Bytes
-	// MaxTokens bounds the answer of a model service.
+	// MaxTokens bounds the length of an answer of a model service.
 	MaxTokens identifier.Tokens
-	// RetryPercent is the retry budget: retries per hundred requests.
+	// RetryPercent is the retry budget in retries per hundred requests.
 	RetryPercent int
-	// KeyWindow is how long an idempotency key is remembered. It is shorter
-	// than the log's retention.
+	// KeyWindow is the time for which an idempotency key is deduplicated. It is
+	// shorter than the log's retention.
 	KeyWindow timekeeper.Duration
 }
 
@@ -78,8 +77,8 @@
 	// KeyHashes are the SHA-256 sums, in lower-case hexadecimal, of the keys
 	// that authenticate the account.
 	KeyHashes []string
-	// RequestsPerSecond and TokensPerSecond limit the account over all nodes.
-	// The burst is what the account may use at once.
+	// RequestsPerSecond and TokensPerSecond limit the account's rate over all
+	// nodes. The bursts are the sizes of the token buckets.
 	RequestsPerSecond float64
 	RequestBurst      float64
 	TokensPerSecond   float64
@@ -87,41 +86,41 @@
 	Targets           map[identifier.ServiceName]Target
 }
 
-// Target is what an account is owed for one service, and what a miss costs.
+// Target holds the latency targets of an account for a service, and the penalty
+// for a miss.
 type Target struct {
 	FirstToken timekeeper.Duration
 	Completion timekeeper.Duration
 	Penalty    identifier.Money
 }
 
-// Pool is a group of like backend servers.
+// Pool is a group of identical backend servers.
 type Pool struct {
 	Name identifier.PoolName
 	Kind ServiceKind
-	// ChecksFence tells that the servers refuse an order with an old fencing
-	// number.
+	// ChecksFence marks servers that reject an order with an old fencing number.
 	ChecksFence bool
-	// OrderTime is the longest time that an order may take on a server.
+	// OrderTime is the time within which a server has executed an order sent to it.
 	OrderTime timekeeper.Duration
 	Class     identifier.VMClass
-	// Slots is how many requests one server runs at once.
+	// Slots is the number of requests that one server runs concurrently.
 	Slots int
-	// TokensPerSecond is the pace of one stream on an unloaded server;
-	// PrefillPerSecond is the pace at which it reads prompts.
+	// TokensPerSecond is the output rate of one stream on an unloaded server,
+	// and PrefillPerSecond its rate of prefilling prompts, in tokens.
 	TokensPerSecond  float64
 	PrefillPerSecond float64
 	// Min and Max bound the number of servers.
 	Min int
 	Max int
-	// OnDemandPercent is the least share of servers that are not reclaimable.
+	// OnDemandPercent is the minimum percentage of on-demand servers.
 	OnDemandPercent int
 	// KVBytesPerToken is the size of one token's KV cache entry.
 	KVBytesPerToken identifier.Bytes
-	// TransferRate is the bandwidth for KV exports of one server.
+	// TransferRate is the bandwidth of one server for exports of its KV cache.
 	TransferRate identifier.BytesPerSecond
 }
 
-// Market tells how a VM was bought.
+// Market is the market in which a VM is bought.
 type Market string
 
 // The markets.
@@ -133,7 +132,7 @@
 // Class is a class of VM.
 type Class struct {
 	Name identifier.VMClass
-	// Prices holds the price of an hour by zone and market.
+	// Prices holds the hourly price by zone and market.
 	Prices map[identifier.Zone]map[Market]identifier.Money
 }
 
@@ -143,15 +142,14 @@
 	Region identifier.Region
 }
 
-// Price returns the price of an hour of class c in zone z, and whether it is
-// known.
+// Price returns the hourly price of a VM of the class, and whether it is known.
 func (c *Catalog) Price(class identifier.VMClass, zone identifier.Zone, market Market) (identifier.Money, bool) {
 	p, ok := c.Classes[class].Prices[zone][market]
 	return p, ok
 }
 
-// Target returns what account a is owed for service s. An account without a
-// target of its own is owed the service's deadline at no penalty.
+// Target returns the target of an account for a service. For an account without one
+// it is the service's deadline, without penalty.
 func (c *Catalog) Target(account identifier.AccountID, service identifier.ServiceName) Target {
 	if t, ok := c.Accounts[account].Targets[service]; ok {
 		return t
--- a/internal/catalog/route.go
+++ b/internal/catalog/route.go
@@ -8,7 +8,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Repetition tells which requests of a route may run more than once.
+// Repetition determines whether requests of a route may run more than once.
 type Repetition string
 
 // The kinds of repetition.
@@ -17,44 +17,44 @@
 	Repeatable Repetition = "repeatable"
 	// AtMostOnce requests run at most once.
 	AtMostOnce Repetition = "once"
-	// Resumable requests are streams: a later run may go on behind the last
-	// event that was delivered, and never starts over behind it.
+	// Resumable requests are streams. A later run may continue after the last
+	// delivered event, but must not start over once events were delivered.
 	Resumable Repetition = "resumed"
 )
 
-// Route says what becomes of the requests of one host under one path prefix.
-// Their bodies are opaque: they go to a backend server of a service unchanged,
-// and so does its answer.
+// Route configures the requests of one host under one path prefix. Requests and
+// answers are opaque: their bodies are forwarded unchanged.
 type Route struct {
 	Name       identifier.RouteName
 	Host       string
 	PathPrefix string
 	Repetition Repetition
-	// Stream tells that answers are streams of events.
+	// Stream is set if answers are streams of events.
 	Stream bool
-	// Timeout is the longest time for which a request is kept waiting.
+	// Timeout is the maximum time limit of a request. Callers may set a shorter one.
 	Timeout timekeeper.Duration
-	// Target is the time within which an answer, or its first event, earns
-	// its full worth.
+	// Target is the time within which an answer, or its first event, has its
+	// full value.
 	Target timekeeper.Duration
-	// MaxGap is the longest pause between events of a stream that is on time.
+	// MaxGap is the maximum time between events of a stream that is on time.
 	MaxGap timekeeper.Duration
-	// Attempts bounds the backend servers that one request may be sent to.
+	// Attempts is the maximum number of times that a request is sent to a
+	// backend server.
 	Attempts int
-	// Rank orders routes when there is not room for all; zero goes first.
+	// Rank orders routes when capacity is short; zero is served first.
 	Rank int
-	// Public routes need no key.
+	// Public is set if requests need no key.
 	Public bool
 	Split  []Split
 }
 
-// Split is a service's part of a route.
+// Split is a service of a route with its weight in the weighted random choice.
 type Split struct {
 	Service identifier.ServiceName
 	Weight  float64
 }
 
-// Service returns the service for a request that fell on point, in [0, 1).
+// Service returns the service chosen by weight for a random point in [0, 1).
 func (r *Route) Service(point float64) identifier.ServiceName {
 	total := 0.0
 	for _, s := range r.Split {
@@ -73,35 +73,35 @@
 	return r.Split[len(r.Split)-1].Service
 }
 
-// Fleet bounds the backend servers of a service that may be ordered, in each
-// availability zone.
+// Fleet bounds the number of backend servers of a service that may be ordered in
+// each availability zone.
 type Fleet struct {
 	Min int
 	Max int
-	// BootTime is the time from an order until a new server serves.
+	// BootTime is the time from an order until a new server is ready.
 	BootTime timekeeper.Duration
-	// ZonePrices holds the price of a second of a server by zone.
+	// ZonePrices holds the price of a server per second by zone.
 	ZonePrices map[identifier.Zone]float64
 }
 
-// Backend is what is published of the servers behind a service.
+// Backend describes the servers behind a service.
 type Backend struct {
-	// Slots is how many requests one server runs at once; zero for plain
-	// services, whose servers say so themselves.
+	// Slots is the number of requests that one server runs concurrently. It is zero
+	// for plain services, whose servers publish it.
 	Slots int
-	// Model tells that the servers are model engines.
+	// Model is set if the servers are model engines.
 	Model bool
 	// KVTokens is the number of tokens that an engine caches; zero
 	// if unknown.
 	KVTokens identifier.Tokens
 	// CopyTokensPerMS is the rate at which an engine copies cached tokens
-	// from another one; zero if it can not.
+	// from another one; zero if it cannot.
 	CopyTokensPerMS float64
-	// Fleet is nil where the servers can't be ordered.
+	// Fleet is nil if the servers cannot be ordered.
 	Fleet *Fleet
 }
 
-// Routing is the part of a catalog by which opaque exchanges are routed.
+// Routing holds the routes of opaque exchanges.
 type Routing struct {
 	routesByHost  map[string][]*Route
 	accountsByKey map[string]identifier.AccountID
@@ -109,7 +109,7 @@
 	// DefaultTokens is charged for a request that states no token counts,
 	// by account.
 	DefaultTokens map[identifier.AccountID]identifier.Tokens
-	// AccountRanks order the accounts; zero goes first.
+	// AccountRanks order accounts when capacity is short; zero is served first.
 	AccountRanks map[identifier.AccountID]int
 	MaxBody      identifier.Bytes
 }
@@ -132,7 +132,7 @@
 	return r
 }
 
-// Find returns the route of a host with the longest prefix of a path.
+// Find returns the route of the host with the longest matching path prefix.
 func (r *Routing) Find(host, path string) (*Route, bool) {
 	for _, route := range r.routesByHost[strings.ToLower(host)] {
 		if strings.HasPrefix(path, route.PathPrefix) {
@@ -142,11 +142,11 @@
 	return nil, false
 }
 
-// Account returns the account that holds a key.
+// Account returns the account that a key authenticates.
 func (r *Routing) Account(key string) (identifier.AccountID, bool) {
 	a, ok := r.accountsByKey[key]
 	return a, ok
 }
 
-// NeedsKeys reports whether requests need a key unless their route is public.
+// NeedsKeys reports whether requests of routes that are not public need a key.
 func (r *Routing) NeedsKeys() bool { return len(r.AccountRanks) > 0 }
--- a/internal/configurer/check.go
+++ b/internal/configurer/check.go
@@ -21,9 +21,9 @@
 	targetSection  = "target"
 )
 
-// The log's retention: the value taken where the folder has none is on the
-// careful side, because a snapshot that comes too early costs one record and
-// one that comes too late costs the configuration.
+// The retention of the log. DefaultRetention, which applies if the folder sets
+// none, is short: a snapshot that is appended too early costs one record, one
+// that is appended too late loses the configuration.
 const (
 	DefaultRetention = timekeeper.Hour
 	minRetention     = 10 * timekeeper.Second
@@ -31,7 +31,7 @@
 )
 
 // Check merges the files in the order of their names and returns the catalog
-// that they describe, or all their faults.
+// that they define, or nil and all their faults.
 func Check(files map[identifier.FileName][]byte) (*catalog.Catalog, []Fault) {
 	var faults folderreader.Faults
 	b := &builder{
@@ -62,21 +62,21 @@
 type builder struct {
 	faults  *folderreader.Faults
 	catalog *catalog.Catalog
-	// forms holds the form of each section by its title, for the faults that
-	// show only when all sections are known.
+	// forms holds the form of each section by its title, for faults that are
+	// detected after all sections are read.
 	forms map[string]*folderreader.Form
 }
 
-// sectionKind is one kind of section: how many names follow the kind, and what
-// reads its keys.
+// sectionKind is a kind of section. names are the placeholders of the names
+// that follow the kind in the header, and read reads the section's keys.
 type sectionKind struct {
 	name  string
 	names []string
 	read  func(*builder, *folderreader.Form, []string)
 }
 
-// kinds returns the kinds of section. Targets and prices go into the accounts
-// and classes that stand before them.
+// kinds returns the kinds of section in the order in which they are read. Prices
+// and targets are added to classes and accounts, which are read before them.
 func kinds() []sectionKind {
 	return []sectionKind{
 		{
--- a/internal/configurer/check_test.go
+++ b/internal/configurer/check_test.go
@@ -32,8 +32,8 @@
 	return out
 }
 
-// TestExamples also applies the folders file by file: an operator applies them
-// in the order of their names, and each step must be valid on its own.
+// The example folders are valid, also after each step when their files are added one by
+// one in the order of their names, as an operator applies them.
 func TestExamples(t *testing.T) {
 	sizes := map[string][2]identifier.PoolName{
 		"quillmark":   {"reading", "portal"},
@@ -63,8 +63,7 @@
 	}
 }
 
-// TestCheckFaults runs each folder of testdata/check; its expected.md holds the
-// faults, one a line.
+// Each folder in testdata/check has the faults listed in its expected.md, one per line.
 func TestCheckFaults(t *testing.T) {
 	dirs, err := filepath.Glob("testdata/check/*")
 	require.NoError(t, err)
@@ -92,7 +91,7 @@
 	require.Equal(t, "0.770000", price.String())
 }
 
-// TestSettingsPage requires that the page for operators knows each key.
+// Each key of the examples is documented on the settings page for operators.
 func TestSettingsPage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/SETTINGS.md")
 	require.NoError(t, err)
--- a/internal/configurer/configurer.go
+++ b/internal/configurer/configurer.go
@@ -1,27 +1,28 @@
-// Package configurer turns the operators' folder into the configuration that
-// all nodes agree on.
+// Package configurer builds the configuration that all nodes agree on from the
+// operators' folder.
 //
-// Check is the grammar: it merges a folder of INI files, reports every fault at
-// once and builds the catalog. docs/SETTINGS.md lists the sections and keys.
+// Check merges a folder of INI files, validates it, reports all faults at once
+// and builds the catalog. docs/SETTINGS.md lists the sections and keys.
 //
-// State is the agreement. The folder lives in one stream of the platform's log,
-// one record a change of one file. Each node replays the stream and judges each
-// change by the same rule, which looks at nothing but the records before it, so
-// all nodes reach the same verdict with no further messages:
+// State replicates the folder. The folder is stored in one stream of the
+// platform's log, in which each record changes one file. Each node replays the
+// stream and judges each change by the same rules. The verdict depends only on
+// the change and the records before it, so all nodes reach the same verdict
+// without further messages:
 //
-//   - a change names the revision of its file that the operator saw, and is
-//     rejected when another change of the file stands before it;
+//   - a change names the revision of the file that it is based on, and is
+//     rejected if another change of the file was accepted since;
 //   - a change whose merged folder has faults is rejected;
-//   - a change that was appended twice, because the answer of the first append
-//     was lost, counts once.
+//   - a change that was appended twice, because the response to the first
+//     append was lost, is applied once.
 //
-// Records expire. A snapshot holds the whole state as of an offset, and is
-// appended again well before the log forgets what it replaces. A node that
-// starts late takes a snapshot and goes on with what stands after the
-// snapshot's as-of offset, which is before the snapshot's own position.
+// Records expire. A snapshot holds the whole state as of an offset. Nodes append
+// a new snapshot well before the records that it replaces expire. A node that
+// starts late loads a snapshot and applies the records after the snapshot's
+// as-of offset, which is smaller than the snapshot's own offset.
 //
-// A State is pure: time, randomness and records are arguments. It is not safe
-// for concurrent use.
+// A State is deterministic: time, randomness and records are arguments. It is
+// not safe for concurrent use.
 package configurer
 
 import (
--- a/internal/configurer/crosscheck.go
+++ b/internal/configurer/crosscheck.go
@@ -10,7 +10,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// crossCheck reports what shows only between sections.
+// crossCheck reports faults that involve several sections.
 func (b *builder) crossCheck() {
 	for _, pool := range b.catalog.Pools {
 		b.checkPool(pool, b.forms[poolSection+" "+string(pool.Name)])
@@ -40,7 +40,7 @@
 	}
 }
 
-// sold reports whether some zone has a price for the class in the market.
+// hasPrice reports whether some zone has a price for the class in the market.
 func (b *builder) hasPrice(class identifier.VMClass, market catalog.Market) bool {
 	for _, prices := range b.catalog.Classes[class].Prices {
 		if _, ok := prices[market]; ok {
@@ -53,13 +53,12 @@
 func (b *builder) checkService(service catalog.Service, f *folderreader.Form) {
 	b.checkServicePool(service, f)
 	if service.Kind == catalog.ModelService && !service.Idempotent {
-		// A broken answer of a model is taken up where it stopped, so no
-		// caller sees two; forbidding the retry would only lose it.
+		// An interrupted model answer is resumed at the token where it stopped, so
+		// a retry does not duplicate it.
 		f.Fault("idempotent", "true with kind = model", "false")
 	}
 	if service.Long && !service.Idempotent {
-		// A long request survives because another node may take it over,
-		// which for a call that may not be repeated it may not.
+		// A long request survives a reclaim because another node may run it again.
 		f.Fault("long", "false with idempotent = false", "true")
 	}
 	b.checkKeyWindow(service, f)
@@ -80,22 +79,23 @@
 	}
 }
 
-// windowDeadlines is how many deadlines the window of a key that may run once
-// has to hold.
+// minKeyWindowDeadlines is the minimum key window of a service that is not
+// idempotent, in deadlines of the service.
 const minKeyWindowDeadlines = 2
 
-// checkKeyWindow keeps the window of idempotency keys well inside the log's
-// retention. A claim that expired while its key still counted would let the
-// same booking run a second time; half of the retention leaves the other half
-// for a claim that was read late.
+// checkKeyWindow requires the window of idempotency keys to be at most half of
+// the log's retention. If a claim's record expired within the window, the same
+// request could run a second time. The other half of the retention allows for
+// claims that are read late.
 func (b *builder) checkKeyWindow(service catalog.Service, f *folderreader.Form) {
 	maxWindow := b.catalog.LogRetention / 2
 	if service.KeyWindow > maxWindow {
 		expected := fmt.Sprintf("at most half of the log's retention, %s", maxWindow)
 		f.Fault("key_window", expected, service.KeyWindow.String())
 	}
-	// A call may end as unknown at its deadline, and its caller then repeats
-	// the key. Were the key forgotten by then, the call would run again.
+	// A request may time out at its deadline with an unknown outcome, and its
+	// caller may then repeat the key. If the window had ended by then, the
+	// request would run again.
 	if minWindow := minKeyWindowDeadlines * service.Deadline; !service.Idempotent && service.KeyWindow < minWindow {
 		expected := fmt.Sprintf("at least two deadlines of a service that is not idempotent, %s", minWindow)
 		f.Fault("key_window", expected, service.KeyWindow.String())
@@ -117,7 +117,7 @@
 		}
 	}
 	if account.TokenBurst < float64(largest) && account.TokenBurst > 0 {
-		// A request that asks for more than the burst could never be let in.
+		// A request for more tokens than the burst would never be admitted.
 		f := b.forms[accountSection+" "+string(account.ID)]
 		expected := fmt.Sprintf("at least the max_tokens of its services, %d", largest)
 		f.Fault("token_burst", expected, fmt.Sprint(account.TokenBurst))
--- a/internal/configurer/errors.go
+++ b/internal/configurer/errors.go
@@ -7,7 +7,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// RecordError reports a record that is none of ours. All nodes pass over it.
+// RecordError reports a malformed record. All nodes skip it.
 type RecordError struct {
 	Offset identifier.Offset
 	Cause  error
@@ -23,11 +23,11 @@
 func (e *RecordError) Unwrap() error { return e.Cause }
 
 // GapError reports that records expired before this node read them, and that
-// no snapshot covers them. The node keeps its last state and can't judge
-// changes until a snapshot, a peer's state or a restore covers the gap.
+// no snapshot covers them. The node keeps its last state and cannot judge
+// changes until a snapshot, a peer's state or a restore closes the gap.
 type GapError struct {
-	// Have is the offset as of which the state is known, Lost the last offset
-	// that may have been missed.
+	// AsOf is the offset up to which records were applied. LostTo is the last
+	// offset whose record may have been missed.
 	AsOf   identifier.Offset
 	LostTo identifier.Offset
 }
@@ -36,8 +36,8 @@
 	return fmt.Sprintf("configuration: records after offset %d up to %d expired unread and no snapshot covers them", e.AsOf, e.LostTo)
 }
 
-// StateError reports a snapshot or a peer's state whose folder has faults by
-// the rules of this program, such as one of a later version.
+// StateError reports a snapshot or a peer's state whose folder this program
+// considers invalid, for instance because a later version wrote it.
 type StateError struct {
 	AsOf   identifier.Offset
 	Faults []folderreader.Fault
@@ -47,7 +47,7 @@
 	return fmt.Sprintf("configuration as of offset %d has faults, the first is: %s", e.AsOf, e.Faults[0])
 }
 
-// OlderStateError reports a peer's state that is not newer than our own.
+// OlderStateError reports a peer's state that is not newer than this node's.
 type OlderStateError struct {
 	AsOf        identifier.Offset
 	OfferedAsOf identifier.Offset
@@ -57,22 +57,22 @@
 	return fmt.Sprintf("configuration as of offset %d is not newer than the one as of offset %d", e.OfferedAsOf, e.AsOf)
 }
 
-// ProposalError reports a change that no folder could take.
+// ProposalError reports a change that is invalid in any folder.
 type ProposalError struct{ Faults []folderreader.Fault }
 
 func (e *ProposalError) Error() string {
 	return (&folderreader.FaultsError{Faults: e.Faults}).Error()
 }
 
-// TooManyPendingError reports that too many changes wait for their verdicts.
+// TooManyPendingError reports that the limit of changes without a verdict is reached.
 type TooManyPendingError struct{ Pending int }
 
 func (e *TooManyPendingError) Error() string {
 	return fmt.Sprintf("%d changes wait for their verdicts", e.Pending)
 }
 
-// NoGapError reports a restore that was asked for without need: the state is
-// whole, and a change of one file does not undo another operator's.
+// NoGapError reports a restore while the state has no gap. A restore would
+// discard other operators' changes; changes of single files do not.
 type NoGapError struct{ AsOf identifier.Offset }
 
 func (e *NoGapError) Error() string {
--- a/internal/configurer/harness_test.go
+++ b/internal/configurer/harness_test.go
@@ -12,7 +12,7 @@
 // testRetention is DefaultRetention, which holds while no file sets another.
 const testRetention = DefaultRetention
 
-// testLog is the platform's log: other streams use every second offset.
+// testLog simulates the platform's log. Other streams use every second offset.
 type testLog struct {
 	now     timekeeper.Time
 	next    identifier.Offset
@@ -41,7 +41,7 @@
 	return l.next
 }
 
-// advance lets time pass and drops what the retention no longer covers.
+// advance moves the clock forward and expires records older than the retention.
 func (l *testLog) advance(d timekeeper.Duration) {
 	l.now = l.now.Add(d)
 	l.next++
@@ -56,7 +56,7 @@
 
 func (l *testLog) expire(first identifier.Offset) { l.first = max(l.first, first) }
 
-// kept returns at most limit records from an offset on.
+// retained returns at most limit unexpired records from an offset on.
 func (l *testLog) retained(from identifier.Offset, limit int) messenger.LogRead {
 	read := messenger.LogRead{
 		Stream: Stream,
@@ -98,7 +98,7 @@
 	return identifier.Nonce(fmt.Sprintf("n%d", l.nonces))
 }
 
-// propose returns the record of a change of a file to a zone of that name.
+// propose returns the record of a proposed change, or nil if it is invalid, and its nonce.
 func (l *testLog) propose(s *State, p messenger.ChangeProposed) ([]byte, identifier.Nonce) {
 	nonce := l.nonce()
 	data, err := s.Propose(l.now, p, nonce)
@@ -108,7 +108,8 @@
 	return data, nonce
 }
 
-// write changes a file as of what s knows and returns the verdict.
+// write appends a change of a file based on the state of s and returns its verdict.
+// Empty content deletes the file.
 func (l *testLog) write(s *State, file identifier.FileName, content string) messenger.ChangeVerdict {
 	l.read(s)
 	data, nonce := l.propose(s, proposalOf(s, file, content))
@@ -137,7 +138,7 @@
 
 func zoneFile(zone string) string { return "[zone " + zone + "]\nregion = r\n" }
 
-// same reports whether two nodes have the same state.
+// equalState reports whether two nodes have the same state.
 func equalState(a, b *State) bool {
 	return fmt.Sprint(a.Files()) == fmt.Sprint(b.Files()) &&
 		fmt.Sprint(a.History()) == fmt.Sprint(b.History()) &&
@@ -145,7 +146,7 @@
 		fmt.Sprint(a.Catalog().Zones) == fmt.Sprint(b.Catalog().Zones)
 }
 
-// content returns what a node has in force for a file.
+// fileContent returns the content of a file that a node has in force, or "" if it has none.
 func fileContent(s *State, file identifier.FileName) string {
 	f := s.Files()[file]
 	if f.Deleted {
--- a/internal/configurer/property_test.go
+++ b/internal/configurer/property_test.go
@@ -13,28 +13,28 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// chooser draws a number below n: from rapid, which shrinks a failing
-// schedule, or from a plain generator for the controls.
+// chooser draws a number below n. It uses rapid, which shrinks failing schedules, or a
+// plain generator for the controls.
 type chooser func(n int) int
 
-// trial is one run of nodes over one log, in any order of changes,
-// appends, snapshots, expiry, reading, replacement and copying from peers.
+// trial runs nodes over one log, with a random schedule of changes, appends, snapshots,
+// expiry, reads, replacements of nodes and imports of peers' states.
 type trial struct {
 	draw  chooser
 	rules rules
 	log   *testLog
 	nodes []*trackedNode
-	// inFlight are records that were made and not appended yet; each may be
+	// inFlight are created records that may still be appended. Each may be
 	// appended more than once.
 	inFlight [][]byte
-	// reference reads each record as soon as it is appended.
+	// reference is a node that reads each record as soon as it is appended.
 	reference  *State
 	operations []porcupine.Operation
 	pending    map[identifier.Nonce]int
 	fault      string
 }
 
-// seen is a node, and the revisions that it has applied.
+// trackedNode is a node with the largest revisions that it has applied.
 type trackedNode struct {
 	state    *State
 	revision identifier.Revision
@@ -62,8 +62,8 @@
 	}
 }
 
-// run takes so many steps, lets all nodes read to the end, and returns what
-// went wrong, if anything.
+// run takes the given number of steps, lets all nodes read to the end, and returns the
+// violation found, or "".
 func (p *trial) run(steps int) string {
 	actions := []func(){p.change, p.change, p.append, p.append, p.append, p.snapshot, p.read, p.read, p.read, p.expire, p.replace, p.importState}
 	for range steps {
@@ -78,8 +78,8 @@
 	return p.fault
 }
 
-// settleUntold completes the changes whose operators were told nothing: those
-// that took effect did so at some time after they were made.
+// settleUnreported completes the operations whose verdict was not reported but that were
+// accepted: they took effect at some time after their call.
 func (p *trial) settleUnreported() {
 	for nonce, i := range p.pending {
 		if c, judged := p.reference.view.verdict(nonce); judged && c.Accepted {
@@ -125,8 +125,7 @@
 	})
 }
 
-// tick returns a time for the linearizability check, in which each event of a
-// schedule has its own.
+// nextTime returns a unique time for an event of the linearizability check.
 func (p *trial) nextTime() int64 {
 	p.log.now++
 	return int64(p.log.now)
@@ -156,8 +155,8 @@
 	p.absorb(n, 1+p.draw(4))
 }
 
-// expire drops records. Most often it keeps what a fresh snapshot covers, as
-// the timers do; else nodes may be left with a gap, which they must report.
+// expire expires records. In three of four cases it first appends a snapshot, as the
+// timers do. Otherwise nodes may be left with a gap, which they must report.
 func (p *trial) expire() {
 	if p.draw(4) > 0 {
 		p.log.append(encode(record{Snapshot: p.reference.view.snapshot()}))
@@ -167,7 +166,7 @@
 	if p.log.next > back {
 		p.log.expire(p.log.next - back)
 	}
-	// Records expire only long after they were appended.
+	// Nodes rely on records not expiring within the retention.
 	p.log.now = p.log.now.Add(testRetention)
 	p.log.read(p.reference)
 }
@@ -190,7 +189,7 @@
 	p.check(n, n.state.ApplyRecords(p.log.now, p.log.retained(n.state.ReadFrom(), limit)))
 }
 
-// check requires that no revision goes down on a node.
+// check requires that no revision decreases on a node.
 func (p *trial) check(n *trackedNode, applied []Applied) {
 	for _, a := range applied {
 		p.settle(a)
@@ -209,7 +208,7 @@
 	}
 }
 
-// settle notes a verdict that an operator was told.
+// settle completes an operation whose verdict was reported to its operator.
 func (p *trial) settle(a Applied) {
 	i, ok := p.pending[a.Nonce]
 	if !ok || a.Ticket == 0 {
@@ -225,7 +224,7 @@
 	}
 }
 
-// compare requires that a node without a gap agrees with the reference.
+// compare requires that a node without a fault has the state of the reference.
 func (p *trial) compare(n *trackedNode) {
 	if n.state.Fault() == nil && !equalState(n.state, p.reference) {
 		p.fault = fmt.Sprintf("a node has %v, the reference %v", n.state.History(), p.reference.History())
@@ -241,8 +240,8 @@
 	})
 }
 
-// TestNodesAgreeControl turns each rule off in turn: some schedule must then
-// break the property or the linearizability of the verdicts.
+// With any of the rules disabled, some schedule violates the property or the
+// linearizability of the verdicts.
 func TestNodesAgreeControl(t *testing.T) {
 	cases := map[string]func(*rules){
 		"compareRevision":     func(r *rules) { r.compareRevision = false },
@@ -263,9 +262,9 @@
 	}
 }
 
-// TestSwapControl turns the comparison off on all nodes and in the reference:
-// they agree with each other, but the verdicts are those of no register.
-func TestSwapControl(t *testing.T) {
+// With the comparison of revisions disabled on all nodes and the reference, the nodes
+// agree but the verdicts are not linearizable.
+func TestLinearizabilityControl(t *testing.T) {
 	weakened := allRules()
 	weakened.compareRevision = false
 	violated := false
@@ -289,7 +288,7 @@
 	return false
 }
 
-// swap is a compare-and-set of one file's revision, as an operator sees it.
+// casInput is the input of a compare-and-set of a file's revision.
 type casInput struct {
 	file identifier.FileName
 	base identifier.Revision
@@ -298,17 +297,17 @@
 type casOutput struct {
 	unknown  bool
 	accepted bool
-	// invalid marks a rejection that was not for the revision.
+	// invalid marks a rejection for another reason than the revision.
 	invalid  bool
 	revision identifier.Revision
 }
 
-// linearizable reports whether the verdicts are those of one register a file.
+// linearizable reports whether the verdicts are those of one register per file.
 func linearizable(operations []porcupine.Operation) bool {
 	return porcupine.CheckOperations(registers(), operations)
 }
 
-// registers is one register a file; its state is the file's revision.
+// registers models one register per file, which holds the file's revision.
 func registers() porcupine.Model {
 	return porcupine.Model{
 		Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
--- a/internal/configurer/proposal.go
+++ b/internal/configurer/proposal.go
@@ -10,10 +10,10 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// maxPending bounds the changes that wait for their verdicts.
+// maxPending bounds the changes of this node's operators without a verdict.
 const maxPending = 16
 
-// proposal is a change of this node's operators that was not read back yet.
+// proposal is a change by an operator of this node that was not read back.
 type proposal struct {
 	nonce      identifier.Nonce
 	file       identifier.FileName
@@ -23,9 +23,9 @@
 }
 
 // Propose returns the record to append for an operator's change. The nonce
-// must be fresh. The verdict comes with ApplyRecords, or as unknown with Timeouts.
-// The error is a *ProposalError, *BusyError, *GapError or *StateError; with
-// each of them the change is not made.
+// must be unique. ApplyRecords or Import returns the verdict, or Timeouts an
+// unknown one. The error is a *ProposalError, *TooManyPendingError, *GapError
+// or *StateError; in each case there is nothing to append.
 func (s *State) Propose(now timekeeper.Time, p messenger.ChangeProposed, nonce identifier.Nonce) ([]byte, error) {
 	if faults := proposalFaults(p); len(faults) > 0 {
 		return nil, &ProposalError{Faults: faults}
@@ -61,10 +61,10 @@
 	return faults
 }
 
-// ProposeRestore returns the record that replaces the whole folder, for the
-// operator of a fleet whose log has lost the configuration and of which no
-// node has it. Such a fleet can't tell what its folder was, so an operator has
-// to. While the state is whole the error is a *NoGapError.
+// ProposeRestore returns the record that replaces the whole folder. It is for
+// operators of a fleet that has lost the configuration: its records have expired
+// and no node has its state. The error is a *NoGapError if this node has no gap,
+// a *ProposalError if the folder has faults, or a *TooManyPendingError.
 func (s *State) ProposeRestore(now timekeeper.Time, files map[identifier.FileName][]byte, ticket identifier.Ticket, nonce identifier.Nonce) ([]byte, error) {
 	if !s.gap() {
 		return nil, &NoGapError{AsOf: s.view.asOf}
@@ -95,9 +95,9 @@
 	return data, nil
 }
 
-// PendingRecord returns the record of a change that still waits for its verdict. It
-// may be appended again when the answer to its append was lost: its nonce
-// makes the copies count once.
+// PendingRecord returns the record of a change that has no verdict. The record
+// may be appended again if the response to its append was lost, as copies are
+// deduplicated by nonce.
 func (s *State) PendingRecord(nonce identifier.Nonce) ([]byte, bool) {
 	for _, p := range s.pending {
 		if p.nonce == nonce {
@@ -107,9 +107,9 @@
 	return nil, false
 }
 
-// Timeouts returns the changes that have waited too long. Their verdict is
-// unknown, not negative: the record may stand in the log all the same, and the
-// operator finds the verdict in the history later.
+// Timeouts removes and returns the pending changes whose verdict timeout has
+// passed. Their verdict is unknown rather than negative: the record may be in the
+// log, and its verdict may appear in the history later.
 func (s *State) Timeouts(now timekeeper.Time) []Applied {
 	var applied []Applied
 	s.pending = slices.DeleteFunc(s.pending, func(p proposal) bool {
@@ -127,7 +127,7 @@
 	return applied
 }
 
-// settle turns a judged change into its report and ends the wait for it.
+// settle removes a judged change from the pending ones and returns its report.
 func (s *State) settle(c Change) Applied {
 	applied := Applied{
 		Nonce:    c.Nonce,
@@ -148,7 +148,7 @@
 	return applied
 }
 
-// settleRemembered reports the waiting changes that an adopted view has judged.
+// settlePending returns the pending changes whose verdicts are in an adopted view.
 func (s *State) settlePending() []Applied {
 	var applied []Applied
 	for _, p := range slices.Clone(s.pending) {
--- a/internal/configurer/record.go
+++ b/internal/configurer/record.go
@@ -9,32 +9,32 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// record is one record of the stream; just one of its parts is there.
+// record is a record of the stream. Exactly one field is set.
 type record struct {
 	Change   *changeRecord   `json:"change,omitempty"`
 	Restore  *restoreRecord  `json:"restore,omitempty"`
 	Snapshot *snapshotRecord `json:"snapshot,omitempty"`
 }
 
-// changeRecord asks for a change of one file.
+// changeRecord proposes a change of one file.
 type changeRecord struct {
 	Nonce        identifier.Nonce    `json:"nonce"`
 	File         identifier.FileName `json:"file"`
 	Content      []byte              `json:"content,omitempty"`
 	Delete       bool                `json:"delete,omitempty"`
 	BaseRevision identifier.Revision `json:"saw"`
-	// Generation is the offset of the last restore that the proposer knew.
+	// Generation is the offset of the last restore known to the proposer.
 	Generation identifier.Offset `json:"generation"`
 }
 
-// restoreRecord replaces the whole folder and all that was before it.
+// restoreRecord replaces the whole state by a folder.
 type restoreRecord struct {
 	Nonce identifier.Nonce               `json:"nonce"`
 	Files map[identifier.FileName][]byte `json:"files"`
 }
 
-// snapshotRecord is the whole state as of an offset. It repeats what older
-// records say and decides nothing.
+// snapshotRecord is the whole state as of an offset. It summarizes older records
+// and changes nothing.
 type snapshotRecord struct {
 	AsOf       identifier.Offset                 `json:"as_of"`
 	Generation identifier.Offset                 `json:"generation"`
@@ -43,7 +43,7 @@
 	Recent     []Change                          `json:"recent"`
 }
 
-// exportRecord is the state for a peer, with what times its next snapshot.
+// exportRecord is the state for a peer, with the schedule of the next snapshot.
 type exportRecord struct {
 	Snapshot     *snapshotRecord   `json:"snapshot"`
 	CoveredTo    identifier.Offset `json:"covered_to"`
@@ -54,42 +54,42 @@
 type FileState struct {
 	Content  []byte              `json:"content,omitempty"`
 	Revision identifier.Revision `json:"revision"`
-	// Deleted marks a tombstone: it keeps the revision of the deletion, so
-	// that a change from before it is seen to be stale.
+	// Deleted marks a tombstone. It keeps the revision of the deletion, so that
+	// changes proposed before it are recognized as stale.
 	Deleted bool `json:"deleted,omitempty"`
 }
 
-// Change is one judged change, for the operator's history.
+// Change is a judged change in the history that operators read.
 type Change struct {
-	// Offset is where the change stands in the log.
+	// Offset is the offset of the change's record.
 	Offset identifier.Offset   `json:"offset"`
 	Nonce  identifier.Nonce    `json:"nonce"`
 	File   identifier.FileName `json:"file,omitempty"`
-	// Deleted tells that the change asked to delete the file, Restored that
-	// it replaced the whole folder.
+	// Deleted marks a change that deletes the file, Restored one that replaces
+	// the whole folder.
 	Deleted  bool `json:"deleted,omitempty"`
 	Restored bool `json:"restored,omitempty"`
 	Accepted bool `json:"accepted"`
 	// Revision is the file's revision after the verdict: that of the change
-	// where it was accepted, and that of the file that stands otherwise.
+	// if it was accepted, or else the unchanged revision.
 	Revision identifier.Revision `json:"revision"`
-	// Faults tell why the change was rejected.
+	// Faults are the reasons for a rejection.
 	Faults []string `json:"faults,omitempty"`
-	// Appended is the log's own time of the append.
+	// Appended is the log's time of the append.
 	Appended timekeeper.Time `json:"appended_ms"`
 }
 
-// encode returns r as it stands in the log.
+// encode returns the JSON encoding of a record.
 func encode(r any) []byte {
 	data, err := json.Marshal(r)
 	if err != nil {
-		// Plain structs of strings, numbers and bytes can always be written.
+		// Encoding structs of strings, numbers and bytes cannot fail.
 		panic(&RecordError{Cause: err})
 	}
 	return data
 }
 
-// decode reads a record of the log. Its error is a *RecordError.
+// decode decodes a record of the log. Its error is a *RecordError.
 func decode(offset identifier.Offset, data []byte) (record, error) {
 	var r record
 	if err := json.Unmarshal(data, &r); err != nil {
@@ -104,7 +104,7 @@
 	return r, nil
 }
 
-// maxName bounds the nonces and file names that the history keeps.
+// maxNameBytes bounds the nonces and file names in the history.
 const maxNameBytes = 128
 
 func (r record) wellFormed(offset identifier.Offset) bool {
@@ -121,8 +121,8 @@
 
 func validNonce(n identifier.Nonce) bool { return n != "" && len(n) <= maxNameBytes }
 
-// The bounds of the faults that a verdict carries. The history and each
-// snapshot keep them.
+// The bounds of the faults in a verdict, which the history and each snapshot
+// hold.
 const (
 	maxVerdictFaults     = 8
 	maxVerdictFaultBytes = 300
--- a/internal/configurer/sections.go
+++ b/internal/configurer/sections.go
@@ -7,8 +7,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// The bounds of values. They are wide: they catch a slip of the keyboard, not
-// a matter of taste.
+// The bounds of values. They are wide, as they are meant to catch typing errors.
 const (
 	maxServers         = 10_000
 	maxSlots           = 10_000
@@ -101,7 +100,7 @@
 	))
 }
 
-// unwanted reports keys that only model pools and services have.
+// forbidModelKeys reports keys that only model pools and services may have.
 func forbidModelKeys(f *folderreader.Form, keys ...string) {
 	for _, key := range keys {
 		f.ForbidKey(key, "with kind = plain")
@@ -124,8 +123,8 @@
 	switch service.Kind {
 	case catalog.PlainService:
 		forbidModelKeys(f, "model", "max_tokens")
-		// Whether a call may be repeated is never guessed: a wrong guess
-		// doubles a booking or loses an answer.
+		// There is no default for plain services: a wrong one would run a
+		// request twice or lose its answer.
 		service.Idempotent = f.Required("idempotent").Bool()
 	case catalog.ModelService:
 		service.Model = identifier.ModelName(f.Required("model").Name())
@@ -135,7 +134,7 @@
 	b.catalog.Services[service.Name] = service
 }
 
-// The words for priorities.
+// The values of a service's priority key.
 const (
 	batchName       = "batch"
 	standardName    = "standard"
--- a/internal/configurer/seed_test.go
+++ b/internal/configurer/seed_test.go
@@ -2,8 +2,8 @@
 
 import "flag"
 
-// The schedules are the same in every run, so that the verdict is. Another
-// seed is tried with -rapid.seed.
+// A fixed seed makes the schedules, and so the results, the same in every run. Use
+// -rapid.seed to try another seed.
 func init() {
 	if err := flag.Set("rapid.seed", "20260101"); err != nil {
 		panic(err)
--- a/internal/configurer/snapshot.go
+++ b/internal/configurer/snapshot.go
@@ -8,38 +8,41 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// When a snapshot is appended. At the latest it is due after three eighths of
-// the retention: two in a row may fail before records are lost.
+// The timing of snapshots. A snapshot is due after at most three eighths of the
+// retention, so that two in a row may fail before records are lost.
 const (
-	snapshotDivisor = 4 // due after this share of the retention
-	jitterDivisor   = 8 // plus up to this share of it
-	// urgentSpread spreads the nodes when a snapshot is wanted at once.
+	snapshotDivisor = 4 // a snapshot is due after 1/4 of the retention
+	jitterDivisor   = 8 // plus a jitter of up to 1/8 of the retention
+	// maxUrgentDelay bounds the random delay of a snapshot that is needed
+	// immediately, so that not all nodes append one.
 	maxUrgentDelay = 2 * timekeeper.Second
-	// snapshotRetry is the least wait for a snapshot to be read back.
+	// minSnapshotRetry is the minimum wait for a snapshot to be read back before
+	// it is appended again.
 	minSnapshotRetry = 5 * timekeeper.Second
-	// maxUncovered is how many changes may stand after the last snapshot. It
-	// keeps all of them in the history, which times the next one.
+	// maxUncovered is the number of changes after the last snapshot at which the
+	// next one is due. It is below maxRecent, because snapshotRead needs all of
+	// these changes in the history.
 	maxUncovered = maxRecent / 2
 )
 
-// schedule tells when to append the next snapshot.
+// schedule determines when this node appends the next snapshot.
 type schedule struct {
 	// coveredTo is the as-of offset of the best snapshot that was read.
 	coveredTo identifier.Offset
-	// since is the log's time of the oldest record that is still needed: that
-	// snapshot, or a change after its as-of offset.
+	// oldestNeeded is the append time of the oldest record that a new node needs:
+	// that snapshot, or a change after its as-of offset.
 	oldestNeeded timekeeper.Time
-	// uncovered counts the changes after coveredTo.
+	// uncovered is the number of changes after coveredTo.
 	uncovered int
 	// expiredTo is the last offset that the log has dropped.
 	expiredTo identifier.Offset
-	// dueAt is this node's own time for the next snapshot, or zero while it
-	// is not set.
+	// dueAt is the time at which this node appends a snapshot, or zero if it is
+	// not set. urgent is set if dueAt was set because one is needed immediately.
 	dueAt  timekeeper.Time
 	urgent bool
 }
 
-// changed takes in a judged change.
+// changeJudged records a judged change.
 func (s *schedule) changeJudged(c Change) {
 	s.uncovered++
 	if s.oldestNeeded == 0 {
@@ -47,9 +50,9 @@
 	}
 }
 
-// seen takes in a snapshot that was read. One that was appended late keeps
-// fewer records from mattering, so its worth is the age of the oldest change
-// after its as-of offset.
+// snapshotRead records a snapshot that was read, unless an earlier one is
+// better. A snapshot that was appended late leaves changes uncovered that are
+// older than itself, so snapshots are compared by the oldest record needed.
 func (s *schedule) snapshotRead(appended timekeeper.Time, asOf identifier.Offset, recent []Change) {
 	oldestNeeded, uncovered := appended, 0
 	for _, c := range recent {
@@ -68,14 +71,14 @@
 	s.urgent = false
 }
 
-// wanted reports whether a snapshot is wanted at once: a node that starts now
-// would find no snapshot that covers what the log has dropped, or there are
-// many changes after the last one.
+// neededNow reports whether a snapshot is needed immediately: either no snapshot
+// covers the records that have expired, or there are too many changes after the
+// last one.
 func (s *schedule) neededNow() bool {
 	return s.expiredTo > s.coveredTo || s.uncovered >= maxUncovered
 }
 
-// due returns the time of the next snapshot, drawing it where it is not set.
+// due returns the time of the next snapshot and draws it if it is not set.
 func (s *schedule) due(now timekeeper.Time, retention timekeeper.Duration, rng *rand.Rand) timekeeper.Time {
 	if s.neededNow() && !s.urgent {
 		s.urgent = true
@@ -95,9 +98,9 @@
 	return timekeeper.Duration(rng.Int64N(int64(d) + 1))
 }
 
-// SnapshotDue returns the snapshot to append when this node's jittered timer
-// has come. A snapshot that is read back, of whichever node, resets the timer;
-// one that is not is repeated.
+// SnapshotDue returns the snapshot to append if this node's jittered timer has
+// expired. Reading back a snapshot of any node resets the timer; a snapshot that
+// is not read back is appended again.
 func (s *State) SnapshotDue(now timekeeper.Time, rng *rand.Rand) ([]byte, bool) {
 	empty := s.view.revision == 0 && len(s.view.recent) == 0
 	if !s.Ready() || (empty && !s.schedule.neededNow()) || !s.rules.appendSnapshots {
@@ -110,7 +113,7 @@
 	return encode(record{Snapshot: s.view.snapshot()}), true
 }
 
-// Export returns the state for a peer that can't read the log.
+// Export returns the state for a peer that cannot read the log.
 func (s *State) Export() []byte {
 	return encode(exportRecord{
 		Snapshot:     s.view.snapshot(),
@@ -119,9 +122,9 @@
 	})
 }
 
-// Import takes the state of a peer that has read further. What waited for a
-// verdict that the peer has read is returned. The error is a *RecordError, a
-// *StateError, or an *OlderStateError when there is nothing to take.
+// Import adopts the exported state of a peer that has read further. It returns
+// the pending changes whose verdicts the peer has read. Its error is a
+// *RecordError, a *StateError or an *OlderStateError.
 func (s *State) Import(now timekeeper.Time, data []byte) ([]Applied, error) {
 	var r exportRecord
 	if err := json.Unmarshal(data, &r); err != nil || r.Snapshot == nil {
@@ -145,7 +148,7 @@
 	return append(applied, s.applyHeld(now)...), nil
 }
 
-// imported takes over the peer's timing where this node has none.
+// merge adopts the peer's schedule if this node has none.
 func (s *schedule) merge(r exportRecord) {
 	if s.oldestNeeded == 0 {
 		s.oldestNeeded = r.OldestNeeded
--- a/internal/configurer/state.go
+++ b/internal/configurer/state.go
@@ -10,13 +10,13 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// DefaultVerdictTimeout is how long an operator waits for a verdict.
+// DefaultVerdictTimeout is the default of Config.VerdictTimeout.
 const DefaultVerdictTimeout = 5 * timekeeper.Second
 
 // Config sets up a State.
 type Config struct {
-	// VerdictTimeout is how long a proposed change may wait to be read back
-	// before its operator is told that the verdict is unknown; zero means
+	// VerdictTimeout is the time within which a proposed change must be read
+	// back. Otherwise its verdict is reported as unknown. Zero means
 	// DefaultVerdictTimeout.
 	VerdictTimeout timekeeper.Duration
 }
@@ -26,22 +26,23 @@
 	config Config
 	rules  rules
 	view   view
-	// seenTo is the last offset that was received, lostTo the last one that
-	// may have expired unread. There is a gap while lostTo is past the view.
+	// receivedTo is the last offset that was received, and lostTo the last one
+	// that may have expired unread. There is a gap while lostTo > view.asOf.
 	receivedTo identifier.Offset
 	lostTo     identifier.Offset
-	// held are the records past a gap: a snapshot further on may show that
-	// they count.
+	// held are the records after a gap. They are applied once a snapshot or
+	// restore closes the gap.
 	held      []messenger.Record
 	heldBytes int
-	// caughtUp tells that the last read reached the end of the stream, which
-	// endedAt times.
+	// caughtUp is set if the last read reached the end of the stream.
+	// caughtUpAt is the time of the last read that did.
 	caughtUp   bool
 	caughtUpAt timekeeper.Time
 	pending    []proposal
 	schedule   schedule
-	// last and lastAppended are the offset and time of the last record that
-	// was applied; shortest is the least age at which one was seen expired.
+	// lastApplied and lastAppended are the offset and append time of the last
+	// applied record. minExpiredAge is the minimum age at which such a record
+	// was found to have expired.
 	lastApplied   identifier.Offset
 	lastAppended  timekeeper.Time
 	minExpiredAge timekeeper.Duration
@@ -49,15 +50,15 @@
 	snapshotErr   error
 }
 
-// Dropped counts what a State has dropped.
+// Dropped counts records that a State did not apply.
 type Dropped struct {
-	// Malformed counts records that are none of ours.
+	// Malformed counts malformed records.
 	Malformed int `json:"malformed"`
-	// Held counts records past a gap that did not fit in memory.
+	// Held counts records after a gap that exceeded maxHeldBytes.
 	Held int `json:"held"`
 }
 
-// maxHeldBytes bounds the records past a gap.
+// maxHeldBytes bounds the held records after a gap.
 const maxHeldBytes = 4 << 20
 
 // New returns an empty State.
@@ -72,12 +73,13 @@
 	}
 }
 
-// Applied is one change that was judged, or given up waiting for.
+// Applied is a change that was judged, or whose verdict timed out.
 type Applied struct {
 	Revision identifier.Revision
 	Nonce    identifier.Nonce
 	File     identifier.FileName
-	// Ticket is that of the operator's proposal on this node, or zero.
+	// Ticket identifies the operator's proposal. It is zero if this node has no
+	// pending proposal with the nonce.
 	Ticket  identifier.Ticket
 	Verdict messenger.ChangeVerdict
 }
@@ -88,26 +90,27 @@
 // Revision returns the offset of the last accepted change.
 func (s *State) Revision() identifier.Revision { return s.view.revision }
 
-// AsOf returns the offset as of which the state is known.
+// AsOf returns the offset up to which records were applied.
 func (s *State) AsOf() identifier.Offset { return s.view.asOf }
 
-// ReadFrom returns the offset to read the stream from.
+// ReadFrom returns the offset at which the next read of the stream begins.
 func (s *State) ReadFrom() identifier.Offset { return s.receivedTo + 1 }
 
-// Ready reports whether the stream was read to its end without a gap.
+// Ready reports whether the last read reached the end of the stream and there is
+// no fault.
 func (s *State) Ready() bool { return s.caughtUp && s.Fault() == nil }
 
-// Dropped returns what the state has dropped so far.
+// Dropped returns the counts of records that were not applied.
 func (s *State) Dropped() Dropped { return s.dropped }
 
-// Files returns the folder with the tombstones of deleted files.
+// Files returns the files of the folder and the tombstones of deleted ones.
 func (s *State) Files() map[identifier.FileName]FileState { return maps.Clone(s.view.files) }
 
 // History returns the last judged changes, the oldest first.
 func (s *State) History() []Change { return slices.Clone(s.view.recent) }
 
-// Fault returns a *GapError while records are missing, a *StateError while the
-// log holds a state that this program can't use, and nil otherwise.
+// Fault returns a *GapError while records are missing, a *StateError if the last
+// snapshot in the log is invalid for this program, and nil otherwise.
 func (s *State) Fault() error {
 	if s.gap() {
 		return &GapError{
@@ -120,8 +123,8 @@
 
 func (s *State) gap() bool { return s.lostTo > s.view.asOf }
 
-// ApplyRecords applies one read of the stream and returns the verdicts that it
-// brought. Reads may overlap or be repeated, but not leave records out.
+// ApplyRecords applies one read of the stream and returns the resulting verdicts.
+// Reads may overlap or be repeated, but must not omit records.
 func (s *State) ApplyRecords(now timekeeper.Time, read messenger.LogRead) []Applied {
 	s.handleExpiry(now, read.First)
 	var applied []Applied
@@ -135,12 +138,12 @@
 	return applied
 }
 
-// noteExpiry looks at the oldest offset that the log keeps. Offsets are shared
-// by all streams, so it passes our position also when only other streams'
-// records expired. What was appended after a read that reached the end can't
-// have expired within the retention, half of which leaves room for a read that
-// is absorbed late: then nothing of ours is missing, and the state stands as
-// of that offset.
+// handleExpiry detects a gap from the oldest offset that the log retains. All
+// streams share one sequence of offsets, so this offset may pass asOf although
+// only records of other streams have expired. Records appended after a read
+// that reached the end cannot have expired within the retention. If that read
+// is less than half the retention ago, which allows for reads that are applied
+// late, no record of this stream is missing and asOf advances.
 func (s *State) handleExpiry(now timekeeper.Time, first identifier.Offset) {
 	if first == 0 {
 		return
@@ -158,7 +161,7 @@
 	s.lostTo = max(s.lostTo, first-1)
 }
 
-// learnRetention notes the age at which the log has dropped a record.
+// observeRetention records the age of the last applied record if it has expired.
 func (s *State) observeRetention(now timekeeper.Time, first identifier.Offset) {
 	if s.lastApplied == 0 || first <= s.lastApplied || !s.rules.observeRetention {
 		return
@@ -169,8 +172,8 @@
 	}
 }
 
-// retention returns how long the log keeps a record: as the operators say, or
-// as was seen where that is less.
+// retention returns the configured retention of the log, or the observed one if
+// that is shorter.
 func (s *State) retention() timekeeper.Duration {
 	configured := s.view.catalog.LogRetention
 	if s.minExpiredAge == 0 {
@@ -179,7 +182,7 @@
 	return min(configured, max(s.minExpiredAge, minRetention))
 }
 
-// take takes in one record.
+// receive applies one record, or holds it while there is a gap.
 func (s *State) receive(now timekeeper.Time, rec messenger.Record) []Applied {
 	if rec.Offset <= s.receivedTo || rec.Offset <= s.view.asOf {
 		return nil
@@ -191,7 +194,7 @@
 	return s.apply(now, rec)
 }
 
-// apply applies the record that follows the view.
+// apply applies the next record to the view.
 func (s *State) apply(now timekeeper.Time, rec messenger.Record) []Applied {
 	s.view.asOf = rec.Offset
 	r, err := decode(rec.Offset, rec.Data)
@@ -215,8 +218,7 @@
 	return []Applied{s.settle(verdict)}
 }
 
-// appendedAt returns the log's time of a record. A log that tells none is
-// taken to have appended it just now.
+// appendedAt returns the append time of a record, or now if the log states none.
 func appendedAt(now timekeeper.Time, rec messenger.Record) timekeeper.Time {
 	if rec.Appended == 0 {
 		return now
@@ -246,8 +248,8 @@
 	return []Applied{s.settle(v.recent[0])}
 }
 
-// hold keeps a record past a gap. A snapshot or restore that covers the gap
-// ends it, and what stands after its as-of offset is applied.
+// hold keeps a record after a gap. If the record is a snapshot or restore that
+// closes the gap, the held records after its as-of offset are applied.
 func (s *State) hold(now timekeeper.Time, rec messenger.Record) []Applied {
 	s.held = append(s.held, rec)
 	s.heldBytes += len(rec.Data)
@@ -277,8 +279,8 @@
 	return s.adoptView(v)
 }
 
-// adopt goes over to a later view. A view is what all records up to its as-of
-// offset say, so a later one never takes back what an earlier one says.
+// adoptView replaces the view by a later one. A view reflects all records up to
+// its as-of offset, so a later view includes all changes of an earlier one.
 func (s *State) adoptView(v view) []Applied {
 	if v.asOf <= s.view.asOf {
 		return nil
@@ -289,8 +291,8 @@
 	return s.settlePending()
 }
 
-// release applies the held records once they follow the view, and drops those
-// that the view holds already.
+// applyHeld drops the held records that the view includes, and applies the others
+// if there is no gap.
 func (s *State) applyHeld(now timekeeper.Time) []Applied {
 	s.held = slices.DeleteFunc(s.held, func(rec messenger.Record) bool {
 		done := rec.Offset <= s.view.asOf
--- a/internal/configurer/state_test.go
+++ b/internal/configurer/state_test.go
@@ -15,15 +15,15 @@
 	fileB = identifier.FileName("20-b.ini")
 )
 
-// TestSafeguards runs each scenario twice: with all rules it must hold, and
-// with its own rule off it must not, which shows that the check can object.
+// Each scenario must hold with all rules and fail with its own rule disabled, which shows
+// that the scenario depends on the rule.
 func TestSafeguards(t *testing.T) {
-	cases := map[string]struct {
+	scenarios := map[string]struct {
 		holds func(rules) bool
 		off   func(*rules)
 	}{
 		"race of two operators": {
-			holds: raceHolds,
+			holds: concurrentChangesHold,
 			off:   func(r *rules) { r.compareRevision = false },
 		},
 		"merged folder with faults": {
@@ -31,7 +31,7 @@
 			off:   func(r *rules) { r.checkMerged = false },
 		},
 		"lost answer and second append": {
-			holds: lostAnswerHolds,
+			holds: lostResponseHolds,
 			off:   func(r *rules) { r.countOnce = false },
 		},
 		"deleted file": {
@@ -63,20 +63,19 @@
 			off:   func(r *rules) { r.appendSnapshots = false },
 		},
 	}
-	for name, c := range cases {
+	for name, scenario := range scenarios {
 		t.Run(name, func(t *testing.T) {
-			require.True(t, c.holds(allRules()))
+			require.True(t, scenario.holds(allRules()))
 			weakened := allRules()
-			c.off(&weakened)
-			require.False(t, c.holds(weakened))
+			scenario.off(&weakened)
+			require.False(t, scenario.holds(weakened))
 		})
 	}
 }
 
-// Two operators change one file at once, through two nodes. Each has seen
-// revision 0; the first in log order is accepted, and the second operator is
-// told that the file has changed under their hands.
-func raceHolds(r rules) bool {
+// Two operators concurrently change a file on two nodes, both based on revision 0. The
+// first change in log order is accepted and the second is rejected with one fault.
+func concurrentChangesHold(r rules) bool {
 	l := newTestLog()
 	one, two := l.ready(r), l.ready(r)
 	first, firstNonce := l.propose(one, proposalOf(one, fileA, zoneFile("x")))
@@ -87,8 +86,8 @@
 	return winner.Accepted && !loser.Accepted && len(loser.Faults) == 1 && fileContent(one, fileA) == zoneFile("y")
 }
 
-// An operator deletes the zone that a price refers to. The file itself is
-// fine, the merged folder is not: nothing changes anywhere.
+// An operator deletes the zone that a price refers to. The change is rejected because
+// the merged folder would be invalid.
 func mergedHolds(r rules) bool {
 	l := newTestLog()
 	s := l.ready(r)
@@ -98,11 +97,10 @@
 	return !verdict.Accepted && len(verdict.Faults) == 1 && fileContent(s, fileA) != ""
 }
 
-// The answer to an append is lost and the record is appended again. The first
-// copy was rejected, and its operator told so, because it refers to a zone
-// that is not there; the zone comes, then the second copy. Without the rule
-// the rejected change would come into force.
-func lostAnswerHolds(r rules) bool {
+// The response to an append is lost and the record is appended again. The first copy was
+// rejected because it refers to a missing zone, which is created before the second copy.
+// The second copy must not be accepted.
+func lostResponseHolds(r rules) bool {
 	l := newTestLog()
 	s := l.ready(r)
 	data, nonce := l.propose(s, proposalOf(s, fileB, "[vm_class c]\n[price c x]\nreclaimable = 1\n"))
@@ -114,8 +112,8 @@
 	return !rejected.Accepted && len(again) == 0 && fileContent(s, fileB) == "" && len(s.History()) == 2
 }
 
-// A creation is appended late, after another operator has created and deleted
-// the file. The tombstone's revision shows that it is stale.
+// The creation of a file is appended late, after another operator has created and deleted
+// the file. It is rejected as older than the tombstone's revision.
 func tombstoneHolds(r rules) bool {
 	l := newTestLog()
 	s, slow := l.ready(r), l.ready(r)
@@ -127,8 +125,8 @@
 	return fileContent(s, fileA) == ""
 }
 
-// A node makes a snapshot and is paused; a change is accepted; then the
-// snapshot is appended. Nodes that have the change keep it.
+// A snapshot is appended late, after a change that it does not include. Nodes that have
+// applied the change keep it.
 func lateSnapshotHolds(r rules) bool {
 	l := newTestLog()
 	s := l.ready(r)
@@ -140,8 +138,8 @@
 	return accepted.Accepted && fileContent(s, fileA) == zoneFile("y") && s.Revision() == accepted.Revision
 }
 
-// The same late snapshot is the only one that a new node finds: what stands
-// before the snapshot's own offset has to be applied on top of it.
+// A new node finds only a snapshot that was appended late. It must also apply the change
+// between the snapshot's as-of offset and the snapshot's own offset.
 func lateSnapshotNewNodeHolds(r rules) bool {
 	l := newTestLog()
 	s := l.ready(r)
@@ -156,9 +154,8 @@
 	return late.Fault() == nil && equalState(late, s)
 }
 
-// A node is paused for longer than the retention. A change it has missed has
-// expired: it must not judge the next one by its old state, and says so until
-// a snapshot covers the gap.
+// A node is paused for longer than the retention and misses a change that has expired. It
+// must not judge further changes, and must report a fault, until a snapshot closes the gap.
 func pauseHolds(r rules) bool {
 	l := newTestLog()
 	s, paused := l.ready(r), l.ready(r)
@@ -176,9 +173,8 @@
 	return faulty && paused.Fault() == nil && equalState(paused, s)
 }
 
-// The folder says that the log keeps records for a day; it keeps them for an
-// hour. A node is paused for two hours, within what the folder says, and misses
-// a change that has expired: it must notice, and not take its state for whole.
+// The folder states a retention of a day, but the log retains records for an hour. A node
+// that is paused for two hours misses a change that has expired, and must detect the gap.
 func wrongRetentionHolds(r rules) bool {
 	l := newTestLog()
 	s, paused := l.ready(r), l.ready(r)
@@ -196,8 +192,8 @@
 	return s.Fault() == nil && paused.Fault() == nil && equalState(s, paused)
 }
 
-// A peer that lags gives its state to a node that has read further: the node
-// must not go below a revision that it has applied.
+// A node that imports the state of a lagging peer must not revert a revision that it has
+// applied.
 func olderPeerHolds(r rules) bool {
 	l := newTestLog()
 	s := l.ready(r)
@@ -208,9 +204,9 @@
 	return err != nil && fileContent(s, fileA) == zoneFile("y")
 }
 
-// Each node of a fleet of three lives for a tenth of the retention, for twenty
-// retentions, and all appended snapshots of one in three fail. The one change
-// ever made stays in force on each new node.
+// Over twenty retentions, each node of a fleet of three is replaced after a fraction of
+// the retention, and the snapshots of one node always fail. The only change must remain
+// in force on new nodes.
 func replacedFleetHolds(r rules) bool {
 	l := newTestLog()
 	l.write(l.ready(r), fileA, zoneFile("x"))
@@ -233,9 +229,9 @@
 	return s.Ready() && fileContent(s, fileA) == zoneFile("x") && snapshots < 200
 }
 
-// A new node starts while the log is out. It takes the state of a peer, and
-// goes on from there once the log is back; nothing is judged twice.
-func TestNewNodeInAnOutage(t *testing.T) {
+// A node that starts while the log is unavailable imports the state of a peer and
+// continues from there when the log is available. No change is judged twice.
+func TestNewNodeDuringOutage(t *testing.T) {
 	l := newTestLog()
 	s := l.ready(allRules())
 	l.write(s, fileA, zoneFile("x"))
@@ -250,9 +246,8 @@
 	require.True(t, fresh.Ready())
 }
 
-// An operator's change is not read back in time. The operator is told that the
-// verdict is unknown; the change stands in the log all the same, and later
-// comes into force and into the history.
+// A change that is not read back within the timeout has an unknown verdict. Its record may
+// still be appended, and then comes into force and into the history.
 func TestUnknownVerdict(t *testing.T) {
 	l := newTestLog()
 	s := l.ready(allRules())
@@ -272,9 +267,8 @@
 	require.True(t, s.History()[0].Accepted)
 }
 
-// A node proposes a change and is paused past the retention. The change was
-// accepted meanwhile and has expired; a snapshot remembers its nonce, so the
-// operator is told the truth.
+// A node proposes a change and is paused past the retention. The accepted change has
+// expired, but a snapshot contains its nonce, so the operator gets the correct verdict.
 func TestVerdictFromSnapshot(t *testing.T) {
 	l := newTestLog()
 	s, paused := l.ready(allRules()), l.ready(allRules())
@@ -288,8 +282,8 @@
 	require.Equal(t, at, verdict.Revision)
 }
 
-// A whole fleet was off for longer than the retention: its folder is gone. New
-// nodes say so, and an operator restores the folder from their own copy.
+// A whole fleet was stopped for longer than the retention, and the folder has expired. New
+// nodes report a gap, and an operator restores the folder from a local copy.
 func TestRestore(t *testing.T) {
 	l := newTestLog()
 	l.write(l.ready(allRules()), fileA, zoneFile("x"))
@@ -313,9 +307,9 @@
 	require.ErrorAs(t, err, &whole)
 }
 
-// Proposals that no folder could take are refused before they reach the log,
-// and records that are none of ours are passed over.
-func TestBadInput(t *testing.T) {
+// Invalid proposals are rejected before they are appended, and malformed records are
+// skipped.
+func TestInvalidInput(t *testing.T) {
 	l := newTestLog()
 	s := l.ready(allRules())
 	var bad *ProposalError
@@ -337,8 +331,7 @@
 	require.ErrorAs(t, err, &busy)
 }
 
-// TestBounds: neither the history, nor the tombstones, nor the records past a
-// gap grow without end.
+// The history, the tombstones and the held records after a gap are bounded.
 func TestBounds(t *testing.T) {
 	l := newTestLog()
 	s := l.ready(allRules())
@@ -359,8 +352,8 @@
 	require.Positive(t, gapped.Dropped().Held)
 }
 
-// TestSnapshotTimers: nodes that wait for one timer do not append together; a
-// snapshot that is seen resets the timers of all.
+// Timers are jittered, so that few nodes append a snapshot at the same time. Reading a
+// snapshot resets the timers of all nodes.
 func TestSnapshotTimers(t *testing.T) {
 	l := newTestLog()
 	l.write(l.ready(allRules()), fileA, zoneFile("x"))
--- a/internal/configurer/view.go
+++ b/internal/configurer/view.go
@@ -12,18 +12,18 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// The bounds of the agreed state. They are part of the rule: each node drops
-// the same entry at the same offset.
+// The bounds of the replicated state. All nodes must use the same values, so
+// that each drops the same entry at the same offset.
 const (
-	// maxRecent is how many judged changes the state remembers, for the
-	// history and to recognize a nonce.
+	// maxRecent is the number of judged changes that are kept for the history
+	// and to deduplicate nonces.
 	maxRecent = 256
-	// maxTombstones is how many deleted files it remembers.
+	// maxTombstones is the number of tombstones of deleted files that are kept.
 	maxTombstones = 256
 )
 
-// view is the state that follows from the records up to an offset, and from
-// nothing else. Two nodes with the same asOf have the same view.
+// view is the replicated state. It is a function of the records up to asOf, so
+// two nodes with the same asOf have the same view.
 type view struct {
 	asOf       identifier.Offset
 	generation identifier.Offset
@@ -42,7 +42,7 @@
 	}
 }
 
-// viewOf returns the view that a snapshot holds. Its error is a *StateError.
+// viewOf returns the view in a snapshot. Its error is a *StateError.
 func viewOf(s *snapshotRecord) (view, error) {
 	v := newView()
 	v.asOf = s.AsOf
@@ -62,7 +62,7 @@
 	return v, nil
 }
 
-// snapshot returns the view as a record.
+// snapshot returns a snapshot of the view, which shares its maps and slices.
 func (v *view) snapshot() *snapshotRecord {
 	return &snapshotRecord{
 		AsOf:       v.asOf,
@@ -84,7 +84,7 @@
 	return contents
 }
 
-// verdict returns the judged change with the nonce, if it is remembered.
+// verdict returns the judged change with the nonce, if it is among the recent ones.
 func (v *view) verdict(nonce identifier.Nonce) (Change, bool) {
 	i := slices.IndexFunc(v.recent, func(c Change) bool { return c.Nonce == nonce })
 	if i < 0 {
@@ -93,8 +93,8 @@
 	return v.recent[i], true
 }
 
-// judge applies the change that stands at an offset, or rejects it. It reports
-// false for a change that was judged before.
+// judge applies or rejects the change at an offset. It reports false for a
+// change that was judged before.
 func (v *view) judge(offset identifier.Offset, appended timekeeper.Time, c *changeRecord, r rules) (Change, bool) {
 	if _, judged := v.verdict(c.Nonce); judged && r.countOnce {
 		return Change{}, false
@@ -119,7 +119,8 @@
 	return verdict, true
 }
 
-// consider returns the catalog with the change, or why it is rejected.
+// checkChange returns the catalog after the change, or the faults for which the
+// change is rejected.
 func (v *view) checkChange(c *changeRecord, r rules) (*catalog.Catalog, []string) {
 	if fault, bad := folderreader.NameFault(c.File); bad {
 		return nil, verdictFaults([]folderreader.Fault{fault})
@@ -140,7 +141,7 @@
 	return built, nil
 }
 
-// staleness tells in which way the change is based on an old state.
+// staleReason returns why the change is based on an old state, or "" if it is not.
 func (v *view) staleReason(c *changeRecord) string {
 	if c.Generation != v.generation {
 		return fmt.Sprintf("%s: the folder was restored at offset %d: look again and repeat the change", c.File, v.generation)
@@ -172,7 +173,7 @@
 	}
 }
 
-// boundTombstones forgets the oldest deletion when there are too many.
+// limitTombstones drops the oldest tombstone if there are more than maxTombstones.
 func (v *view) limitTombstones() {
 	var deleted []identifier.FileName
 	for name, file := range v.files {
@@ -196,9 +197,9 @@
 	}
 }
 
-// restored returns the view that follows from a restore. It depends on the
-// record alone, so that nodes with and without a gap come to the same state.
-// It reports false where the restored folder has faults.
+// viewOfRestore returns the view after a restore. It depends only on the record,
+// so that nodes with and without a gap reach the same state. It reports false if
+// the restored folder has faults.
 func viewOfRestore(offset identifier.Offset, appended timekeeper.Time, r *restoreRecord) (view, bool) {
 	built, faults := Check(r.Files)
 	if len(faults) > 0 {
--- a/internal/folderreader/fault.go
+++ b/internal/folderreader/fault.go
@@ -9,18 +9,18 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// Fault is one thing that is wrong with a folder.
+// Fault is an error in a folder's files.
 type Fault struct {
-	// File is empty where no file has the section that is needed.
+	// File is empty if the fault is not in a file, such as a missing section.
 	File identifier.FileName `json:"file"`
-	// Section and Key are empty where the fault is not in one of them.
+	// Section and Key are empty if the fault is not in a section or key.
 	Section  string `json:"section"`
 	Key      string `json:"key"`
 	Expected string `json:"expected"`
 	Got      string `json:"got"`
 }
 
-// String returns the fault as one line.
+// String returns the fault as a single line.
 func (f Fault) String() string {
 	var place []string
 	if f.File != "" {
@@ -48,13 +48,13 @@
 	return strings.Join(lines, "\n")
 }
 
-// Faults collects faults. The zero value is empty.
+// Faults collects faults. The zero value is ready to use.
 type Faults struct{ all []Fault }
 
-// Add adds a fault.
+// Add adds a fault, which may be a duplicate.
 func (fs *Faults) Add(f Fault) { fs.all = append(fs.all, f) }
 
-// Sorted returns the faults by file, section and key, each once.
+// Sorted returns the faults without duplicates, sorted by file, section and key.
 func (fs *Faults) Sorted() []Fault {
 	sorted := slices.Clone(fs.all)
 	slices.SortFunc(sorted, func(a, b Fault) int {
@@ -69,10 +69,10 @@
 	return slices.Compact(sorted)
 }
 
-// nothing is what a fault got where a value is missing.
+// missingValue is Fault.Got for a missing value.
 const missingValue = "nothing"
 
-// maxQuoted bounds the text of the folder that a fault repeats.
+// maxQuotedBytes bounds the text that a fault quotes from a file.
 const maxQuotedBytes = 80
 
 func quote(s string) string {
--- a/internal/folderreader/folderreader.go
+++ b/internal/folderreader/folderreader.go
@@ -1,15 +1,15 @@
 // Package folderreader reads folders of small INI files.
 //
-// ReadDir takes a folder from the file system as a set of named files. Merge
-// parses such a set and merges it in the order of the names: a later file wins
-// per section and key, so anyone can override one concern without touching the
-// rest. Form then reads the keys of one section as typed values. Whatever is
-// wrong is collected as Faults, so an operator sees all of them at once.
+// ReadDir reads a folder as a set of named files. Merge parses the files and merges
+// them in the order of their names: a later file wins per section and key, so that
+// a file can override single keys. Form reads the keys of a section as typed
+// values. Errors are collected as Faults, so that an operator sees all of them at
+// once.
 //
-// The grammar is the plain core of INI: lines of "[kind name name]" and
-// "key = value", and comments on lines of their own. Features that would make
-// a file mean something else than it shows (interpolation, continuation lines,
-// multi-line quotes, nested sections, repeated keys) are faults.
+// The grammar is a subset of INI: lines of "[kind name name]" and "key = value",
+// and comments on separate lines. Other features, such as interpolation,
+// continuation lines, multi-line quotes, nested sections and repeated keys, are
+// faults.
 package folderreader
 
 import (
@@ -23,8 +23,8 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// The bounds of a folder. A node keeps the folder in memory and in one record
-// of the log, so neither may grow without end.
+// The bounds of a folder, which a node keeps in memory and writes into a single
+// record of the log.
 const (
 	MaxFileBytes   = 64 << 10
 	MaxFolderBytes = 1 << 20
@@ -46,19 +46,18 @@
 
 func (e *ReadError) Unwrap() error { return e.Cause }
 
-// EntryError reports an entry of a folder that is not a regular file.
+// EntryError reports a directory entry that is not a regular file.
 type EntryError struct{ Path string }
 
 func (e *EntryError) Error() string {
 	return fmt.Sprintf("%s: expected a regular file", e.Path)
 }
 
-// ReadDir returns the files of the folder dir by name. Hidden files and
-// Markdown pages are left out; any other entry is part of the folder, so that
-// a misspelt suffix shows as a fault instead of being passed over.
-// Entries that can't be read are left out, and its error joins a *ReadError or an
-// *EntryError for each, so that their faults and those of the others can be
-// named in one run.
+// ReadDir returns the files in dir by name, without hidden files and Markdown
+// files. Other files are included whatever their suffix, so that Merge reports a
+// misspelt suffix as a fault. Entries that cannot be read are omitted, and the
+// returned error joins a *ReadError or *EntryError for each. The files are valid
+// even if there is an error.
 func ReadDir(dir string) (map[identifier.FileName][]byte, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -99,8 +98,8 @@
 	return map[identifier.FileName][]byte{identifier.FileName(name): content}, nil
 }
 
-// readFile reads at most one byte over the bound, which is enough for Merge to
-// see that the file is too large.
+// readFile reads at most MaxFileBytes+1 bytes, so that Merge detects files that are
+// too large.
 func readFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err == nil && !info.Mode().IsRegular() {
@@ -113,7 +112,7 @@
 			Cause: err,
 		}
 	}
-	defer func() { _ = file.Close() }() // nothing was written
+	defer func() { _ = file.Close() }() // opened for reading only
 	content, err := io.ReadAll(io.LimitReader(file, MaxFileBytes+1))
 	if err != nil {
 		return nil, &ReadError{
--- a/internal/folderreader/folderreader_test.go
+++ b/internal/folderreader/folderreader_test.go
@@ -47,12 +47,12 @@
 	var entry *folderreader.EntryError
 	require.ErrorAs(t, err, &entry)
 	require.ErrorContains(t, err, "c.ini")
-	require.ErrorContains(t, err, "d.ini", "all that can't be read are named")
-	require.Len(t, files, 2, "the others are read all the same")
+	require.ErrorContains(t, err, "d.ini", "the error names all unreadable entries")
+	require.Len(t, files, 2, "the other files are read")
 }
 
-// A fault reads from left to right whatever part of its place is known.
-func TestFaultAsText(t *testing.T) {
+// The text of a fault omits the parts of its location that are unknown.
+func TestFaultString(t *testing.T) {
 	for want, fault := range map[string]folderreader.Fault{
 		"10.ini [node] vm: expected a name, got nothing": {
 			File:     "10.ini",
--- a/internal/folderreader/form.go
+++ b/internal/folderreader/form.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// Form reads the keys of one section as typed values. Each key that is read is
-// a known key; ReportUnknownKeys reports the others.
+// Form reads the keys of a section as typed values. ReportUnknownKeys reports the
+// keys that were neither read nor allowed.
 type Form struct {
 	section *Section
 	faults  *Faults
 	known   []string
 }
 
-// NewForm returns a form over section that adds what is wrong to faults.
+// NewForm returns a form that reads section and adds its faults to faults.
 func NewForm(section *Section, faults *Faults) *Form {
 	return &Form{
 		section: section,
@@ -22,10 +22,11 @@
 	}
 }
 
-// AllowKeys tells that the keys are known, whether they are read or not.
+// AllowKeys marks keys as known, whether they are read or not.
 func (f *Form) AllowKeys(keys ...string) { f.known = append(f.known, keys...) }
 
-// Required returns the value of a key that must be there.
+// Required returns the value of a key. Reading the value adds a fault if the key is
+// missing.
 func (f *Form) Required(key string) Value {
 	f.AllowKeys(key)
 	entry, ok := f.section.Keys[key]
@@ -37,7 +38,7 @@
 	}
 }
 
-// Optional returns the value of a key, or fallback where the key is not there.
+// Optional returns the value of a key, or fallback if the key is missing.
 func (f *Form) Optional(key, fallback string) Value {
 	value := f.Required(key)
 	if value.missing {
@@ -53,7 +54,8 @@
 	return ok
 }
 
-// ForbidKey reports a known key that must not be there, and why.
+// ForbidKey adds a fault if the section has the key. why is the condition under
+// which the key is not allowed, such as "with kind = plain".
 func (f *Form) ForbidKey(key, why string) {
 	f.AllowKeys(key)
 	if entry, ok := f.section.Keys[key]; ok {
@@ -61,8 +63,8 @@
 	}
 }
 
-// Fault adds a fault of a key, or of the section where key is empty. Its file
-// is the one that the value came from.
+// Fault adds a fault of a key, or of the section if key is empty. The fault's file
+// is the one that set the key.
 func (f *Form) Fault(key, expected, got string) {
 	file := f.section.File
 	if entry, ok := f.section.Keys[key]; ok {
@@ -77,7 +79,7 @@
 	})
 }
 
-// ReportUnknownKeys reports the keys that were not read.
+// ReportUnknownKeys adds a fault for each key that was neither read nor allowed.
 func (f *Form) ReportUnknownKeys() {
 	known := slices.Clone(f.known)
 	slices.Sort(known)
--- a/internal/folderreader/merge.go
+++ b/internal/folderreader/merge.go
@@ -10,14 +10,14 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// Entry is the value of a key, and the file that it came from.
+// Entry is the value of a key and the file that set it.
 type Entry struct {
 	File  identifier.FileName
 	Value string
 }
 
-// Section is one section of a merged folder, such as "[price small boston-a]"
-// with the kind price and the names small and boston-a.
+// Section is a section of a merged folder. For example "[price small boston-a]" has
+// the kind price and the names small and boston-a.
 type Section struct {
 	Kind  string
 	Names []string
@@ -26,14 +26,14 @@
 	Keys map[string]Entry
 }
 
-// Title returns the section's kind and names as they stand in a file.
+// Title returns the section's kind and names, separated by spaces.
 func (s *Section) Title() string {
 	return strings.Join(append([]string{s.Kind}, s.Names...), " ")
 }
 
 var fileNamePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,58}\.ini$`)
 
-// NameFault reports whether name cannot be a file of a folder.
+// NameFault reports whether name is an invalid file name, and returns the fault.
 func NameFault(name identifier.FileName) (Fault, bool) {
 	if fileNamePattern.MatchString(string(name)) {
 		return Fault{}, false
@@ -46,9 +46,9 @@
 }
 
 // Merge parses the files and merges them in the order of their names: a later
-// file wins per section and key. Sections come sorted by their titles. What is
-// wrong with the text goes to faults; the rest is merged all the same, so that
-// its faults can be found too.
+// file wins per section and key. The sections are sorted by title. Syntax errors
+// are added to faults; the rest of the text is still merged, so that it can be
+// checked too.
 func Merge(files map[identifier.FileName][]byte, faults *Faults) []*Section {
 	merged := make(map[string]*Section)
 	total := 0
--- a/internal/folderreader/parse.go
+++ b/internal/folderreader/parse.go
@@ -12,12 +12,12 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// noChild is a delimiter of child sections that no section name can contain.
-// It keeps the library from looking a missing key up in a parent section.
+// noChildDelimiter is a delimiter of child sections that no section name contains.
+// It prevents the library from looking up a missing key in a parent section.
 const noChildDelimiter = "\x00"
 
-// options leaves only the plain core of INI. Repeated sections and keys are
-// kept apart instead of merged, so that they can be reported.
+// options disables the library's extensions of INI. Repeated sections and keys are
+// kept separate instead of merged, so that they can be reported.
 func options() ini.LoadOptions {
 	return ini.LoadOptions{
 		IgnoreContinuation:         true,
@@ -32,7 +32,7 @@
 	}
 }
 
-// parse reads one file into its sections.
+// parse returns the sections of one file.
 func parse(file identifier.FileName, content []byte, faults *Faults) []*Section {
 	if len(content) > MaxFileBytes {
 		faults.Add(Fault{
@@ -60,10 +60,9 @@
 	return sections
 }
 
-// plainLines returns content without the lines that are not part of the
-// grammar, each of which becomes a fault. Without it the library would stop at
-// a file's first bad line, and would read a multi-line quote as a value that
-// swallows the sections after it.
+// filterLines blanks the lines of content that violate the grammar and adds a fault
+// for each. Otherwise the library would stop at the first invalid line, and would
+// read a multi-line quote as a value that includes the sections after it.
 func filterLines(file identifier.FileName, content []byte, faults *Faults) []byte {
 	var plain bytes.Buffer
 	for i, line := range strings.Split(string(content), "\n") {
@@ -82,8 +81,7 @@
 	return plain.Bytes()
 }
 
-// lineFault returns what is expected in place of a line, or nothing where the
-// line is as it should be.
+// lineFault returns the Fault.Expected for an invalid line, or "" for a valid one.
 func lineFault(line string) string {
 	switch {
 	case !utf8.ValidString(line) || strings.ContainsFunc(line, isUnprintable):
@@ -129,8 +127,8 @@
 	})
 }
 
-// newSection turns a section of the library into one of ours. Each file begins
-// with the library's own default section, which must be empty.
+// convertSection converts a section of the library. Each file begins with the
+// library's default section, which must be empty.
 func convertSection(file identifier.FileName, raw *ini.Section, faults *Faults) (*Section, bool) {
 	words := strings.Fields(raw.Name())
 	section := &Section{
--- a/internal/folderreader/value.go
+++ b/internal/folderreader/value.go
@@ -12,18 +12,18 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Value is the text of one key on its way to a type. A method that can't read
-// the text adds a fault and returns the zero value.
+// Value is the text of a key. Its methods parse the text as a type; if that fails
+// they add a fault and return the zero value.
 type Value struct {
 	form    *Form
 	key     string
 	text    string
 	missing bool
-	// secret keeps the text out of faults, which go into logs.
+	// secret keeps the text out of faults, which are logged.
 	secret bool
 }
 
-// read parses v, or adds a fault that says what was expected.
+// read parses v. If v is missing or invalid it adds a fault with the expected value.
 func read[T any](v Value, expected string, parse func(string) (T, bool)) T {
 	var zero T
 	if v.missing {
@@ -48,17 +48,17 @@
 	moneyPattern = regexp.MustCompile(`^[0-9]{1,9}(\.[0-9]{1,6})?$`)
 )
 
-// ValidName reports whether s can name something that a folder defines.
+// ValidName reports whether s is a valid name in a section header or a value.
 func ValidName(s string) bool { return namePattern.MatchString(s) }
 
-// Name reads the name of something that a folder defines.
+// Name reads a name as defined by ValidName.
 func (v Value) Name() string {
 	return read(v, "a name of letters, digits, . _ -", func(s string) (string, bool) {
 		return s, ValidName(s)
 	})
 }
 
-// Choice reads one of the words.
+// Choice reads a value that equals one of words.
 func (v Value) Choice(words ...string) string {
 	return read(v, "one of "+strings.Join(words, ", "), func(s string) (string, bool) {
 		return s, slices.Contains(words, s)
@@ -68,7 +68,7 @@
 // Bool reads true or false.
 func (v Value) Bool() bool { return v.Choice("true", "false") == "true" }
 
-// Count reads a whole number from low to high.
+// Count reads an integer from low to high.
 func (v Value) Count(low, high int) int {
 	expected := fmt.Sprintf("a whole number from %d to %d", low, high)
 	return read(v, expected, func(s string) (int, bool) {
@@ -86,7 +86,7 @@
 	})
 }
 
-// Duration reads a span from low to high, such as 250ms or 2h.
+// Duration reads a duration from low to high, such as 250ms or 2h.
 func (v Value) Duration(low, high timekeeper.Duration) timekeeper.Duration {
 	expected := fmt.Sprintf("a duration from %s to %s", low, high)
 	return read(v, expected, func(s string) (timekeeper.Duration, bool) {
@@ -115,8 +115,8 @@
 	return identifier.Bytes(n) << shift, err == nil
 }
 
-// Money reads an amount of the operator's currency, such as 0.12. It is never
-// negative: a negative price or penalty would make the worst choice look best.
+// Money reads an amount of the operator's currency, such as 0.12. Negative amounts
+// are invalid: they would invert the order of prices and penalties.
 func (v Value) Money() identifier.Money {
 	const expected = "an amount that is not negative, such as 0.12"
 	return read(v, expected, func(s string) (identifier.Money, bool) {
@@ -130,15 +130,15 @@
 	})
 }
 
-// moneyDigits is the number of decimals of identifier.Money.
+// moneyDigits is the number of decimal places of identifier.Money.
 const moneyDigits = 6
 
-// maxHashes bounds the keys of one account; two are enough to change a key
-// without a moment in which neither works.
+// maxHashes bounds the keys of one account. Two suffice to rotate a key without
+// interruption.
 const maxHashes = 8
 
-// Hashes reads a list of SHA-256 sums in lower-case hexadecimal. A fault does
-// not repeat the text: it may be a key in clear, put there by mistake.
+// Hashes reads a list of SHA-256 sums in lower-case hexadecimal. Faults do not quote
+// the text, as it may be a plaintext key entered by mistake.
 func (v Value) Hashes() []string {
 	v.secret = true
 	expected := fmt.Sprintf("1 to %d SHA-256 sums in lower-case hexadecimal", maxHashes)
@@ -153,8 +153,8 @@
 	})
 }
 
-// AddrPort reads an IP number with a port. With reachable set the address must
-// be one that others can connect to.
+// AddrPort reads an IP address with a port. If reachable is set, the unspecified
+// address is invalid, as others cannot connect to it.
 func (v Value) AddrPort(reachable bool) netip.AddrPort {
 	expected := "an IP number with a port, such as 10.0.0.7:8080"
 	if reachable {
@@ -167,7 +167,7 @@
 	})
 }
 
-// AddrPorts reads a list of IP numbers with ports, which may be empty.
+// AddrPorts reads a list of IP addresses with ports, which may be empty.
 func (v Value) AddrPorts() []netip.AddrPort {
 	return read(v, "IP numbers with ports, separated by commas", func(s string) ([]netip.AddrPort, bool) {
 		if strings.TrimSpace(s) == "" {
