--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -472,7 +472,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			silent := startServer(t, func(w http.ResponseWriter, r *http.Request) {
+			unresponsive := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 				sign(w, r)
 				_, _ = io.WriteString(w, test.before)
 				_ = http.NewResponseController(w).Flush()
@@ -482,7 +482,7 @@
 				sign(w, r)
 				_, _ = io.WriteString(w, "id: 2\ndata: b\n\n")
 			})
-			s := newFakeDecider(silent, second)
+			s := newFakeDecider(unresponsive, second)
 			s.route.Stream = true
 			s.firstEventTimeout = 100
 			s.nextEventTimeout = 100
