--- a/cmd/dotterelhollow/apply.go
+++ b/cmd/dotterelhollow/apply.go
@@ -22,14 +22,15 @@
 
 var (
 	_ flags.Commander = (*configApplyCommand)(nil)
-	_ error           = (*blockedError)(nil)
-	_ error           = (*unsettledError)(nil)
+	_ error           = (*noFaultFreeOrderError)(nil)
+	_ error           = (*unresolvedChangeError)(nil)
 )
 
 const (
-	// settleTime bounds the wait until a change shows whose answer was lost.
-	settleTime  = 15 * timekeeper.Second
-	settlePause = 300 * timekeeper.Millisecond
+	// resolveTimeout limits the time to find out whether a change took effect
+	// whose response was lost; resolveInterval is the time between attempts.
+	resolveTimeout  = 15 * timekeeper.Second
+	resolveInterval = 300 * timekeeper.Millisecond
 )
 
 type configApplyCommand struct {
@@ -41,12 +42,13 @@
 	} `positional-args:"true"`
 }
 
-// fileChange is one change of one file.
+// fileChange is a change of one file. BaseRevision is the file's revision that
+// the change replaces.
 type fileChange struct {
-	File    identifier.FileName `json:"file"`
-	Delete  bool                `json:"delete,omitempty"`
-	Saw     identifier.Revision `json:"saw"`
-	content []byte
+	File         identifier.FileName `json:"file"`
+	Delete       bool                `json:"delete,omitempty"`
+	BaseRevision identifier.Revision `json:"saw"`
+	content      []byte
 }
 
 // appliedChange is a change that is in force.
@@ -55,37 +57,39 @@
 	Revision identifier.Revision `json:"revision"`
 }
 
-// blockedError reports changes that cannot be made one file at a time, because
-// the folder has faults after each of them.
-type blockedError struct {
+// noFaultFreeOrderError reports that no order of the remaining changes keeps the
+// configuration free of faults. faults are those after the first change.
+type noFaultFreeOrderError struct {
 	changes []fileChange
 	faults  []configurer.Fault
 }
 
-func (e *blockedError) Error() string {
+func (e *noFaultFreeOrderError) Error() string {
 	text := "these files cannot be changed one after the other without faults in between;" +
-		" put what belongs together into one file:"
+		" put sections that depend on each other into one file:"
 	for _, c := range e.changes {
 		text += " " + string(c.File)
 	}
 	return text + "\n" + (&folderreader.FaultsError{Faults: e.faults}).Error()
 }
 
-// unsettledError reports a change that may be in force or not.
-type unsettledError struct {
+// unresolvedChangeError reports a change of which it is unknown whether it took
+// effect.
+type unresolvedChangeError struct {
 	file  identifier.FileName
 	cause error
 }
 
-func (e *unsettledError) Error() string {
+func (e *unresolvedChangeError) Error() string {
 	return fmt.Sprintf("%s may be in force or not, see config history: %v", e.file, e.cause)
 }
 
-func (e *unsettledError) Unwrap() error { return e.cause }
+func (e *unresolvedChangeError) Unwrap() error { return e.cause }
 
-// Execute applies the folder.
+// Execute checks the folder and sends the changed files, or prints the changes
+// for a dry run.
 func (c *configApplyCommand) Execute([]string) error {
-	ctx, stop := interruptible()
+	ctx, stop := signalContext()
 	defer stop()
 	wanted, err := folderreader.ReadDir(c.Args.Folder)
 	if err != nil {
@@ -109,9 +113,9 @@
 	return c.apply(ctx, client, node, plan)
 }
 
-// planChanges returns the changes that turn the configuration in force into
-// the wanted folder, in an order that leaves no fault after any of them: each
-// change is accepted or rejected on its own.
+// planChanges returns the changes that turn the configuration in force into the
+// wanted folder. Nodes accept or reject each change separately, so the order
+// must leave no fault after any of them.
 func planChanges(
 	view server.ConfigView, wanted map[identifier.FileName][]byte, deleteMissing bool,
 ) ([]fileChange, error) {
@@ -121,41 +125,41 @@
 	for len(pending) > 0 {
 		i, faults := nextChange(current, pending)
 		if i < 0 {
-			return nil, &blockedError{
+			return nil, &noFaultFreeOrderError{
 				changes: pending,
 				faults:  faults,
 			}
 		}
-		current = applied(current, pending[i])
+		current = withChange(current, pending[i])
 		plan = append(plan, pending[i])
 		pending = append(pending[:i:i], pending[i+1:]...)
 	}
 	return plan, nil
 }
 
-// differences returns the changes by name, deletions last.
+// differences returns the changes sorted by file name, deletions last.
 func differences(view server.ConfigView, wanted map[identifier.FileName][]byte, deleteMissing bool) []fileChange {
 	current := contents(view)
-	saw := make(map[identifier.FileName]identifier.Revision)
+	revisions := make(map[identifier.FileName]identifier.Revision)
 	for _, f := range view.Files {
-		saw[f.File] = f.Revision
+		revisions[f.File] = f.Revision
 	}
 	var changes []fileChange
 	for _, name := range sortedNames(wanted) {
 		if content, ok := current[name]; !ok || !bytes.Equal(content, wanted[name]) {
 			changes = append(changes, fileChange{
-				File:    name,
-				Saw:     saw[name],
-				content: wanted[name],
+				File:         name,
+				BaseRevision: revisions[name],
+				content:      wanted[name],
 			})
 		}
 	}
 	for _, name := range sortedNames(current) {
 		if _, ok := wanted[name]; !ok && deleteMissing {
 			changes = append(changes, fileChange{
-				File:   name,
-				Delete: true,
-				Saw:    saw[name],
+				File:         name,
+				Delete:       true,
+				BaseRevision: revisions[name],
 			})
 		}
 	}
@@ -163,22 +167,22 @@
 }
 
 // nextChange returns the index of the first change that leaves no fault, or -1
-// and the faults that the first change leaves.
+// and the faults after the first pending change.
 func nextChange(current map[identifier.FileName][]byte, pending []fileChange) (int, []configurer.Fault) {
-	var first []configurer.Fault
+	var firstFaults []configurer.Fault
 	for i, change := range pending {
-		_, faults := configurer.Check(applied(current, change))
+		_, faults := configurer.Check(withChange(current, change))
 		if len(faults) == 0 {
 			return i, nil
 		}
 		if i == 0 {
-			first = faults
+			firstFaults = faults
 		}
 	}
-	return -1, first
+	return -1, firstFaults
 }
 
-func applied(files map[identifier.FileName][]byte, change fileChange) map[identifier.FileName][]byte {
+func withChange(files map[identifier.FileName][]byte, change fileChange) map[identifier.FileName][]byte {
 	after := maps.Clone(files)
 	if change.Delete {
 		delete(after, change.File)
@@ -198,11 +202,11 @@
 	return nil
 }
 
-func (c fileChange) describe(done string) string {
+func (c fileChange) describe(action string) string {
 	if c.Delete {
-		done += " (delete)"
+		action += " (delete)"
 	}
-	return fmt.Sprintf("%s: %s, seen at revision %d", c.File, done, c.Saw)
+	return fmt.Sprintf("%s: %s, based on revision %d", c.File, action, c.BaseRevision)
 }
 
 func (c *configApplyCommand) apply(ctx context.Context, client *operatorClient, node string, plan []fileChange) error {
@@ -231,20 +235,20 @@
 	return failed
 }
 
-// change makes one change and returns its revision.
+// change sends one change and returns the resulting revision.
 func (c *operatorClient) change(ctx context.Context, node string, change fileChange) (identifier.Revision, error) {
-	q := question{
-		method: http.MethodPut,
-		path:   "/operator/v1/config/" + url.PathEscape(string(change.File)),
-		body:   change.content,
-		saw:    &change.Saw,
-		limit:  changeTime,
+	q := apiRequest{
+		method:       http.MethodPut,
+		path:         "/operator/v1/config/" + url.PathEscape(string(change.File)),
+		body:         change.content,
+		baseRevision: &change.BaseRevision,
+		timeout:      changeTimeout,
 	}
 	if change.Delete {
 		q.method = http.MethodDelete
 	}
 	var answer server.ChangeResult
-	err := c.ask(ctx, node, q, &answer)
+	err := c.do(ctx, node, q, &answer)
 	if err == nil {
 		return answer.Revision, nil
 	}
@@ -252,17 +256,16 @@
 	if errors.As(err, &problem) && problem.exitCode() != exitUnknown {
 		return 0, err
 	}
-	return c.settle(ctx, change, err)
+	return c.resolveChange(ctx, change, err)
 }
 
-// settle finds out whether a change is in force whose answer was lost. It
-// must not be sent again blindly: it would then be rejected, as the file no
-// longer stands at the revision that it saw, and the operator be told so of a
-// change that is in force.
-func (c *operatorClient) settle(
+// resolveChange finds out whether a change took effect whose response was lost.
+// The change must not be sent again: if it is in force, the retry would be
+// rejected as stale, and the operator would see a failure.
+func (c *operatorClient) resolveChange(
 	ctx context.Context, change fileChange, cause error,
 ) (identifier.Revision, error) {
-	bounded, cancel := context.WithTimeout(ctx, settleTime.Std())
+	bounded, cancel := context.WithTimeout(ctx, resolveTimeout.Std())
 	defer cancel()
 	for {
 		view, _, err := c.config(bounded)
@@ -270,9 +273,9 @@
 			return revision, nil
 		}
 		select {
-		case <-time.After(settlePause.Std()):
+		case <-time.After(resolveInterval.Std()):
 		case <-bounded.Done():
-			return 0, &unsettledError{
+			return 0, &unresolvedChangeError{
 				file:  change.File,
 				cause: cause,
 			}
@@ -280,11 +283,11 @@
 	}
 }
 
-// inForce reports whether the file reads as change wants it, at a later
-// revision than it saw.
+// inForce reports whether the file has the content that change requests, at a
+// later revision than its base, and returns that revision.
 func inForce(view server.ConfigView, change fileChange) (identifier.Revision, bool) {
 	for _, f := range view.Files {
-		if f.File != change.File || f.Revision <= change.Saw {
+		if f.File != change.File || f.Revision <= change.BaseRevision {
 			continue
 		}
 		return f.Revision, f.Deleted == change.Delete && (change.Delete || f.Content == string(change.content))
--- a/cmd/dotterelhollow/ask.go
+++ b/cmd/dotterelhollow/ask.go
@@ -28,17 +28,17 @@
 	_ error                 = (*statusError)(nil)
 )
 
-// duration is a flag that holds a span such as "90s".
+// duration is a flag value such as "90s".
 type duration timekeeper.Duration
 
-// UnmarshalFlag reads a span.
+// UnmarshalFlag parses a duration.
 func (d *duration) UnmarshalFlag(text string) error {
 	parsed, err := timekeeper.ParseDuration(text)
 	*d = duration(parsed)
 	return err
 }
 
-// askCommand sends a request and follows its answer.
+// askCommand sends a request to a service and prints the answer.
 type askCommand struct {
 	Nodes       []string                  `long:"node" value-name:"HOST:PORT" env:"DOTTERELHOLLOW_NODES" env-delim:"," required:"true" description:"Caller address of a node; give several"`
 	Key         string                    `long:"key" env:"DOTTERELHOLLOW_KEY" required:"true" description:"Key of the client account"`
@@ -65,7 +65,6 @@
 	stderr io.Writer
 }
 
-// addAskCommand adds the command to p.
 func addAskCommand(p *flags.Parser) error {
 	_, err := p.AddCommand("ask", "Send a request and follow its answer",
 		"Sends a prompt to a model service, or with --path a call to a plain service, and prints the answer."+
@@ -78,7 +77,8 @@
 	return err
 }
 
-// Execute asks.
+// Execute runs the action selected by the flags: by default it streams the
+// answer to a prompt.
 func (c *askCommand) Execute([]string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -94,19 +94,20 @@
 	case c.Path != "":
 		return c.call(ctx, client)
 	case c.Whole:
-		return c.whole(ctx, client)
+		return c.complete(ctx, client)
 	}
 	return c.stream(ctx, client)
 }
 
-func (c *askCommand) terms() caller.Options {
+func (c *askCommand) options() caller.Options {
 	return caller.Options{
 		Key:      c.Idempotency,
 		Deadline: timekeeper.Duration(c.Deadline),
 	}
 }
 
-// input returns the prompt or body. A call with GET has none.
+// input returns the prompt or body from the arguments or standard input. A GET
+// call without arguments has no body.
 func (c *askCommand) input() (string, error) {
 	if len(c.Args.Prompt) > 0 {
 		return strings.Join(c.Args.Prompt, " "), nil
@@ -124,7 +125,7 @@
 func (c *askCommand) prompt() (caller.Prompt, error) {
 	text, err := c.input()
 	return caller.Prompt{
-		Options:   c.terms(),
+		Options:   c.options(),
 		Service:   c.Service,
 		Text:      text,
 		MaxTokens: c.MaxTokens,
@@ -145,7 +146,7 @@
 	return nil
 }
 
-// askResult is the answer of the command as JSON.
+// askResult is the JSON output of the command.
 type askResult struct {
 	caller.Trace
 	Outcome caller.Outcome `json:"outcome"`
@@ -156,9 +157,9 @@
 
 func (c *askCommand) stream(ctx context.Context, client *caller.Client) error {
 	out := &printer{
-		out:   bufio.NewWriter(c.stdout),
-		notes: c.stderr,
-		quiet: c.JSON,
+		out:      bufio.NewWriter(c.stdout),
+		messages: c.stderr,
+		quiet:    c.JSON,
 	}
 	trace, err := c.streamTo(ctx, client, out)
 	return c.finish(trace, out.text.String(), 0, errors.Join(err, out.end()))
@@ -175,7 +176,7 @@
 	return client.Stream(ctx, prompt, sink)
 }
 
-func (c *askCommand) whole(ctx context.Context, client *caller.Client) error {
+func (c *askCommand) complete(ctx context.Context, client *caller.Client) error {
 	prompt, err := c.prompt()
 	if err != nil {
 		return err
@@ -193,7 +194,7 @@
 		return err
 	}
 	reply, trace, err := client.Call(ctx, caller.Call{
-		Options:     c.terms(),
+		Options:     c.options(),
 		Service:     c.Service,
 		Method:      c.Method,
 		Path:        c.Path,
@@ -209,14 +210,15 @@
 	return c.finish(trace, string(reply.Body), reply.Status, err)
 }
 
-// statusError reports a plain service's own refusal.
+// statusError reports an error status from a plain service.
 type statusError struct{ status int }
 
 func (e *statusError) Error() string {
 	return fmt.Sprintf("the service answered with status %d", e.status)
 }
 
-// finish prints what is left to print, and passes err on.
+// finish prints the summary or the JSON result and returns err, joined with any
+// error from printing.
 func (c *askCommand) finish(trace caller.Trace, answer string, status int, err error) error {
 	if !c.JSON && trace.Request == "" {
 		return err
@@ -231,7 +233,7 @@
 	}
 	result := askResult{
 		Trace:   trace,
-		Outcome: outcomeOf(err),
+		Outcome: outcomeForError(err),
 		Status:  status,
 		Answer:  answer,
 	}
@@ -241,8 +243,9 @@
 	return errors.Join(err, writeJSON(c.stdout, result))
 }
 
-// progress tells how much came and how fast. A call to a plain service has no
-// tokens, and a whole answer no first one.
+// progress describes the number of tokens and the times of a trace. A call to a
+// plain service has no tokens, and an answer that is not streamed has no time of
+// its first token.
 func progress(trace caller.Trace) string {
 	switch {
 	case trace.Tokens == 0:
@@ -253,7 +256,7 @@
 	return fmt.Sprintf("%d tokens in %s, first after %s", trace.Tokens, trace.Total, trace.FirstToken)
 }
 
-func outcomeOf(err error) caller.Outcome {
+func outcomeForError(err error) caller.Outcome {
 	switch exitCode(err) {
 	case exitDone:
 		return caller.OutcomeDone
@@ -265,15 +268,16 @@
 	return caller.OutcomeFailed
 }
 
-// printer prints tokens as they arrive, or only keeps them when quiet.
+// printer collects the tokens of an answer and, unless quiet, prints each as it
+// arrives.
 type printer struct {
-	out   *bufio.Writer
-	notes io.Writer
-	quiet bool
-	text  strings.Builder
+	out      *bufio.Writer
+	messages io.Writer
+	quiet    bool
+	text     strings.Builder
 }
 
-// Token prints a token.
+// Token collects a token and prints it unless p is quiet.
 func (p *printer) Token(t caller.Token) error {
 	p.text.WriteString(t.Text)
 	if p.quiet {
@@ -285,16 +289,17 @@
 	return p.out.Flush()
 }
 
-// Attached names the node that has the request.
+// Attached prints the node that serves the request.
 func (p *printer) Attached(request identifier.RequestID, node string) {
-	fmt.Fprintf(p.notes, "request %s at %s\n", request, node)
+	fmt.Fprintf(p.messages, "request %s at %s\n", request, node)
 }
 
-// Restart tells the reader that what was printed is void.
+// Restart discards the collected text and informs the reader that the answer
+// starts again.
 func (p *printer) Restart() error {
 	p.text.Reset()
 	if !p.quiet {
-		fmt.Fprintln(p.notes, "\nno node knows the request any more; the answer starts again:")
+		fmt.Fprintln(p.messages, "\nno node knows the request any more; the answer starts again:")
 	}
 	return nil
 }
--- a/cmd/dotterelhollow/config.go
+++ b/cmd/dotterelhollow/config.go
@@ -25,10 +25,9 @@
 	_ flags.Commander = (*configHistoryCommand)(nil)
 )
 
-// configCommand is the group of commands on the configuration.
+// configCommand groups the commands that work on the configuration.
 type configCommand struct{}
 
-// addConfigCommand adds the command to p.
 func addConfigCommand(p *flags.Parser) error {
 	group, err := p.AddCommand("config", "Check, apply and show the configuration",
 		"Works on the operators' folder of INI files and on the configuration in force."+exitHelp, &configCommand{})
@@ -89,17 +88,17 @@
 	} `positional-args:"true"`
 }
 
-// checkReport is the answer of the command as JSON.
+// checkReport is the JSON output of the command.
 type checkReport struct {
 	Files  int                `json:"files"`
 	Faults []configurer.Fault `json:"faults"`
 }
 
-// Execute checks the folder.
+// Execute checks the folder and reports all faults.
 func (c *configCheckCommand) Execute([]string) error {
-	files, unread := folderreader.ReadDir(c.Args.Folder)
-	if unread != nil && len(files) == 0 {
-		return unread
+	files, readErr := folderreader.ReadDir(c.Args.Folder)
+	if readErr != nil && len(files) == 0 {
+		return readErr
 	}
 	_, faults := configurer.Check(files)
 	if c.JSON {
@@ -112,10 +111,10 @@
 		}
 	}
 	if len(faults) > 0 {
-		return errors.Join(unread, &folderreader.FaultsError{Faults: faults})
+		return errors.Join(readErr, &folderreader.FaultsError{Faults: faults})
 	}
-	if unread != nil {
-		return unread
+	if readErr != nil {
+		return readErr
 	}
 	if !c.JSON {
 		fmt.Printf("%d files, no faults\n", len(files))
@@ -130,9 +129,9 @@
 	} `positional-args:"true"`
 }
 
-// Execute shows the configuration.
+// Execute prints the files in force with their revisions.
 func (c *configShowCommand) Execute([]string) error {
-	ctx, stop := interruptible()
+	ctx, stop := signalContext()
 	defer stop()
 	view, _, err := c.client().config(ctx)
 	if err != nil {
@@ -161,8 +160,8 @@
 	return nil
 }
 
-// unknownFileError reports that the configuration has no such file. Without it
-// a mistyped name would look like an empty file.
+// unknownFileError reports that the configuration has no such file. Without it a
+// mistyped name would look like an empty file.
 type unknownFileError struct {
 	file     identifier.FileName
 	revision identifier.Revision
@@ -174,23 +173,23 @@
 	return fmt.Sprintf("the configuration has no file %q at revision %d", e.file, e.revision)
 }
 
-// config returns the configuration in force, and the node that told it. Of
-// several nodes the one with the latest revision counts.
+// config queries all given nodes and returns the configuration with the latest
+// revision and the node that returned it.
 func (c *operatorClient) config(ctx context.Context) (server.ConfigView, string, error) {
 	var (
-		latest answerOf[server.ConfigView]
-		found  bool
+		latest nodeResponse[server.ConfigView]
+		ok     bool
 		failed []error
 	)
-	for _, a := range askAll[server.ConfigView](ctx, c, c.nodes, get("/operator/v1/config", nil)) {
+	for _, a := range queryAll[server.ConfigView](ctx, c, c.nodes, get("/operator/v1/config", nil)) {
 		switch {
 		case a.err != nil:
 			failed = append(failed, a.err)
-		case !found || a.value.Revision > latest.value.Revision:
-			latest, found = a, true
+		case !ok || a.value.Revision > latest.value.Revision:
+			latest, ok = a, true
 		}
 	}
-	if !found {
+	if !ok {
 		return server.ConfigView{}, "", errors.Join(failed...)
 	}
 	warn(failed)
@@ -201,12 +200,12 @@
 	operatorFlags
 }
 
-// Execute shows the history.
+// Execute prints the changes known to the first node that responds.
 func (c *configHistoryCommand) Execute([]string) error {
-	ctx, stop := interruptible()
+	ctx, stop := signalContext()
 	defer stop()
 	var history []configurer.Change
-	if _, err := c.client().first(ctx, get("/operator/v1/config/history", nil), &history); err != nil {
+	if _, err := c.client().queryFirst(ctx, get("/operator/v1/config/history", nil), &history); err != nil {
 		return err
 	}
 	if c.JSON {
--- a/cmd/dotterelhollow/explain.go
+++ b/cmd/dotterelhollow/explain.go
@@ -10,10 +10,10 @@
 
 var (
 	_ flags.Commander = (*explainCommand)(nil)
-	_ error           = (*unexplainedError)(nil)
+	_ error           = (*noEventsError)(nil)
 )
 
-// explainCommand shows why a request went the way it went.
+// explainCommand prints the decisions on a request and their reasons.
 type explainCommand struct {
 	operatorFlags
 	Args struct {
@@ -21,7 +21,6 @@
 	} `positional-args:"true"`
 }
 
-// addExplainCommand adds the command to p.
 func addExplainCommand(p *flags.Parser) error {
 	_, err := p.AddCommand("explain", "Show why a request was routed, retried, moved or refused",
 		"Asks every node for the decisions on a request, and prints them in causal order with their reasons."+exitHelp,
@@ -29,24 +28,24 @@
 	return err
 }
 
-// Execute explains.
+// Execute collects the decisions from all nodes and prints them in causal order.
 func (c *explainCommand) Execute([]string) error {
-	ctx, stop := interruptible()
+	ctx, stop := signalContext()
 	defer stop()
 	entries, err := c.client().entries(ctx, get("/operator/v1/explain/"+url.PathEscape(c.Args.Request), nil))
 	if err != nil {
 		return err
 	}
 	if len(entries) == 0 {
-		return &unexplainedError{request: c.Args.Request}
+		return &noEventsError{request: c.Args.Request}
 	}
 	return c.printEntries(os.Stdout, entries)
 }
 
-// unexplainedError reports that no node that answered has an event of a
-// request. Without it a mistyped id would look like an uneventful request.
-type unexplainedError struct{ request string }
+// noEventsError reports that no responding node has an event of a request.
+// Without it a mistyped id would look like an uneventful request.
+type noEventsError struct{ request string }
 
-func (e *unexplainedError) Error() string {
+func (e *noEventsError) Error() string {
 	return fmt.Sprintf("no node that answered has an event of request %q", e.request)
 }
--- a/cmd/dotterelhollow/gateway.go
+++ b/cmd/dotterelhollow/gateway.go
@@ -29,16 +29,16 @@
 )
 
 const (
-	// listPause is the spacing of reads of the list of nodes. It only serves
-	// to find peers that gossip has lost, so a node reads it seldom.
-	listPause = 20 * timekeeper.Second
-	// memoryShare is the part of a process's memory that the collector keeps
-	// it below, where it can.
-	memoryShare = 0.7
-	megabyte    = 1 << 20
+	// listInterval is the time between reads of the list of nodes. The list is
+	// only needed to find peers that gossip has lost.
+	listInterval = 20 * timekeeper.Second
+	// memoryLimitFraction is the garbage collector's soft limit as a fraction of
+	// the memory that the process may use.
+	memoryLimitFraction = 0.7
+	megabyte            = 1 << 20
 )
 
-// gateway is the process of a node that serves opaque exchanges.
+// gateway is the process of a node that forwards opaque exchanges.
 type gateway struct {
 	path      string
 	settings  *starter.Settings
@@ -51,9 +51,9 @@
 	closers   []func()
 }
 
-// serveGateway runs such a node until it is stopped.
+// serveGateway runs a gateway node until it is stopped.
 func serveGateway(path string, s *starter.Settings) error {
-	debug.SetMemoryLimit(int64(memoryShare * s.Gateway.MemoryLimitMB * megabyte))
+	debug.SetMemoryLimit(int64(memoryLimitFraction * s.Gateway.MemoryLimitMB * megabyte))
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	defer signal.Stop(signals)
@@ -83,7 +83,7 @@
 			JSONFormat: true,
 		}).With("node", s.VM),
 	}
-	line := historian.New(historian.Config{
+	timeline := historian.New(historian.Config{
 		Self:     s.VM,
 		Clock:    g.clock,
 		Capacity: s.TimelineCapacity,
@@ -105,7 +105,7 @@
 	peers := relayer.NewClient(relayer.ClientConfig{
 		Self:  s.VM,
 		Now:   g.clock,
-		Clock: line,
+		Clock: timeline,
 	})
 	incarnation := identifier.Incarnation(g.clock.Now())
 	seed := xxhash.Sum64String(string(s.VM)) ^ uint64(incarnation)
@@ -117,7 +117,7 @@
 		Seed:           seed,
 		Reducer:        reducer.New(g.reducerConfig(incarnation, seed)),
 		Clock:          g.clock,
-		Historian:      line,
+		Historian:      timeline,
 		Logger:         g.logger,
 		Log:            store,
 		Lister:         store,
@@ -126,8 +126,8 @@
 		LeaderTasks:    cloud,
 		Peers:          peers,
 		CloseListeners: g.closeCallers,
-		Limits:         runner.Limits{ListInterval: listPause},
-		// The second is read once, without a wait for a newer record.
+		Limits:         runner.Limits{ListInterval: listInterval},
+		// The quarantine stream is read once, without waiting for newer records.
 		LowLatencyStreams: []identifier.LogStream{leaser.Stream, quarantiner.Stream},
 	})
 	g.metrics = forwarder.NewMetrics()
@@ -140,7 +140,7 @@
 		MaxBody:  g.runner.MaxBody,
 	})
 	g.closers = []func(){store.Close, cloud.Close, peers.Close, g.forwarder.Close}
-	g.ports = g.portsOf(line)
+	g.ports = g.newPorts(timeline)
 	return g
 }
 
@@ -172,17 +172,17 @@
 	}
 }
 
-// capacity sums up what a VM can carry: the scarcer of its processor, in
-// thousandths of a core, and of its link, which a thousandth of a core fills
-// with a quarter of a megabit a second.
+// capacity returns the capacity of a VM in thousandths of a core: the minimum of
+// its processor's and its link's. Forwarding 0.25 Mbit/s uses a thousandth of a
+// core.
 func capacity(g *starter.Gateway) uint32 {
-	const linkPerThousandth = 0.25
-	return uint32(min(g.CPUCores*1000, g.LinkMbps/linkPerThousandth))
+	const mbpsPerMillicore = 0.25
+	return uint32(min(g.CPUCores*1000, g.LinkMbps/mbpsPerMillicore))
 }
 
-// portsOf returns the ports. The one of callers comes first: it is closed
-// before the others.
-func (g *gateway) portsOf(line *historian.Historian) []*port {
+// newPorts returns the node's ports. The caller port must be first:
+// closeCallers closes it before the others.
+func (g *gateway) newPorts(timeline *historian.Historian) []*port {
 	s := g.settings
 	return []*port{
 		{
@@ -198,10 +198,10 @@
 					Self:  s.VM,
 					Peer:  g.runner,
 					Now:   g.clock,
-					Clock: line,
+					Clock: timeline,
 				}),
-				ReadHeaderTimeout: peerHeaderTime,
-				IdleTimeout:       peerIdleTime,
+				ReadHeaderTimeout: peerHeaderTimeout,
+				IdleTimeout:       peerIdleTimeout,
 			},
 		},
 		{
@@ -222,8 +222,8 @@
 	}
 }
 
-// serve runs the node until a planned stop is over, a second signal comes, or
-// a port fails.
+// serve runs the node until a planned stop completes, a second stop signal
+// arrives, or a port fails.
 func (g *gateway) serve(ctx context.Context, signals <-chan os.Signal) error {
 	p := &process{
 		ports:   g.ports,
@@ -240,8 +240,8 @@
 	return failed
 }
 
-// watch carries out signals: a changed settings file is looked at, the first
-// wish to stop begins a planned stop, and the second stops at once.
+// watch handles signals: SIGHUP reloads the settings, the first stop signal
+// begins a planned stop, and the second stops immediately.
 func (g *gateway) watch(ctx context.Context, signals <-chan os.Signal, stop func()) {
 	stopping := false
 	for {
@@ -266,20 +266,20 @@
 	}
 }
 
-// reload reads the settings file again. Of what it says only the log level can
-// change while the process runs; a file with a fault changes nothing.
+// reload reads the settings file again. Only the log level can change while the
+// process runs. If the file has a fault, the current settings stay in force.
 func (g *gateway) reload() {
 	s, err := starter.Load(g.path)
 	if err != nil {
-		g.logger.Error("settings not reloaded, the last good ones stay in force", "error", err)
+		g.logger.Error("settings not reloaded, previous settings stay in force", "error", err)
 		return
 	}
 	g.logger.SetLevel(hclog.LevelFromString(s.LogLevel))
 	g.logger.Info("settings reloaded", "log_level", s.LogLevel)
 }
 
-// closeCallers closes the callers' port once the handlers of open requests have
-// ended.
+// closeCallers closes the caller port, which is the first, once the handlers of
+// open requests have returned.
 func (g *gateway) closeCallers(ctx context.Context) {
 	_ = g.ports[0].server.Shutdown(ctx)
 }
--- a/cmd/dotterelhollow/gateway_test.go
+++ b/cmd/dotterelhollow/gateway_test.go
@@ -26,12 +26,12 @@
 	"github.com/dotterelhollow/dotterelhollow/platform/standin"
 )
 
-// newsTime is when all nodes have heard of what one has found, a third of what the
-// users allow.
-const newsTime = time.Second
+// propagationTime is the time after which an update of one node has reached all
+// others. It is a third of the required maximum.
+const propagationTime = time.Second
 
-// patience bounds each wait of these tests, which are for milliseconds.
-const patience = 20 * time.Second
+// waitTimeout is the timeout of each wait, far above the expected milliseconds.
+const waitTimeout = 20 * time.Second
 
 const gatewayConfiguration = `{"version":%d,"routes":[
   {"name":"report","host":"api.example","path_prefix":"/reports/","kind":"streaming","timeout_ms":15000,
@@ -42,20 +42,19 @@
  "limits":{"body_bytes":4096},
  "tenants":[{"name":"agency","api_keys":["secret"],"unit":"tokens","plain_tokens":10,"rate_per_s":100000,"burst":100000}]}`
 
-// installation is stand-ins and gateways in one process.
+// installation runs stand-ins and gateways in one process.
 type installation struct {
-	t       *testing.T
-	store   *standin.Store
-	cloud   *standin.Cloud
-	engines []*standin.Server
-	portal  *standin.Server
-	address map[string]string
-	nodes   []*gatewayNode
-	// storeAddress and cloudAddress are the stand-ins' addresses.
+	t            *testing.T
+	store        *standin.Store
+	cloud        *standin.Cloud
+	engines      []*standin.Server
+	portal       *standin.Server
+	address      map[string]string
+	nodes        []*gatewayNode
 	storeAddress string
 	cloudAddress string
-	// given are the ports that nodes were given.
-	given map[netip.AddrPort]bool
+	// allocatedPorts holds the ports already assigned to nodes.
+	allocatedPorts map[netip.AddrPort]bool
 }
 
 type gatewayNode struct {
@@ -66,18 +65,19 @@
 
 func newInstallation(t *testing.T, nodes int) *installation {
 	t.Helper()
-	return newInstallationOf(t, nodes, 3, (*installation).listen)
+	return newInstallationWith(t, nodes, 3, (*installation).listen)
 }
 
-// newInstallationOf returns one with so many engines, each of which listens as told.
-func newInstallationOf(t *testing.T, nodes, engines int, listen func(*installation, http.Handler) string) *installation {
+// newInstallationWith returns an installation with the given numbers of nodes and
+// engines. listen starts the HTTP server of each backend server.
+func newInstallationWith(t *testing.T, nodes, engines int, listen func(*installation, http.Handler) string) *installation {
 	t.Helper()
 	in := &installation{
-		given:   map[netip.AddrPort]bool{},
-		t:       t,
-		store:   standin.NewStore(),
-		cloud:   standin.NewCloud(),
-		address: map[string]string{},
+		allocatedPorts: map[netip.AddrPort]bool{},
+		t:              t,
+		store:          standin.NewStore(),
+		cloud:          standin.NewCloud(),
+		address:        map[string]string{},
 	}
 	in.storeAddress = in.listen(in.store)
 	in.cloudAddress = in.listen(in.cloud)
@@ -106,7 +106,7 @@
 		seed = in.start(i, seed)
 	}
 	for _, n := range in.nodes {
-		require.Eventually(t, func() bool { return len(in.resolve(n)) == nodes }, patience, 20*time.Millisecond)
+		require.Eventually(t, func() bool { return len(in.resolve(n)) == nodes }, waitTimeout, 20*time.Millisecond)
 	}
 	return in
 }
@@ -121,7 +121,7 @@
 	in.store.Put("keyed.op", "config", fmt.Appendf(nil, gatewayConfiguration, version, routes))
 }
 
-// start starts a node that knows one other, and returns its peer address.
+// start starts a node with one seed, or none, and returns its peer address.
 func (in *installation) start(i int, seed netip.AddrPort) netip.AddrPort {
 	in.t.Helper()
 	s := &starter.Settings{
@@ -141,7 +141,7 @@
 			CloudAddress:  netip.MustParseAddrPort(in.cloudAddress),
 			UsageWindow:   timekeeper.Second,
 			MaxUsageDelay: 10 * timekeeper.Second,
-			// What the roll-outs of versions are judged by.
+			// Limits of the requests that a new version receives.
 			ExposureShare: 0.1,
 			ExposureSlack: 50,
 			LogRetention:  5 * timekeeper.Minute,
@@ -166,19 +166,18 @@
 	return s.Peer.Advertised
 }
 
-// port returns a free port, each only once: the kernel gives one that was closed again
-// soon, so that of the ten ports of two nodes two were the same in one run of 150, and
-// a node that could not listen ended.
+// port returns a free port that it has not returned before: the kernel may soon
+// reuse a closed port, and a node that can't listen on its port ends.
 func (in *installation) port() starter.Port {
 	for {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(in.t, err)
 		address := netip.MustParseAddrPort(l.Addr().String())
 		require.NoError(in.t, l.Close())
-		if in.given[address] {
+		if in.allocatedPorts[address] {
 			continue
 		}
-		in.given[address] = true
+		in.allocatedPorts[address] = true
 		return starter.Port{
 			Listen:     address,
 			Advertised: address,
@@ -186,7 +185,7 @@
 	}
 }
 
-// resolve returns the addresses that a node gives to callers.
+// resolve returns the addresses that a node's directory returns to callers.
 func (in *installation) resolve(n *gatewayNode) []string {
 	response, err := http.Get("http://" + n.settings.Gateway.Directory.Listen.String() + "/-/resolve?name=api.example")
 	if err != nil {
@@ -202,8 +201,8 @@
 	return answer.Addresses
 }
 
-// ask sends a request to a node.
-func (in *installation) ask(n *gatewayNode, id, path, key string) (*http.Response, string, error) {
+// send sends a request to a node and returns the response and its body.
+func (in *installation) send(n *gatewayNode, id, path, key string) (*http.Response, string, error) {
 	in.t.Helper()
 	r, err := http.NewRequest(http.MethodPost, "http://"+n.settings.Caller.Listen.String()+path, strings.NewReader("prompt"))
 	require.NoError(in.t, err)
@@ -220,8 +219,8 @@
 	return response, string(body), err
 }
 
-// wholeStream is all events of an engine's answer.
-func wholeStream(events int) string {
+// completeStream returns an engine's answer with the given number of events.
+func completeStream(events int) string {
 	var b strings.Builder
 	for n := range events {
 		fmt.Fprintf(&b, "id: %d\ndata: %d\n\n", n+1, n+1)
@@ -229,22 +228,20 @@
 	return b.String()
 }
 
-// The whole path: callers ask which nodes there are and get a report, whose
-// engines break off in the middle, whole and under its first engine's
-// signature; a booking; and true refusals. The usage is reported, and servers
-// are ordered, by one node.
+// Serves complete streams although an engine aborts, an unsafe call, and
+// refusals. Each usage window is reported once, and servers are ordered.
 func TestGatewayServes(t *testing.T) {
 	in := newInstallation(t, 2)
 	in.engines[0].AbortAfter.Store(10)
 	for i := range 6 {
 		id := fmt.Sprintf("r-%d", i)
-		response, body, err := in.ask(in.nodes[i%2], id, "/reports/1", "secret")
+		response, body, err := in.send(in.nodes[i%2], id, "/reports/1", "secret")
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, response.StatusCode)
-		require.Equal(t, wholeStream(30), body)
+		require.Equal(t, completeStream(30), body)
 		require.True(t, strings.HasSuffix(response.Header.Get("Dotterelhollow-Response-Signature"), "."+id))
 	}
-	response, body, err := in.ask(in.nodes[0], "r-book", "/slots/1", "secret")
+	response, body, err := in.send(in.nodes[0], "r-book", "/slots/1", "secret")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, response.StatusCode)
 	require.Equal(t, "prompt", body)
@@ -254,7 +251,7 @@
 		"/reports/1": http.StatusUnauthorized,
 		"/nowhere/1": http.StatusNotFound,
 	} {
-		response, _, err := in.ask(in.nodes[1], "r-no", path, "guess")
+		response, _, err := in.send(in.nodes[1], "r-no", path, "guess")
 		require.NoError(t, err)
 		require.Equal(t, want, response.StatusCode)
 	}
@@ -267,12 +264,12 @@
 			sum += report.Counts["agency"]
 		}
 		return sum == 7
-	}, patience, 50*time.Millisecond)
-	require.Eventually(t, func() bool { return len(in.cloud.Orders()) > 0 }, patience, 50*time.Millisecond)
+	}, waitTimeout, 50*time.Millisecond)
+	require.Eventually(t, func() bool { return len(in.cloud.Orders()) > 0 }, waitTimeout, 50*time.Millisecond)
 }
 
-// The only server of a service states a limit, and each of three nodes sends as if it were alone.
-func TestGatewayKeepsTheLimitOfAServer(t *testing.T) {
+// Three nodes together must not exceed the rate limit that a server states.
+func TestGatewayHonorsServerLimit(t *testing.T) {
 	const (
 		nodes  = 3
 		rate   = 2
@@ -286,8 +283,8 @@
 	began := time.Now()
 	served := 0
 	for i := 0; served < enough; i++ {
-		require.Less(t, time.Since(began), patience, "%d served", served)
-		response, _, err := in.ask(in.nodes[i%nodes], fmt.Sprintf("r-%d", i), "/slots/1", "secret")
+		require.Less(t, time.Since(began), waitTimeout, "%d served", served)
+		response, _, err := in.send(in.nodes[i%nodes], fmt.Sprintf("r-%d", i), "/slots/1", "secret")
 		require.NoError(t, err)
 		if response.StatusCode == http.StatusOK {
 			served++
@@ -297,41 +294,41 @@
 		require.NotEmpty(t, response.Header.Get("Retry-After"))
 		<-pause.C
 	}
-	took := time.Since(began).Seconds()
-	require.Len(t, in.portal.Executions(), served, "what was refused has not run")
-	require.LessOrEqual(t, float64(served), rate*took+nodes+1, "each node may send one before it knows")
+	elapsed := time.Since(began).Seconds()
+	require.Len(t, in.portal.Executions(), served, "refused requests must not run")
+	require.LessOrEqual(t, float64(served), rate*elapsed+nodes+1, "each node may send one request before it receives the limit")
 
 	none := ""
 	in.portal.Limit.Store(&none)
 	for i, n := range in.nodes {
 		require.Eventually(t, func() bool {
-			response, _, err := in.ask(n, fmt.Sprintf("free-%d-%d", i, time.Now().UnixNano()), "/slots/1", "secret")
+			response, _, err := in.send(n, fmt.Sprintf("free-%d-%d", i, time.Now().UnixNano()), "/slots/1", "secret")
 			return err == nil && response.StatusCode == http.StatusOK
-		}, patience, 20*time.Millisecond)
+		}, waitTimeout, 20*time.Millisecond)
 	}
 }
 
-// The store is away. A change that one node read before is in force at a node
-// that reads nothing, because its peers tell it; and requests are served.
-func TestGatewayWithoutTheStore(t *testing.T) {
+// A node that starts while the store is unavailable receives the configuration
+// from its peers and serves requests.
+func TestGatewayWithoutStore(t *testing.T) {
 	in := newInstallation(t, 2)
 	in.configure(2, `,{"name":"new","host":"api.example","path_prefix":"/new/","kind":"unsafe","timeout_ms":5000,"service":"portal","attempts":1}`)
 	require.Eventually(t, func() bool {
-		response, _, err := in.ask(in.nodes[0], "r-1", "/new/1", "secret")
+		response, _, err := in.send(in.nodes[0], "r-1", "/new/1", "secret")
 		return err == nil && response.StatusCode == http.StatusOK
-	}, patience, 20*time.Millisecond)
+	}, waitTimeout, 20*time.Millisecond)
 	in.store.SetUnavailable(true)
 	seed := in.nodes[0].settings.Peer.Advertised
 	in.start(2, seed)
 	require.Eventually(t, func() bool {
-		response, _, err := in.ask(in.nodes[2], "r-2", "/new/1", "secret")
+		response, _, err := in.send(in.nodes[2], "r-2", "/new/1", "secret")
 		return err == nil && response.StatusCode == http.StatusOK
-	}, patience, 20*time.Millisecond)
+	}, waitTimeout, 20*time.Millisecond)
 }
 
-// mortal is a server whose process ends when it gets a request for a deadly path: its
-// port is closed, and its connections break.
-func (in *installation) mortal(h http.Handler) string {
+// listenCrashing starts a server that simulates a crash when it receives a
+// request for a path ending in /deadly: it closes its port and connections.
+func (in *installation) listenCrashing(h http.Handler) string {
 	var server *httptest.Server
 	server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !strings.HasSuffix(r.URL.Path, "/deadly") {
@@ -345,32 +342,31 @@
 	return server.Listener.Addr().String()
 }
 
-// A report ends each engine that gets it. Its caller gets 502 once three have ended,
-// and asks another node under another id: that node has sent it nowhere, but has heard,
-// and says at once that it did not run and is not to come back soon. Two engines are
-// left, and serve others.
+// A request that crashes servers is quarantined after three crashes. The other
+// node must refuse it without sending it, and the two remaining engines must
+// serve other requests.
 func TestGatewayRefusesQueryOfDeath(t *testing.T) {
-	in := newInstallationOf(t, 2, 5, (*installation).mortal)
-	response, _, err := in.ask(in.nodes[0], "r-2", "/reports/deadly", "secret")
+	in := newInstallationWith(t, 2, 5, (*installation).listenCrashing)
+	response, _, err := in.send(in.nodes[0], "r-2", "/reports/deadly", "secret")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusBadGateway, response.StatusCode)
-	// Nodes tell one another at their next tick; asked at once, the other node would
-	// send it.
-	<-time.After(newsTime)
-	response, _, err = in.ask(in.nodes[1], "r-3", "/reports/deadly", "secret")
+	// The other node receives the quarantine at the next tick. Before that it
+	// would send the request.
+	<-time.After(propagationTime)
+	response, _, err = in.send(in.nodes[1], "r-3", "/reports/deadly", "secret")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
 	require.Equal(t, "600", response.Header.Get("Retry-After"))
 	for i := range 4 {
-		response, body, err := in.ask(in.nodes[i%2], fmt.Sprintf("r-4%d", i), "/reports/1", "secret")
+		response, body, err := in.send(in.nodes[i%2], fmt.Sprintf("r-4%d", i), "/reports/1", "secret")
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, response.StatusCode)
-		require.Equal(t, wholeStream(30), body)
+		require.Equal(t, completeStream(30), body)
 	}
 }
 
-// A node is stopped as planned while it passes on a report. The report ends
-// whole, callers are no longer sent to the node, and its process ends.
+// A node that drains while it forwards a stream must complete the stream, leave
+// the directory, and end its process.
 func TestGatewayPlannedStop(t *testing.T) {
 	in := newInstallation(t, 2)
 	for _, e := range in.engines {
@@ -382,7 +378,7 @@
 	}
 	done := make(chan result, 1)
 	go func() {
-		_, body, err := in.ask(in.nodes[1], "r-1", "/reports/1", "secret")
+		_, body, err := in.send(in.nodes[1], "r-1", "/reports/1", "secret")
 		done <- result{
 			body: body,
 			err:  err,
@@ -395,18 +391,18 @@
 			}
 		}
 		return false
-	}, patience, 5*time.Millisecond)
+	}, waitTimeout, 5*time.Millisecond)
 	in.nodes[1].signals <- syscall.SIGTERM
-	require.Eventually(t, func() bool { return len(in.resolve(in.nodes[0])) == 1 }, patience, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return len(in.resolve(in.nodes[0])) == 1 }, waitTimeout, 20*time.Millisecond)
 	got := <-done
 	require.NoError(t, got.err)
-	require.Equal(t, wholeStream(30), got.body)
+	require.Equal(t, completeStream(30), got.body)
 	require.NoError(t, <-in.nodes[1].ended)
 	in.nodes[1].ended <- nil
 }
 
-// The settings that the platform fills in from the template are accepted, and
-// every fault of a broken file is named at once.
+// The settings that the platform renders from the template must load, and all
+// faults of a broken file must be reported together.
 func TestGatewaySettings(t *testing.T) {
 	template, err := os.ReadFile("../../deploy/settings.ini")
 	require.NoError(t, err)
@@ -449,10 +445,10 @@
 	require.Equal(t, uint32(800), capacity(settings.Gateway), "both the processor and the link")
 
 	optional := regexp.MustCompile(`(?ms)^\{\{#.*?^\{\{/[^\n]*\n`)
-	least := fill.Replace(optional.ReplaceAllString(string(template), ""))
-	require.NoError(t, os.WriteFile(path, []byte(least), 0o600))
+	minimal := fill.Replace(optional.ReplaceAllString(string(template), ""))
+	require.NoError(t, os.WriteFile(path, []byte(minimal), 0o600))
 	settings, err = starter.Load(path)
-	require.NoError(t, err, "a platform without duties is served too")
+	require.NoError(t, err, "a platform without leader tasks is supported")
 	require.False(t, settings.Gateway.CloudAddress.IsValid())
 	require.Zero(t, capacity(settings.Gateway))
 
--- a/cmd/dotterelhollow/main.go
+++ b/cmd/dotterelhollow/main.go
@@ -1,5 +1,5 @@
-// Command dotterelhollow serves model answers on reclaimable VMs. The command
-// serve runs a node; the others ask running nodes.
+// Command dotterelhollow serves model answers on reclaimable VMs. Its subcommand
+// serve runs a node; the other subcommands query or configure running nodes.
 package main
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// commands add the subcommands, in the order of the help text.
+// commands holds the functions that add the subcommands, in help text order.
 var commands = []func(*flags.Parser) error{
 	addServeCommand,
 	addConfigCommand,
@@ -22,7 +22,7 @@
 
 func main() { os.Exit(run(os.Args[1:])) }
 
-// run runs the command that args name and returns the exit code.
+// run parses args, executes the subcommand and returns the exit code.
 func run(args []string) int {
 	parser := flags.NewNamedParser("dotterelhollow", flags.HelpFlag|flags.PassDoubleDash)
 	for _, add := range commands {
--- a/cmd/dotterelhollow/operator.go
+++ b/cmd/dotterelhollow/operator.go
@@ -22,23 +22,23 @@
 )
 
 const (
-	// operatorTime bounds one question to one node.
-	operatorTime = 3 * timekeeper.Second
-	// changeTime bounds the wait for the verdict on a change; the node's own
-	// bound is shorter.
-	changeTime = 20 * timekeeper.Second
-	// maxOperatorAnswer bounds one node's answer.
-	maxOperatorAnswer = 64 << 20
+	// queryTimeout is the timeout of a query to one node.
+	queryTimeout = 3 * timekeeper.Second
+	// changeTimeout is the timeout of a change. It exceeds the node's own
+	// timeout, so that the node's verdict arrives.
+	changeTimeout = 20 * timekeeper.Second
+	// maxResponseSize limits a node's response, in bytes.
+	maxResponseSize = 64 << 20
 )
 
-// operatorFlags are the flags of the commands for operators.
+// operatorFlags holds the flags common to the operator commands.
 type operatorFlags struct {
 	Nodes []string `long:"node" value-name:"HOST:PORT" env:"DOTTERELHOLLOW_NODES" env-delim:"," required:"true" description:"Caller address of a node; give several"`
 	Key   string   `long:"operator-key" env:"DOTTERELHOLLOW_OPERATOR_KEY" required:"true" description:"Key of the operators"`
 	JSON  bool     `long:"json" description:"Print JSON"`
 }
 
-// operatorClient asks nodes as an operator.
+// operatorClient is a client of the operator API.
 type operatorClient struct {
 	nodes []string
 	key   string
@@ -53,7 +53,7 @@
 	}
 }
 
-// problemError is a refusal of the operators' API.
+// problemError is an error response of the operator API.
 type problemError struct{ server.Problem }
 
 var _ error = (*problemError)(nil)
@@ -76,7 +76,7 @@
 	return exitNotRun
 }
 
-// nodeError reports a node that did not answer.
+// nodeError reports a node that did not return a valid response.
 type nodeError struct {
 	node  string
 	cause error
@@ -88,18 +88,18 @@
 
 func (e *nodeError) Unwrap() error { return e.cause }
 
-// question is one request of the operators' API.
-type question struct {
-	method string
-	path   string
-	body   []byte
-	saw    *identifier.Revision
-	limit  timekeeper.Duration
+// apiRequest is a request to the operator API. baseRevision is sent if not nil.
+type apiRequest struct {
+	method       string
+	path         string
+	body         []byte
+	baseRevision *identifier.Revision
+	timeout      timekeeper.Duration
 }
 
-// ask asks one node and decodes its answer into value. Its error is a
+// do sends q to one node and decodes the response into value. Its error is a
 // *problemError or a *nodeError.
-func (c *operatorClient) ask(ctx context.Context, node string, q question, value any) error {
+func (c *operatorClient) do(ctx context.Context, node string, q apiRequest, value any) error {
 	data, err := c.fetch(ctx, node, q)
 	if err != nil {
 		return err
@@ -113,8 +113,8 @@
 	return nil
 }
 
-func (c *operatorClient) fetch(ctx context.Context, node string, q question) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, q.limit.Std())
+func (c *operatorClient) fetch(ctx context.Context, node string, q apiRequest) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, q.timeout.Std())
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, q.method, "http://"+node+q.path, bytes.NewReader(q.body))
 	if err != nil {
@@ -124,8 +124,8 @@
 		}
 	}
 	r.Header.Set("Authorization", "Bearer "+c.key)
-	if q.saw != nil {
-		r.Header.Set(server.HeaderBaseRevision, strconv.FormatUint(uint64(*q.saw), 10))
+	if q.baseRevision != nil {
+		r.Header.Set(server.HeaderBaseRevision, strconv.FormatUint(uint64(*q.baseRevision), 10))
 	}
 	response, err := c.http.Do(r)
 	if err != nil {
@@ -135,7 +135,7 @@
 		}
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxOperatorAnswer))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseSize))
 	if err != nil {
 		return nil, &nodeError{
 			node:  node,
@@ -148,41 +148,41 @@
 	return data, nil
 }
 
-// plainError reports a response that is no problem document.
-type plainError struct{ status int }
+// unexpectedStatusError reports an error response without a problem document.
+type unexpectedStatusError struct{ status int }
 
-var _ error = (*plainError)(nil)
+var _ error = (*unexpectedStatusError)(nil)
 
-func (e *plainError) Error() string { return fmt.Sprintf("status %d", e.status) }
+func (e *unexpectedStatusError) Error() string { return fmt.Sprintf("status %d", e.status) }
 
 func parseProblem(node string, status int, data []byte) error {
 	problem := &problemError{}
 	if err := json.Unmarshal(data, &problem.Problem); err != nil || problem.Reason == "" {
 		return &nodeError{
 			node:  node,
-			cause: &plainError{status: status},
+			cause: &unexpectedStatusError{status: status},
 		}
 	}
 	return problem
 }
 
-// get returns a question that reads.
-func get(path string, query url.Values) question {
+// get returns a GET request with the query timeout.
+func get(path string, query url.Values) apiRequest {
 	if encoded := query.Encode(); encoded != "" {
 		path += "?" + encoded
 	}
-	return question{
-		method: http.MethodGet,
-		path:   path,
-		limit:  operatorTime,
+	return apiRequest{
+		method:  http.MethodGet,
+		path:    path,
+		timeout: queryTimeout,
 	}
 }
 
-// first asks one node after the other until one answers.
-func (c *operatorClient) first(ctx context.Context, q question, value any) (string, error) {
+// queryFirst queries the nodes in turn until one responds, and returns that node.
+func (c *operatorClient) queryFirst(ctx context.Context, q apiRequest, value any) (string, error) {
 	var failed []error
 	for _, node := range c.nodes {
-		err := c.ask(ctx, node, q, value)
+		err := c.do(ctx, node, q, value)
 		var problem *problemError
 		if err == nil || errors.As(err, &problem) {
 			return node, err
@@ -192,23 +192,23 @@
 	return "", errors.Join(failed...)
 }
 
-// answerOf is one node's answer, or why there is none.
-type answerOf[T any] struct {
+// nodeResponse is a node's response or error.
+type nodeResponse[T any] struct {
 	node  string
 	value T
 	err   error
 }
 
-// askAll asks several nodes at once and returns their answers in the order of
-// the nodes.
-func askAll[T any](ctx context.Context, c *operatorClient, nodes []string, q question) []answerOf[T] {
-	answers := make([]answerOf[T], len(nodes))
+// queryAll queries nodes concurrently and returns their responses in the order
+// of nodes.
+func queryAll[T any](ctx context.Context, c *operatorClient, nodes []string, q apiRequest) []nodeResponse[T] {
+	answers := make([]nodeResponse[T], len(nodes))
 	ended := make(chan struct{})
 	for i, node := range nodes {
 		go func() {
 			defer func() { ended <- struct{}{} }()
 			answers[i].node = node
-			answers[i].err = c.ask(ctx, node, q, &answers[i].value)
+			answers[i].err = c.do(ctx, node, q, &answers[i].value)
 		}()
 	}
 	for range nodes {
@@ -217,53 +217,54 @@
 	return answers
 }
 
-// statuses asks all nodes for their status: those that were given, and those
-// that any of them knows.
-func (c *operatorClient) statuses(ctx context.Context) []answerOf[server.Status] {
+// statuses queries the status of the given nodes, and of all nodes listed in
+// their responses.
+func (c *operatorClient) statuses(ctx context.Context) []nodeResponse[server.Status] {
 	q := get("/operator/v1/status", nil)
-	answers := askAll[server.Status](ctx, c, c.nodes, q)
-	more := unasked(answers)
-	return append(answers, askAll[server.Status](ctx, c, more, q)...)
+	answers := queryAll[server.Status](ctx, c, c.nodes, q)
+	addresses := newAddresses(answers)
+	return append(answers, queryAll[server.Status](ctx, c, addresses, q)...)
 }
 
-// unasked returns the addresses of nodes that the answers name and that were
-// not asked yet.
-func unasked(answers []answerOf[server.Status]) []string {
-	asked := make(map[string]bool)
+// newAddresses returns the sorted addresses of nodes that are listed in the
+// responses and have not been queried.
+func newAddresses(answers []nodeResponse[server.Status]) []string {
+	queried := make(map[string]bool)
 	for _, a := range answers {
-		asked[a.node] = true
+		queried[a.node] = true
 	}
-	var more []string
+	var addresses []string
 	for _, a := range answers {
 		for _, n := range a.value.Nodes {
-			if n.Address != "" && !asked[n.Address] {
-				asked[n.Address] = true
-				more = append(more, n.Address)
+			if n.Address != "" && !queried[n.Address] {
+				queried[n.Address] = true
+				addresses = append(addresses, n.Address)
 			}
 		}
 	}
-	slices.Sort(more)
-	return more
+	slices.Sort(addresses)
+	return addresses
 }
 
-// everyNode returns the addresses of all nodes that answer.
-func (c *operatorClient) everyNode(ctx context.Context) (reached []string, failed []error) {
+// reachableNodes returns the addresses of all nodes that respond, and the errors
+// of the others.
+func (c *operatorClient) reachableNodes(ctx context.Context) (reachable []string, failed []error) {
 	for _, a := range c.statuses(ctx) {
 		if a.err != nil {
 			failed = append(failed, a.err)
 			continue
 		}
-		reached = append(reached, a.node)
+		reachable = append(reachable, a.node)
 	}
-	return reached, failed
+	return reachable, failed
 }
 
-// interruptible returns a context that SIGINT and SIGTERM end.
-func interruptible() (context.Context, context.CancelFunc) {
+// signalContext returns a context that is canceled by SIGINT or SIGTERM.
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 }
 
-// warn prints errors that do not end the command.
+// warn prints errors that do not make the command fail.
 func warn(errs []error) {
 	for _, err := range errs {
 		fmt.Fprintln(os.Stderr, "warning:", err)
--- a/cmd/dotterelhollow/operator_test.go
+++ b/cmd/dotterelhollow/operator_test.go
@@ -18,9 +18,9 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// Each file is accepted or rejected on its own, so the plan must leave no
-// fault after any of its steps, whatever the names of the files are.
-func TestPlanLeavesNoFaultInBetween(t *testing.T) {
+// Nodes accept or reject each file separately, so the plan must leave no fault
+// after any step, whatever the file names are.
+func TestPlanHasNoIntermediateFaults(t *testing.T) {
 	for _, folder := range []string{"../../examples/quillmark", "../../examples/cooperative"} {
 		wanted, err := folderreader.ReadDir(folder)
 		require.NoError(t, err)
@@ -35,7 +35,7 @@
 			require.Len(t, plan, len(files))
 			current := map[identifier.FileName][]byte{}
 			for _, change := range plan {
-				current = applied(current, change)
+				current = withChange(current, change)
 				_, faults := configurer.Check(current)
 				require.Empty(t, faults)
 			}
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestPlan(t *testing.T) {
+func TestPlanChanges(t *testing.T) {
 	view := server.ConfigView{
 		Revision: 9,
 		Files: []server.ConfigFile{
@@ -78,29 +78,29 @@
 	require.NoError(t, err)
 	require.Equal(t, []fileChange{
 		{
-			File:    "20.ini",
-			Saw:     7,
-			content: wanted["20.ini"],
+			File:         "20.ini",
+			BaseRevision: 7,
+			content:      wanted["20.ini"],
 		},
 		{
-			File:    "40.ini",
-			Saw:     9,
-			content: wanted["40.ini"],
+			File:         "40.ini",
+			BaseRevision: 9,
+			content:      wanted["40.ini"],
 		},
 		{
-			File:   "30.ini",
-			Saw:    8,
-			Delete: true,
+			File:         "30.ini",
+			BaseRevision: 8,
+			Delete:       true,
 		},
 	}, plan)
 	plan, err = planChanges(view, wanted, false)
 	require.NoError(t, err)
-	require.Len(t, plan, 2, "a file that is not in the folder stays")
+	require.Len(t, plan, 2, "files missing from the folder are kept")
 }
 
-// configNode is a node that keeps one file, and loses the answer to the first
-// change after the change took effect.
-func configNode(t *testing.T, taken bool) (*operatorClient, *atomic.Int32) {
+// configNode starts a node with one file. It drops the responses to changes; if
+// applies is set, the changes take effect.
+func configNode(t *testing.T, applies bool) (*operatorClient, *atomic.Int32) {
 	t.Helper()
 	var writes atomic.Int32
 	var content atomic.Value
@@ -108,7 +108,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /operator/v1/config/{file}", func(_ http.ResponseWriter, _ *http.Request) {
 		writes.Add(1)
-		if taken {
+		if applies {
 			content.Store("new")
 		}
 		panic(http.ErrAbortHandler)
@@ -118,7 +118,7 @@
 		if content.Load() == "new" {
 			revision = 2
 		}
-		// What does not encode shows as an answer that does not decode.
+		// An encoding error appears as a decoding error at the client.
 		_ = json.NewEncoder(w).Encode(server.ConfigView{
 			Revision: revision,
 			Files: []server.ConfigFile{{
@@ -134,15 +134,14 @@
 	return flags.client(), &writes
 }
 
-// A node takes a change and its answer is lost. Sent again, the change would
-// be rejected as stale, and the operator told that it is not in force when it
-// is. So it is looked for instead, and sent once.
-func TestLostAnswerOfAChangeIsSettled(t *testing.T) {
+// If the response to a change is lost, the client must look up the result. A
+// retry would be rejected as stale although the change is in force.
+func TestChangeWithLostResponse(t *testing.T) {
 	client, writes := configNode(t, true)
 	revision, err := client.change(t.Context(), client.nodes[0], fileChange{
-		File:    "10.ini",
-		Saw:     1,
-		content: []byte("new"),
+		File:         "10.ini",
+		BaseRevision: 1,
+		content:      []byte("new"),
 	})
 	require.NoError(t, err)
 	require.Equal(t, identifier.Revision(2), revision)
@@ -191,15 +190,15 @@
 	}, disagreements(nodes))
 }
 
-// An operator mistypes a request or a file. An empty answer with exit code 0
-// would be read as "nothing happened to it".
-func TestMistypedNamesAreTold(t *testing.T) {
-	node := &lossyNode{status: server.Status{Node: "entry-1"}}
+// An unknown request or file must be an error: empty output with exit code 0
+// would suggest that the name exists.
+func TestUnknownNamesAreErrors(t *testing.T) {
+	node := &fakeNode{status: server.Status{Node: "entry-1"}}
 	flags := operatorFlags{Nodes: []string{node.start(t)}}
 
 	explain := &explainCommand{operatorFlags: flags}
 	explain.Args.Request = "nosuch"
-	var unexplained *unexplainedError
+	var unexplained *noEventsError
 	require.ErrorAs(t, explain.Execute(nil), &unexplained)
 
 	show := &configShowCommand{operatorFlags: flags}
@@ -235,14 +234,14 @@
 	for code, errs := range map[int][]error{
 		exitDone:     {nil},
 		exitNotRun:   {&caller.RefusalError{Outcome: caller.OutcomeNotRun}, &caller.NoNodeError{}},
-		exitUnknown:  {&caller.RefusalError{Outcome: caller.OutcomeUnknown}, &caller.UnknownOutcomeError{}, &unsettledError{}},
-		exitFaults:   {&folderreader.FaultsError{}, &blockedError{}, &wholeError{}, rejected},
-		exitDisagree: {&disagreeError{}},
+		exitUnknown:  {&caller.RefusalError{Outcome: caller.OutcomeUnknown}, &caller.UnknownOutcomeError{}, &unresolvedChangeError{}},
+		exitFaults:   {&folderreader.FaultsError{}, &noFaultFreeOrderError{}, &restoreNotNeededError{}, rejected},
+		exitDisagree: {&disagreementError{}},
 		exitDiverged: {&caller.DivergedError{Cause: &caller.RefusalError{Outcome: caller.OutcomeUnknown}}},
 		exitFailed: {
 			&nodeError{},
 			&statusError{},
-			&unexplainedError{},
+			&noEventsError{},
 			&unknownFileError{},
 			&caller.RefusalError{Outcome: caller.OutcomeFailed},
 		},
--- a/cmd/dotterelhollow/process.go
+++ b/cmd/dotterelhollow/process.go
@@ -8,19 +8,20 @@
 	"net/netip"
 )
 
-// process is what both kinds of node run: a server on each port, the node's own
-// work, and a watch over signals. It ends with the work.
+// process runs a node of either kind: a server on each port, the node's main
+// loop, and a signal handler. It ends when the main loop returns.
 type process struct {
 	ports []*port
-	// run does the node's work until ctx ends or a planned stop is over.
+	// run is the node's main loop. It returns when ctx ends or a planned stop
+	// completes.
 	run func(ctx context.Context)
-	// watch carries out signals until ctx ends, and calls stop to end at once.
+	// watch handles signals until ctx ends, and calls stop for an immediate stop.
 	watch func(ctx context.Context, stop func())
-	// closers close connections that are left at the end.
+	// closers close the connections that remain at the end.
 	closers []func()
 }
 
-// port is one port and what serves it.
+// port is a listening port with its server.
 type port struct {
 	name     string
 	address  netip.AddrPort
@@ -28,13 +29,13 @@
 	listener net.Listener
 }
 
-// listen opens all ports, or none.
+// listen opens all ports. If one fails, it closes those already open.
 func (p *process) listen() error {
 	for i, opened := range p.ports {
 		l, err := listen(opened.name, opened.address)
 		if err != nil {
-			for _, before := range p.ports[:i] {
-				_ = before.listener.Close()
+			for _, previous := range p.ports[:i] {
+				_ = previous.listener.Close()
 			}
 			return err
 		}
@@ -43,8 +44,8 @@
 	return nil
 }
 
-// serve runs the process, whose ports are open, until its work ends or a port
-// fails.
+// serve runs the process until its main loop returns or a port fails. The ports
+// must be open.
 func (p *process) serve(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/cmd/dotterelhollow/restore.go
+++ b/cmd/dotterelhollow/restore.go
@@ -20,10 +20,10 @@
 
 var (
 	_ flags.Commander = (*configRestoreCommand)(nil)
-	_ error           = (*wholeError)(nil)
+	_ error           = (*restoreNotNeededError)(nil)
 )
 
-// configRestoreCommand replaces a configuration that was lost.
+// configRestoreCommand replaces a configuration that all nodes have lost.
 type configRestoreCommand struct {
 	operatorFlags
 	Args struct {
@@ -31,26 +31,27 @@
 	} `positional-args:"true"`
 }
 
-// wholeError reports a restore that is not needed.
-type wholeError struct{ node identifier.VMID }
+// restoreNotNeededError reports that a node has the configuration, or, if node is
+// empty, that no responding node has lost it.
+type restoreNotNeededError struct{ node identifier.VMID }
 
-func (e *wholeError) Error() string {
+func (e *restoreNotNeededError) Error() string {
 	if e.node == "" {
-		return "no node that answers has lost the configuration: see status"
+		return "no responding node has lost the configuration: see status"
 	}
 	return fmt.Sprintf("%s has the configuration: change its files by config apply instead", e.node)
 }
 
-// restored is the answer of the command as JSON.
-type restored struct {
+// restoreResult is the JSON output of the command.
+type restoreResult struct {
 	Node     string              `json:"node"`
 	Files    int                 `json:"files"`
 	Revision identifier.Revision `json:"revision"`
 }
 
-// Execute restores the folder.
+// Execute checks the folder and restores the configuration from it.
 func (c *configRestoreCommand) Execute([]string) error {
-	ctx, stop := interruptible()
+	ctx, stop := signalContext()
 	defer stop()
 	files, err := folderreader.ReadDir(c.Args.Folder)
 	if err != nil {
@@ -70,8 +71,8 @@
 	return nil
 }
 
-// restore puts files in force at a node that has lost the configuration.
-func (c *operatorClient) restore(ctx context.Context, files map[identifier.FileName][]byte) (restored, error) {
+// restore sends files to a node that has lost the configuration.
+func (c *operatorClient) restore(ctx context.Context, files map[identifier.FileName][]byte) (restoreResult, error) {
 	answers := c.statuses(ctx)
 	var failed []error
 	for _, a := range answers {
@@ -80,27 +81,27 @@
 		}
 	}
 	if len(failed) == len(answers) {
-		return restored{}, errors.Join(failed...)
+		return restoreResult{}, errors.Join(failed...)
 	}
 	warn(failed)
-	node, err := gapped(answers)
+	node, err := nodeWithLostConfig(answers)
 	if err != nil {
-		return restored{}, err
+		return restoreResult{}, err
 	}
 	revision, err := c.restoreAt(ctx, node, files)
-	return restored{
+	return restoreResult{
 		Node:     node,
 		Files:    len(files),
 		Revision: revision,
 	}, err
 }
 
-// gapped returns a node that has lost the configuration.
-//
-// There must be none that has it. A node with a gap takes the state of such a
-// peer by itself, while a restore would replace at all nodes what operators
-// changed since their copy of the folder was made.
-func gapped(answers []answerOf[server.Status]) (string, error) {
+// nodeWithLostConfig returns the address of a node that has lost the
+// configuration, or an error if any node still has it. In that case the nodes
+// that lost the configuration copy it from their peer without help, while a
+// restore would overwrite on all nodes the changes made since the operators'
+// copy of the folder.
+func nodeWithLostConfig(answers []nodeResponse[server.Status]) (string, error) {
 	node := ""
 	for _, a := range answers {
 		switch {
@@ -108,11 +109,11 @@
 		case a.value.Fault != "":
 			node = a.node
 		case a.value.Revision != 0:
-			return "", &wholeError{node: a.value.Node}
+			return "", &restoreNotNeededError{node: a.value.Node}
 		}
 	}
 	if node == "" {
-		return "", &wholeError{}
+		return "", &restoreNotNeededError{}
 	}
 	return node, nil
 }
@@ -129,11 +130,11 @@
 		return 0, fmt.Errorf("encoding the folder: %w", err)
 	}
 	var answer server.ChangeResult
-	err = c.ask(ctx, node, question{
-		method: http.MethodPost,
-		path:   "/operator/v1/config/restore",
-		body:   body,
-		limit:  changeTime,
+	err = c.do(ctx, node, apiRequest{
+		method:  http.MethodPost,
+		path:    "/operator/v1/config/restore",
+		body:    body,
+		timeout: changeTimeout,
 	}, &answer)
 	var problem *problemError
 	switch {
@@ -142,14 +143,15 @@
 	case errors.As(err, &problem) && problem.exitCode() != exitUnknown:
 		return 0, err
 	}
-	return c.settleRestore(ctx, files, err)
+	return c.resolveRestore(ctx, files, err)
 }
 
-// settleRestore finds out whether a restore is in force whose answer was lost.
-func (c *operatorClient) settleRestore(
+// resolveRestore finds out whether a restore took effect whose response was
+// lost.
+func (c *operatorClient) resolveRestore(
 	ctx context.Context, files map[identifier.FileName][]byte, cause error,
 ) (identifier.Revision, error) {
-	bounded, cancel := context.WithTimeout(ctx, settleTime.Std())
+	bounded, cancel := context.WithTimeout(ctx, resolveTimeout.Std())
 	defer cancel()
 	for {
 		view, _, err := c.config(bounded)
@@ -157,9 +159,9 @@
 			return view.Revision, nil
 		}
 		select {
-		case <-time.After(settlePause.Std()):
+		case <-time.After(resolveInterval.Std()):
 		case <-bounded.Done():
-			return 0, &unsettledError{
+			return 0, &unresolvedChangeError{
 				file:  "the restored folder",
 				cause: cause,
 			}
--- a/cmd/dotterelhollow/restore_test.go
+++ b/cmd/dotterelhollow/restore_test.go
@@ -15,19 +15,19 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-const gap = "configuration: records after offset 0 up to 41 expired unread and no snapshot covers them"
+const lostConfigFault = "configuration: records after offset 0 up to 41 expired unread and no snapshot covers them"
 
-// lossyNode is a node that may have lost its configuration.
-type lossyNode struct {
+// fakeNode is a node that may have lost its configuration.
+type fakeNode struct {
 	mu       sync.Mutex
 	status   server.Status
 	view     server.ConfigView
 	restores int
-	// loses tells that the answer to a restore is lost.
-	loses bool
+	// dropsResponse makes the node drop its response to a restore.
+	dropsResponse bool
 }
 
-func (n *lossyNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (n *fakeNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var value any
@@ -38,7 +38,7 @@
 		value = n.view
 	case "/operator/v1/config/restore":
 		n.restore(r.Body)
-		if n.loses {
+		if n.dropsResponse {
 			panic(http.ErrAbortHandler)
 		}
 		value = server.ChangeResult{
@@ -46,11 +46,11 @@
 			Revision: n.view.Revision,
 		}
 	}
-	// What does not encode shows as an answer that does not decode.
+	// An encoding error appears as a decoding error at the client.
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-func (n *lossyNode) restore(body io.Reader) {
+func (n *fakeNode) restore(body io.Reader) {
 	n.restores++
 	var wanted server.RestoreRequest
 	_ = json.NewDecoder(body).Decode(&wanted)
@@ -64,62 +64,58 @@
 	}
 }
 
-func (n *lossyNode) start(t *testing.T) string {
+func (n *fakeNode) start(t *testing.T) string {
 	t.Helper()
 	s := httptest.NewServer(n)
 	t.Cleanup(s.Close)
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// The fleet was off for longer than the log keeps records, and no node has the
-// configuration any more. An operator restores the folder, at one node and
-// once, also where the answer to it is lost.
+// A restore must be sent once, to one node that has lost the configuration, even
+// if the response is lost.
 func TestRestore(t *testing.T) {
 	files := map[identifier.FileName][]byte{
 		"10.ini": []byte("[zone a]\nregion = r\n"),
 		"20.ini": []byte("# \"quoted\" <text>\n"),
 	}
-	for name, loses := range map[string]bool{"answered": false, "answer lost": true} {
+	for name, dropsResponse := range map[string]bool{"answered": false, "answer lost": true} {
 		t.Run(name, func(t *testing.T) {
-			fresh := &lossyNode{status: server.Status{Node: "entry-1"}}
-			lost := &lossyNode{
+			freshNode := &fakeNode{status: server.Status{Node: "entry-1"}}
+			lostNode := &fakeNode{
 				status: server.Status{
 					Node:  "entry-2",
-					Fault: gap,
+					Fault: lostConfigFault,
 				},
-				loses: loses,
+				dropsResponse: dropsResponse,
 			}
-			addresses := []string{fresh.start(t), lost.start(t)}
+			addresses := []string{freshNode.start(t), lostNode.start(t)}
 			done, err := operatorFlags{Nodes: addresses}.client().restore(t.Context(), files)
 			require.NoError(t, err)
-			require.Equal(t, restored{
+			require.Equal(t, restoreResult{
 				Node:     addresses[1],
 				Files:    2,
 				Revision: 42,
 			}, done)
-			require.Zero(t, fresh.restores)
-			require.Equal(t, 1, lost.restores)
-			require.Equal(t, files, contents(lost.view))
+			require.Zero(t, freshNode.restores)
+			require.Equal(t, 1, lostNode.restores)
+			require.Equal(t, files, contents(lostNode.view))
 		})
 	}
 }
 
-// One node has a gap, another one still has the configuration, with changes
-// that the operator's copy of the folder lacks. A restore would undo these
-// changes everywhere, so it is not even sent. Nor is it where no node says
-// that it lost anything. The control is TestRestore: with no such node, the
-// same node with the gap is sent the restore.
-func TestRestoreIsRefusedWhileANodeHasTheConfiguration(t *testing.T) {
+// A restore must not be sent if a node still has the configuration, whose newer
+// changes it would overwrite, or if no node reports a loss.
+func TestRestoreRejectedUnlessConfigurationLost(t *testing.T) {
 	lost := server.Status{
 		Node:  "entry-1",
-		Fault: gap,
+		Fault: lostConfigFault,
 	}
 	for name, statuses := range map[string][]server.Status{
 		"another node has it": {lost, {
 			Node:     "entry-2",
 			Revision: 40,
 		}},
-		"all are whole": {{
+		"no node has lost it": {{
 			Node:     "entry-1",
 			Revision: 40,
 		}},
@@ -127,9 +123,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var addresses []string
-			var nodes []*lossyNode
+			var nodes []*fakeNode
 			for _, s := range statuses {
-				n := &lossyNode{status: s}
+				n := &fakeNode{status: s}
 				nodes = append(nodes, n)
 				addresses = append(addresses, n.start(t))
 			}
@@ -142,16 +138,16 @@
 	}
 }
 
-// All nodes agree, but on a configuration that they can't follow.
-func TestStatusCountsFaults(t *testing.T) {
-	n := &lossyNode{status: server.Status{
+// Nodes that agree but can't follow the configuration must be counted as faulty.
+func TestStatusCountsFaultyNodes(t *testing.T) {
+	n := &fakeNode{status: server.Status{
 		Node:  "entry-1",
-		Fault: gap,
+		Fault: lostConfigFault,
 	}}
 	report := newStatusReport(operatorFlags{Nodes: []string{n.start(t)}}.client().statuses(t.Context()))
 	require.Empty(t, report.Disagreements)
-	require.Equal(t, 1, report.faults())
+	require.Equal(t, 1, report.countFaulty())
 	var out strings.Builder
 	require.NoError(t, (&statusCommand{}).print(&out, report))
-	require.Contains(t, out.String(), "fault at entry-1: "+gap)
+	require.Contains(t, out.String(), "fault at entry-1: "+lostConfigFault)
 }
--- a/cmd/dotterelhollow/rollout_test.go
+++ b/cmd/dotterelhollow/rollout_test.go
@@ -13,18 +13,19 @@
 )
 
 const (
-	// rolloutTime is what the operators give a roll-out, and rolloutCallers how many
-	// ask meanwhile, again and again.
-	rolloutTime    = 8 * time.Second
-	rolloutCallers = 8
-	rolloutPause   = 40 * time.Millisecond
+	// rolloutDuration is the configured duration of a rollout. Meanwhile
+	// rolloutCallers callers each send a request every rolloutRequestInterval.
+	rolloutDuration        = 8 * time.Second
+	rolloutCallers         = 8
+	rolloutRequestInterval = 40 * time.Millisecond
 )
 
-// rollOut orders a version of the portal, whose servers publish themselves, and lets
-// callers ask until operators read how it ended. It returns that, and the servers.
-func rollOut(t *testing.T, in *installation, fails bool) (state string, servers []*standin.Server) {
+// runRollout orders a new version of the portal, publishes two servers with it,
+// and sends requests until the rollout has ended. It returns the final state and
+// the new servers.
+func runRollout(t *testing.T, in *installation, failing bool) (state string, servers []*standin.Server) {
 	t.Helper()
-	in.store.Put("keyed.op", "rollout/portal", fmt.Appendf(nil, `{"service":"portal","to":"v2","duration_s":%g}`, rolloutTime.Seconds()))
+	in.store.Put("keyed.op", "rollout/portal", fmt.Appendf(nil, `{"service":"portal","to":"v2","duration_s":%g}`, rolloutDuration.Seconds()))
 	for i := range 2 {
 		s := &standin.Server{
 			ID:      fmt.Sprintf("i-2%d", i),
@@ -32,24 +33,24 @@
 			Zone:    "boston-a",
 			Version: "v2",
 		}
-		s.FailAlternate.Store(fails)
+		s.FailAlternate.Store(failing)
 		require.NoError(t, s.Publish(in.store, in.listen(s), "ready"))
 		servers = append(servers, s)
 	}
 	status := func() string { return string(in.store.Newest("keyed.status", "rollout/portal")) }
-	over := make(chan struct{})
+	done := make(chan struct{})
 	var callers sync.WaitGroup
 	for c := range rolloutCallers {
 		callers.Go(func() {
 			for n := 0; ; n++ {
-				response, _, err := in.ask(in.nodes[(c+n)%len(in.nodes)], fmt.Sprintf("r-%d-%d", c, n), "/slots/1", "secret")
-				if err == nil && !fails && response.StatusCode != http.StatusOK {
+				response, _, err := in.send(in.nodes[(c+n)%len(in.nodes)], fmt.Sprintf("r-%d-%d", c, n), "/slots/1", "secret")
+				if err == nil && !failing && response.StatusCode != http.StatusOK {
 					t.Errorf("status %d", response.StatusCode)
 				}
 				select {
-				case <-over:
+				case <-done:
 					return
-				case <-time.After(rolloutPause):
+				case <-time.After(rolloutRequestInterval):
 				}
 			}
 		})
@@ -57,17 +58,17 @@
 	require.Eventually(t, func() bool {
 		state = status()
 		return state != "" && state != `{"state":"running","to":"v2"}`
-	}, rolloutTime+2*time.Second, 50*time.Millisecond)
-	close(over)
+	}, rolloutDuration+2*time.Second, 50*time.Millisecond)
+	close(done)
 	callers.Wait()
 	return state, servers
 }
 
-// Operators order a version that fails every other request. Callers hardly notice, and
-// operators read that it was rolled back.
-func TestGatewayTurnsBadVersionBack(t *testing.T) {
+// A version that fails every other request must be rolled back after receiving
+// at most about a tenth of the requests.
+func TestGatewayRollsBackBadVersion(t *testing.T) {
 	in := newInstallation(t, 2)
-	state, servers := rollOut(t, in, true)
+	state, servers := runRollout(t, in, true)
 	require.JSONEq(t, `{"state":"rolled_back","to":"v2"}`, state)
 	ran := 0
 	for _, s := range servers {
@@ -76,15 +77,15 @@
 	require.Less(t, ran, len(in.portal.Executions())/10+50)
 }
 
-// Operators order a version that is as good as the old one. It is completed in time, and
-// gets all requests.
+// A rollout of a healthy version must complete in time, and the version must
+// then receive all requests.
 func TestGatewayCompletesGoodVersion(t *testing.T) {
 	in := newInstallation(t, 2)
-	state, _ := rollOut(t, in, false)
+	state, _ := runRollout(t, in, false)
 	require.JSONEq(t, `{"state":"completed","to":"v2"}`, state)
 	before := len(in.portal.Executions())
 	for i := range 10 {
-		_, _, err := in.ask(in.nodes[i%2], fmt.Sprintf("r-after-%d", i), "/slots/1", "secret")
+		_, _, err := in.send(in.nodes[i%2], fmt.Sprintf("r-after-%d", i), "/slots/1", "secret")
 		require.NoError(t, err)
 	}
 	require.Len(t, in.portal.Executions(), before)
--- a/cmd/dotterelhollow/serve.go
+++ b/cmd/dotterelhollow/serve.go
@@ -33,19 +33,19 @@
 	_ error           = (*portError)(nil)
 )
 
-// claimPartitions is the number of log streams that carry claims. All nodes
-// must have the same.
+// claimPartitions is the number of log streams that carry claims. It must be
+// equal on all nodes.
 const claimPartitions = 4
 
-// gcPercent makes the collector run earlier than Go's default of 100. A node
-// may take 32 MB, most of which is the program itself, while its processor
-// time has room.
+// gcPercent makes the garbage collector run more often than Go's default of 100:
+// a node is limited to 32 MB, mostly used by the program itself, but has spare
+// processor time.
 const gcPercent = 40
 
-// The bounds of connections from peers.
+// Timeouts of connections from peers.
 const (
-	peerHeaderTime = 5 * time.Second
-	peerIdleTime   = 30 * time.Second
+	peerHeaderTimeout = 5 * time.Second
+	peerIdleTimeout   = 30 * time.Second
 )
 
 // serveCommand runs a node.
@@ -61,7 +61,7 @@
 	return err
 }
 
-// listenError reports a port that could not be opened.
+// listenError reports that the port of the given name could not be opened.
 type listenError struct {
 	port  string
 	cause error
@@ -71,7 +71,7 @@
 
 func (e *listenError) Unwrap() error { return e.cause }
 
-// portError reports a port that closed by itself.
+// portError reports that the port of the given name closed unexpectedly.
 type portError struct {
 	port  string
 	cause error
@@ -81,7 +81,7 @@
 
 func (e *portError) Unwrap() error { return e.cause }
 
-// Execute implements flags.Commander.
+// Execute loads the settings and runs the node until it is stopped.
 func (c *serveCommand) Execute([]string) error {
 	settings, err := starter.Load(string(c.Settings))
 	if err != nil {
@@ -101,7 +101,7 @@
 	return node.serve(context.Background(), signals)
 }
 
-// node is one node's process: its runner, and a server on each port.
+// node is the process of a node: its runner, and a server on each port.
 type node struct {
 	settings *starter.Settings
 	logger   hclog.Logger
@@ -112,7 +112,7 @@
 	closers  []func()
 }
 
-// newNode builds a node from checked settings and opens nothing.
+// newNode builds a node from checked settings. It opens no ports.
 func newNode(s *starter.Settings) (*node, error) {
 	clock := timekeeper.System{}
 	n := &node{
@@ -125,12 +125,12 @@
 			JSONFormat: true,
 		}).With("node", s.VM),
 	}
-	line := historian.New(historian.Config{
+	timeline := historian.New(historian.Config{
 		Self:     s.VM,
 		Clock:    clock,
 		Capacity: s.TimelineCapacity,
 	})
-	n.runner = runner.New(n.runnerConfig(line))
+	n.runner = runner.New(n.runnerConfig(timeline))
 	front, err := server.New(server.Config{
 		Backend: n.runner,
 		Logger:  n.logger,
@@ -145,16 +145,16 @@
 			Self:  s.VM,
 			Peer:  n.runner,
 			Now:   clock,
-			Clock: line,
+			Clock: timeline,
 		}),
-		ReadHeaderTimeout: peerHeaderTime,
-		IdleTimeout:       peerIdleTime,
+		ReadHeaderTimeout: peerHeaderTimeout,
+		IdleTimeout:       peerIdleTimeout,
 		ErrorLog:          n.logger.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug}),
 	}
 	return n, nil
 }
 
-func (n *node) runnerConfig(line *historian.Historian) runner.Config {
+func (n *node) runnerConfig(timeline *historian.Historian) runner.Config {
 	s := n.settings
 	incarnation := identifier.Incarnation(n.clock.Now())
 	seed := xxhash.Sum64String(string(s.VM)) ^ uint64(incarnation)
@@ -171,7 +171,7 @@
 	peers := relayer.NewClient(relayer.ClientConfig{
 		Self:  s.VM,
 		Now:   n.clock,
-		Clock: line,
+		Clock: timeline,
 	})
 	n.closers = []func(){log.Close, lister.Close, cloud.Close, engines.Close, plain.Close, peers.Close}
 	return runner.Config{
@@ -193,7 +193,7 @@
 			Safeguards:    conductor.AllSafeguards(),
 		}),
 		Clock:          n.clock,
-		Historian:      line,
+		Historian:      timeline,
 		Logger:         n.logger,
 		Log:            log,
 		Lister:         lister,
@@ -205,8 +205,8 @@
 	}
 }
 
-// serve runs the node until a planned stop is over, a second signal comes, or
-// a port fails.
+// serve runs the node until a planned stop completes, a second signal arrives,
+// or a port fails.
 func (n *node) serve(ctx context.Context, signals <-chan os.Signal) error {
 	p := &process{
 		ports: []*port{
@@ -236,8 +236,8 @@
 	return failed
 }
 
-// watch turns the first signal into a planned stop and the second into an
-// immediate one.
+// watch begins a planned stop at the first signal and stops immediately at the
+// second.
 func (n *node) watch(ctx context.Context, signals <-chan os.Signal, stop func()) {
 	for received := 0; ; received++ {
 		select {
@@ -254,7 +254,7 @@
 	}
 }
 
-// closePorts closes both ports once the handlers of open requests have ended.
+// closePorts closes both ports once the handlers of open requests have returned.
 func (n *node) closePorts(ctx context.Context) {
 	_ = n.callers.Shutdown(ctx)
 	_ = n.peers.Shutdown(ctx)
--- a/cmd/dotterelhollow/status.go
+++ b/cmd/dotterelhollow/status.go
@@ -19,68 +19,72 @@
 
 var (
 	_ flags.Commander = (*statusCommand)(nil)
-	_ error           = (*disagreeError)(nil)
+	_ error           = (*disagreementError)(nil)
 )
 
-// statusCommand shows the system as each node sees it.
+// statusCommand prints the state of the system and the differences between the
+// nodes' views of it.
 type statusCommand struct {
 	operatorFlags
 	Agree bool `long:"agree" description:"Exit with 6 unless all nodes answer, agree and can follow the configuration"`
 }
 
-// addStatusCommand adds the command to p.
 func addStatusCommand(p *flags.Parser) error {
 	_, err := p.AddCommand("status", "Show nodes, zones, backend servers, leases and the configuration's revision",
 		"Asks every node for its view, and shows where the views differ."+exitHelp, &statusCommand{})
 	return err
 }
 
-// disagreeError reports nodes that disagree or did not answer.
-type disagreeError struct {
+// disagreementError reports nodes that disagree, did not respond, or can't
+// follow the configuration.
+type disagreementError struct {
 	disagreements int
-	silent        int
-	faults        int
+	unresponsive  int
+	faulty        int
 }
 
-func (e *disagreeError) Error() string {
-	return fmt.Sprintf("nodes disagree on %d things, %d nodes did not answer, %d can't follow the configuration",
-		e.disagreements, e.silent, e.faults)
+func (e *disagreementError) Error() string {
+	return fmt.Sprintf("nodes disagree on %d subjects, %d nodes did not respond, %d can't follow the configuration",
+		e.disagreements, e.unresponsive, e.faulty)
 }
 
-// statusReport is the answer of the command as JSON.
+// statusReport is the JSON output of the command.
 type statusReport struct {
 	Nodes []server.Status `json:"nodes"`
-	// Silent are the nodes that did not answer.
-	Silent        []string       `json:"silent"`
+	// Unresponsive holds the errors of the nodes that did not respond.
+	Unresponsive  []string       `json:"silent"`
 	Disagreements []disagreement `json:"disagreements"`
 }
 
-// disagreement is a subject that nodes see differently.
+// disagreement is a subject whose state differs between the nodes' views, which
+// are keyed by node.
 type disagreement struct {
 	Subject string                     `json:"subject"`
 	Views   map[identifier.VMID]string `json:"views"`
 }
 
-// Execute shows the status.
+// Execute prints the status. It fails if no node responds, and with --agree
+// unless all nodes respond, agree and can follow the configuration.
 func (c *statusCommand) Execute([]string) error {
-	ctx, stop := interruptible()
+	ctx, stop := signalContext()
 	defer stop()
 	report := newStatusReport(c.client().statuses(ctx))
 	if err := c.print(os.Stdout, report); err != nil {
 		return err
 	}
-	if len(report.Nodes) == 0 || c.Agree && len(report.Disagreements)+len(report.Silent)+report.faults() > 0 {
-		return &disagreeError{
+	if len(report.Nodes) == 0 || c.Agree && len(report.Disagreements)+len(report.Unresponsive)+report.countFaulty() > 0 {
+		return &disagreementError{
 			disagreements: len(report.Disagreements),
-			silent:        len(report.Silent),
-			faults:        report.faults(),
+			unresponsive:  len(report.Unresponsive),
+			faulty:        report.countFaulty(),
 		}
 	}
 	return nil
 }
 
-// faults returns how many nodes can't follow the configuration in the log.
-func (r statusReport) faults() int {
+// countFaulty returns the number of nodes that can't follow the configuration
+// log.
+func (r statusReport) countFaulty() int {
 	count := 0
 	for _, s := range r.Nodes {
 		if s.Fault != "" {
@@ -90,15 +94,15 @@
 	return count
 }
 
-func newStatusReport(answers []answerOf[server.Status]) statusReport {
+func newStatusReport(answers []nodeResponse[server.Status]) statusReport {
 	report := statusReport{
 		Nodes:         []server.Status{},
-		Silent:        []string{},
+		Unresponsive:  []string{},
 		Disagreements: []disagreement{},
 	}
 	for _, a := range answers {
 		if a.err != nil {
-			report.Silent = append(report.Silent, a.err.Error())
+			report.Unresponsive = append(report.Unresponsive, a.err.Error())
 			continue
 		}
 		report.Nodes = append(report.Nodes, a.value)
@@ -109,52 +113,54 @@
 	return report
 }
 
-// absent is the view of a node that does not know a subject.
-const absent = "-"
+// noState is printed for a subject that a node does not know, or that has no
+// such column.
+const noState = "-"
 
-// views returns what a node says of each subject. It leaves out what differs
-// between nodes at any time, such as the load of servers.
-func views(s server.Status) map[string]string {
-	said := map[string]string{"configuration": fmt.Sprintf("revision %d", s.Revision)}
+// subjectStates returns the state of each subject in a node's status. It omits
+// values that always differ between nodes, such as the load of servers.
+func subjectStates(s server.Status) map[string]string {
+	states := map[string]string{"configuration": fmt.Sprintf("revision %d", s.Revision)}
 	for _, n := range s.Nodes {
-		said["node "+string(n.VM)] = n.State
+		states["node "+string(n.VM)] = n.State
 	}
 	for _, v := range s.Servers {
-		said[fmt.Sprintf("server %s (%s)", v.VM, v.Pool)] = v.State
+		states[fmt.Sprintf("server %s (%s)", v.VM, v.Pool)] = v.State
 	}
 	for _, l := range s.Leases {
-		said["lease "+l.Lease] = fmt.Sprintf("%s with fence %d", l.Holder, l.Fence)
+		states["lease "+l.Lease] = fmt.Sprintf("%s with fence %d", l.Holder, l.Fence)
 	}
-	return said
+	return states
 }
 
-// disagreements returns the subjects that nodes see differently.
+// disagreements returns the subjects whose state differs between nodes, sorted by
+// subject.
 func disagreements(nodes []server.Status) []disagreement {
-	said := make(map[identifier.VMID]map[string]string)
+	statesByNode := make(map[identifier.VMID]map[string]string)
 	subjects := make(map[string]bool)
 	for _, s := range nodes {
-		said[s.Node] = views(s)
-		for subject := range said[s.Node] {
+		statesByNode[s.Node] = subjectStates(s)
+		for subject := range statesByNode[s.Node] {
 			subjects[subject] = true
 		}
 	}
-	var found []disagreement
+	var result []disagreement
 	for _, subject := range slices.Sorted(maps.Keys(subjects)) {
 		d := disagreement{
 			Subject: subject,
 			Views:   make(map[identifier.VMID]string),
 		}
 		distinct := make(map[string]bool)
-		for node, all := range said {
-			view := cmp.Or(all[subject], absent)
+		for node, states := range statesByNode {
+			view := cmp.Or(states[subject], noState)
 			d.Views[node] = view
 			distinct[view] = true
 		}
 		if len(distinct) > 1 {
-			found = append(found, d)
+			result = append(result, d)
 		}
 	}
-	return found
+	return result
 }
 
 func (c *statusCommand) print(out io.Writer, report statusReport) error {
@@ -170,8 +176,8 @@
 	if len(report.Nodes) > 0 {
 		printView(table, report.Nodes[0])
 	}
-	for _, silent := range report.Silent {
-		fmt.Fprintf(table, "\nno answer: %s\n", silent)
+	for _, unresponsive := range report.Unresponsive {
+		fmt.Fprintf(table, "\nno answer: %s\n", unresponsive)
 	}
 	for _, s := range report.Nodes {
 		if s.Fault != "" {
@@ -182,12 +188,12 @@
 	return errors.Join(table.Flush())
 }
 
-// printView prints the nodes, servers and leases as one node sees them.
+// printView prints the nodes, servers and leases in one node's view.
 func printView(out io.Writer, s server.Status) {
 	fmt.Fprintf(out, "\nAs %s sees it:\n", s.Node)
 	fmt.Fprintln(out, "VM\tZONE\tPOOL\tSTATE\tRUNNING\tSLOTS\tMARKET")
 	for _, n := range s.Nodes {
-		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", n.VM, n.Zone, absent, n.State, absent, absent, absent)
+		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", n.VM, n.Zone, noState, n.State, noState, noState, noState)
 	}
 	for _, v := range s.Servers {
 		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%d\t%d\t%s\n", v.VM, v.Zone, v.Pool, v.State, v.Running, v.Slots, v.Market)
@@ -204,10 +210,10 @@
 	}
 	fmt.Fprintln(out, "\nNodes disagree:")
 	for _, d := range all {
-		var seen []string
+		var views []string
 		for _, node := range slices.Sorted(maps.Keys(d.Views)) {
-			seen = append(seen, fmt.Sprintf("%s: %s", node, d.Views[node]))
+			views = append(views, fmt.Sprintf("%s: %s", node, d.Views[node]))
 		}
-		fmt.Fprintf(out, "  %s\t%s\n", d.Subject, strings.Join(seen, ", "))
+		fmt.Fprintf(out, "  %s\t%s\n", d.Subject, strings.Join(views, ", "))
 	}
 }
--- a/cmd/dotterelhollow/timeline.go
+++ b/cmd/dotterelhollow/timeline.go
@@ -15,7 +15,7 @@
 
 var _ flags.Commander = (*timelineCommand)(nil)
 
-// timelineCommand shows the events of all nodes.
+// timelineCommand prints the merged timelines of all nodes.
 type timelineCommand struct {
 	operatorFlags
 	Request string `long:"request" description:"Only events of this request"`
@@ -23,7 +23,6 @@
 	Kind    string `long:"kind" description:"Only events of this kind"`
 }
 
-// addTimelineCommand adds the command to p.
 func addTimelineCommand(p *flags.Parser) error {
 	_, err := p.AddCommand("timeline", "Show the events of all nodes in causal order",
 		"Asks every node for its events and merges them. The events of a node that is gone are gone with it."+exitHelp,
@@ -31,9 +30,10 @@
 	return err
 }
 
-// Execute shows the time line.
+// Execute collects the events that match the flags and prints them in causal
+// order.
 func (c *timelineCommand) Execute([]string) error {
-	ctx, stop := interruptible()
+	ctx, stop := signalContext()
 	defer stop()
 	query := url.Values{}
 	for name, value := range map[string]string{
@@ -52,23 +52,23 @@
 	return c.printEntries(os.Stdout, entries)
 }
 
-// entries asks every node q and merges the answers. Nodes that do not answer
-// are warned of; it fails where none does.
-func (c *operatorClient) entries(ctx context.Context, q question) ([]historian.Entry, error) {
-	nodes, failed := c.everyNode(ctx)
-	var lines [][]historian.Entry
-	for _, a := range askAll[[]historian.Entry](ctx, c, nodes, q) {
+// entries sends q to every node and merges the responses. It prints a warning
+// for each node that does not respond, and fails if none does.
+func (c *operatorClient) entries(ctx context.Context, q apiRequest) ([]historian.Entry, error) {
+	nodes, failed := c.reachableNodes(ctx)
+	var timelines [][]historian.Entry
+	for _, a := range queryAll[[]historian.Entry](ctx, c, nodes, q) {
 		if a.err != nil {
 			failed = append(failed, a.err)
 			continue
 		}
-		lines = append(lines, a.value)
+		timelines = append(timelines, a.value)
 	}
 	warn(failed)
-	if len(lines) == 0 {
-		return nil, &disagreeError{silent: len(failed)}
+	if len(timelines) == 0 {
+		return nil, &disagreementError{unresponsive: len(failed)}
 	}
-	return historian.Merge(lines), nil
+	return historian.Merge(timelines), nil
 }
 
 func (f operatorFlags) printEntries(out io.Writer, entries []historian.Entry) error {
@@ -84,7 +84,7 @@
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\n", e.Time, e.Stamp.VM, e.Kind, subject, e.VM, e.Detail)
 	}
 	if err := table.Flush(); err != nil {
-		return fmt.Errorf("printing the time line: %w", err)
+		return fmt.Errorf("printing the timeline: %w", err)
 	}
 	return nil
 }
