--- a/docs/operations_test.go
+++ b/docs/operations_test.go
@@ -1,4 +1,5 @@
-// Package docs_test compares the tables of OPERATIONS.md with the code.
+// Package docs_test checks that the tables and log lines in OPERATIONS.md match
+// the code.
 package docs_test
 
 import (
@@ -31,16 +32,16 @@
 	"github.com/dotterelhollow/dotterelhollow/platform"
 )
 
-const page = "OPERATIONS.md"
+const pageFile = "OPERATIONS.md"
 
-// table returns the rows of the first table of a section of the page, without
-// its head.
+// table returns the rows of the first table in the section with the given
+// heading, without the table's header.
 func table(t *testing.T, heading string) [][]string {
 	t.Helper()
-	text, err := os.ReadFile(page)
+	text, err := os.ReadFile(pageFile)
 	require.NoError(t, err)
 	_, section, found := strings.Cut(string(text), "\n## "+heading+"\n")
-	require.True(t, found, "%s has no section %q", page, heading)
+	require.True(t, found, "%s has no section %q", pageFile, heading)
 	section, _, _ = strings.Cut(section, "\n## ")
 	var rows [][]string
 	for line := range strings.Lines(section) {
@@ -63,14 +64,14 @@
 	return parts
 }
 
-// named returns the words in backquotes of the rows' first cells, sorted.
-func named(t *testing.T, rows [][]string) []string {
+// quotedNames returns the names in backquotes in the rows' first cells, sorted.
+func quotedNames(t *testing.T, rows [][]string) []string {
 	t.Helper()
 	quoted := regexp.MustCompile("`([a-z0-9_]+)`")
 	var names []string
 	for _, row := range rows {
 		found := quoted.FindAllStringSubmatch(row[0], -1)
-		require.NotEmpty(t, found, "row %q names nothing", row[0])
+		require.NotEmpty(t, found, "row %q has no name in backquotes", row[0])
 		for _, match := range found {
 			names = append(names, match[1])
 		}
@@ -79,12 +80,12 @@
 	return names
 }
 
-// emptyReducer serves a Runner that only publishes its metrics.
+// emptyReducer implements only what a Runner needs to publish its metrics.
 type emptyReducer struct{ runner.Reducer }
 
 func (emptyReducer) Catalog() *catalog.Catalog { return nil }
 
-func TestMetricsOfThePage(t *testing.T) {
+func TestDocumentedMetrics(t *testing.T) {
 	r := runner.New(runner.Config{Reducer: emptyReducer{}})
 	var published map[string]any
 	require.NoError(t, json.Unmarshal([]byte(r.Metrics().Var().String()), &published))
@@ -94,31 +95,31 @@
 	}
 	slices.Sort(names)
 	rows := table(t, "Metrics")
-	require.Equal(t, names, named(t, rows))
+	require.Equal(t, names, quotedNames(t, rows))
 	for _, row := range rows {
 		require.Len(t, row, 4)
 		require.NotEmpty(t, row[2], "%s has no unit", row[0])
 	}
 }
 
-func TestKindsOfThePage(t *testing.T) {
-	kinds := slices.Concat(noteKinds(t), constants(t, "../internal/gossiper", "ChangeKind"))
+func TestDocumentedTimelineKinds(t *testing.T) {
+	kinds := slices.Concat(timelineKinds(t), constants(t, "../internal/gossiper", "ChangeKind"))
 	slices.Sort(kinds)
-	require.Equal(t, slices.Compact(kinds), named(t, table(t, "Read the time line")))
+	require.Equal(t, slices.Compact(kinds), quotedNames(t, table(t, "Read the time line")))
 }
 
-func TestReasonsOfThePage(t *testing.T) {
+func TestDocumentedReasons(t *testing.T) {
 	reasons := slices.Concat(
 		constants(t, "../internal/messenger", "Reason"),
 		constants(t, "../internal/server", "messenger.Reason"),
 	)
 	reasons = slices.DeleteFunc(reasons, func(reason string) bool { return reason == "" })
 	slices.Sort(reasons)
-	require.Equal(t, reasons, named(t, table(t, "What a refusal means")))
+	require.Equal(t, reasons, quotedNames(t, table(t, "What a refusal means")))
 }
 
-// source parses the files of the product below a directory.
-func source(t *testing.T, dir string) (*token.FileSet, []*ast.File) {
+// parseSources parses all Go files below a directory except tests.
+func parseSources(t *testing.T, dir string) (*token.FileSet, []*ast.File) {
 	t.Helper()
 	set := token.NewFileSet()
 	var files []*ast.File
@@ -133,11 +134,12 @@
 	return set, files
 }
 
-// constants returns the values of the string constants of a type.
+// constants returns the values of the string constants of a type declared below
+// dir.
 func constants(t *testing.T, dir, typeName string) []string {
 	t.Helper()
 	var values []string
-	_, files := source(t, dir)
+	_, files := parseSources(t, dir)
 	for _, file := range files {
 		ast.Inspect(file, func(n ast.Node) bool {
 			spec, ok := n.(*ast.ValueSpec)
@@ -153,19 +155,20 @@
 	return values
 }
 
-// passedOn are the expressions that stand for a kind which is set elsewhere:
-// by a call of timelineEntry, by takeover.kind, and by a constant of ChangeKind.
-var passedOn = []string{"kind", "t.kind", "messenger.TimelineKind"}
+// indirectKinds lists the expressions for kinds whose values the test finds
+// elsewhere: in calls of timelineEntry, in takeover.kind, and in the constants of
+// ChangeKind.
+var indirectKinds = []string{"kind", "t.kind", "messenger.TimelineKind"}
 
-// noteKinds returns the kinds of the events that the decisions put on the time
-// line. A kind that it cannot read from the source fails the test.
-func noteKinds(t *testing.T) []string {
+// timelineKinds returns the kinds of all timeline entries in the source. A kind
+// whose value it cannot determine fails the test.
+func timelineKinds(t *testing.T) []string {
 	t.Helper()
 	var kinds []string
-	set, files := source(t, "../internal")
+	set, files := parseSources(t, "../internal")
 	for _, file := range files {
 		ast.Inspect(file, func(n ast.Node) bool {
-			value := kindIn(n)
+			value := kindExpr(n)
 			if value == nil {
 				return true
 			}
@@ -173,15 +176,15 @@
 				kinds = append(kinds, kind)
 				return true
 			}
-			require.Contains(t, passedOn, text(value), "kind that the test cannot read: %s", set.Position(value.Pos()))
+			require.Contains(t, indirectKinds, text(value), "cannot determine kind at %s", set.Position(value.Pos()))
 			return true
 		})
 	}
 	return kinds
 }
 
-// kindIn returns the expression that sets a TimelineKind at n, or nil.
-func kindIn(n ast.Node) ast.Expr {
+// kindExpr returns the expression that sets a TimelineKind at n, or nil.
+func kindExpr(n ast.Node) ast.Expr {
 	switch n := n.(type) {
 	case *ast.CompositeLit:
 		switch text(n.Type) {
@@ -207,7 +210,7 @@
 	return nil
 }
 
-// literal returns the value of a string literal, or nothing.
+// literal returns the value of a string literal, or "" for other expressions.
 func literal(e ast.Expr) string {
 	basic, ok := e.(*ast.BasicLit)
 	if !ok || basic.Kind != token.STRING {
@@ -220,8 +223,8 @@
 	return value
 }
 
-// text returns a name, a name with its package or receiver, or that of the
-// function that is called.
+// text returns an identifier, a qualified identifier, or that of the function
+// in a call.
 func text(e ast.Expr) string {
 	switch e := e.(type) {
 	case *ast.Ident:
@@ -234,10 +237,10 @@
 	return ""
 }
 
-// The lines of the page are those that a node writes: the same keys, so that a
-// reader finds in a log what the page points at.
-func TestLinesOfFailedRequests(t *testing.T) {
-	text, err := os.ReadFile(page)
+// The example log lines on the page must have the same keys as the lines that a
+// node writes.
+func TestDocumentedLogLines(t *testing.T) {
+	text, err := os.ReadFile(pageFile)
 	require.NoError(t, err)
 	_, section, found := strings.Cut(string(text), "\n## Explain a failed request\n")
 	require.True(t, found)
@@ -249,7 +252,7 @@
 		if !strings.HasPrefix(line, "{") {
 			continue
 		}
-		keys, message := keysOf(t, line)
+		keys, message := parseLogLine(t, line)
 		seen[message]++
 		require.Equal(t, want[message], keys, message)
 	}
@@ -259,9 +262,9 @@
 	}, seen)
 }
 
-// keysOf returns the keys of a line of the log, but for the node's, and its
+// parseLogLine returns the sorted keys of a log line, except "node", and its
 // message.
-func keysOf(t *testing.T, line string) ([]string, string) {
+func parseLogLine(t *testing.T, line string) ([]string, string) {
 	t.Helper()
 	var entry map[string]any
 	require.NoError(t, json.Unmarshal([]byte(line), &entry))
@@ -269,13 +272,13 @@
 	return slices.Sorted(maps.Keys(entry)), entry["@message"].(string)
 }
 
-// loggedKeys returns the keys of the lines that a failed request leaves, by
+// loggedKeys returns the keys of the log lines written for a failed request, by
 // message.
 func loggedKeys(t *testing.T) map[string][]string {
 	t.Helper()
 	var log bytes.Buffer
 	f := forwarder.New(forwarder.Config{
-		Decider:  &oneAttempt{},
+		Decider:  &singleAttemptDecider{},
 		Protocol: platform.Protocol{},
 		Clock:    timekeeper.System{},
 		Logger: hclog.New(&hclog.LoggerOptions{
@@ -289,16 +292,17 @@
 	f.ServeHTTP(httptest.NewRecorder(), r)
 	out := map[string][]string{}
 	for line := range strings.Lines(log.String()) {
-		keys, message := keysOf(t, line)
+		keys, message := parseLogLine(t, line)
 		out[message] = keys
 	}
 	return out
 }
 
-// oneAttempt sends a request to an address where nothing listens, and gives up.
-type oneAttempt struct{}
+// singleAttemptDecider sends a request once, to an address where nothing listens,
+// and then ends the exchange as failed.
+type singleAttemptDecider struct{}
 
-func (*oneAttempt) Receive(_ context.Context, spec messenger.ExchangeSpec) messenger.Effect {
+func (*singleAttemptDecider) Receive(_ context.Context, spec messenger.ExchangeSpec) messenger.Effect {
 	return messenger.SendExchange{
 		Exchange: spec.Exchange,
 		Address:  "127.0.0.1:1",
@@ -307,15 +311,15 @@
 	}
 }
 
-func (*oneAttempt) Began(context.Context, messenger.ExchangeBegan) {}
+func (*singleAttemptDecider) Began(context.Context, messenger.ExchangeBegan) {}
 
-func (*oneAttempt) AttemptEnded(_ context.Context, e messenger.ExchangeAttemptEnded) messenger.Effect {
+func (*singleAttemptDecider) AttemptEnded(_ context.Context, e messenger.ExchangeAttemptEnded) messenger.Effect {
 	return messenger.EndExchange{
 		Exchange: e.Exchange,
 		Reason:   messenger.ReasonServerFailed,
 	}
 }
 
-func (*oneAttempt) Ended(messenger.ExchangeEnded) {}
+func (*singleAttemptDecider) Ended(messenger.ExchangeEnded) {}
 
-func (*oneAttempt) LimitReceived(context.Context, messenger.ServerLimitReceived) {}
+func (*singleAttemptDecider) LimitReceived(context.Context, messenger.ServerLimitReceived) {}
