--- a/internal/server/answer.go
+++ b/internal/server/answer.go
@@ -23,24 +23,24 @@
 }
 
 // writeAnswer writes an answer, or the problem that prevents it, to the caller.
-func (s *Server) writeAnswer(ctx iris.Context, a *answerer.Answer, r answerOptions) {
-	verdict, err := s.awaitVerdict(ctx, a, r.verdictTimeout)
+func (s *Server) writeAnswer(ctx iris.Context, a *answerer.Answer, options answerOptions) {
+	verdict, err := s.awaitVerdict(ctx, a, options.verdictTimeout)
 	switch {
 	case err != nil:
 		s.writeNoVerdict(ctx, a, err)
 	case !verdict.Accepted:
 		refusalProblem(a.Request(), verdict.Refusal).write(ctx)
-	case r.stream:
-		s.stream(ctx, a, r.after)
+	case options.stream:
+		s.stream(ctx, a, options.after)
 	default:
 		s.writeWhole(ctx, a)
 	}
 }
 
 func (s *Server) awaitVerdict(ctx iris.Context, a *answerer.Answer, limit timekeeper.Duration) (answerer.Verdict, error) {
-	bounded, cancel := context.WithTimeout(ctx.Request().Context(), limit.Std())
+	verdictCtx, cancel := context.WithTimeout(ctx.Request().Context(), limit.Std())
 	defer cancel()
-	return a.Verdict(bounded)
+	return a.Verdict(verdictCtx)
 }
 
 // writeNoVerdict answers a request without a verdict in time. The node may
--- a/internal/server/bound_test.go
+++ b/internal/server/bound_test.go
@@ -95,26 +95,26 @@
 // the rest before it sends the response, so without the body timeout anyone
 // could occupy goroutines indefinitely.
 func TestUnreadPartialBodyTimesOut(t *testing.T) {
-	const half = "Content-Length: 100\r\n\r\nhalf"
+	const partial = "Content-Length: 100\r\n\r\nhalf"
 	for name, test := range map[string]struct {
 		request string
 		reason  messenger.Reason
 	}{
 		"bad key": {
-			request: "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer nobody\r\n" + half,
+			request: "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer nobody\r\n" + partial,
 			reason:  server.ReasonUnauthorized,
 		},
 		"not an operator": {
-			request: "PUT /operator/v1/config/10.ini HTTP/1.1\r\nHost: x\r\n" + half,
+			request: "PUT /operator/v1/config/10.ini HTTP/1.1\r\nHost: x\r\n" + partial,
 			reason:  server.ReasonUnauthorized,
 		},
 		"no such path": {
-			request: "POST /nowhere HTTP/1.1\r\nHost: x\r\n" + half,
+			request: "POST /nowhere HTTP/1.1\r\nHost: x\r\n" + partial,
 			reason:  server.ReasonNotFound,
 		},
 		"no body needed": {
 			request: "GET /v1/addresses?service=fax HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " +
-				harborKey + "\r\n" + half,
+				harborKey + "\r\n" + partial,
 			reason: messenger.ReasonUnknownService,
 		},
 	} {
@@ -186,9 +186,9 @@
 // A connection with incomplete headers must be closed after the header timeout.
 // The control uses a long timeout.
 func TestPartialHeadersTimeOut(t *testing.T) {
-	const half = "GET /v1/addresses?service=report HTTP/1.1\r\nHost: x\r\n"
-	requireClosed(t, send(t, start(t, &fakeBackend{}, server.Limits{HeaderTimeout: shortTimeout}), half))
-	requireNoData(t, send(t, start(t, &fakeBackend{}, server.Limits{HeaderTimeout: timekeeper.Hour}), half))
+	const partial = "GET /v1/addresses?service=report HTTP/1.1\r\nHost: x\r\n"
+	requireClosed(t, send(t, start(t, &fakeBackend{}, server.Limits{HeaderTimeout: shortTimeout}), partial))
+	requireNoData(t, send(t, start(t, &fakeBackend{}, server.Limits{HeaderTimeout: timekeeper.Hour}), partial))
 }
 
 // Headers over the limit must be rejected before a handler runs. net/http
--- a/internal/server/operator.go
+++ b/internal/server/operator.go
@@ -162,9 +162,9 @@
 }
 
 func (s *Server) propose(ctx iris.Context, change messenger.ChangeProposed) {
-	bounded, cancel := context.WithTimeout(ctx.Request().Context(), proposeTimeout.Std())
+	proposeCtx, cancel := context.WithTimeout(ctx.Request().Context(), proposeTimeout.Std())
 	defer cancel()
-	verdict, err := s.backend.Propose(bounded, change)
+	verdict, err := s.backend.Propose(proposeCtx, change)
 	s.extendWriteDeadline(ctx)
 	switch {
 	case err != nil && !errors.Is(err, context.DeadlineExceeded):
--- a/internal/server/stream.go
+++ b/internal/server/stream.go
@@ -135,12 +135,12 @@
 // connection; without heartbeats the caller could not distinguish that from a
 // slow model.
 func (w *eventWriter) withHeartbeats(wait func(context.Context) error) error {
-	caller := w.ctx.Request().Context()
+	callerCtx := w.ctx.Request().Context()
 	for {
-		beat, cancel := context.WithTimeout(caller, w.server.limits.HeartbeatInterval.Std())
-		err := wait(beat)
+		waitCtx, cancel := context.WithTimeout(callerCtx, w.server.limits.HeartbeatInterval.Std())
+		err := wait(waitCtx)
 		cancel()
-		if err == nil || caller.Err() != nil || !errors.Is(err, context.DeadlineExceeded) {
+		if err == nil || callerCtx.Err() != nil || !errors.Is(err, context.DeadlineExceeded) {
 			return err
 		}
 		if err := w.writeHeartbeat(); err != nil {
--- a/pkg/caller/errors.go
+++ b/pkg/caller/errors.go
@@ -98,10 +98,10 @@
 
 func (e *DivergedError) Unwrap() error { return e.Cause }
 
-// NoNodeError reports that no node was reachable. The request was not sent.
+// NoNodeError reports that no node was available. The request was not sent.
 type NoNodeError struct{ Cause error }
 
-func (e *NoNodeError) Error() string { return fmt.Sprintf("no node reachable: %v", e.Cause) }
+func (e *NoNodeError) Error() string { return fmt.Sprintf("no node available: %v", e.Cause) }
 
 func (e *NoNodeError) Unwrap() error { return e.Cause }
 
--- a/pkg/caller/exchange.go
+++ b/pkg/caller/exchange.go
@@ -194,7 +194,7 @@
 // connection on which no data arrives in time, because a middlebox may have
 // dropped its state, and it would then never receive data again.
 func (e *exchange) try(ctx context.Context, node string) error {
-	bounded, cancel := context.WithCancelCause(ctx)
+	tryCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	limit := e.responseTimeout(node)
 	timer := time.AfterFunc(limit.Std(), func() { cancel(&idleTimeoutError{after: limit}) })
@@ -203,7 +203,7 @@
 		e.progressAt = e.now()
 		timer.Reset(e.client.config.StreamIdleTimeout.Std())
 	}
-	r, err := e.newRequest(bounded, node)
+	r, err := e.newRequest(tryCtx, node)
 	if err != nil {
 		return err
 	}
--- a/pkg/caller/stream.go
+++ b/pkg/caller/stream.go
@@ -67,8 +67,8 @@
 // to sink as they arrive. Its errors are a *RefusalError, a *NoNodeError, a
 // *UnknownOutcomeError, a *DivergedError, a *ProtocolError, or the sink's own.
 func (c *Client) Stream(ctx context.Context, p Prompt, sink Sink) (Trace, error) {
-	t := &streamReader{sink: sink}
-	e := c.newExchange(p.message(true), t)
+	r := &streamReader{sink: sink}
+	e := c.newExchange(p.message(true), r)
 	err := e.run(ctx)
 	return e.trace, err
 }
@@ -82,11 +82,11 @@
 	if err != nil {
 		return Trace{Request: request}, err
 	}
-	t := &streamReader{sink: sink}
+	r := &streamReader{sink: sink}
 	e := c.newExchange(message{
 		service: service,
 		stream:  true,
-	}, t)
+	}, r)
 	e.trace.Request = request
 	e.resumed = true
 	e.message.options.Key = ""
@@ -104,7 +104,7 @@
 
 var _ responseReader = (*streamReader)(nil)
 
-func (t *streamReader) reset() error { return t.sink.Restart() }
+func (r *streamReader) reset() error { return r.sink.Restart() }
 
 type sseEvent struct {
 	id   string
@@ -112,8 +112,8 @@
 	data []byte
 }
 
-func (t *streamReader) read(e *exchange, node string, response *http.Response) error {
-	if w, ok := t.sink.(AttachObserver); ok {
+func (r *streamReader) read(e *exchange, node string, response *http.Response) error {
+	if w, ok := r.sink.(AttachObserver); ok {
 		w.Attached(e.trace.Request, node)
 	}
 	lines := bufio.NewScanner(response.Body)
@@ -125,7 +125,7 @@
 			f.addLine(line)
 			continue
 		}
-		if done, err := t.handleEvent(e, node, f); done || err != nil {
+		if done, err := r.handleEvent(e, node, f); done || err != nil {
 			return err
 		}
 		f = sseEvent{}
@@ -166,7 +166,7 @@
 }
 
 // handleEvent handles one event and reports whether it was the last.
-func (t *streamReader) handleEvent(e *exchange, node string, f sseEvent) (bool, error) {
+func (r *streamReader) handleEvent(e *exchange, node string, f sseEvent) (bool, error) {
 	switch {
 	case f.name == "moved":
 		return true, parseMovedEvent(node, f.data)
@@ -175,7 +175,7 @@
 	case string(f.data) == "[DONE]":
 		return true, nil
 	case f.id != "":
-		return false, t.handleToken(e, node, f)
+		return false, r.handleToken(e, node, f)
 	}
 	return false, nil // A comment, or a chunk without a token.
 }
@@ -216,7 +216,7 @@
 // handleToken handles one token. It ignores a duplicate. If tokens are missing
 // before it, it ends the connection, so that the client reattaches and requests
 // them. Otherwise an incomplete answer would look complete.
-func (t *streamReader) handleToken(e *exchange, node string, f sseEvent) error {
+func (r *streamReader) handleToken(e *exchange, node string, f sseEvent) error {
 	id := EventID(f.id)
 	next, err := id.Index()
 	if err != nil {
@@ -248,7 +248,7 @@
 		}
 	}
 	e.countToken(next, id)
-	return t.sink.Token(Token{
+	return r.sink.Token(Token{
 		Index: next,
 		ID:    id,
 		Text:  chunk.Choices[0].Delta.Content,
--- a/pkg/caller/whole.go
+++ b/pkg/caller/whole.go
@@ -15,12 +15,12 @@
 // Complete sends a request to a model service and returns the text of the
 // complete answer. Its errors are those of Stream.
 func (c *Client) Complete(ctx context.Context, p Prompt) (string, Trace, error) {
-	t := &completeReader{}
-	e := c.newExchange(p.message(false), t)
+	r := &completeReader{}
+	e := c.newExchange(p.message(false), r)
 	if err := e.run(ctx); err != nil {
 		return "", e.trace, err
 	}
-	text, tokens, err := parseCompletion(t.node, t.reply.Body)
+	text, tokens, err := parseCompletion(r.node, r.reply.Body)
 	e.trace.Tokens = tokens
 	return text, e.trace, err
 }
@@ -28,10 +28,10 @@
 // Call sends a call to a plain service and returns the reply. Its errors are
 // those of Stream.
 func (c *Client) Call(ctx context.Context, call Call) (Reply, Trace, error) {
-	t := &completeReader{}
-	e := c.newExchange(call.message(), t)
+	r := &completeReader{}
+	e := c.newExchange(call.message(), r)
 	err := e.run(ctx)
-	return t.reply, e.trace, err
+	return r.reply, e.trace, err
 }
 
 // completeReader reads an answer that is not streamed.
@@ -42,7 +42,7 @@
 
 var _ responseReader = (*completeReader)(nil)
 
-func (t *completeReader) reset() error { return nil }
+func (r *completeReader) reset() error { return nil }
 
 // activityReader calls onActivity after each read.
 type activityReader struct {
@@ -58,7 +58,7 @@
 	return n, err
 }
 
-func (t *completeReader) read(e *exchange, node string, response *http.Response) error {
+func (r *completeReader) read(e *exchange, node string, response *http.Response) error {
 	body, err := io.ReadAll(io.LimitReader(&activityReader{
 		Reader:     response.Body,
 		onActivity: e.onActivity,
@@ -77,8 +77,8 @@
 			Cause:  nil,
 		}
 	}
-	t.node = node
-	t.reply = Reply{
+	r.node = node
+	r.reply = Reply{
 		Status:  response.StatusCode,
 		Header:  response.Header,
 		Body:    body,
