--- a/internal/catalog/route.go
+++ b/internal/catalog/route.go
@@ -94,8 +94,8 @@
 	// KVTokens is the number of tokens that an engine caches; zero
 	// if unknown.
 	KVTokens identifier.Tokens
-	// CopyTokensPerMS is the rate at which an engine copies cached tokens
-	// from another one; zero if it cannot.
+	// CopyTokensPerMS is the rate at which an engine copies cached tokens from
+	// another one, in tokens per millisecond; zero if it cannot copy.
 	CopyTokensPerMS float64
 	// Fleet is nil if the servers cannot be ordered.
 	Fleet *Fleet
--- a/internal/configurer/snapshot.go
+++ b/internal/configurer/snapshot.go
@@ -42,7 +42,6 @@
 	urgent bool
 }
 
-// changeJudged records a judged change.
 func (s *schedule) changeJudged(c Change) {
 	s.uncovered++
 	if s.oldestNeeded == 0 {
