--- a/internal/prover/hold_test.go
+++ b/internal/prover/hold_test.go
@@ -140,7 +140,7 @@
 	}, func(bool) {})
 }
 
-// handOver hands a request over to a successor. The answer is paused until it is known
+// handOver hands a request over to a successor. It pauses the answer until it is known
 // which node owns the request.
 func (n *node) handOver(e messenger.HandOver, mode deliveryMode) {
 	a := n.answers[e.Request]
--- a/internal/prover/limit_test.go
+++ b/internal/prover/limit_test.go
@@ -34,10 +34,10 @@
 type limits struct {
 	rates    map[identifier.VMID]identifier.RequestRate
 	statedAt map[identifier.VMID]timekeeper.Time
-	// firstForwarded is the time at which each node first received an answer that
+	// firstReceived is the time at which each node first received an answer that
 	// states the server's limit, by server and node.
 	firstReceived map[identifier.VMID]map[identifier.VMID]timekeeper.Time
-	// arrivals are the requests of nodes that know the limit. allArrivals are those of
+	// arrivals are the requests of nodes that received the limit. allArrivals are those of
 	// all nodes that are not excused, after limitSettleTime.
 	arrivals    map[identifier.VMID][]timekeeper.Time
 	allArrivals map[identifier.VMID][]timekeeper.Time
