--- a/cmd/dotterelhollow-standin/commands.go
+++ b/cmd/dotterelhollow-standin/commands.go
@@ -133,10 +133,10 @@
 
 func (c *poolCommand) config() hoster.Config {
 	config := hoster.Config{
-		Platform:  c.Platform,
-		Host:      c.Host,
-		FirstPort: c.FirstPort,
-		Boot:      timekeeper.Duration(c.Boot),
+		PlatformAddress: c.Platform,
+		Host:            c.Host,
+		FirstPort:       c.FirstPort,
+		BootTime:        timekeeper.Duration(c.Boot),
 	}
 	for _, z := range c.Zones {
 		config.Zones = append(config.Zones, identifier.Zone(z))
--- a/cmd/dotterelhollow-standin/commands_test.go
+++ b/cmd/dotterelhollow-standin/commands_test.go
@@ -26,7 +26,7 @@
 	require.NoError(t, err)
 	config := o.Pool.config()
 	require.Equal(t, []identifier.Zone{"boston-a", "boston-b"}, config.Zones)
-	require.Equal(t, 250*timekeeper.Millisecond, config.Boot)
+	require.Equal(t, 250*timekeeper.Millisecond, config.BootTime)
 	require.Len(t, config.Groups, 2)
 	require.Equal(t, 3, config.Groups[0].Count)
 }
--- a/internal/adapter/engine_test.go
+++ b/internal/adapter/engine_test.go
@@ -37,14 +37,14 @@
 // resume by name and neither repeat nor miss a token.
 func TestBrokenStreamResumes(t *testing.T) {
 	e, address := startEngine(t, engine.Config{})
-	e.SetFaults(func(f *engine.Faults) { f.BreakAfter = 5 })
+	e.SetFaults(func(f *engine.Faults) { f.AbortAfter = 5 })
 	client := adapter.NewEngine(adapter.ServerConfig{})
 	var sink recorder
 	s := newStartRequest("a.1", 50)
 	err := client.Start(context.Background(), address, s, testTimeouts, &sink)
 	require.Equal(t, messenger.AttemptBroken, adapter.Result(err))
 	require.Len(t, sink.tokens, 5)
-	e.SetFaults(func(f *engine.Faults) { f.BreakAfter = 0 })
+	e.SetFaults(func(f *engine.Faults) { f.AbortAfter = 0 })
 	require.NoError(t, client.Resume(context.Background(), address, s.Stream, 5, testTimeouts, &sink))
 	require.Equal(t, standin.Answer(s.Prompt, 50), sink.text())
 	require.Equal(t, 1, e.Ledger().StreamsRun)
@@ -117,7 +117,7 @@
 	var sink recorder
 	sink.onToken = func(token adapter.Token) error {
 		if token.Index == 3 {
-			e.SetFaults(func(f *engine.Faults) { f.Silence = true })
+			e.SetFaults(func(f *engine.Faults) { f.StallConnections = true })
 		}
 		return nil
 	}
@@ -161,7 +161,7 @@
 // name must join the stream and not run twice.
 func TestLostStartRunsOnce(t *testing.T) {
 	e, address := startEngine(t, engine.Config{})
-	e.SetFaults(func(f *engine.Faults) { f.LoseStarts = 1 })
+	e.SetFaults(func(f *engine.Faults) { f.DropStartResponses = 1 })
 	client := adapter.NewEngine(adapter.ServerConfig{})
 	ctx := context.Background()
 	s := newStartRequest("a.1", 20)
--- a/internal/adapter/plain_test.go
+++ b/internal/adapter/plain_test.go
@@ -52,7 +52,7 @@
 		},
 		{
 			name:   "answer lost",
-			faults: responder.Faults{LoseAnswers: 1},
+			faults: responder.Faults{DropResponses: 1},
 			result: messenger.AttemptBroken,
 			runs:   1,
 		},
@@ -64,7 +64,7 @@
 		},
 		{
 			name:   "slow",
-			faults: responder.Faults{RunSlowMS: 60_000},
+			faults: responder.Faults{RunDelayMS: 60_000},
 			result: messenger.AttemptTimedOut,
 			runs:   1,
 		},
--- a/internal/adapter/platform_test.go
+++ b/internal/adapter/platform_test.go
@@ -51,11 +51,11 @@
 // The answer to an append is lost after the append took effect. The error must be
 // ambiguous, not "not appended".
 func TestLostAppendAnswerIsAmbiguous(t *testing.T) {
-	for _, loss := range []platform.LossKind{platform.LossUnavailable, platform.LossClosed} {
+	for _, loss := range []platform.DropMode{platform.DropUnavailable, platform.DropClosed} {
 		p, config := startPlatform(t, platform.Config{})
 		p.SetFaults(func(f *platform.Faults) {
-			f.LoseAppends = 1
-			f.Loss = loss
+			f.DropAppendResponses = 1
+			f.DropMode = loss
 		})
 		log := adapter.NewLog(config)
 		_, err := log.Append(context.Background(), records("a", "claim"))
@@ -160,11 +160,11 @@
 	require.False(t, list()[0].Leaving)
 	clock.Advance(2 * timekeeper.Second)
 	require.True(t, list()[0].Leaving)
-	p.SetFaults(func(f *platform.Faults) { f.ShowLive = []string{"e1"} })
+	p.SetFaults(func(f *platform.Faults) { f.ShowAsLive = []string{"e1"} })
 	require.False(t, list()[0].Leaving)
 	clock.Advance(timekeeper.Minute)
 	require.Len(t, list(), 1)
-	p.SetFaults(func(f *platform.Faults) { f.ShowLive = nil })
+	p.SetFaults(func(f *platform.Faults) { f.ShowAsLive = nil })
 	require.Empty(t, list())
 }
 
@@ -180,7 +180,7 @@
 		Zone:        "boston-a",
 		Pool:        "reading",
 	}
-	p.SetFaults(func(f *platform.Faults) { f.LoseBuys = 1 })
+	p.SetFaults(func(f *platform.Faults) { f.DropPurchaseResponses = 1 })
 	_, err := cloud.Buy(ctx, order)
 	var ambiguous *adapter.AmbiguousError
 	require.ErrorAs(t, err, &ambiguous)
--- a/internal/bencher/bencher_test.go
+++ b/internal/bencher/bencher_test.go
@@ -17,7 +17,7 @@
 			arrived++
 		}
 	}
-	require.Equal(t, arrived, first.Requests+first.Beyond)
+	require.Equal(t, arrived, first.Requests+first.OverLimit)
 	answered := 0
 	for _, l := range first.Latencies {
 		answered += int(l.Completion.TotalCount())
@@ -27,7 +27,7 @@
 
 	again := Run(d, Policy(), 1)
 	require.Equal(t, first.Penalties, again.Penalties)
-	require.Equal(t, first.VMs, again.VMs)
+	require.Equal(t, first.VMCost, again.VMCost)
 	require.InDelta(t, first.Recomputed, again.Recomputed, 0)
 }
 
--- a/internal/bencher/cloud.go
+++ b/internal/bencher/cloud.go
@@ -317,7 +317,7 @@
 			local := rand.New(rand.NewPCG(dice, 0))
 			for _, s := range w.cloud.reclaimable("") {
 				if local.Float64() < singleReclaims*float64(checkEvery)/float64(timekeeper.Hour) {
-					w.cloud.announce([]*server{s}, w.now.Add(w.deployment.Notice))
+					w.cloud.announce([]*server{s}, w.now.Add(w.deployment.NoticeTime))
 				}
 			}
 		})
@@ -345,7 +345,7 @@
 			continue
 		}
 		c.exhausted[z] = max(c.exhausted[z], c.world.now.Add(zoneExhausted))
-		c.announce(servers, c.world.now.Add(c.world.deployment.Notice))
+		c.announce(servers, c.world.now.Add(c.world.deployment.NoticeTime))
 		return
 	}
 }
--- a/internal/bencher/compare.go
+++ b/internal/bencher/compare.go
@@ -85,7 +85,7 @@
 	return values
 }
 
-func costOf(r Result) float64 { return r.PerThousand(r.VMs + r.Penalties) }
+func costOf(r Result) float64 { return r.CostPerThousand(r.VMCost + r.Penalties) }
 
 func recomputedOf(r Result) float64 { return r.Recomputed }
 
--- a/internal/bencher/deployment.go
+++ b/internal/bencher/deployment.go
@@ -14,12 +14,12 @@
 func quillmark() Deployment {
 	zones := []identifier.Zone{"boston-a", "boston-b", "providence", "portland-me"}
 	return Deployment{
-		Name:     "quillmark",
-		Nodes:    8,
-		Zones:    zones,
-		Notice:   20 * timekeeper.Second,
-		Kinds:    quillmarkKinds(),
-		Accounts: accounts("harbor", "beacon", "acorn", "saltmarsh", "juniper"),
+		Name:       "quillmark",
+		Nodes:      8,
+		Zones:      zones,
+		NoticeTime: 20 * timekeeper.Second,
+		Kinds:      quillmarkKinds(),
+		Accounts:   accounts("harbor", "beacon", "acorn", "saltmarsh", "juniper"),
 		Pools: []catalog.Pool{
 			modelPool("reading", 20, 500_000_000),
 			plainPool("portal"),
@@ -76,7 +76,7 @@
 			Prompt:        [2]int{1000, 2000},
 			Answer:        [2]int{100, 260},
 			AccountBlocks: 8,
-			Flash:         true,
+			FlashCrowd:    true,
 		},
 		{
 			Service: modelService("report", "reading", catalog.Batch, 5*timekeeper.Minute, true),
@@ -85,13 +85,13 @@
 				Completion: 2 * timekeeper.Minute,
 				Penalty:    500 * milliCoin,
 			},
-			Rate:           1.5,
-			Prompt:         [2]int{8000, 10_000},
-			Answer:         [2]int{900, 2700},
-			AccountBlocks:  16,
-			DocumentBlocks: 96,
-			Documents:      40,
-			Uses:           4,
+			Rate:                1.5,
+			Prompt:              [2]int{8000, 10_000},
+			Answer:              [2]int{900, 2700},
+			AccountBlocks:       16,
+			DocumentBlocks:      96,
+			Documents:           40,
+			RequestsPerDocument: 4,
 		},
 	}
 }
@@ -99,10 +99,10 @@
 func cooperative() Deployment {
 	zones := []identifier.Zone{"hobart-a", "hobart-b", "kingston", "huonville"}
 	return Deployment{
-		Name:   "cooperative",
-		Nodes:  6,
-		Zones:  zones,
-		Notice: 15 * timekeeper.Second,
+		Name:       "cooperative",
+		Nodes:      6,
+		Zones:      zones,
+		NoticeTime: 15 * timekeeper.Second,
 		Kinds: []Kind{
 			plainKind("stock", "depot", 20, 4*milliCoin, true),
 			plainKind("booking", "depot", 0.8, 30*milliCoin, false),
@@ -129,7 +129,7 @@
 				Prompt:        [2]int{900, 1700},
 				Answer:        [2]int{140, 320},
 				AccountBlocks: 12,
-				Flash:         true,
+				FlashCrowd:    true,
 			},
 			{
 				Service: modelService("history", "model", catalog.Batch, 15*timekeeper.Minute, true),
@@ -138,13 +138,13 @@
 					Completion: 5 * timekeeper.Minute,
 					Penalty:    150 * milliCoin,
 				},
-				Rate:           1.2,
-				Prompt:         [2]int{5500, 8500},
-				Answer:         [2]int{1500, 3500},
-				AccountBlocks:  0,
-				DocumentBlocks: 64,
-				Documents:      20,
-				Uses:           200,
+				Rate:                1.2,
+				Prompt:              [2]int{5500, 8500},
+				Answer:              [2]int{1500, 3500},
+				AccountBlocks:       0,
+				DocumentBlocks:      64,
+				Documents:           20,
+				RequestsPerDocument: 200,
 			},
 		},
 		Accounts: accounts("wharf_deli", "summit_grocers", "cellar_doors", "members", "ferry_cafe"),
@@ -217,9 +217,9 @@
 			Completion: 300 * timekeeper.Millisecond,
 			Penalty:    penalty,
 		},
-		Rate:   rate,
-		Answer: [2]int{20, 80},
-		Flash:  idempotent,
+		Rate:       rate,
+		Answer:     [2]int{20, 80},
+		FlashCrowd: idempotent,
 	}
 }
 
--- a/internal/bencher/node.go
+++ b/internal/bencher/node.go
@@ -317,14 +317,14 @@
 }
 
 func (n *node) firstSilence(a *attempt) timekeeper.Duration {
-	if !n.world.variant.Silence || a.server.plain() {
+	if !n.world.variant.PredictedTimeouts || a.server.plain() {
 		return plainSilence
 	}
 	return detector.FirstEventTimeout(a.predicted.FirstToken)
 }
 
 func (n *node) nextSilence(a *attempt) timekeeper.Duration {
-	if !n.world.variant.Silence {
+	if !n.world.variant.PredictedTimeouts {
 		return plainSilence
 	}
 	return detector.NextEventTimeout(a.predicted.PerToken)
@@ -418,7 +418,7 @@
 		return
 	}
 	n.blame(a, result)
-	if n.world.variant.Reclaim == RestartAtBreak {
+	if n.world.variant.Reclaim == RestartAfterRemoval {
 		n.world.tally.discarded(r)
 		r.delivered = 0
 	}
--- a/internal/bencher/report.go
+++ b/internal/bencher/report.go
@@ -58,8 +58,8 @@
 		}
 		w.line("| %s | %.3f | %.3f | %s | %s | %s | %s | %.2f%% | %s | %s | %.2f | %.0f | %.0f | %.0f | %s |",
 			v.Name,
-			c.mean(i, func(r Result) float64 { return r.PerThousand(r.VMs) }),
-			c.mean(i, func(r Result) float64 { return r.PerThousand(r.Penalties) }),
+			c.mean(i, func(r Result) float64 { return r.CostPerThousand(r.VMCost) }),
+			c.mean(i, func(r Result) float64 { return r.CostPerThousand(r.Penalties) }),
 			amount(spreadOf(c.measure(i, costOf))),
 			amount(spreadOf(cost)), costWord,
 			thousands(spreadOf(c.measure(i, recomputedOf))),
@@ -108,7 +108,7 @@
 	}
 	w.header(columns...)
 	for i, v := range c.Variants {
-		cells := []string{v.Name, fmt.Sprintf("%.3f", 100*spreadOf(c.measure(i, Result.LowestShare)).low)}
+		cells := []string{v.Name, fmt.Sprintf("%.3f", 100*spreadOf(c.measure(i, Result.LowestOnTimeShare)).low)}
 		for _, a := range c.Deployment.Accounts {
 			s := spreadOf(c.measure(i, shareOf(a.ID)))
 			cells = append(cells, fmt.Sprintf("%.3f (%.3f)", 100*s.mean, 100*s.low))
@@ -161,7 +161,7 @@
 		if v.Group != Baseline {
 			continue
 		}
-		if v.Reclaim == RestartAtBreak {
+		if v.Reclaim == RestartAfterRemoval {
 			restart = i
 		}
 		if best < 0 || c.mean(i, costOf) < c.mean(best, costOf) {
--- a/internal/bencher/request.go
+++ b/internal/bencher/request.go
@@ -104,7 +104,7 @@
 func (a *arrivals) draw(at timekeeper.Time) (*request, bool) {
 	kind := a.drawKind()
 	account := a.drawAccount()
-	busy := kind.Flash && account == 0 && flashing(at)
+	busy := kind.FlashCrowd && account == 0 && flashing(at)
 	if !busy && a.rng.Float64() > 1/flashFactor {
 		return nil, false
 	}
@@ -182,7 +182,7 @@
 	a.documents[k.Service.Name] = current
 	i := a.rng.IntN(len(current))
 	document := current[i]
-	if a.rng.IntN(k.Uses) == 0 {
+	if a.rng.IntN(k.RequestsPerDocument) == 0 {
 		current[i] = a.rng.Uint64()
 	}
 	return document
--- a/internal/bencher/tally.go
+++ b/internal/bencher/tally.go
@@ -132,22 +132,22 @@
 type Result struct {
 	Requests  int
 	OnTime    int
-	Beyond    int
-	VMs       identifier.Money
+	OverLimit int
+	VMCost    identifier.Money
 	Penalties identifier.Money
 	// OnTimeShare is the share of requests answered on time, by account.
-	OnTimeShare map[identifier.AccountID]float64
-	Latencies   map[identifier.ServiceName]*Latencies
-	Refusals    map[messenger.Reason]int
-	Expired     int
-	Failed      int
-	Retries     int
-	Moved       int
-	Exported    int
-	RefusedVMs  int
-	Prefilled   float64
-	Generated   float64
-	Recomputed  float64
+	OnTimeShare      map[identifier.AccountID]float64
+	Latencies        map[identifier.ServiceName]*Latencies
+	Refusals         map[messenger.Reason]int
+	Expired          int
+	Failed           int
+	Retries          int
+	Moved            int
+	Exported         int
+	RefusedPurchases int
+	Prefilled        float64
+	Generated        float64
+	Recomputed       float64
 }
 
 // result closes the books: VMs are paid for from the end of the warm-up to
@@ -155,23 +155,23 @@
 func (w *world) result() Result {
 	t := w.tally
 	r := Result{
-		Requests:    t.requests,
-		OnTime:      t.onTime,
-		Beyond:      t.beyond,
-		VMs:         w.vmCost(),
-		Penalties:   t.penalties,
-		OnTimeShare: make(map[identifier.AccountID]float64),
-		Latencies:   t.latencies,
-		Refusals:    t.refusals,
-		Expired:     t.outcomes[outcomeExpired],
-		Failed:      t.outcomes[outcomeFailed],
-		Retries:     t.retries,
-		Moved:       t.moved,
-		Exported:    t.exported,
-		RefusedVMs:  t.refusedVMs,
-		Prefilled:   t.prefilled,
-		Generated:   t.generated,
-		Recomputed:  t.recomputed,
+		Requests:         t.requests,
+		OnTime:           t.onTime,
+		OverLimit:        t.beyond,
+		VMCost:           w.vmCost(),
+		Penalties:        t.penalties,
+		OnTimeShare:      make(map[identifier.AccountID]float64),
+		Latencies:        t.latencies,
+		Refusals:         t.refusals,
+		Expired:          t.outcomes[outcomeExpired],
+		Failed:           t.outcomes[outcomeFailed],
+		Retries:          t.retries,
+		Moved:            t.moved,
+		Exported:         t.exported,
+		RefusedPurchases: t.refusedVMs,
+		Prefilled:        t.prefilled,
+		Generated:        t.generated,
+		Recomputed:       t.recomputed,
 	}
 	for id, s := range t.accounts {
 		r.OnTimeShare[id] = float64(s.part) / float64(max(s.whole, 1))
@@ -191,8 +191,8 @@
 	return total
 }
 
-// PerThousand is the cost of a thousand requests answered on time.
-func (r Result) PerThousand(cost identifier.Money) float64 {
+// CostPerThousand is the cost of a thousand requests answered on time.
+func (r Result) CostPerThousand(cost identifier.Money) float64 {
 	return float64(cost) / float64(identifier.CurrencyUnit) / float64(max(r.OnTime, 1)) * 1000
 }
 
@@ -201,8 +201,8 @@
 	return r.Recomputed / max(r.Prefilled+r.Generated, 1)
 }
 
-// LowestShare is the on-time share of the account that is served worst.
-func (r Result) LowestShare() float64 {
+// LowestOnTimeShare is the on-time share of the account that is served worst.
+func (r Result) LowestOnTimeShare() float64 {
 	lowest := 1.0
 	for _, s := range r.OnTimeShare {
 		lowest = min(lowest, s)
--- a/internal/bencher/variant.go
+++ b/internal/bencher/variant.go
@@ -21,17 +21,17 @@
 	LeastInFlight Routing = "least_in_flight"
 )
 
-// Reclaim is what becomes of the streams on a server that is reclaimed.
-type Reclaim string
+// ReclaimMode is what becomes of the streams on a server that is reclaimed.
+type ReclaimMode string
 
 // The ways to meet a reclaim.
 const (
 	// Planned plans the wave as soon as it is announced.
-	Planned Reclaim = "planned"
-	// PrefillAtBreak resumes a stream elsewhere once its server is gone.
-	PrefillAtBreak Reclaim = "prefill_at_break"
-	// RestartAtBreak begins again from nothing once its server is gone.
-	RestartAtBreak Reclaim = "restart_at_break"
+	Planned ReclaimMode = "planned"
+	// PrefillAfterRemoval resumes a stream elsewhere once its server is gone.
+	PrefillAfterRemoval ReclaimMode = "prefill_at_break"
+	// RestartAfterRemoval begins again from nothing once its server is gone.
+	RestartAfterRemoval ReclaimMode = "restart_at_break"
 )
 
 // Group orders the variants in the tables.
@@ -39,9 +39,9 @@
 
 // The groups.
 const (
-	ThePolicy Group = "policy"
-	Baseline  Group = "baseline"
-	RuleOff   Group = "rule_off"
+	FullPolicy Group = "policy"
+	Baseline   Group = "baseline"
+	RuleOff    Group = "rule_off"
 )
 
 // Variant is the policy, a baseline, or the policy with one rule off.
@@ -49,43 +49,43 @@
 	Name    string
 	Group   Group
 	Routing Routing
-	Reclaim Reclaim
-	// ShareWave plans a wave with this node's part of room and bandwidth.
-	ShareWave   bool
-	AllOnDemand bool
-	// Silence bounds the wait for a silent server by what was predicted;
+	Reclaim ReclaimMode
+	// ShareHeadroom plans a wave with this node's part of room and bandwidth.
+	ShareHeadroom bool
+	AllOnDemand   bool
+	// PredictedTimeouts bounds the wait for a silent server by what was predicted;
 	// without it a fixed time is waited.
-	Silence  bool
-	Router   router.Rules
-	Limiter  limiter.Rules
-	Retrier  retrier.Rules
-	Detector detector.Rules
-	Planner  planner.Rules
-	Scaler   scaler.Rules
+	PredictedTimeouts bool
+	Router            router.Rules
+	Limiter           limiter.Rules
+	Retrier           retrier.Rules
+	Detector          detector.Rules
+	Planner           planner.Rules
+	Scaler            scaler.Rules
 }
 
 // Policy is the policy with all its rules.
 func Policy() Variant {
 	return Variant{
-		Name:      "policy",
-		Group:     ThePolicy,
-		Routing:   PolicyRouting,
-		Reclaim:   Planned,
-		ShareWave: true,
-		Silence:   true,
-		Router:    router.AllRules(),
-		Limiter:   limiter.AllRules(),
-		Retrier:   retrier.AllRules(),
-		Detector:  detector.AllRules(),
-		Planner:   planner.AllRules(),
-		Scaler:    scaler.AllRules(),
+		Name:              "policy",
+		Group:             FullPolicy,
+		Routing:           PolicyRouting,
+		Reclaim:           Planned,
+		ShareHeadroom:     true,
+		PredictedTimeouts: true,
+		Router:            router.AllRules(),
+		Limiter:           limiter.AllRules(),
+		Retrier:           retrier.AllRules(),
+		Detector:          detector.AllRules(),
+		Planner:           planner.AllRules(),
+		Scaler:            scaler.AllRules(),
 	}
 }
 
 // plainStack is a system of the usual kind: the given routing, the accounts'
 // limits shared as in the policy, retries with backoff, and a fleet that
 // follows the load at the cheapest price with the pool's on-demand share.
-func plainStack(name string, routing Routing, reclaim Reclaim) Variant {
+func plainStack(name string, routing Routing, reclaim ReclaimMode) Variant {
 	return Variant{
 		Name:    name,
 		Group:   Baseline,
@@ -109,13 +109,13 @@
 // Variants returns the policy, the baselines and the policy with each rule
 // off in turn.
 func Variants() []Variant {
-	onDemand := plainStack("all_on_demand", LeastInFlight, PrefillAtBreak)
+	onDemand := plainStack("all_on_demand", LeastInFlight, PrefillAfterRemoval)
 	onDemand.AllOnDemand = true
 	all := []Variant{
 		Policy(),
-		plainStack("round_robin", RoundRobin, PrefillAtBreak),
-		plainStack("least_in_flight", LeastInFlight, PrefillAtBreak),
-		plainStack("restart_from_nothing", LeastInFlight, RestartAtBreak),
+		plainStack("round_robin", RoundRobin, PrefillAfterRemoval),
+		plainStack("least_in_flight", LeastInFlight, PrefillAfterRemoval),
+		plainStack("restart_from_nothing", LeastInFlight, RestartAfterRemoval),
 		onDemand,
 	}
 	all = append(all, wholeParts()...)
@@ -137,10 +137,10 @@
 		return v
 	}
 	return []Variant{
-		off("planner (prefill at break)", func(v *Variant) { v.Reclaim = PrefillAtBreak }),
-		off("planner (restart at break)", func(v *Variant) { v.Reclaim = RestartAtBreak }),
-		off("detector.silence (30 s)", func(v *Variant) { v.Silence = false }),
-		off("planner.share_wave", func(v *Variant) { v.ShareWave = false }),
+		off("planner (prefill at break)", func(v *Variant) { v.Reclaim = PrefillAfterRemoval }),
+		off("planner (restart at break)", func(v *Variant) { v.Reclaim = RestartAfterRemoval }),
+		off("detector.silence (30 s)", func(v *Variant) { v.PredictedTimeouts = false }),
+		off("planner.share_wave", func(v *Variant) { v.ShareHeadroom = false }),
 		off("router (least in flight)", func(v *Variant) { v.Routing = LeastInFlight }),
 		off("scaler (all on demand)", func(v *Variant) { v.AllOnDemand = true }),
 	}
--- a/internal/bencher/wave.go
+++ b/internal/bencher/wave.go
@@ -53,7 +53,7 @@
 	}
 	rate := n.world.catalog.Pools[pool].TransferRate
 	rules := n.world.variant.Planner
-	if n.world.variant.ShareWave {
+	if n.world.variant.ShareHeadroom {
 		part := n.part(len(streams), running)
 		rooms = part.Headroom(rooms)
 		rules.LinkShare = part.LinkShare()
--- a/internal/bencher/workload.go
+++ b/internal/bencher/workload.go
@@ -90,13 +90,13 @@
 	Answer [2]int
 	// AccountBlocks of the prompt are shared by the requests of an account,
 	// DocumentBlocks by the requests about one document, of which Documents
-	// are current and each is the subject of about Uses requests.
-	AccountBlocks  int
-	DocumentBlocks int
-	Documents      int
-	Uses           int
-	// Flash tells that flash crowds are of this kind.
-	Flash bool
+	// are current and each is the subject of about RequestsPerDocument requests.
+	AccountBlocks       int
+	DocumentBlocks      int
+	Documents           int
+	RequestsPerDocument int
+	// FlashCrowd tells that flash crowds are of this kind.
+	FlashCrowd bool
 }
 
 // AccountSpec is a client account with its share of the requests.
@@ -107,14 +107,14 @@
 
 // Deployment is all that is fixed of a run.
 type Deployment struct {
-	Name     string
-	Nodes    int
-	Zones    []identifier.Zone
-	Notice   timekeeper.Duration
-	Kinds    []Kind
-	Accounts []AccountSpec
-	Pools    []catalog.Pool
-	Classes  []catalog.Class
+	Name       string
+	Nodes      int
+	Zones      []identifier.Zone
+	NoticeTime timekeeper.Duration
+	Kinds      []Kind
+	Accounts   []AccountSpec
+	Pools      []catalog.Pool
+	Classes    []catalog.Class
 }
 
 // limitFactor is how far an account's limits lie above its mean use, and
--- a/internal/gauger/claim.go
+++ b/internal/gauger/claim.go
@@ -44,7 +44,7 @@
 			f.reading(g.Name(), "claim and outcome read by a node, allocated", float64(spent.allocated)/float64(n), Bytes),
 			f.reading(g.Name(), "claim and outcome kept, each", heap/float64(n), Bytes),
 		} {
-			r.At = n
+			r.Parameter = n
 			out = append(out, r)
 		}
 	}
--- a/internal/gauger/configuration.go
+++ b/internal/gauger/configuration.go
@@ -87,7 +87,7 @@
 		}
 	}
 	return messenger.AppendRecord{}, &NotReadyError{
-		Node: identifier.VMID("entry-0000"),
-		What: "change of the configuration was not taken",
+		Node:   identifier.VMID("entry-0000"),
+		Reason: "change of the configuration was not taken",
 	}
 }
--- a/internal/gauger/fleet.go
+++ b/internal/gauger/fleet.go
@@ -316,8 +316,8 @@
 		f.Run(4 * messenger.TickInterval)
 		if !f.verdict.Accepted {
 			return &NotReadyError{
-				Node: f.members[0].config.Self,
-				What: fmt.Sprintf("%s not accepted: %s", file.name, strings.Join(f.verdict.Faults, "; ")),
+				Node:   f.members[0].config.Self,
+				Reason: fmt.Sprintf("%s not accepted: %s", file.name, strings.Join(f.verdict.Faults, "; ")),
 			}
 		}
 	}
@@ -326,21 +326,21 @@
 		c := m.reducer.Catalog()
 		if c == nil || len(c.Accounts) == 0 || c.Revision != want.Revision {
 			return &NotReadyError{
-				Node: m.config.Self,
-				What: "configuration",
+				Node:   m.config.Self,
+				Reason: "configuration",
 			}
 		}
 	}
 	return nil
 }
 
-// Settled reports as an error which node does not know all others.
-func (f *Fleet) Settled() error {
+// CheckMembership reports as an error which node does not know all others.
+func (f *Fleet) CheckMembership() error {
 	for _, m := range f.members {
 		if len(m.reducer.Nodes()) != f.size.Nodes {
 			return &NotReadyError{
-				Node: m.config.Self,
-				What: fmt.Sprintf("%d of %d nodes", len(m.reducer.Nodes()), f.size.Nodes),
+				Node:   m.config.Self,
+				Reason: fmt.Sprintf("%d of %d nodes", len(m.reducer.Nodes()), f.size.Nodes),
 			}
 		}
 	}
@@ -349,12 +349,12 @@
 
 // NotReadyError tells that a fleet is not in the state that was to be gauged.
 type NotReadyError struct {
-	Node identifier.VMID
-	What string
+	Node   identifier.VMID
+	Reason string
 }
 
 func (e *NotReadyError) Error() string {
-	return fmt.Sprintf("node %s is not ready: %s", e.Node, e.What)
+	return fmt.Sprintf("node %s is not ready: %s", e.Node, e.Reason)
 }
 
 var _ error = (*NotReadyError)(nil)
@@ -370,7 +370,7 @@
 		return nil, err
 	}
 	f.Run(warmUp)
-	if err := f.Settled(); err != nil {
+	if err := f.CheckMembership(); err != nil {
 		return nil, err
 	}
 	return f, nil
--- a/internal/gauger/gauger.go
+++ b/internal/gauger/gauger.go
@@ -70,13 +70,13 @@
 // Reading is one measured figure.
 type Reading struct {
 	Gauge string `json:"gauge"`
-	// Of names what was counted, such as a kind of event.
-	Of   string `json:"of"`
-	Size Size   `json:"size"`
-	// At is a second dimension, such as requests in flight, or zero.
-	At    int     `json:"at,omitempty"`
-	Value float64 `json:"value"`
-	Unit  Unit    `json:"unit"`
+	// Subject names what was counted, such as a kind of event.
+	Subject string `json:"of"`
+	Size    Size   `json:"size"`
+	// Parameter is a second dimension, such as requests in flight, or zero.
+	Parameter int     `json:"at,omitempty"`
+	Value     float64 `json:"value"`
+	Unit      Unit    `json:"unit"`
 }
 
 // Gauge measures one role on a fleet that is at rest. It may let the fleet run
--- a/internal/gauger/gauger_test.go
+++ b/internal/gauger/gauger_test.go
@@ -26,7 +26,7 @@
 	byName := map[string]float64{}
 	for _, r := range got {
 		require.Equal(t, tiny, r.Size)
-		byName[r.Gauge+" "+r.Of] = r.Value
+		byName[r.Gauge+" "+r.Subject] = r.Value
 	}
 	for _, name := range []string{
 		"idle gossip sent by a node",
--- a/internal/gauger/idle.go
+++ b/internal/gauger/idle.go
@@ -27,7 +27,7 @@
 	warm := len(m.events)
 	f.clearCounts()
 	f.Run(window)
-	if err := f.Settled(); err != nil {
+	if err := f.CheckMembership(); err != nil {
 		return nil, err
 	}
 	readings := append(f.trafficReadings(g.Name()), f.memoryReading(g.Name()))
@@ -122,10 +122,10 @@
 
 func (f *Fleet) reading(gauge, of string, value float64, unit Unit) Reading {
 	return Reading{
-		Gauge: gauge,
-		Of:    of,
-		Size:  f.size,
-		Value: value,
-		Unit:  unit,
+		Gauge:   gauge,
+		Subject: of,
+		Size:    f.size,
+		Value:   value,
+		Unit:    unit,
 	}
 }
--- a/internal/gauger/reclaim.go
+++ b/internal/gauger/reclaim.go
@@ -27,7 +27,7 @@
 		servers := serversOf(f, zoneOf(0))
 		spent := metered(func() { d.reclaim(servers) })
 		r := f.reading(g.Name(), "notices of a zone's servers, together", spent.per(1), Microseconds)
-		r.At = n
+		r.Parameter = n
 		out = append(out, r)
 	}
 	return append(out, f.reading(g.Name(), "servers of the zone", float64(len(serversOf(f, zoneOf(0)))), Count)), nil
--- a/internal/gauger/request.go
+++ b/internal/gauger/request.go
@@ -120,7 +120,7 @@
 			}
 		})
 		r := f.reading(g.Name(), "tick, each", spent.per(ticksMetered), Microseconds)
-		r.At = n
+		r.Parameter = n
 		out = append(out, r)
 		heap := retained(func() any {
 			kept := newDriver(f)
@@ -128,7 +128,7 @@
 			return kept
 		})
 		r = f.reading(g.Name(), "heap of the reducer", heap, Bytes)
-		r.At = n
+		r.Parameter = n
 		out = append(out, r)
 	}
 	return out, failed
--- a/internal/gauger/table.go
+++ b/internal/gauger/table.go
@@ -14,7 +14,7 @@
 	fmt.Fprintln(t, "gauge\tof\tnodes\tservers\tpools\tat\tvalue\tunit")
 	for _, r := range readings {
 		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%s\t%s\t%s\n",
-			r.Gauge, r.Of, r.Size.Nodes, r.Size.Servers, r.Size.Pools, at(r.At), figure(r.Value), r.Unit)
+			r.Gauge, r.Subject, r.Size.Nodes, r.Size.Servers, r.Size.Pools, at(r.Parameter), figure(r.Value), r.Unit)
 	}
 	if err := t.Flush(); err != nil {
 		return fmt.Errorf("print the readings: %w", err)
--- a/internal/rehearser/email_test.go
+++ b/internal/rehearser/email_test.go
@@ -118,7 +118,7 @@
 	name string
 	// loseAppends is the number of appends that take effect but return a failure.
 	loseAppends int
-	loss        platform.LossKind
+	loss        platform.DropMode
 	// slowLog delays each call of the log, so that the kill falls between the append of
 	// the claim and reading it back. slowRun delays the plain servers, so that the kill
 	// falls between sending the email and its answer.
@@ -135,24 +135,24 @@
 	{
 		name:        "three appends fail after they took effect",
 		loseAppends: 3,
-		loss:        platform.LossUnavailable,
+		loss:        platform.DropUnavailable,
 	},
 	{
 		name:        "nine appends get no answer",
 		loseAppends: 9,
-		loss:        platform.LossClosed,
+		loss:        platform.DropClosed,
 	},
 	{
 		name:        "the winner is killed while the email runs",
 		loseAppends: 3,
-		loss:        platform.LossUnavailable,
+		loss:        platform.DropUnavailable,
 		slowRun:     2 * time.Second,
 		killAfter:   "claim_won",
 	},
 	{
 		name:        "a claimant is killed before it reads its claim",
 		loseAppends: 3,
-		loss:        platform.LossClosed,
+		loss:        platform.DropClosed,
 		slowLog:     300 * time.Millisecond,
 		killAfter:   "claim_appended",
 	},
--- a/internal/runner/attempt_test.go
+++ b/internal/runner/attempt_test.go
@@ -93,7 +93,7 @@
 			return []messenger.Effect{messenger.Accept{Request: e.Spec.Request}, send(1, messenger.StartFresh, e.Spec.Request)}
 		case messenger.AttemptProgress:
 			if e.Attempt == 1 && e.Delivered >= 16 {
-				service.Gate.Silence()
+				service.Gate.StallConnections()
 			}
 		case messenger.AttemptEnded:
 			if e.Result == messenger.AttemptTimedOut {
--- a/internal/standin/engine/control.go
+++ b/internal/standin/engine/control.go
@@ -60,7 +60,7 @@
 
 func (e *Engine) load(w http.ResponseWriter, _ *http.Request) {
 	faults := e.switches.Get()
-	if faults.MuteLoad {
+	if faults.FailLoadReports {
 		encoder.WriteProblem(w, http.StatusServiceUnavailable, encoder.Problem{Error: "no report"})
 		return
 	}
@@ -71,7 +71,7 @@
 	oldest := e.reports[0]
 	shown := oldest.load
 	shown.AgeMS = int64(now.Sub(oldest.at))
-	if faults.LieIdle {
+	if faults.ReportIdle {
 		shown.Running, shown.Waiting = 0, 0
 		shown.FreeKVTokens = e.config.KVTokens
 	}
@@ -104,7 +104,7 @@
 	}
 	// An order that was taken has its effect also when its giver has gone.
 	ctx := context.WithoutCancel(r.Context())
-	slow := timekeeper.Duration(e.switches.Get().OrderSlowMS)
+	slow := timekeeper.Duration(e.switches.Get().OrderDelayMS)
 	standin.Pause(ctx, slow.Std())
 	if order.Kind == messenger.OrderLoadModel && !e.fetchWeights(ctx, order.Model) {
 		encoder.WriteProblem(w, http.StatusBadGateway, encoder.Problem{Error: "weights not loaded"})
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -14,7 +14,7 @@
 // A stream answers as server-sent events. Each token is an event with the
 // token's index in the answer, from 1, as its id; an "end" event closes a
 // whole answer, an "error" event one that will not go on. A stream goes on
-// without a reader for Config.OrphanAfter and is kept for Config.KeepFor after
+// without a reader for Config.OrphanTimeout and is kept for Config.Retention after
 // its end; any number of readers may read it, from any index.
 //
 // A refusal before anything ran is a 503 with the header Outcome: not_run.
@@ -64,10 +64,10 @@
 	// LoadLag is how old a load report is, CacheLag a cache event.
 	LoadLag  timekeeper.Duration
 	CacheLag timekeeper.Duration
-	// OrphanAfter bounds how long a stream goes on without a reader, KeepFor
+	// OrphanTimeout bounds how long a stream goes on without a reader, Retention
 	// how long an ended one may still be read.
-	OrphanAfter timekeeper.Duration
-	KeepFor     timekeeper.Duration
+	OrphanTimeout timekeeper.Duration
+	Retention     timekeeper.Duration
 	// WeightAddress is the weight store's address. Without it a model loads
 	// at once.
 	WeightAddress string
@@ -83,8 +83,8 @@
 	DefaultKVTokens         = 65536
 	DefaultKVBytesPerToken  = 128 << 10
 	DefaultTransferRate     = 1 << 30
-	DefaultOrphanAfter      = 30 * timekeeper.Second
-	DefaultKeepFor          = timekeeper.Minute
+	DefaultOrphanTimeout    = 30 * timekeeper.Second
+	DefaultRetention        = timekeeper.Minute
 )
 
 func (c Config) withDefaults() Config {
@@ -100,36 +100,36 @@
 	c.CacheBlocks = cmp.Or(c.CacheBlocks, int(c.KVTokens)/2/blockTokens)
 	c.KVBytesPerToken = cmp.Or(c.KVBytesPerToken, DefaultKVBytesPerToken)
 	c.TransferRate = cmp.Or(c.TransferRate, DefaultTransferRate)
-	c.OrphanAfter = cmp.Or(c.OrphanAfter, DefaultOrphanAfter)
-	c.KeepFor = cmp.Or(c.KeepFor, DefaultKeepFor)
+	c.OrphanTimeout = cmp.Or(c.OrphanTimeout, DefaultOrphanTimeout)
+	c.Retention = cmp.Or(c.Retention, DefaultRetention)
 	return c
 }
 
 // Faults are the engine's fault switches.
 type Faults struct {
 	standin.ConnFaults
-	// Silence, when set, makes the connections that are open now silent for
+	// StallConnections, when set, makes the connections that are open now silent for
 	// good; new ones work. It falls back by itself.
-	Silence bool `json:"silence"`
+	StallConnections bool `json:"silence"`
 	// Refuse refuses each start with 503 and Outcome: not_run.
 	Refuse bool `json:"refuse"`
 	// SlowFactor divides the engine's pace where it is above 1.
 	SlowFactor float64 `json:"slow_factor"`
-	// BreakAfter cuts each reader's connection after so many tokens; the
+	// AbortAfter cuts each reader's connection after so many tokens; the
 	// stream itself goes on. 0 is off.
-	BreakAfter int `json:"break_after"`
-	// LoseStarts counts the next starts that run, but whose connection is cut
+	AbortAfter int `json:"break_after"`
+	// DropStartResponses counts the next starts that run, but whose connection is cut
 	// before the answer.
-	LoseStarts int `json:"lose_starts"`
-	// LieIdle makes load reports show an idle engine.
-	LieIdle bool `json:"lie_idle"`
-	// MuteLoad makes load reports fail with 503.
-	MuteLoad bool `json:"mute_load"`
+	DropStartResponses int `json:"lose_starts"`
+	// ReportIdle makes load reports show an idle engine.
+	ReportIdle bool `json:"lie_idle"`
+	// FailLoadReports makes load reports fail with 503.
+	FailLoadReports bool `json:"mute_load"`
 	// DropCacheEvents drops every n-th cache event; 0 is off.
 	DropCacheEvents int `json:"drop_cache_events"`
-	// OrderSlowMS is how long an order takes from its fence check to its
+	// OrderDelayMS is how long an order takes from its fence check to its
 	// effect.
-	OrderSlowMS int64 `json:"order_slow_ms"`
+	OrderDelayMS int64 `json:"order_slow_ms"`
 	// RefuseImport refuses KV copies from other engines.
 	RefuseImport bool `json:"refuse_import"`
 }
@@ -172,7 +172,7 @@
 		imports: make(map[identifier.StreamName]importedKV),
 		wake:    make(chan struct{}, 1),
 	}
-	e.switches = &standin.Switches[Faults]{Changed: e.applyFaults}
+	e.switches = &standin.Switches[Faults]{OnChange: e.applyFaults}
 	return e
 }
 
@@ -181,9 +181,9 @@
 
 func (e *Engine) applyFaults(f Faults) {
 	e.Gate.Set(f.ConnFaults)
-	if f.Silence {
-		e.Gate.Silence()
-		e.switches.Update(func(f *Faults) { f.Silence = false })
+	if f.StallConnections {
+		e.Gate.StallConnections()
+		e.switches.Update(func(f *Faults) { f.StallConnections = false })
 	}
 	e.nudge()
 }
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -111,8 +111,8 @@
 func TestOrphanedStreamEnds(t *testing.T) {
 	e, clock := newTestEngine(Config{
 		TokensPerSecond: 1,
-		OrphanAfter:     5 * timekeeper.Second,
-		KeepFor:         timekeeper.Second,
+		OrphanTimeout:   5 * timekeeper.Second,
+		Retention:       timekeeper.Second,
 	})
 	s := begin(t, e, "a", 4, func(r *encoder.GenerateRequest) { r.MaxTokens = 1000 })
 	run(e, clock, 20*timekeeper.Second)
--- a/internal/standin/engine/scheduler.go
+++ b/internal/standin/engine/scheduler.go
@@ -156,17 +156,17 @@
 	for name, s := range e.streams {
 		switch {
 		case s.over():
-			if now.Sub(s.endedAt) > e.config.KeepFor {
+			if now.Sub(s.endedAt) > e.config.Retention {
 				delete(e.streams, name)
 			}
 		case now.After(s.deadline):
 			e.finish(s, stateExpired)
-		case s.readers == 0 && now.Sub(s.readerLeft) > e.config.OrphanAfter:
+		case s.readers == 0 && now.Sub(s.readerLeft) > e.config.OrphanTimeout:
 			e.finish(s, stateOrphaned)
 		}
 	}
 	for name, kv := range e.imports {
-		if now.Sub(kv.at) > e.config.KeepFor {
+		if now.Sub(kv.at) > e.config.Retention {
 			delete(e.imports, name)
 		}
 	}
--- a/internal/standin/engine/stream_http.go
+++ b/internal/standin/engine/stream_http.go
@@ -29,28 +29,28 @@
 		notRun(w, http.StatusServiceUnavailable, err)
 		return
 	}
-	if e.switches.Take(func(f *Faults) *int { return &f.LoseStarts }) {
-		standin.Cut()
+	if e.switches.Consume(func(f *Faults) *int { return &f.DropStartResponses }) {
+		standin.AbortConnection()
 	}
 	e.serve(w, r, s, request.From)
 }
 
 // FieldError reports a field of a request that no stream can have.
 type FieldError struct {
-	Field string
-	Fault string
+	Field  string
+	Reason string
 }
 
 var _ error = (*FieldError)(nil)
 
-func (e *FieldError) Error() string { return e.Field + ": " + e.Fault }
+func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
 // RefusalError tells why the engine does not take a stream up.
-type RefusalError struct{ Why string }
+type RefusalError struct{ Reason string }
 
 var _ error = (*RefusalError)(nil)
 
-func (e *RefusalError) Error() string { return e.Why }
+func (e *RefusalError) Error() string { return e.Reason }
 
 // check fills in what the request leaves out. Its error is a *FieldError.
 func check(r *encoder.GenerateRequest) error {
@@ -63,18 +63,18 @@
 	switch {
 	case r.Stream == "":
 		return &FieldError{
-			Field: "stream",
-			Fault: "missing",
+			Field:  "stream",
+			Reason: "missing",
 		}
 	case r.MaxTokens <= 0:
 		return &FieldError{
-			Field: "max_tokens",
-			Fault: "not positive",
+			Field:  "max_tokens",
+			Reason: "not positive",
 		}
 	case r.From != identifier.Tokens(len(r.Given)):
 		return &FieldError{
-			Field: "given",
-			Fault: "not as many tokens as from says",
+			Field:  "given",
+			Reason: "not as many tokens as from says",
 		}
 	}
 	return nil
@@ -107,13 +107,13 @@
 	}
 	switch {
 	case faults.Refuse:
-		return nil, &RefusalError{Why: "refusing"}
+		return nil, &RefusalError{Reason: "refusing"}
 	case r.Model != e.model:
-		return nil, &RefusalError{Why: fmt.Sprintf("model %q is not loaded", r.Model)}
+		return nil, &RefusalError{Reason: fmt.Sprintf("model %q is not loaded", r.Model)}
 	case r.PromptTokens+r.MaxTokens > e.config.KVTokens:
-		return nil, &RefusalError{Why: "context does not fit"}
+		return nil, &RefusalError{Reason: "context does not fit"}
 	case len(e.waiting) >= e.config.MaxWaiting:
-		return nil, &RefusalError{Why: "queue is full"}
+		return nil, &RefusalError{Reason: "queue is full"}
 	}
 	s := newStream(r, e.config.Clock.Now())
 	s.readers++
@@ -127,8 +127,8 @@
 	from, err := strconv.ParseUint(r.URL.Query().Get("from"), 10, 31)
 	if err != nil {
 		notRun(w, http.StatusBadRequest, &FieldError{
-			Field: "from",
-			Fault: err.Error(),
+			Field:  "from",
+			Reason: err.Error(),
 		})
 		return
 	}
@@ -167,7 +167,7 @@
 	if flusher.Flush() != nil {
 		return
 	}
-	breakAfter := e.switches.Get().BreakAfter
+	breakAfter := e.switches.Get().AbortAfter
 	for sent := 0; ; {
 		tokens, ok := e.next(r.Context(), s, from)
 		if !ok {
@@ -176,7 +176,7 @@
 		for _, token := range tokens {
 			if breakAfter > 0 && sent == breakAfter {
 				_ = flusher.Flush()
-				standin.Cut()
+				standin.AbortConnection()
 			}
 			from++
 			sent++
--- a/internal/standin/gate.go
+++ b/internal/standin/gate.go
@@ -13,8 +13,8 @@
 type ConnFaults struct {
 	// Freeze keeps all connections open and silent, as a paused VM does.
 	Freeze bool `json:"freeze"`
-	// SlowMS delays every answer.
-	SlowMS int64 `json:"slow_ms"`
+	// DelayMS delays every answer.
+	DelayMS int64 `json:"slow_ms"`
 }
 
 // Gate stands between the connections and a stand-in's handler and applies
@@ -54,9 +54,9 @@
 	g.faults = f
 }
 
-// Silence makes the connections that are open now silent for good, while new
+// StallConnections makes the connections that are open now silent for good, while new
 // ones work: as when something between the two ends has lost track of them.
-func (g *Gate) Silence() {
+func (g *Gate) StallConnections() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for c := range g.conns {
@@ -107,7 +107,7 @@
 func (g *Gate) delay() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return time.Duration(g.faults.SlowMS) * time.Millisecond
+	return time.Duration(g.faults.DelayMS) * time.Millisecond
 }
 
 // switchboard is the path under which a stand-in is told its faults; faults
@@ -171,5 +171,5 @@
 	}
 }
 
-// Cut ends the connection of the request at once, without an answer.
-func Cut() { panic(http.ErrAbortHandler) }
+// AbortConnection ends the connection of the request at once, without an answer.
+func AbortConnection() { panic(http.ErrAbortHandler) }
--- a/internal/standin/hoster/hoster.go
+++ b/internal/standin/hoster/hoster.go
@@ -34,15 +34,15 @@
 // Config says what to host.
 type Config struct {
 	// Platform is the platform stand-in's address.
-	Platform string
-	Zones    []identifier.Zone
-	Groups   []Group
+	PlatformAddress string
+	Zones           []identifier.Zone
+	Groups          []Group
 	// Host is the IP number to listen on; FirstPort the port of the first VM,
 	// the others follow. With 0 each takes a free one.
 	Host      string
 	FirstPort int
 	// Boot is the time from a purchase until the VM listens.
-	Boot timekeeper.Duration
+	BootTime timekeeper.Duration
 }
 
 // Hoster is the process's VMs.
@@ -71,7 +71,7 @@
 	}
 	return &Hoster{
 		config:   c,
-		platform: standin.Control{Address: c.Platform},
+		platform: standin.Control{Address: c.PlatformAddress},
 		hosted:   make(map[identifier.VMID]hosted),
 		ended:    make(map[identifier.VMID]bool),
 		nextPort: c.FirstPort,
@@ -146,7 +146,7 @@
 	config := g.Engine
 	config.VM = vm.VM
 	config.Zone = vm.Zone
-	config.WeightAddress = h.config.Platform
+	config.WeightAddress = h.config.PlatformAddress
 	model := engine.New(config)
 	return model, model.Gate
 }
@@ -318,7 +318,7 @@
 // hoster's, and one that was taken away while it booted never starts.
 func (h *Hoster) boot(ctx context.Context, vm encoder.VM) {
 	for _, g := range h.config.Groups {
-		if g.Engine.Pool != vm.Pool || !standin.Pause(ctx, h.config.Boot.Std()) || h.hasEnded(vm.VM) {
+		if g.Engine.Pool != vm.Pool || !standin.Pause(ctx, h.config.BootTime.Std()) || h.hasEnded(vm.VM) {
 			continue
 		}
 		if err := h.host(ctx, g, vm); err != nil {
--- a/internal/standin/hoster/hoster_test.go
+++ b/internal/standin/hoster/hoster_test.go
@@ -48,8 +48,8 @@
 	require.NoError(t, err)
 	t.Cleanup(platformServer.Close)
 	config := hoster.Config{
-		Platform: platformServer.Address(),
-		Zones:    []identifier.Zone{"a", "b"},
+		PlatformAddress: platformServer.Address(),
+		Zones:           []identifier.Zone{"a", "b"},
 	}
 	for _, text := range []string{"pool=reading,model=report,count=4,on_demand=1", "pool=portal,kind=plain,count=2"} {
 		g, err := hoster.ParseGroup(text)
--- a/internal/standin/platform/cloud.go
+++ b/internal/standin/platform/cloud.go
@@ -195,8 +195,8 @@
 		AgeMS:  int64(c.lag),
 		VMs:    []encoder.VM{},
 	}
-	showLive := set(f.ShowLive)
-	hide := set(f.Hide)
+	showLive := set(f.ShowAsLive)
+	hide := set(f.HideLive)
 	for _, id := range c.ids() {
 		v := c.vms[id]
 		pinned := showLive[string(id)]
--- a/internal/standin/platform/cloud_http.go
+++ b/internal/standin/platform/cloud_http.go
@@ -23,7 +23,7 @@
 	if unavailable(w, faults.CloudOutage) || !standin.ReadJSON(w, r, &request) {
 		return
 	}
-	if faults.RefuseBuys || slices.Contains(faults.RefuseZones, string(request.Zone)) {
+	if faults.RefusePurchases || slices.Contains(faults.RefuseZones, string(request.Zone)) {
 		encoder.WriteProblem(w, http.StatusConflict, encoder.Problem{
 			Error:   "no capacity",
 			Outcome: encoder.OutcomeNotRun,
@@ -31,7 +31,7 @@
 		return
 	}
 	v := p.cloud.buy(request, faults.IgnoreClientTokens)
-	if p.switches.Take(func(f *Faults) *int { return &f.LoseBuys }) {
+	if p.switches.Consume(func(f *Faults) *int { return &f.DropPurchaseResponses }) {
 		p.answerLost(w)
 		return
 	}
--- a/internal/standin/platform/log.go
+++ b/internal/standin/platform/log.go
@@ -120,7 +120,7 @@
 		return
 	}
 	offsets := p.log.append(request.Records)
-	if p.switches.Take(func(f *Faults) *int { return &f.LoseAppends }) {
+	if p.switches.Consume(func(f *Faults) *int { return &f.DropAppendResponses }) {
 		p.answerLost(w)
 		return
 	}
@@ -165,9 +165,9 @@
 // logReady applies the log's faults that come before any effect.
 func (p *Platform) logReady(w http.ResponseWriter, r *http.Request) bool {
 	faults := p.switches.Get()
-	slow := time.Duration(faults.LogSlowMS) * time.Millisecond
+	slow := time.Duration(faults.LogDelayMS) * time.Millisecond
 	if !standin.Pause(r.Context(), slow) {
-		standin.Cut()
+		standin.AbortConnection()
 	}
 	return !unavailable(w, faults.LogOutage)
 }
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -69,15 +69,15 @@
 	return c
 }
 
-// LossKind is a way to lose an answer whose effect was taken.
-type LossKind string
+// DropMode is a way to lose an answer whose effect was taken.
+type DropMode string
 
 // The ways to lose an answer.
 const (
-	// LossUnavailable answers 503.
-	LossUnavailable LossKind = "unavailable"
-	// LossClosed closes the connection without an answer.
-	LossClosed LossKind = "closed"
+	// DropUnavailable answers 503.
+	DropUnavailable DropMode = "unavailable"
+	// DropClosed closes the connection without an answer.
+	DropClosed DropMode = "closed"
 )
 
 // Faults are the platform's fault switches.
@@ -88,20 +88,20 @@
 	ListOutage   bool `json:"list_outage"`
 	CloudOutage  bool `json:"cloud_outage"`
 	WeightOutage bool `json:"weight_outage"`
-	// LogSlowMS delays each append and read of the log.
-	LogSlowMS int64 `json:"log_slow_ms"`
-	// LoseAppends and LoseBuys count the next answers that are lost, by Loss,
+	// LogDelayMS delays each append and read of the log.
+	LogDelayMS int64 `json:"log_slow_ms"`
+	// DropAppendResponses and DropPurchaseResponses count the next answers that are lost, by Loss,
 	// after the effect was taken.
-	LoseAppends int      `json:"lose_appends"`
-	LoseBuys    int      `json:"lose_buys"`
-	Loss        LossKind `json:"loss"`
-	// ShowLive are leaving VMs that the list shows as live, and even gone ones
+	DropAppendResponses   int      `json:"lose_appends"`
+	DropPurchaseResponses int      `json:"lose_buys"`
+	DropMode              DropMode `json:"loss"`
+	// ShowAsLive are leaving VMs that the list shows as live, and even gone ones
 	// that it still shows; Hide are live ones that it does not show.
-	ShowLive []string `json:"show_live"`
-	Hide     []string `json:"hide"`
-	// RefuseBuys refuses every purchase; RefuseZones those in these zones.
-	RefuseBuys  bool     `json:"refuse_buys"`
-	RefuseZones []string `json:"refuse_zones"`
+	ShowAsLive []string `json:"show_live"`
+	HideLive   []string `json:"hide"`
+	// RefusePurchases refuses every purchase; RefuseZones those in these zones.
+	RefusePurchases bool     `json:"refuse_buys"`
+	RefuseZones     []string `json:"refuse_zones"`
 	// IgnoreClientTokens buys anew for a client token seen before.
 	IgnoreClientTokens bool `json:"ignore_client_tokens"`
 }
@@ -127,7 +127,7 @@
 		Gate:   gate,
 		config: c,
 		switches: &standin.Switches[Faults]{
-			Changed: func(f Faults) { gate.Set(f.ConnFaults) },
+			OnChange: func(f Faults) { gate.Set(f.ConnFaults) },
 		},
 		log:     newLog(c),
 		cloud:   newCloud(c),
@@ -169,8 +169,8 @@
 
 // answerLost ends the request in the way that the switch Loss says.
 func (p *Platform) answerLost(w http.ResponseWriter) {
-	if p.switches.Get().Loss == LossClosed {
-		standin.Cut()
+	if p.switches.Get().DropMode == DropClosed {
+		standin.AbortConnection()
 	}
 	encoder.WriteProblem(w, http.StatusServiceUnavailable, encoder.Problem{Error: "unavailable"})
 }
--- a/internal/standin/responder/responder.go
+++ b/internal/standin/responder/responder.go
@@ -35,18 +35,18 @@
 // Faults are the plain server's fault switches.
 type Faults struct {
 	standin.ConnFaults
-	// Silence, when set, makes the connections that are open now silent for
+	// StallConnections, when set, makes the connections that are open now silent for
 	// good; new ones work. It falls back by itself.
-	Silence bool `json:"silence"`
+	StallConnections bool `json:"silence"`
 	// Refuse refuses each call with 503 and Outcome: not_run.
 	Refuse bool `json:"refuse"`
-	// LoseAnswers counts the next calls that run, but whose connection is cut
+	// DropResponses counts the next calls that run, but whose connection is cut
 	// before the answer.
-	LoseAnswers int `json:"lose_answers"`
+	DropResponses int `json:"lose_answers"`
 	// Fail answers 500 after the call ran.
 	Fail bool `json:"fail"`
-	// RunSlowMS is how long a call runs.
-	RunSlowMS int64 `json:"run_slow_ms"`
+	// RunDelayMS is how long a call runs.
+	RunDelayMS int64 `json:"run_slow_ms"`
 }
 
 // Reply is the body of the answer to a call.
@@ -92,7 +92,7 @@
 			Bodies: make(map[identifier.RequestID]string),
 		},
 	}
-	p.switches = &standin.Switches[Faults]{Changed: p.applyFaults}
+	p.switches = &standin.Switches[Faults]{OnChange: p.applyFaults}
 	return p
 }
 
@@ -101,9 +101,9 @@
 
 func (p *Responder) applyFaults(f Faults) {
 	p.Gate.Set(f.ConnFaults)
-	if f.Silence {
-		p.Gate.Silence()
-		p.switches.Update(func(f *Faults) { f.Silence = false })
+	if f.StallConnections {
+		p.Gate.StallConnections()
+		p.switches.Update(func(f *Faults) { f.StallConnections = false })
 	}
 }
 
@@ -124,7 +124,7 @@
 const retryAfterMS = 1000
 
 func (p *Responder) call(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, standin.MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, standin.MaxBodySize))
 	if err != nil {
 		encoder.WriteProblem(w, http.StatusBadRequest, encoder.Problem{
 			Error:   err.Error(),
@@ -144,9 +144,9 @@
 	defer p.exit()
 	request := identifier.RequestID(r.Header.Get(encoder.RequestIDHeader))
 	p.record(request, string(body))
-	standin.Pause(r.Context(), milliseconds(faults.RunSlowMS))
-	if p.switches.Take(func(f *Faults) *int { return &f.LoseAnswers }) {
-		standin.Cut()
+	standin.Pause(r.Context(), milliseconds(faults.RunDelayMS))
+	if p.switches.Consume(func(f *Faults) *int { return &f.DropResponses }) {
+		standin.AbortConnection()
 	}
 	if faults.Fail {
 		encoder.WriteProblem(w, http.StatusInternalServerError, encoder.Problem{Error: "failed"})
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -31,8 +31,8 @@
 	"github.com/dotterelhollow/dotterelhollow/internal/adapter/encoder"
 )
 
-// MaxBody bounds every body that a stand-in reads.
-const MaxBody = 32 << 20
+// MaxBodySize bounds every body that a stand-in reads.
+const MaxBodySize = 32 << 20
 
 // ListenError reports that a stand-in could not open its port.
 type ListenError struct {
@@ -122,7 +122,7 @@
 // ReadJSON decodes the body of r into v. On a fault it answers 400 and
 // returns false.
 func ReadJSON(w http.ResponseWriter, r *http.Request, v any) bool {
-	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, MaxBody))
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, MaxBodySize))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(v); err != nil {
 		encoder.WriteProblem(w, http.StatusBadRequest, encoder.Problem{
--- a/internal/standin/switches.go
+++ b/internal/standin/switches.go
@@ -13,8 +13,8 @@
 type Switches[T any] struct {
 	mu      sync.Mutex
 	current T
-	// Changed is called after each change, under no lock; it may be nil.
-	Changed func(T)
+	// OnChange is called after each change, under no lock; it may be nil.
+	OnChange func(T)
 }
 
 // Get returns the switches as they stand.
@@ -30,14 +30,14 @@
 	change(&s.current)
 	now := s.current
 	s.mu.Unlock()
-	if s.Changed != nil {
-		s.Changed(now)
+	if s.OnChange != nil {
+		s.OnChange(now)
 	}
 }
 
-// Take uses up one of the counter that pick names, and tells whether there was
+// Consume uses up one of the counter that pick names, and tells whether there was
 // one.
-func (s *Switches[T]) Take(pick func(*T) *int) bool {
+func (s *Switches[T]) Consume(pick func(*T) *int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	left := pick(&s.current)
