--- a/cmd/dotterelhollow/status.go
+++ b/cmd/dotterelhollow/status.go
@@ -118,7 +118,7 @@
 const noState = "-"
 
 // subjectStates returns the state of each subject in a node's status. It omits
-// values that always differ between nodes, such as the load of servers.
+// values that may differ at any time, such as the load of servers.
 func subjectStates(s server.Status) map[string]string {
 	states := map[string]string{"configuration": fmt.Sprintf("revision %d", s.Revision)}
 	for _, n := range s.Nodes {
