--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -594,7 +594,7 @@
 // This node avoids a server that a peer reports as loaded until the report is stale.
 func TestPeerLoadIsAvoidedUntilStale(t *testing.T) {
 	n := newNode(2)
-	n.MergePeerLoad(start, "entry-2", messenger.StateUpdate{
+	n.StorePeerLoad(start, "entry-2", messenger.StateUpdate{
 		InFlight: map[identifier.VMID]messenger.InFlight{
 			serverID(0): {Running: 50},
 		},
@@ -620,7 +620,7 @@
 		running, _ := peer.OwnLoad(start)
 		return messenger.StateUpdate{InFlight: running}
 	}
-	n.MergePeerLoad(start, "entry-2", update())
+	n.StorePeerLoad(start, "entry-2", update())
 	for range 5 {
 		require.Equal(t, serverID(1), n.sendPath(t, "/report/1").Server)
 	}
@@ -629,7 +629,7 @@
 		Attempt:  send.Attempt,
 	})
 	require.True(t, peer.NotifyPeers())
-	n.MergePeerLoad(start, "entry-2", update())
+	n.StorePeerLoad(start, "entry-2", update())
 	require.Equal(t, serverID(0), n.sendPath(t, "/report/1").Server)
 }
 
--- a/internal/dispatcher/load.go
+++ b/internal/dispatcher/load.go
@@ -160,9 +160,9 @@
 	s.offeredLoad += float64(work) / float64(demandWindow)
 }
 
-// MergePeerLoad stores a report of load, either of a peer's own requests or a relay's
+// StorePeerLoad stores a report of load, either of a peer's own requests or a relay's
 // sum.
-func (d *Dispatcher) MergePeerLoad(now timekeeper.Time, peer identifier.VMID, s messenger.StateUpdate) {
+func (d *Dispatcher) StorePeerLoad(now timekeeper.Time, peer identifier.VMID, s messenger.StateUpdate) {
 	report := loadReport{
 		at:      now,
 		servers: s.InFlight,
--- a/internal/dispatcher/prompts_test.go
+++ b/internal/dispatcher/prompts_test.go
@@ -250,7 +250,7 @@
 		}
 		c.after(1, func() {
 			peer.env.Now = c.now
-			peer.MergePeerLoad(c.now, from, update)
+			peer.StorePeerLoad(c.now, from, update)
 			peer.MergeCachedPrefixes(peer.env, update.CachedPrefixes, false)
 		})
 	}
@@ -308,7 +308,7 @@
 		add(update, all[i], -1)
 		c.after(delay, func() {
 			n.env.Now = c.now
-			n.MergePeerLoad(c.now, "relay", update)
+			n.StorePeerLoad(c.now, "relay", update)
 			n.MergeCachedPrefixes(n.env, prefixes, false)
 		})
 	}
--- a/internal/dispatcher/sum_test.go
+++ b/internal/dispatcher/sum_test.go
@@ -33,10 +33,10 @@
 func TestRelaySums(t *testing.T) {
 	n := newNode(0)
 	now := start.Add(200)
-	n.MergePeerLoad(start, "entry-2", stateUpdate(messenger.ScopeOwn, "", "i-1", 3, 500))
-	n.MergePeerLoad(start, "entry-3", stateUpdate(messenger.ScopeOwn, "", "i-2", 4, 0))
-	n.MergePeerLoad(start.Add(-3*timekeeper.Second), "entry-4", stateUpdate(messenger.ScopeOwn, "", "i-3", 9, 0))
-	n.MergePeerLoad(start, "relay-9", stateUpdate(messenger.ScopeZone, "zone-1", "i-1", 10, 100))
+	n.StorePeerLoad(start, "entry-2", stateUpdate(messenger.ScopeOwn, "", "i-1", 3, 500))
+	n.StorePeerLoad(start, "entry-3", stateUpdate(messenger.ScopeOwn, "", "i-2", 4, 0))
+	n.StorePeerLoad(start.Add(-3*timekeeper.Second), "entry-4", stateUpdate(messenger.ScopeOwn, "", "i-3", 9, 0))
+	n.StorePeerLoad(start, "relay-9", stateUpdate(messenger.ScopeZone, "zone-1", "i-1", 10, 100))
 
 	zone := n.ZoneSum(now, []identifier.VMID{"entry-2", "entry-3", "entry-4"})
 	require.Equal(t, map[identifier.VMID]messenger.InFlight{
@@ -64,9 +64,9 @@
 // fresh.
 func TestRelaySumReplacesPeerReports(t *testing.T) {
 	n := newNode(0)
-	n.MergePeerLoad(start, "entry-2", stateUpdate(messenger.ScopeOwn, "", "i-1", 3, 0))
+	n.StorePeerLoad(start, "entry-2", stateUpdate(messenger.ScopeOwn, "", "i-1", 3, 0))
 	require.Equal(t, 3, n.Demand(start, "reader").Running)
-	n.MergePeerLoad(start, "relay-9", stateUpdate(messenger.ScopeOthers, "", "i-1", 40, 0))
+	n.StorePeerLoad(start, "relay-9", stateUpdate(messenger.ScopeOthers, "", "i-1", 40, 0))
 	require.Equal(t, 40, n.Demand(start, "reader").Running)
 	require.Equal(t, 3, n.Demand(start.Add(1500), "reader").Running)
 }
--- a/internal/reducer/relay.go
+++ b/internal/reducer/relay.go
@@ -106,7 +106,7 @@
 	}
 	zone := g.exchanges.ZoneSum(env.Now, r.ranking.Neighbours())
 	total := g.exchanges.AddZones(env.Now, zone)
-	g.exchanges.MergePeerLoad(env.Now, g.self, r.updateForNode(env.Now, total, g.self))
+	g.exchanges.StorePeerLoad(env.Now, g.self, r.updateForNode(env.Now, total, g.self))
 	if warmedUp && !g.relayPending && !r.isRelayTurn(env.Now, relays) {
 		return nil
 	}
--- a/internal/reducer/share.go
+++ b/internal/reducer/share.go
@@ -33,7 +33,7 @@
 func (r *Reducer) stateUpdateReceived(env *conductor.Env, e messenger.StateUpdateReceived) []messenger.Effect {
 	g := r.gateway
 	s := e.Update
-	g.exchanges.MergePeerLoad(env.Now, e.From, s)
+	g.exchanges.StorePeerLoad(env.Now, e.From, s)
 	g.knowsAllServers = g.knowsAllServers || s.AllServers
 	if s.RequestsAllServers {
 		g.serversRequested[e.From] = true
--- a/internal/relayer/codec.go
+++ b/internal/relayer/codec.go
@@ -38,9 +38,9 @@
 		Spec:  &pb.Spec{Request: string(p.Spec.Request)},
 		Epoch: uint32(p.Epoch),
 		Place: &pb.Place{
-			Attempt: uint32(p.Place.Attempt),
-			Server:  string(p.Place.Server),
-			Stream:  string(p.Place.Stream),
+			Attempt: uint32(p.Placement.Attempt),
+			Server:  string(p.Placement.Server),
+			Stream:  string(p.Placement.Stream),
 		},
 		Pieces: encodePieces(p.Pieces),
 		Reply:  encodeReply(p.Reply),
@@ -56,7 +56,7 @@
 	p := Push{
 		Spec:  messenger.RequestSpec{Request: identifier.RequestID(q.GetSpec().GetRequest())},
 		Epoch: identifier.Epoch(q.GetEpoch()),
-		Place: answerer.Placement{
+		Placement: answerer.Placement{
 			Attempt: identifier.AttemptNumber(q.GetPlace().GetAttempt()),
 			Server:  identifier.VMID(q.GetPlace().GetServer()),
 			Stream:  identifier.StreamName(q.GetPlace().GetStream()),
--- a/internal/relayer/relayer.go
+++ b/internal/relayer/relayer.go
@@ -58,10 +58,10 @@
 	Spec  messenger.RequestSpec
 	Epoch identifier.Epoch
 	// Body is nil once the peer has it.
-	Body   *answerer.Body
-	Place  answerer.Placement
-	Pieces []answerer.Piece
-	Reply  *answerer.Reply
+	Body      *answerer.Body
+	Placement answerer.Placement
+	Pieces    []answerer.Piece
+	Reply     *answerer.Reply
 }
 
 // HoldAnswer is a holder's answer to a push.
--- a/internal/relayer/relayer_test.go
+++ b/internal/relayer/relayer_test.go
@@ -152,7 +152,7 @@
 		Spec:  spec(),
 		Epoch: 3,
 		Body:  &answerer.Body{Prompt: "draft \xff"},
-		Place: answerer.Placement{
+		Placement: answerer.Placement{
 			Attempt: 2,
 			Server:  "engine",
 			Stream:  "r1.2",
--- a/internal/runner/copies.go
+++ b/internal/runner/copies.go
@@ -83,7 +83,7 @@
 		c.byRequest[p.Spec.Request] = held
 	}
 	if !held.answer.Extend(answerer.Change{
-		Placement: p.Place,
+		Placement: p.Placement,
 		Pieces:    p.Pieces,
 		Reply:     p.Reply,
 	}) {
--- a/internal/runner/hold.go
+++ b/internal/runner/hold.go
@@ -166,11 +166,11 @@
 // push sends one push and retries it after an error.
 func (r *Runner) push(ctx context.Context, p *pusher, c answerer.Change, full bool) (relayer.HoldAnswer, error) {
 	push := relayer.Push{
-		Spec:   p.answer.Spec(),
-		Epoch:  p.answer.Epoch(),
-		Place:  c.Placement,
-		Pieces: c.Pieces,
-		Reply:  c.Reply,
+		Spec:      p.answer.Spec(),
+		Epoch:     p.answer.Epoch(),
+		Placement: c.Placement,
+		Pieces:    c.Pieces,
+		Reply:     c.Reply,
 	}
 	if full {
 		body := p.answer.Body()
@@ -329,7 +329,7 @@
 		Spec:  answer.Spec(),
 		Epoch: e.Epoch,
 		Body:  &body,
-		Place: answerer.Placement{
+		Placement: answerer.Placement{
 			Attempt: e.Attempt,
 			Server:  e.Server,
 			Stream:  e.Stream,
--- a/internal/runner/hold_test.go
+++ b/internal/runner/hold_test.go
@@ -65,7 +65,7 @@
 		pushes := f.peers.pushed()
 		require.Len(t, pushes, 4)
 		require.NotNil(t, pushes[0].Body)
-		require.Equal(t, identifier.VMID("engine-1"), pushes[1].Place.Server)
+		require.Equal(t, identifier.VMID("engine-1"), pushes[1].Placement.Server)
 		require.Nil(t, pushes[3].Body)
 		require.Len(t, pushes[3].Pieces, 2)
 	})
--- a/internal/runner/peer.go
+++ b/internal/runner/peer.go
@@ -105,7 +105,7 @@
 		Spec:      p.Spec,
 		Body:      *p.Body,
 		Epoch:     p.Epoch,
-		Placement: p.Place,
+		Placement: p.Placement,
 		Pieces:    p.Pieces,
 		Reply:     p.Reply,
 		Accepted:  true,
@@ -129,9 +129,9 @@
 		Spec:      answer.Spec(),
 		Epoch:     p.Epoch,
 		From:      from,
-		Attempt:   p.Place.Attempt,
-		Server:    p.Place.Server,
-		Stream:    p.Place.Stream,
+		Attempt:   p.Placement.Attempt,
+		Server:    p.Placement.Server,
+		Stream:    p.Placement.Stream,
 		Delivered: answer.Delivered(),
 	}
 	if !r.emit(ctx, event) {
