--- a/Makefile
+++ b/Makefile
@@ -22,8 +22,8 @@
 vet:
 	$(GO) vet $(PACKAGES)
 
-# The race detector plays a part of the matrix of faults only; the second line
-# plays all of it, and of the worlds of roll-outs.
+# Under the race detector only a part of the fault matrix runs. The second line runs
+# all of it, and all simulated clusters of rollouts.
 test: vet
 	$(GO) test $(RACE) -count=1 -p $(PARALLEL) $(PACKAGES)
 	$(GO) test -count=1 ./internal/prover ./internal/promoter
--- a/internal/gossiper/cluster_test.go
+++ b/internal/gossiper/cluster_test.go
@@ -13,7 +13,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// seedOfTests makes all runs deterministic.
+// testSeed makes all runs deterministic.
 const testSeed = 7
 
 // start is the initial time of the simulated networks.
--- a/internal/reducer/tick.go
+++ b/internal/reducer/tick.go
@@ -82,7 +82,7 @@
 	return out
 }
 
-// maxPolledServers returns the servers of a pool that this node polls.
+// polledServers returns the servers of a pool that this node polls.
 func (r *Reducer) polledServers(pool identifier.PoolName) []identifier.VMID {
 	var all []identifier.VMID
 	for _, s := range r.members.Servers(pool) {
