--- a/internal/bencher/bencher.go
+++ b/internal/bencher/bencher.go
@@ -1,15 +1,16 @@
-// Package bencher measures the policy: a small open-loop driver, in virtual
-// time, over the decision packages that the real processes run (router,
-// limiter, retrier, detector, planner, scaler).
+// Package bencher compares the serving policy with baselines and with variants
+// of itself. It runs the decision packages of the real processes (router,
+// limiter, retrier, detector, planner, scaler) under an open-loop workload in
+// virtual time.
 //
-// The driver is no cluster simulator. It has fakes for what the decisions
-// look at and act on: engines with batching slots, pace, prefix cache and a
-// link for KV exports; plain servers; load reports and cache events that come
-// late or not at all; a cloud that reclaims zones and refuses purchases. Each
-// entry VM has its own instance of the decision packages and its own stale
-// picture. What it leaves out is listed in docs/MEASUREMENTS.md.
+// Everything else is a simplified model: engines with batching slots, a
+// prefix cache and a link for KV exports; plain servers; load reports and cache
+// events that are delayed or lost; a cloud that reclaims zones and refuses
+// purchases. Each entry VM has its own instance of the decision packages and
+// its own, possibly stale, view of the servers. docs/MEASUREMENTS.md lists what
+// the model leaves out.
 //
-// A run is one deployment, one variant of the policy and one seed, and is
-// reproducible from these. The arrivals of a seed are the same for all
-// variants.
+// A run is determined by its deployment, variant and seed. The arrivals depend
+// only on the deployment and the seed, so all variants receive the same
+// requests.
 package bencher
--- a/internal/bencher/bencher_test.go
+++ b/internal/bencher/bencher_test.go
@@ -6,14 +6,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Every request that arrives after the warm-up ends exactly once, and a run
-// follows from its seed.
+// Every request that arrives after the warm-up is counted exactly once, and
+// runs with equal seeds give equal results.
 func TestRunAccountsForEveryRequest(t *testing.T) {
 	d := Deployments()[1]
 	first := Run(d, Policy(), 1)
 	arrived := 0
-	for _, r := range newArrivals(d, catalogOf(d), 1).all() {
-		if counts(r) {
+	for _, r := range newArrivals(d, catalogOf(d), 1).drawAll() {
+		if isCounted(r) {
 			arrived++
 		}
 	}
@@ -31,7 +31,7 @@
 	require.InDelta(t, first.Recomputed, again.Recomputed, 0)
 }
 
-func TestVariantsHaveNamesOfTheirOwn(t *testing.T) {
+func TestVariantNamesAreUnique(t *testing.T) {
 	seen := make(map[string]bool)
 	for _, v := range Variants() {
 		require.False(t, seen[v.Name], v.Name)
--- a/internal/bencher/cache.go
+++ b/internal/bencher/cache.go
@@ -8,22 +8,21 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// cacheBlocks is how many shareable prefix blocks an engine keeps.
-const cacheBlocks = 1200
+// maxCacheBlocks is the capacity of an engine's prefix cache.
+const maxCacheBlocks = 1200
 
-// prefixCache is an engine's cache of prompt prefixes: least recently used
-// blocks go first.
+// prefixCache is an engine's LRU cache of prompt prefix blocks.
 type prefixCache struct {
 	blocks map[identifier.PrefixHash]*list.Element
 	order  *list.List
 	events []cacheEvent
 }
 
-// cacheEvent tells what the cache took in and dropped.
+// cacheEvent lists the blocks that one update added and evicted.
 type cacheEvent struct {
-	at   timekeeper.Time
-	held []identifier.PrefixHash
-	gone []identifier.PrefixHash
+	at      timekeeper.Time
+	cached  []identifier.PrefixHash
+	evicted []identifier.PrefixHash
 }
 
 func newPrefixCache() *prefixCache {
@@ -33,8 +32,9 @@
 	}
 }
 
-// hit returns how many leading tokens of the prefix are cached.
-func (c *prefixCache) hit(prefix []identifier.PrefixHash) identifier.Tokens {
+// cachedTokens returns the length of the longest cached prefix and marks its
+// blocks as used.
+func (c *prefixCache) cachedTokens(prefix []identifier.PrefixHash) identifier.Tokens {
 	n := 0
 	for _, hash := range prefix {
 		e, ok := c.blocks[hash]
@@ -47,21 +47,21 @@
 	return identifier.Tokens(n) * router.BlockTokens
 }
 
-func (c *prefixCache) learn(now timekeeper.Time, prefix []identifier.PrefixHash) {
+func (c *prefixCache) add(now timekeeper.Time, prefix []identifier.PrefixHash) {
 	e := cacheEvent{at: now}
 	for _, hash := range prefix {
 		if _, ok := c.blocks[hash]; ok {
 			continue
 		}
 		c.blocks[hash] = c.order.PushFront(hash)
-		e.held = append(e.held, hash)
+		e.cached = append(e.cached, hash)
 	}
-	for c.order.Len() > cacheBlocks {
+	for c.order.Len() > maxCacheBlocks {
 		oldest := c.order.Remove(c.order.Back()).(identifier.PrefixHash)
 		delete(c.blocks, oldest)
-		e.gone = append(e.gone, oldest)
+		e.evicted = append(e.evicted, oldest)
 	}
-	if len(e.held)+len(e.gone) > 0 {
+	if len(e.cached)+len(e.evicted) > 0 {
 		c.events = append(c.events, e)
 	}
 }
--- a/internal/bencher/cloud.go
+++ b/internal/bencher/cloud.go
@@ -12,65 +12,69 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// expectedPace is the pace of a stream by which the first fleet is sized.
-const expectedPace = 41
+// expectedTokensPerSecond is the assumed speed of a stream when the initial
+// fleet is sized.
+const expectedTokensPerSecond = 41
 
-// releaseGrace bounds how long a released server may take to end its work.
-const releaseGrace = 5 * timekeeper.Minute
+// releaseTimeout is the time after which a released server is removed even if
+// it still has work.
+const releaseTimeout = 5 * timekeeper.Minute
 
-// cloud is the fake cloud API, and the pools' scalers that use it.
+// cloud models the cloud API and runs the pools' scalers against it.
 type cloud struct {
-	world   *world
-	servers map[identifier.VMID]*server
-	bought  map[string]identifier.VMID
-	scalers map[identifier.PoolName]*scaler.Scaler
-	// watchers are the scalers of the node that holds the lease next.
-	watchers map[identifier.PoolName]*scaler.Scaler
-	fence    identifier.Fence
-	// safeAfter is the instant by which an earlier holder's purchases show.
-	safeAfter timekeeper.Time
-	exhausted map[identifier.Zone]timekeeper.Time
-	// storeFree is the instant from which the weight store is idle.
-	storeFree timekeeper.Time
+	sim       *simulation
+	servers   map[identifier.VMID]*server
+	purchases map[string]identifier.VMID
+	scalers   map[identifier.PoolName]*scaler.Scaler
+	// standbyScalers belong to the node that takes over the lease next; they
+	// observe but do not plan.
+	standbyScalers map[identifier.PoolName]*scaler.Scaler
+	fence          identifier.Fence
+	// safeAfter is when all purchases of the previous leader are listed.
+	safeAfter      timekeeper.Time
+	exhaustedUntil map[identifier.Zone]timekeeper.Time
+	// storeIdleAt is when the weight store has served all queued loads.
+	storeIdleAt timekeeper.Time
 }
 
-func newCloud(w *world) *cloud {
+func newCloud(sim *simulation) *cloud {
 	c := &cloud{
-		world:     w,
-		servers:   make(map[identifier.VMID]*server),
-		bought:    make(map[string]identifier.VMID),
-		fence:     1,
-		exhausted: make(map[identifier.Zone]timekeeper.Time),
+		sim:            sim,
+		servers:        make(map[identifier.VMID]*server),
+		purchases:      make(map[string]identifier.VMID),
+		fence:          1,
+		exhaustedUntil: make(map[identifier.Zone]timekeeper.Time),
 	}
-	c.scalers, c.watchers = c.newScalers(), c.newScalers()
+	c.scalers, c.standbyScalers = c.newScalers(), c.newScalers()
 	return c
 }
 
 func (c *cloud) newScalers() map[identifier.PoolName]*scaler.Scaler {
-	made := make(map[identifier.PoolName]*scaler.Scaler)
-	for _, p := range c.world.deployment.Pools {
-		load := plainBoot
+	scalers := make(map[identifier.PoolName]*scaler.Scaler)
+	for _, p := range c.sim.deployment.Pools {
+		bootTime := plainBootTime
 		if p.Kind == catalog.ModelService {
-			load = engineBoot + weightTime
+			bootTime = engineBootTime + weightLoadTime
 		}
-		made[p.Name] = scaler.New(scaler.Config{
+		scalers[p.Name] = scaler.New(scaler.Config{
 			Pool:     p.Name,
-			Rules:    c.world.variant.Scaler,
-			LoadTime: load,
+			Rules:    c.sim.variant.Scaler,
+			LoadTime: bootTime,
 		})
 	}
-	return made
+	return scalers
 }
 
-// firstFleet buys what the mean load needs, ready at once.
-func (c *cloud) firstFleet() {
-	for _, p := range c.world.deployment.Pools {
+// buyInitialFleet buys enough servers for the mean load; they are ready at
+// once.
+func (c *cloud) buyInitialFleet() {
+	for _, p := range c.sim.deployment.Pools {
 		in := scaler.Input{
-			Catalog: c.world.catalog,
+			Catalog: c.sim.catalog,
 			Fence:   c.fence,
-			Demand:  c.expected(p),
+			Demand:  c.expectedDemand(p),
 		}
-		for _, a := range c.scalers[p.Name].Plan(0, in, c.world.rng) {
+		for _, a := range c.scalers[p.Name].Plan(0, in, c.sim.rng) {
 			s := c.create(p.Name, a)
 			s.readyAt = 0
 			c.scalers[p.Name].PurchaseEnded(0, a.ClientToken, scaler.PurchaseResult{VM: s.state.VM})
@@ -78,86 +82,86 @@
 	}
 }
 
-// expected is the mean demand on a pool, worked out from the workload.
-func (c *cloud) expected(p catalog.Pool) scaler.Demand {
+// expectedDemand returns the mean demand on a pool under the workload.
+func (c *cloud) expectedDemand(p catalog.Pool) scaler.Demand {
 	var d scaler.Demand
-	for _, k := range c.world.deployment.Kinds {
-		if k.Service.Pool != p.Name {
+	for _, kind := range c.sim.deployment.Kinds {
+		if kind.Service.Pool != p.Name {
 			continue
 		}
-		answer := float64(k.Answer[0]+k.Answer[1]) / 2
-		busy := k.Rate * answer / float64(timekeeper.Second)
+		meanAnswer := float64(kind.Answer[0]+kind.Answer[1]) / 2
+		concurrency := kind.Rate * meanAnswer / float64(timekeeper.Second)
 		if p.Kind == catalog.ModelService {
-			prompt := float64(k.Prompt[0]+k.Prompt[1]) / 2
-			busy = k.Rate * (answer/expectedPace + prompt/p.PrefillPerSecond)
+			meanPrompt := float64(kind.Prompt[0]+kind.Prompt[1]) / 2
+			concurrency = kind.Rate * (meanAnswer/expectedTokensPerSecond + meanPrompt/p.PrefillPerSecond)
 		}
-		d.InFlight += busy
-		if k.Service.Priority == catalog.Interactive {
-			d.Interactive += busy
+		d.InFlight += concurrency
+		if kind.Service.Priority == catalog.Interactive {
+			d.Interactive += concurrency
 		}
 	}
 	return d
 }
 
-// changeHolder passes the lease to a node that has only watched.
-func (c *cloud) changeHolder() {
+// changeLeader passes the lease to the node with the standby scalers.
+func (c *cloud) changeLeader() {
 	c.fence++
-	c.safeAfter = c.world.now.Add(leaseTime)
-	c.scalers, c.watchers = c.watchers, c.newScalers()
+	c.safeAfter = c.sim.now.Add(leaseTime)
+	c.scalers, c.standbyScalers = c.standbyScalers, c.newScalers()
 }
 
-// scale lets the holder of each pool's lease plan.
-func (c *cloud) scale() {
-	if c.world.now.Sub(0) > runTime {
+// runScalers plans each pool with the leader's scaler and executes the plan.
+func (c *cloud) runScalers() {
+	if c.sim.now.Sub(0) > runTime {
 		return
 	}
-	for _, p := range c.world.deployment.Pools {
+	for _, p := range c.sim.deployment.Pools {
 		s := c.scalers[p.Name]
 		in := scaler.Input{
-			Catalog:   c.world.catalog,
+			Catalog:   c.sim.catalog,
 			Fence:     c.fence,
 			SafeAfter: c.safeAfter,
-			ListAsOf:  c.world.now.Add(-listLag),
-			Servers:   c.list(p.Name),
+			ListAsOf:  c.sim.now.Add(-listLag),
+			Servers:   c.listVMs(p.Name),
 			Demand:    c.demand(p.Name),
 		}
-		c.watchers[p.Name].Observe(c.world.now, in)
-		for _, a := range s.Plan(c.world.now, in, c.world.rng) {
-			c.carryOut(p.Name, a)
+		c.standbyScalers[p.Name].Observe(c.sim.now, in)
+		for _, a := range s.Plan(c.sim.now, in, c.sim.rng) {
+			c.execute(p.Name, a)
 		}
 	}
 }
 
-// list is the platform's list of a pool's VMs, as it was a while ago, with
-// the leaving marks of now.
-func (c *cloud) list(pool identifier.PoolName) []scaler.Server {
-	asOf := c.world.now.Add(-listLag)
+// listVMs returns a pool's VMs as of listLag ago, but with current leaving
+// marks.
+func (c *cloud) listVMs(pool identifier.PoolName) []scaler.Server {
+	asOf := c.sim.now.Add(-listLag)
 	var listed []scaler.Server
-	for _, s := range c.world.pools[pool] {
-		if s.boughtAt.After(asOf) || !s.goneAt.After(asOf) {
+	for _, s := range c.sim.pools[pool] {
+		if s.boughtAt.After(asOf) || !s.removedAt.After(asOf) {
 			continue
 		}
 		state := s.state
-		state.Leaving = s.leaveBy > 0
+		state.Leaving = s.removalDeadline > 0
 		listed = append(listed, state)
 	}
 	return listed
 }
 
-// demand is what the holder hears of a pool: the servers' published load, and
-// the nodes' counts of interactive requests and arrivals.
+// demand returns the demand reported to the leader: the servers' published load
+// and the nodes' counts of interactive requests and arrivals.
 func (c *cloud) demand(pool identifier.PoolName) scaler.Demand {
 	var d scaler.Demand
-	for _, s := range c.world.pools[pool] {
-		if load, ok := s.load(c.world.now); ok && s.ready(c.world.now) {
+	for _, s := range c.sim.pools[pool] {
+		if load, ok := s.load(c.sim.now); ok && s.ready(c.sim.now) {
 			d.InFlight += float64(load.Running + load.Waiting)
 		}
 	}
-	for _, n := range c.world.nodes {
-		d.Arrivals += n.arrived[pool]
-		d.TotalPenalty += n.atStake[pool]
-		n.arrived[pool], n.atStake[pool] = 0, 0
-		for _, r := range n.live {
+	for _, n := range c.sim.nodes {
+		d.Arrivals += n.arrivals[pool]
+		d.TotalPenalty += n.penalties[pool]
+		n.arrivals[pool], n.penalties[pool] = 0, 0
+		for _, r := range n.active {
 			if r.kind.Service.Pool == pool && r.kind.Service.Priority == catalog.Interactive {
 				d.Interactive++
 			}
@@ -166,245 +170,249 @@
 	return d
 }
 
-func (c *cloud) carryOut(pool identifier.PoolName, a scaler.Action) {
+func (c *cloud) execute(pool identifier.PoolName, a scaler.Action) {
 	if a.Kind == scaler.Release {
 		c.release(c.servers[a.VM])
 		return
 	}
-	asker := c.scalers[pool]
+	buyer := c.scalers[pool]
 	refused := c.refuses(a)
-	lost := c.world.rng.IntN(100) < lostPercent
-	c.world.after(buyTime, func() {
+	responseLost := c.sim.rng.IntN(100) < lostResponsePercent
+	c.sim.after(purchaseTime, func() {
 		if refused {
-			asker.PurchaseEnded(c.world.now, a.ClientToken, scaler.PurchaseResult{Refused: true})
-			c.world.tally.refusedVMs++
+			buyer.PurchaseEnded(c.sim.now, a.ClientToken, scaler.PurchaseResult{Refused: true})
+			c.sim.tally.refusedPurchases++
 			return
 		}
 		s := c.create(pool, a)
-		if lost {
-			asker.PurchaseEnded(c.world.now, a.ClientToken, scaler.PurchaseResult{Ambiguous: true})
+		if responseLost {
+			buyer.PurchaseEnded(c.sim.now, a.ClientToken, scaler.PurchaseResult{Ambiguous: true})
 			return
 		}
-		asker.PurchaseEnded(c.world.now, a.ClientToken, scaler.PurchaseResult{VM: s.state.VM})
+		buyer.PurchaseEnded(c.sim.now, a.ClientToken, scaler.PurchaseResult{VM: s.state.VM})
 	})
 }
 
 func (c *cloud) refuses(a scaler.Action) bool {
-	if _, again := c.bought[a.ClientToken]; again || a.Market == catalog.OnDemand {
+	if _, again := c.purchases[a.ClientToken]; again || a.Market == catalog.OnDemand {
 		return false
 	}
-	return c.world.now.Before(c.exhausted[a.Zone]) || c.world.rng.IntN(100) < refusedPercent
+	return c.sim.now.Before(c.exhaustedUntil[a.Zone]) || c.sim.rng.IntN(100) < refusedPercent
 }
 
-// create makes a VM, or returns the one that the client token already bought.
+// create adds a VM, or returns the one already bought with the client token.
 func (c *cloud) create(pool identifier.PoolName, a scaler.Action) *server {
-	if vm, ok := c.bought[a.ClientToken]; ok {
+	if vm, ok := c.purchases[a.ClientToken]; ok {
 		return c.servers[vm]
 	}
-	p := c.world.catalog.Pools[pool]
-	price, _ := c.world.catalog.Price(a.Class, a.Zone, a.Market)
+	poolSpec := c.sim.catalog.Pools[pool]
+	price, _ := c.sim.catalog.Price(a.Class, a.Zone, a.Market)
 	s := &server{
-		world: c.world,
+		sim: c.sim,
 		state: messenger.VMState{
-			VM:     identifier.VMID(fmt.Sprintf("%s-%03d", pool, len(c.world.pools[pool]))),
+			VM:     identifier.VMID(fmt.Sprintf("%s-%03d", pool, len(c.sim.pools[pool]))),
 			Zone:   a.Zone,
 			Class:  a.Class,
 			Market: a.Market,
 			Pool:   pool,
 		},
-		price:    price,
-		pool:     p,
-		boughtAt: c.world.now,
-		readyAt:  c.world.now.Add(plainBoot),
-		goneAt:   timekeeper.Never,
-		slow:     1,
-		cache:    newPrefixCache(),
-	}
-	if p.Kind == catalog.ModelService && c.world.now > 0 {
-		c.storeFree = max(c.storeFree, c.world.now.Add(engineBoot)).Add(weightTime)
-		s.readyAt = c.storeFree
-	}
-	c.bought[a.ClientToken] = s.state.VM
+		price:       price,
+		pool:        poolSpec,
+		boughtAt:    c.sim.now,
+		readyAt:     c.sim.now.Add(plainBootTime),
+		removedAt:   timekeeper.Never,
+		speedFactor: 1,
+		cache:       newPrefixCache(),
+	}
+	if poolSpec.Kind == catalog.ModelService && c.sim.now > 0 {
+		c.storeIdleAt = max(c.storeIdleAt, c.sim.now.Add(engineBootTime)).Add(weightLoadTime)
+		s.readyAt = c.storeIdleAt
+	}
+	c.purchases[a.ClientToken] = s.state.VM
 	c.servers[s.state.VM] = s
-	c.world.pools[pool] = append(c.world.pools[pool], s)
+	c.sim.pools[pool] = append(c.sim.pools[pool], s)
 	return s
 }
 
-// release lets a server end its work and then go.
+// release removes a server once it has finished its work or releaseTimeout has
+// passed.
 func (c *cloud) release(s *server) {
-	if s.leaveBy > 0 {
+	if s.removalDeadline > 0 {
 		return
 	}
-	deadline := c.world.now.Add(releaseGrace)
-	c.announce([]*server{s}, deadline)
-	c.awaitEmpty(s)
+	deadline := c.sim.now.Add(releaseTimeout)
+	c.giveNotice([]*server{s}, deadline)
+	c.removeWhenIdle(s)
 }
 
-func (c *cloud) awaitEmpty(s *server) {
-	if !c.world.now.Before(s.goneAt) {
+func (c *cloud) removeWhenIdle(s *server) {
+	if !c.sim.now.Before(s.removedAt) {
 		return
 	}
-	if len(s.running)+len(s.waiting) == 0 && c.world.now.Sub(s.leaveBy) > -releaseGrace+timekeeper.Second {
-		c.takeAway(s)
+	if len(s.running)+len(s.waiting) == 0 && c.sim.now.Sub(s.removalDeadline) > -releaseTimeout+timekeeper.Second {
+		c.remove(s)
 		return
 	}
-	c.world.after(timekeeper.Second, func() { c.awaitEmpty(s) })
+	c.sim.after(timekeeper.Second, func() { c.removeWhenIdle(s) })
 }
 
-// announce gives notice of servers; each node hears of it a little later.
-func (c *cloud) announce(servers []*server, deadline timekeeper.Time) {
+// giveNotice schedules the removal of servers; each node receives the notice
+// after a random delay.
+func (c *cloud) giveNotice(servers []*server, deadline timekeeper.Time) {
 	for _, s := range servers {
-		s.leaveBy = deadline
+		s.removalDeadline = deadline
 	}
-	for _, n := range c.world.nodes {
-		lag := minNoticeLag + timekeeper.Duration(c.world.rng.Int64N(int64(maxNoticeLag-minNoticeLag)))
-		c.world.after(lag, func() { n.noticed(servers) })
+	for _, n := range c.sim.nodes {
+		lag := minNoticeLag + timekeeper.Duration(c.sim.rng.Int64N(int64(maxNoticeLag-minNoticeLag)))
+		c.sim.after(lag, func() { n.receiveNotice(servers) })
 	}
 	for _, s := range servers {
-		c.world.at(deadline, func() { c.takeAway(s) })
+		c.sim.at(deadline, func() { c.remove(s) })
 	}
 }
 
-// takeAway ends a server and breaks what still runs on it.
-func (c *cloud) takeAway(s *server) {
-	if !c.world.now.Before(s.goneAt) {
+// remove ends a server and fails its remaining attempts.
+func (c *cloud) remove(s *server) {
+	if !c.sim.now.Before(s.removedAt) {
 		return
 	}
 	s.advance()
-	s.goneAt = c.world.now
-	s.version++
+	s.removedAt = c.sim.now
+	s.scheduleVersion++
 	broken := s.attempts()
 	s.running, s.waiting = nil, nil
 	for _, a := range broken {
-		a.request.node.failed(a, messenger.AttemptBroken)
+		a.request.node.attemptFailed(a, messenger.AttemptBroken)
 	}
-	for _, n := range c.world.nodes {
+	for _, n := range c.sim.nodes {
 		n.forget(s)
 	}
 }
 
-// scheduleFaults draws the faults of a run.
-func (w *world) scheduleFaults(rng *rand.Rand) {
-	zones := slices.Clone(w.deployment.Zones)
-	rng.Shuffle(len(zones), func(i, k int) { zones[i], zones[k] = zones[k], zones[i] })
-	at := func(d timekeeper.Duration) timekeeper.Time {
+// scheduleFaults schedules the faults of a run at times drawn from rng.
+func (sim *simulation) scheduleFaults(rng *rand.Rand) {
+	zones := slices.Clone(sim.deployment.Zones)
+	rng.Shuffle(len(zones), func(i, j int) { zones[i], zones[j] = zones[j], zones[i] })
+	jittered := func(d timekeeper.Duration) timekeeper.Time {
 		return timekeeper.Time(d + timekeeper.Duration(rng.Int64N(int64(waveJitter))))
 	}
-	w.at(at(waveOne), func() { w.cloud.wave(zones) })
-	two := at(waveTwo)
-	w.at(two, func() {
-		w.cloud.dryEverywhere()
-		w.cloud.wave(rotate(zones, 1))
+	sim.at(jittered(firstWave), func() { sim.cloud.reclaimZone(zones) })
+	secondWaveAt := jittered(secondWave)
+	sim.at(secondWaveAt, func() {
+		sim.cloud.exhaustAllZones()
+		sim.cloud.reclaimZone(rotate(zones, 1))
 	})
-	w.at(two.Add(waveTwoSpread), func() { w.cloud.wave(rotate(zones, 2)) })
-	w.at(at(waveThree), func() { w.cloud.wave(rotate(zones, 3)) })
+	sim.at(secondWaveAt.Add(secondWaveSpread), func() { sim.cloud.reclaimZone(rotate(zones, 2)) })
+	sim.at(jittered(thirdWave), func() { sim.cloud.reclaimZone(rotate(zones, 3)) })
 	pick := rng.Uint64()
-	w.at(at(slowStart), func() { w.cloud.makeSlow(pick) })
-	w.at(at(silentStart), func() { w.cloud.makeSilent(pick >> 8) })
-	w.singleReclaims(rng)
+	sim.at(jittered(slowStart), func() { sim.cloud.slowEngine(pick) })
+	sim.at(jittered(stallStart), func() { sim.cloud.stallEngine(pick >> 8) })
+	sim.scheduleSingleReclaims(rng)
 }
 
 func rotate(zones []identifier.Zone, n int) []identifier.Zone {
 	return append(slices.Clone(zones[n:]), zones[:n]...)
 }
 
-// singleReclaims takes single VMs at random times.
-func (w *world) singleReclaims(rng *rand.Rand) {
+// scheduleSingleReclaims reclaims single VMs at random times.
+func (sim *simulation) scheduleSingleReclaims(rng *rand.Rand) {
 	const checkEvery = 10 * timekeeper.Second
 	for t := timekeeper.Time(warmUp); t.Sub(0) < runTime; t = t.Add(checkEvery) {
-		dice := rng.Uint64()
-		w.at(t, func() {
-			local := rand.New(rand.NewPCG(dice, 0))
-			for _, s := range w.cloud.reclaimable("") {
-				if local.Float64() < singleReclaims*float64(checkEvery)/float64(timekeeper.Hour) {
-					w.cloud.announce([]*server{s}, w.now.Add(w.deployment.NoticeTime))
+		seed := rng.Uint64()
+		sim.at(t, func() {
+			draws := rand.New(rand.NewPCG(seed, 0))
+			for _, s := range sim.cloud.reclaimable("") {
+				if draws.Float64() < reclaimsPerVMHour*float64(checkEvery)/float64(timekeeper.Hour) {
+					sim.cloud.giveNotice([]*server{s}, sim.now.Add(sim.deployment.NoticeTime))
 				}
 			}
 		})
 	}
 }
 
-// reclaimable returns the VMs of a zone that the cloud may take, or of all.
+// reclaimable returns the reclaimable VMs of a zone without a notice, or of all
+// zones if z is empty.
 func (c *cloud) reclaimable(z identifier.Zone) []*server {
-	var found []*server
-	for _, p := range c.world.deployment.Pools {
-		for _, s := range c.world.pools[p.Name] {
-			if s.state.Market == catalog.Reclaimable && s.leaveBy == 0 && (z == "" || s.state.Zone == z) {
-				found = append(found, s)
+	var vms []*server
+	for _, p := range c.sim.deployment.Pools {
+		for _, s := range c.sim.pools[p.Name] {
+			if s.state.Market == catalog.Reclaimable && s.removalDeadline == 0 && (z == "" || s.state.Zone == z) {
+				vms = append(vms, s)
 			}
 		}
 	}
-	return found
+	return vms
 }
 
-// wave takes the first of the zones that has reclaimable VMs.
-func (c *cloud) wave(zones []identifier.Zone) {
+// reclaimZone reclaims the VMs of the first of the zones that has any to
+// reclaim, and marks the zone as out of capacity for a while.
+func (c *cloud) reclaimZone(zones []identifier.Zone) {
 	for _, z := range zones {
 		servers := c.reclaimable(z)
 		if len(servers) == 0 {
 			continue
 		}
-		c.exhausted[z] = max(c.exhausted[z], c.world.now.Add(zoneExhausted))
-		c.announce(servers, c.world.now.Add(c.world.deployment.NoticeTime))
+		c.exhaustedUntil[z] = max(c.exhaustedUntil[z], c.sim.now.Add(zoneExhaustedTime))
+		c.giveNotice(servers, c.sim.now.Add(c.sim.deployment.NoticeTime))
 		return
 	}
 }
 
-func (c *cloud) dryEverywhere() {
-	for _, z := range c.world.deployment.Zones {
-		c.exhausted[z] = c.world.now.Add(allExhausted)
+func (c *cloud) exhaustAllZones() {
+	for _, z := range c.sim.deployment.Zones {
+		c.exhaustedUntil[z] = c.sim.now.Add(allZonesExhaustedTime)
 	}
 }
 
-// engine returns one engine that serves.
-func (c *cloud) engine(pick uint64) *server {
-	var found []*server
-	for _, p := range c.world.deployment.Pools {
-		for _, s := range c.world.pools[p.Name] {
-			if !s.plain() && s.ready(c.world.now) && s.leaveBy == 0 {
-				found = append(found, s)
+// pickEngine returns a ready engine without a notice, or nil if none exists.
+func (c *cloud) pickEngine(pick uint64) *server {
+	var engines []*server
+	for _, p := range c.sim.deployment.Pools {
+		for _, s := range c.sim.pools[p.Name] {
+			if !s.plain() && s.ready(c.sim.now) && s.removalDeadline == 0 {
+				engines = append(engines, s)
 			}
 		}
 	}
-	if len(found) == 0 {
+	if len(engines) == 0 {
 		return nil
 	}
-	return found[pick%uint64(len(found))]
+	return engines[pick%uint64(len(engines))]
 }
 
-func (c *cloud) makeSlow(pick uint64) {
-	s := c.engine(pick)
+func (c *cloud) slowEngine(pick uint64) {
+	s := c.pickEngine(pick)
 	if s == nil {
 		return
 	}
 	set := func(slow float64, lies bool) {
 		s.advance()
-		s.slow, s.lies = slow, lies
+		s.speedFactor, s.reportsIdle = slow, lies
 		s.reschedule()
 	}
-	set(slowFactor, true)
-	c.world.after(slowEnd-slowStart, func() { set(1, false) })
+	set(slowSpeedFactor, true)
+	c.sim.after(slowEnd-slowStart, func() { set(1, false) })
 }
 
-func (c *cloud) makeSilent(pick uint64) {
-	s := c.engine(pick)
+func (c *cloud) stallEngine(pick uint64) {
+	s := c.pickEngine(pick)
 	if s == nil {
 		return
 	}
 	s.advance()
-	s.silent = true
+	s.stalled = true
 	s.reschedule()
 	for _, a := range s.running {
 		n := a.request.node
-		c.world.after(n.nextSilence(a), func() {
-			if a.gotFirst && s.silent {
-				n.silent(a)
+		c.sim.after(n.nextEventTimeout(a), func() {
+			if a.gotFirst && s.stalled {
+				n.eventTimedOut(a)
 			}
 		})
 	}
-	c.world.after(silentEnd-silentStart, func() {
+	c.sim.after(stallEnd-stallStart, func() {
 		s.advance()
-		s.silent = false
+		s.stalled = false
 		s.reschedule()
 	})
 }
--- a/internal/bencher/compare.go
+++ b/internal/bencher/compare.go
@@ -6,16 +6,16 @@
 	"sync"
 )
 
-// Comparison holds the results of all variants of one deployment, by seed.
+// Comparison holds the results of all variants for one deployment.
 type Comparison struct {
 	Deployment Deployment
 	Variants   []Variant
-	// Results holds one result for each variant and seed, in their order.
+	// Results is indexed by variant and then by seed.
 	Results [][]Result
 }
 
-// Compare runs every variant with every seed, up to parallel runs at once. It
-// stops early, with what is not yet run left empty, when ctx ends.
+// Compare runs every variant with every seed, at most parallel runs at once. If
+// ctx ends, it starts no more runs and leaves their results zero.
 func Compare(ctx context.Context, d Deployment, variants []Variant, seeds []uint64, parallel int) Comparison {
 	c := Comparison{
 		Deployment: d,
@@ -51,7 +51,7 @@
 	return c
 }
 
-// spread is a measure over the seeds.
+// spread summarizes a figure over all seeds.
 type spread struct{ mean, low, high float64 }
 
 func spreadOf(values []float64) spread {
@@ -66,32 +66,32 @@
 	}
 }
 
-// measure takes one figure of every seed of a variant.
-func (c Comparison) measure(variant int, of func(Result) float64) []float64 {
+// valuesOf returns a figure of a variant for each seed.
+func (c Comparison) valuesOf(variant int, value func(Result) float64) []float64 {
 	values := make([]float64, len(c.Results[variant]))
 	for i, r := range c.Results[variant] {
-		values[i] = of(r)
+		values[i] = value(r)
 	}
 	return values
 }
 
-// against returns a figure's change from the policy to the variant, seed by
-// seed.
-func (c Comparison) against(variant int, of func(Result) float64) []float64 {
-	values := c.measure(variant, of)
-	for i, base := range c.measure(0, of) {
+// changeFromPolicy returns, for each seed, by how much a figure of the variant
+// exceeds that of the policy.
+func (c Comparison) changeFromPolicy(variant int, value func(Result) float64) []float64 {
+	values := c.valuesOf(variant, value)
+	for i, base := range c.valuesOf(0, value) {
 		values[i] -= base
 	}
 	return values
 }
 
-func costOf(r Result) float64 { return r.CostPerThousand(r.VMCost + r.Penalties) }
+func costPerThousand(r Result) float64 { return r.CostPerThousand(r.VMCost + r.Penalties) }
 
-func recomputedOf(r Result) float64 { return r.Recomputed }
+func recomputedTokens(r Result) float64 { return r.Recomputed }
 
-// worth tells in a word what the change of a figure says of a rule: that it
-// earns its keep if the figure is worse in every seed without it.
-func worth(change []float64) string {
+// ruleVerdict classifies a rule by the change that disabling it makes to a
+// figure for which lower is better: "earns" if the figure rises in every seed.
+func ruleVerdict(change []float64) string {
 	switch s := spreadOf(change); {
 	case s.low > 0:
 		return "earns"
--- a/internal/bencher/deployment.go
+++ b/internal/bencher/deployment.go
@@ -6,12 +6,12 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Deployments returns the two deployments at the sizes of today.
+// Deployments returns the deployments that the benchmark models.
 func Deployments() []Deployment {
-	return []Deployment{quillmark(), cooperative()}
+	return []Deployment{quillmarkDeployment(), cooperativeDeployment()}
 }
 
-func quillmark() Deployment {
+func quillmarkDeployment() Deployment {
 	zones := []identifier.Zone{"boston-a", "boston-b", "providence", "portland-me"}
 	return Deployment{
 		Name:       "quillmark",
@@ -39,14 +39,14 @@
 
 func quillmarkKinds() []Kind {
 	return []Kind{
-		plainKind("lookup", "portal", 30, 4*milliCoin, true),
-		plainKind("rejection", "portal", 0.5, 20*milliCoin, false),
+		plainKind("lookup", "portal", 30, 4*milliUnit, true),
+		plainKind("rejection", "portal", 0.5, 20*milliUnit, false),
 		{
 			Service: modelService("ask", "reading", catalog.Interactive, 10*timekeeper.Second, false),
 			Target: catalog.Target{
 				FirstToken: 700 * timekeeper.Millisecond,
 				Completion: 5 * timekeeper.Second,
-				Penalty:    5 * milliCoin,
+				Penalty:    5 * milliUnit,
 			},
 			Rate:          3,
 			Prompt:        [2]int{500, 900},
@@ -58,7 +58,7 @@
 			Target: catalog.Target{
 				FirstToken: 1500 * timekeeper.Millisecond,
 				Completion: 3 * timekeeper.Second,
-				Penalty:    2 * milliCoin,
+				Penalty:    2 * milliUnit,
 			},
 			Rate:          7,
 			Prompt:        [2]int{600, 1200},
@@ -70,7 +70,7 @@
 			Target: catalog.Target{
 				FirstToken: 1000 * timekeeper.Millisecond,
 				Completion: 12 * timekeeper.Second,
-				Penalty:    20 * milliCoin,
+				Penalty:    20 * milliUnit,
 			},
 			Rate:          9,
 			Prompt:        [2]int{1000, 2000},
@@ -83,7 +83,7 @@
 			Target: catalog.Target{
 				FirstToken: 10 * timekeeper.Second,
 				Completion: 2 * timekeeper.Minute,
-				Penalty:    500 * milliCoin,
+				Penalty:    500 * milliUnit,
 			},
 			Rate:                1.5,
 			Prompt:              [2]int{8000, 10_000},
@@ -96,7 +96,7 @@
 	}
 }
 
-func cooperative() Deployment {
+func cooperativeDeployment() Deployment {
 	zones := []identifier.Zone{"hobart-a", "hobart-b", "kingston", "huonville"}
 	return Deployment{
 		Name:       "cooperative",
@@ -104,14 +104,14 @@
 		Zones:      zones,
 		NoticeTime: 15 * timekeeper.Second,
 		Kinds: []Kind{
-			plainKind("stock", "depot", 20, 4*milliCoin, true),
-			plainKind("booking", "depot", 0.8, 30*milliCoin, false),
+			plainKind("stock", "depot", 20, 4*milliUnit, true),
+			plainKind("booking", "depot", 0.8, 30*milliUnit, false),
 			{
 				Service: modelService("question", "model", catalog.Interactive, 10*timekeeper.Second, false),
 				Target: catalog.Target{
 					FirstToken: 700 * timekeeper.Millisecond,
 					Completion: 5 * timekeeper.Second,
-					Penalty:    4 * milliCoin,
+					Penalty:    4 * milliUnit,
 				},
 				Rate:          6,
 				Prompt:        [2]int{500, 900},
@@ -123,7 +123,7 @@
 				Target: catalog.Target{
 					FirstToken: 1200 * timekeeper.Millisecond,
 					Completion: 15 * timekeeper.Second,
-					Penalty:    20 * milliCoin,
+					Penalty:    20 * milliUnit,
 				},
 				Rate:          5,
 				Prompt:        [2]int{900, 1700},
@@ -136,7 +136,7 @@
 				Target: catalog.Target{
 					FirstToken: 60 * timekeeper.Second,
 					Completion: 5 * timekeeper.Minute,
-					Penalty:    150 * milliCoin,
+					Penalty:    150 * milliUnit,
 				},
 				Rate:                1.2,
 				Prompt:              [2]int{5500, 8500},
@@ -165,7 +165,7 @@
 	}
 }
 
-// accounts gives five accounts their shares: two are large.
+// accounts divides the requests among five accounts, two of them large.
 func accounts(ids ...identifier.AccountID) []AccountSpec {
 	shares := []float64{0.45, 0.30, 0.12, 0.08, 0.05}
 	specs := make([]AccountSpec, len(ids))
@@ -199,8 +199,8 @@
 	}
 }
 
-// plainKind is a short call. Idempotent ones are lookups, the object of flash
-// crowds.
+// plainKind returns a short call to a plain server. Idempotent calls take part
+// in flash crowds.
 func plainKind(name identifier.ServiceName, pool identifier.PoolName, rate float64, penalty identifier.Money, idempotent bool) Kind {
 	return Kind{
 		Service: catalog.Service{
--- a/internal/bencher/node.go
+++ b/internal/bencher/node.go
@@ -15,37 +15,39 @@
 )
 
 const (
-	// sendTime is the way from a node to a server.
-	sendTime = 1 * timekeeper.Millisecond
-	// noServerRetry is what a caller is told, noServerPause how long an
-	// accepted request waits, when there is no server.
-	noServerRetry = 2 * timekeeper.Second
-	noServerPause = 200 * timekeeper.Millisecond
-	// plainSilence is how long the baselines wait for a silent server.
-	plainSilence = 30 * timekeeper.Second
-	// rejoinWait is the predicted wait when a stream is rejoined, as in the
-	// conductor.
-	rejoinWait = 2500 * timekeeper.Millisecond
-	// reportAge is the age past which a report says nothing.
-	reportAge = 10 * timekeeper.Second
-	// cacheLag is how late cache events come.
-	cacheLag = 1 * timekeeper.Second
+	// networkDelay is the one-way delay from a node to a server.
+	networkDelay = 1 * timekeeper.Millisecond
+	// If no server is available, a rejected caller is asked to retry after
+	// noServerRetryAfter; an accepted request waits for noServerRetryDelay to
+	// twice that.
+	noServerRetryAfter = 2 * timekeeper.Second
+	noServerRetryDelay = 200 * timekeeper.Millisecond
+	// baselineEventTimeout is the event timeout of the baselines and of calls
+	// to plain servers.
+	baselineEventTimeout = 30 * timekeeper.Second
+	// rejoinEventTime is the predicted time to the first event of a rejoined
+	// stream, as in the conductor.
+	rejoinEventTime = 2500 * timekeeper.Millisecond
+	// maxReportAge is the age from which a load report is ignored.
+	maxReportAge = 10 * timekeeper.Second
+	// cacheEventLag is the delay of cache events.
+	cacheEventLag = 1 * timekeeper.Second
 )
 
-// view is what one node knows of one server.
-type view struct {
-	load       messenger.ServerLoad
-	hasLoad    bool
-	leaving    bool
-	leaveBy    timekeeper.Time
-	own        int
-	ownPrefill identifier.Tokens
-	cacheSeen  int
+// serverView is what a node knows about a server.
+type serverView struct {
+	load             messenger.ServerLoad
+	hasLoad          bool
+	leaving          bool
+	removalDeadline  timekeeper.Time
+	ownInFlight      int
+	ownPrefillTokens identifier.Tokens
+	cacheEventsRead  int
 }
 
-// node is an entry VM: its own instance of the decision packages.
+// node is an entry VM with its own instances of the decision packages.
 type node struct {
-	world      *world
+	sim        *simulation
 	id         identifier.VMID
 	zone       identifier.Zone
 	rng        *rand.Rand
@@ -53,105 +55,106 @@
 	budgets    *retrier.Budgets
 	suspicions *detector.Suspicions
 	hints      *router.Hints
-	views      map[identifier.VMID]*view
-	live       map[identifier.RequestID]*request
-	arrived    map[identifier.PoolName]int
-	atStake    map[identifier.PoolName]identifier.Money
-	turn       int
-	// plan counts the plans, so that a new one voids what an old one has not
-	// started yet.
-	plan       int
-	candidates []router.Candidate
+	views      map[identifier.VMID]*serverView
+	active     map[identifier.RequestID]*request
+	arrivals   map[identifier.PoolName]int
+	penalties  map[identifier.PoolName]identifier.Money
+	nextServer int
+	// planVersion counts the plans. A new plan cancels the moves of older
+	// plans that have not started.
+	planVersion int
+	candidates  []router.Candidate
 }
 
-func newNode(w *world, i int, rng *rand.Rand) *node {
+func newNode(sim *simulation, i int, rng *rand.Rand) *node {
 	n := &node{
-		world:      w,
+		sim:        sim,
 		id:         identifier.VMID(fmt.Sprintf("entry-%d", i)),
-		zone:       w.deployment.Zones[i%len(w.deployment.Zones)],
+		zone:       sim.deployment.Zones[i%len(sim.deployment.Zones)],
 		rng:        rng,
-		limits:     limiter.New(limiter.Config{Rules: w.variant.Limiter}),
-		budgets:    retrier.New(retrier.Config{Rules: w.variant.Retrier}),
-		suspicions: detector.New(detector.Config{Rules: w.variant.Detector}),
+		limits:     limiter.New(limiter.Config{Rules: sim.variant.Limiter}),
+		budgets:    retrier.New(retrier.Config{Rules: sim.variant.Retrier}),
+		suspicions: detector.New(detector.Config{Rules: sim.variant.Detector}),
 		hints:      router.NewHints(router.HintsConfig{}),
-		views:      make(map[identifier.VMID]*view),
-		live:       make(map[identifier.RequestID]*request),
-		arrived:    make(map[identifier.PoolName]int),
-		atStake:    make(map[identifier.PoolName]identifier.Money),
+		views:      make(map[identifier.VMID]*serverView),
+		active:     make(map[identifier.RequestID]*request),
+		arrivals:   make(map[identifier.PoolName]int),
+		penalties:  make(map[identifier.PoolName]identifier.Money),
 	}
-	n.limits.SetCatalog(0, w.catalog)
+	n.limits.SetCatalog(0, sim.catalog)
 	return n
 }
 
-func (n *node) view(vm identifier.VMID) *view {
+func (n *node) view(vm identifier.VMID) *serverView {
 	v, ok := n.views[vm]
 	if !ok {
-		v = &view{}
+		v = &serverView{}
 		n.views[vm] = v
 	}
 	return v
 }
 
-// forget drops what is known of a server that has gone, as the conductor does.
+// forget drops the state of a removed server, as the conductor does.
 func (n *node) forget(s *server) {
 	n.hints.Forget(s.state.VM)
 	n.suspicions.Forget(s.state.VM)
 }
 
-// knows tells whether the node has heard of a server that serves.
-func (n *node) knows(s *server) bool {
-	return s.ready(n.world.now) && (s.readyAt == 0 || n.world.now.Sub(s.readyAt) >= gossipEvery)
+// isDiscovered reports whether the server is ready and gossip has had time to
+// report it to the node.
+func (n *node) isDiscovered(s *server) bool {
+	return s.ready(n.sim.now) && (s.readyAt == 0 || n.sim.now.Sub(s.readyAt) >= gossipInterval)
 }
 
-// poll asks every server for its load and its cache events.
-func (n *node) poll() {
-	now := n.world.now
-	for _, p := range n.world.deployment.Pools {
-		for _, s := range n.world.pools[p.Name] {
-			if !n.knows(s) {
+// pollServers reads the load and the cache events of every discovered server.
+func (n *node) pollServers() {
+	now := n.sim.now
+	for _, p := range n.sim.deployment.Pools {
+		for _, s := range n.sim.pools[p.Name] {
+			if !n.isDiscovered(s) {
 				continue
 			}
-			if n.rng.IntN(100) < missedPercent {
+			if n.rng.IntN(100) < missedPollPercent {
 				n.suspicions.Observe(now, s.state.VM, detector.Observation{Kind: detector.LoadMissed})
 				continue
 			}
-			n.heard(s)
+			n.receiveReports(s)
 		}
 	}
 }
 
-func (n *node) heard(s *server) {
-	now := n.world.now
+func (n *node) receiveReports(s *server) {
+	now := n.sim.now
 	v := n.view(s.state.VM)
 	n.suspicions.Observe(now, s.state.VM, detector.Observation{Kind: detector.LoadOK})
 	if load, ok := s.load(now); ok {
 		v.load = load
 		v.hasLoad = true
 	}
-	lost := n.rng.IntN(100) < gapPercent
-	for v.cacheSeen < len(s.cache.events) {
-		e := s.cache.events[v.cacheSeen]
-		if now.Sub(e.at) < cacheLag {
+	eventsLost := n.rng.IntN(100) < cacheEventLossPercent
+	for v.cacheEventsRead < len(s.cache.events) {
+		e := s.cache.events[v.cacheEventsRead]
+		if now.Sub(e.at) < cacheEventLag {
 			return
 		}
-		v.cacheSeen++
-		if lost {
+		v.cacheEventsRead++
+		if eventsLost {
 			n.hints.Observe(now, s.state.VM, nil, nil, true)
 			continue
 		}
-		n.hints.Observe(now, s.state.VM, e.held, e.gone, false)
+		n.hints.Observe(now, s.state.VM, e.cached, e.evicted, false)
 	}
 }
 
-// submit is a caller's request, new or come back.
+// submit handles a caller's request, new or retried after a rejection.
 func (n *node) submit(r *request) {
-	now := n.world.now
+	now := n.sim.now
 	r.node = n
-	n.arrived[r.kind.Service.Pool]++
-	n.atStake[r.kind.Service.Pool] += r.kind.Target.Penalty
+	n.arrivals[r.kind.Service.Pool]++
+	n.penalties[r.kind.Service.Pool] += r.kind.Target.Penalty
 	choice, ok := n.choose(r)
 	if !ok {
-		n.refuse(r, messenger.ReasonNoServer, noServerRetry)
+		n.refuse(r, messenger.ReasonNoServer, noServerRetryAfter)
 		return
 	}
 	free, slots, waiting := n.poolLoad(r.kind.Service.Pool)
@@ -159,7 +162,7 @@
 		Account:   r.account,
 		Service:   r.kind.Service.Name,
 		Priority:  r.kind.Service.Priority,
-		Tokens:    r.prompt + r.max,
+		Tokens:    r.promptTokens + r.maxTokens,
 		Deadline:  r.deadline,
 		Predicted: choice.Predicted.Completion,
 		Target:    r.kind.Target,
@@ -172,47 +175,47 @@
 		return
 	}
 	n.budgets.Requested(now, r.kind.Service.Name, r.kind.Service.RetryPercent)
-	n.live[r.id] = r
-	n.world.at(r.deadline, func() { n.expire(r) })
+	n.active[r.id] = r
+	n.sim.at(r.deadline, func() { n.expire(r) })
 	n.send(r, choice, messenger.StartFresh)
 }
 
-// refuse tells the caller, who comes back when told, as long as the answer
-// could still be in time.
-func (n *node) refuse(r *request, reason messenger.Reason, after timekeeper.Duration) {
-	back := n.world.now.Add(after)
-	n.world.tally.refusal(r, reason)
-	if after <= 0 || r.returns >= maxReturns || back.After(r.arrival.Add(r.kind.Target.Completion)) {
+// refuse rejects a request. The caller retries after the stated time, at most
+// maxRefusalRetries times and only while the completion target can be met.
+func (n *node) refuse(r *request, reason messenger.Reason, retryAfter timekeeper.Duration) {
+	retryAt := n.sim.now.Add(retryAfter)
+	n.sim.tally.countRefusal(r, reason)
+	if retryAfter <= 0 || r.refusalRetries >= maxRefusalRetries || retryAt.After(r.arrival.Add(r.kind.Target.Completion)) {
 		r.ended = true
-		n.world.tally.lost(r, outcomeRefused)
+		n.sim.tally.countUnanswered(r, outcomeRefused)
 		return
 	}
-	r.returns++
-	n.world.at(back, func() { n.world.arrive(r) })
+	r.refusalRetries++
+	n.sim.at(retryAt, func() { n.sim.arrive(r) })
 }
 
-// choose picks a server for the next attempt.
+// choose selects a server for the next attempt.
 func (n *node) choose(r *request) (router.Choice, bool) {
-	if n.world.variant.Routing != PolicyRouting {
-		return n.choosePlainly(r)
+	if n.sim.variant.Routing != PolicyRouting {
+		return n.chooseBaseline(r)
 	}
 	job := router.Job{
 		PromptTokens: r.context(),
-		MaxTokens:    max(r.max-identifier.Tokens(r.delivered), 0),
+		MaxTokens:    max(r.maxTokens-identifier.Tokens(r.delivered), 0),
 		Priority:     r.kind.Service.Priority,
 		Deadline:     r.deadline,
 		Target:       r.kind.Target,
 		AvoidZones:   r.avoidZones,
 		AvoidServers: r.avoidServers,
 	}
-	return router.Choose(n.world.now, job, n.candidatesFor(r), n.world.variant.Router, n.rng)
+	return router.Choose(n.sim.now, job, n.candidatesFor(r), n.sim.variant.Router, n.rng)
 }
 
 func (n *node) candidatesFor(r *request) []router.Candidate {
-	now := n.world.now
+	now := n.sim.now
 	n.candidates = n.candidates[:0]
-	for _, s := range n.world.pools[r.kind.Service.Pool] {
-		if !n.knows(s) {
+	for _, s := range n.sim.pools[r.kind.Service.Pool] {
+		if !n.isDiscovered(s) {
 			continue
 		}
 		v := n.view(s.state.VM)
@@ -222,10 +225,10 @@
 			Market:           s.state.Market,
 			Leaving:          v.leaving,
 			Suspect:          n.suspicions.Suspect(now, s.state.VM),
-			OwnInFlight:      v.own,
-			OwnPrefill:       v.ownPrefill,
+			OwnInFlight:      v.ownInFlight,
+			OwnPrefill:       v.ownPrefillTokens,
 			Load:             v.load,
-			PrefixHit:        n.hints.CachedTokens(now, s.state.VM, r.prefix),
+			PrefixHit:        n.hints.CachedTokens(now, s.state.VM, r.prefixHashes),
 			Slots:            s.pool.Slots,
 			TokensPerSecond:  s.pool.TokensPerSecond,
 			PrefillPerSecond: s.pool.PrefillPerSecond,
@@ -235,22 +238,23 @@
 	return n.candidates
 }
 
-// choosePlainly is the baselines' choice.
-func (n *node) choosePlainly(r *request) (router.Choice, bool) {
-	var open []*server
-	for _, s := range n.world.pools[r.kind.Service.Pool] {
-		if n.knows(s) && !n.view(s.state.VM).leaving && !r.avoidServers[s.state.VM] {
-			open = append(open, s)
+// chooseBaseline selects a server by round robin or by the fewest requests in
+// flight from this node.
+func (n *node) chooseBaseline(r *request) (router.Choice, bool) {
+	var available []*server
+	for _, s := range n.sim.pools[r.kind.Service.Pool] {
+		if n.isDiscovered(s) && !n.view(s.state.VM).leaving && !r.avoidServers[s.state.VM] {
+			available = append(available, s)
 		}
 	}
-	if len(open) == 0 {
+	if len(available) == 0 {
 		return router.Choice{}, false
 	}
-	n.turn++
-	best := open[n.turn%len(open)]
-	if n.world.variant.Routing == LeastInFlight {
-		for _, s := range open {
-			if n.view(s.state.VM).own < n.view(best.state.VM).own {
+	n.nextServer++
+	best := available[n.nextServer%len(available)]
+	if n.sim.variant.Routing == LeastInFlight {
+		for _, s := range available {
+			if n.view(s.state.VM).ownInFlight < n.view(best.state.VM).ownInFlight {
 				best = s
 			}
 		}
@@ -261,28 +265,29 @@
 	}, true
 }
 
-// poolLoad sums up a pool as the node sees it.
+// poolLoad returns the free slots, all slots and waiting requests of a pool in
+// this node's view.
 func (n *node) poolLoad(pool identifier.PoolName) (free, slots, waiting int) {
-	for _, s := range n.world.pools[pool] {
+	for _, s := range n.sim.pools[pool] {
 		v := n.view(s.state.VM)
-		if !n.knows(s) || v.leaving {
+		if !n.isDiscovered(s) || v.leaving {
 			continue
 		}
-		busy := v.own
-		if v.hasLoad && n.world.now.Sub(v.load.AsOf) < reportAge {
-			busy = max(busy, v.load.Running)
+		inFlight := v.ownInFlight
+		if v.hasLoad && n.sim.now.Sub(v.load.AsOf) < maxReportAge {
+			inFlight = max(inFlight, v.load.Running)
 			waiting += v.load.Waiting
 		}
 		slots += s.pool.Slots
-		free += max(0, s.pool.Slots-busy)
+		free += max(0, s.pool.Slots-inFlight)
 	}
 	return free, slots, waiting
 }
 
 // send starts an attempt.
 func (n *node) send(r *request, c router.Choice, mode messenger.StartMode) {
-	s := n.world.cloud.servers[c.Server]
-	now := n.world.now
+	s := n.sim.cloud.servers[c.Server]
+	now := n.sim.now
 	a := &attempt{
 		request:   r,
 		server:    s,
@@ -293,14 +298,14 @@
 	r.attempts++
 	r.current = a
 	v := n.view(c.Server)
-	v.own++
-	v.ownPrefill += r.prompt
-	n.hints.Routed(now, c.Server, r.prefix)
+	v.ownInFlight++
+	v.ownPrefillTokens += r.promptTokens
+	n.hints.Routed(now, c.Server, r.prefixHashes)
 	n.suspicions.Observe(now, c.Server, detector.Observation{Kind: detector.Sent})
-	n.world.after(sendTime, func() { n.deliver(a) })
-	n.world.after(n.firstSilence(a), func() {
+	n.sim.after(networkDelay, func() { n.deliver(a) })
+	n.sim.after(n.firstEventTimeout(a), func() {
 		if !a.gotFirst {
-			n.silent(a)
+			n.eventTimedOut(a)
 		}
 	})
 }
@@ -309,93 +314,93 @@
 	if a.phase == phaseOver {
 		return
 	}
-	if !a.server.ready(n.world.now) {
-		n.failed(a, messenger.AttemptNotSent)
+	if !a.server.ready(n.sim.now) {
+		n.attemptFailed(a, messenger.AttemptNotSent)
 		return
 	}
 	a.server.accept(a)
 }
 
-func (n *node) firstSilence(a *attempt) timekeeper.Duration {
-	if !n.world.variant.PredictedTimeouts || a.server.plain() {
-		return plainSilence
+func (n *node) firstEventTimeout(a *attempt) timekeeper.Duration {
+	if !n.sim.variant.PredictedTimeouts || a.server.plain() {
+		return baselineEventTimeout
 	}
 	return detector.FirstEventTimeout(a.predicted.FirstToken)
 }
 
-func (n *node) nextSilence(a *attempt) timekeeper.Duration {
-	if !n.world.variant.PredictedTimeouts {
-		return plainSilence
+func (n *node) nextEventTimeout(a *attempt) timekeeper.Duration {
+	if !n.sim.variant.PredictedTimeouts {
+		return baselineEventTimeout
 	}
 	return detector.NextEventTimeout(a.predicted.PerToken)
 }
 
-// silent rejoins the stream of an attempt of which nothing is heard, as the
-// conductor does, and ends the attempt when that brings nothing either.
-func (n *node) silent(a *attempt) {
+// eventTimedOut rejoins the stream of an attempt whose event timed out, as the
+// conductor does, and fails the attempt if no token follows.
+func (n *node) eventTimedOut(a *attempt) {
 	if a.request.current != a || a.phase == phaseOver {
 		return
 	}
 	delivered := a.request.delivered
-	n.world.after(detector.FirstEventTimeout(rejoinWait), func() {
+	n.sim.after(detector.FirstEventTimeout(rejoinEventTime), func() {
 		a.server.advance()
 		if a.request.current == a && a.phase != phaseOver && a.request.delivered == delivered {
 			a.server.remove(a)
-			n.failed(a, messenger.AttemptTimedOut)
+			n.attemptFailed(a, messenger.AttemptTimedOut)
 		}
 	})
 }
 
-func (n *node) first(a *attempt) {
+func (n *node) firstToken(a *attempt) {
 	r := a.request
 	a.gotFirst = true
 	v := n.view(a.server.state.VM)
-	v.ownPrefill -= r.prompt
+	v.ownPrefillTokens -= r.promptTokens
 	if r.firstAt == 0 {
-		r.firstAt = n.world.now
+		r.firstAt = n.sim.now
 	}
-	n.suspicions.Observe(n.world.now, a.server.state.VM, detector.Observation{
+	n.suspicions.Observe(n.sim.now, a.server.state.VM, detector.Observation{
 		Kind:             detector.FirstToken,
-		Latency:          n.world.now.Sub(a.sentAt),
+		Latency:          n.sim.now.Sub(a.sentAt),
 		PredictedLatency: a.predicted.FirstToken,
 	})
 }
 
-func (n *node) completed(a *attempt) {
+func (n *node) attemptCompleted(a *attempt) {
 	r := a.request
-	n.leave(a)
+	n.endAttempt(a)
 	latency := timekeeper.Duration(0)
 	if r.plain() {
-		r.firstAt = n.world.now
-		latency = n.world.now.Sub(a.sentAt)
+		r.firstAt = n.sim.now
+		latency = n.sim.now.Sub(a.sentAt)
 	}
-	n.suspicions.Observe(n.world.now, a.server.state.VM, detector.Observation{
+	n.suspicions.Observe(n.sim.now, a.server.state.VM, detector.Observation{
 		Kind:             detector.Completed,
 		Latency:          latency,
 		PredictedLatency: a.predicted.Completion,
 	})
-	n.end(r)
-	n.world.tally.answered(r, n.world.now)
+	n.endRequest(r)
+	n.sim.tally.countAnswered(r, n.sim.now)
 }
 
-// leave takes an attempt out of the node's counts.
-func (n *node) leave(a *attempt) {
+// endAttempt removes an attempt from the node's counts.
+func (n *node) endAttempt(a *attempt) {
 	a.phase = phaseOver
 	v := n.view(a.server.state.VM)
-	v.own--
+	v.ownInFlight--
 	if !a.gotFirst {
-		v.ownPrefill -= a.request.prompt
+		v.ownPrefillTokens -= a.request.promptTokens
 	}
 	if a.request.current == a {
 		a.request.current = nil
 	}
 }
 
-// end takes a request out of the node's care.
-func (n *node) end(r *request) {
+// endRequest removes a request from the node and settles its limits.
+func (n *node) endRequest(r *request) {
 	r.ended = true
-	delete(n.live, r.id)
-	n.limits.Settle(n.world.now, r.account, r.prompt+r.max, r.prompt+identifier.Tokens(r.delivered))
+	delete(n.active, r.id)
+	n.limits.Settle(n.sim.now, r.account, r.promptTokens+r.maxTokens, r.promptTokens+identifier.Tokens(r.delivered))
 }
 
 func (n *node) expire(r *request) {
@@ -404,25 +409,25 @@
 	}
 	if a := r.current; a != nil {
 		a.server.remove(a)
-		n.leave(a)
+		n.endAttempt(a)
 	}
-	n.end(r)
-	n.world.tally.lost(r, outcomeExpired)
+	n.endRequest(r)
+	n.sim.tally.countUnanswered(r, outcomeExpired)
 }
 
-// failed is the end of an attempt without its whole answer.
-func (n *node) failed(a *attempt, result messenger.AttemptResult) {
+// attemptFailed handles an attempt that ended without a complete answer.
+func (n *node) attemptFailed(a *attempt, result messenger.AttemptResult) {
 	r := a.request
-	n.leave(a)
+	n.endAttempt(a)
 	if r.ended {
 		return
 	}
-	n.blame(a, result)
-	if n.world.variant.Reclaim == RestartAfterRemoval {
-		n.world.tally.discarded(r)
+	n.recordFailure(a, result)
+	if n.sim.variant.Reclaim == RestartAfterRemoval {
+		n.sim.tally.countDiscarded(r)
 		r.delivered = 0
 	}
-	verdict := n.budgets.Next(n.world.now, retrier.EndedAttempt{
+	verdict := n.budgets.Next(n.sim.now, retrier.EndedAttempt{
 		Service:    r.kind.Service.Name,
 		Idempotent: r.kind.Service.Idempotent,
 		Result:     result,
@@ -430,34 +435,35 @@
 		Deadline:   r.deadline,
 		Delivered:  identifier.Tokens(r.delivered),
 		Model:      r.kind.Service.Kind == catalog.ModelService,
-		Planned:    n.owed(a),
+		Planned:    n.exemptFromRetryBudget(a),
 	}, n.rng)
 	if !verdict.Retry {
-		n.end(r)
-		n.world.tally.lost(r, outcomeFailed)
+		n.endRequest(r)
+		n.sim.tally.countUnanswered(r, outcomeFailed)
 		return
 	}
-	n.world.tally.retries++
+	n.sim.tally.retries++
 	r.avoidServers = map[identifier.VMID]bool{a.server.state.VM: true}
 	r.avoidZones = map[identifier.Zone]bool{a.server.state.Zone: true}
-	n.world.after(verdict.Delay, func() { n.resume(r) })
+	n.sim.after(verdict.Delay, func() { n.resume(r) })
 }
 
-// owed tells that an attempt costs no retry budget, as for the conductor.
-func (n *node) owed(a *attempt) bool {
-	if n.world.variant.Group == Baseline {
+// exemptFromRetryBudget reports whether replacing the attempt costs no retry
+// budget, by the conductor's rule.
+func (n *node) exemptFromRetryBudget(a *attempt) bool {
+	if n.sim.variant.Group == Baseline {
 		return false
 	}
 	return a.request.kind.Service.Long || n.view(a.server.state.VM).leaving
 }
 
-func (n *node) blame(a *attempt, result messenger.AttemptResult) {
-	kinds := map[messenger.AttemptResult]detector.Kind{
+func (n *node) recordFailure(a *attempt, result messenger.AttemptResult) {
+	failureKinds := map[messenger.AttemptResult]detector.Kind{
 		messenger.AttemptNotSent:  detector.NotSent,
 		messenger.AttemptBroken:   detector.Broken,
 		messenger.AttemptTimedOut: detector.TimedOut,
 	}
-	n.suspicions.Observe(n.world.now, a.server.state.VM, detector.Observation{Kind: kinds[result]})
+	n.suspicions.Observe(n.sim.now, a.server.state.VM, detector.Observation{Kind: failureKinds[result]})
 }
 
 // resume starts the next attempt of an accepted request.
@@ -468,8 +474,8 @@
 	choice, ok := n.choose(r)
 	if !ok {
 		r.avoidServers, r.avoidZones = nil, nil
-		pause := noServerPause + timekeeper.Duration(n.rng.Int64N(int64(noServerPause)))
-		n.world.after(pause, func() { n.resume(r) })
+		pause := noServerRetryDelay + timekeeper.Duration(n.rng.Int64N(int64(noServerRetryDelay)))
+		n.sim.after(pause, func() { n.resume(r) })
 		return
 	}
 	n.send(r, choice, messenger.StartPrefill)
--- a/internal/bencher/request.go
+++ b/internal/bencher/request.go
@@ -11,30 +11,30 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// request is one request of a caller, with what became of it.
+// request is a caller's request and its progress.
 type request struct {
-	id      identifier.RequestID
-	account identifier.AccountID
-	client  int
-	kind    *Kind
-	arrival timekeeper.Time
-	prompt  identifier.Tokens
-	answer  identifier.Tokens
-	max     identifier.Tokens
-	prefix  []identifier.PrefixHash
-	// entitled tells that the account was within its limits, by one exact
+	id           identifier.RequestID
+	account      identifier.AccountID
+	clientIndex  int
+	kind         *Kind
+	arrival      timekeeper.Time
+	promptTokens identifier.Tokens
+	answerTokens identifier.Tokens
+	maxTokens    identifier.Tokens
+	prefixHashes []identifier.PrefixHash
+	// entitled reports whether the account was within its limits, by an exact
 	// count over all nodes.
 	entitled bool
 
-	deadline  timekeeper.Time
-	firstAt   timekeeper.Time
-	delivered float64
-	attempts  int
-	returns   int
-	prefilled bool
-	ended     bool
-	current   *attempt
-	node      *node
+	deadline       timekeeper.Time
+	firstAt        timekeeper.Time
+	delivered      float64
+	attempts       int
+	refusalRetries int
+	prefilled      bool
+	ended          bool
+	current        *attempt
+	node           *node
 
 	avoidServers map[identifier.VMID]bool
 	avoidZones   map[identifier.Zone]bool
@@ -42,57 +42,58 @@
 
 func (r *request) plain() bool { return r.kind.Service.Kind == catalog.PlainService }
 
-// context is how many tokens an engine must have read to go on.
+// context returns the number of tokens that an engine must have processed
+// before it can generate the next one.
 func (r *request) context() identifier.Tokens {
-	return r.prompt + identifier.Tokens(r.delivered)
+	return r.promptTokens + identifier.Tokens(r.delivered)
 }
 
-// arrivals draws the requests of a seed. They do not depend on the variant.
+// arrivals draws the requests of a seed, independently of the variant.
 type arrivals struct {
-	deployment Deployment
-	rng        *rand.Rand
-	count      int
-	documents  map[identifier.ServiceName][]uint64
-	allowances map[identifier.AccountID]*allowance
+	deployment    Deployment
+	rng           *rand.Rand
+	drawn         int
+	documents     map[identifier.ServiceName][]uint64
+	limitCounters map[identifier.AccountID]*limitCounter
 }
 
 func newArrivals(d Deployment, c *catalog.Catalog, seed uint64) *arrivals {
 	a := &arrivals{
-		deployment: d,
-		rng:        rand.New(rand.NewPCG(seed, 1)),
-		documents:  make(map[identifier.ServiceName][]uint64),
-		allowances: make(map[identifier.AccountID]*allowance),
+		deployment:    d,
+		rng:           rand.New(rand.NewPCG(seed, 1)),
+		documents:     make(map[identifier.ServiceName][]uint64),
+		limitCounters: make(map[identifier.AccountID]*limitCounter),
 	}
 	for id, spec := range c.Accounts {
-		a.allowances[id] = newAllowance(spec)
+		a.limitCounters[id] = newLimitCounter(spec)
 	}
 	return a
 }
 
-// all draws every request of a run, in the order of their arrival.
-func (a *arrivals) all() []*request {
-	var found []*request
+// drawAll draws every request of a run, in the order of arrival.
+func (a *arrivals) drawAll() []*request {
+	var requests []*request
 	now := 0.0
 	for {
 		now += a.rng.ExpFloat64() / a.peakRate() * float64(timekeeper.Second)
 		at := timekeeper.Time(now)
 		if at.Sub(0) >= runTime {
-			return found
+			return requests
 		}
 		if r, ok := a.draw(at); ok {
-			found = append(found, r)
+			requests = append(requests, r)
 		}
 	}
 }
 
-// flashing tells whether a flash crowd is on; the crowd comes from the
-// largest account.
-func flashing(at timekeeper.Time) bool {
+// inFlashCrowd reports whether a flash crowd is in progress.
+func inFlashCrowd(at timekeeper.Time) bool {
 	t := at.Sub(0)
-	return t >= flashStart && t < flashEnd || t >= secondFlash && t < waveThree+timekeeper.Minute
+	return t >= flashStart && t < flashEnd || t >= secondFlashStart && t < thirdWave+timekeeper.Minute
 }
 
-// peakRate is a bound on the rate of arrivals; draw thins them out.
+// peakRate returns an upper bound on the arrival rate in requests a second;
+// draw thins the arrivals to the current rate.
 func (a *arrivals) peakRate() float64 {
 	total := 0.0
 	for _, k := range a.deployment.Kinds {
@@ -104,116 +105,116 @@
 func (a *arrivals) draw(at timekeeper.Time) (*request, bool) {
 	kind := a.drawKind()
 	account := a.drawAccount()
-	busy := kind.FlashCrowd && account == 0 && flashing(at)
-	if !busy && a.rng.Float64() > 1/flashFactor {
+	inFlashCrowd := kind.FlashCrowd && account == 0 && inFlashCrowd(at)
+	if !inFlashCrowd && a.rng.Float64() > 1/flashFactor {
 		return nil, false
 	}
-	a.count++
+	a.drawn++
 	r := &request{
-		id:       identifier.RequestID(fmt.Sprintf("r%07d", a.count)),
-		account:  a.deployment.Accounts[account].ID,
-		client:   a.rng.IntN(clientsByAccount),
-		kind:     kind,
-		arrival:  at,
-		deadline: at.Add(kind.Service.Deadline),
-		answer:   between(a.rng, kind.Answer),
+		id:           identifier.RequestID(fmt.Sprintf("r%07d", a.drawn)),
+		account:      a.deployment.Accounts[account].ID,
+		clientIndex:  a.rng.IntN(clientsPerAccount),
+		kind:         kind,
+		arrival:      at,
+		deadline:     at.Add(kind.Service.Deadline),
+		answerTokens: drawTokens(a.rng, kind.Answer),
 	}
 	if !r.plain() {
-		r.prompt = between(a.rng, kind.Prompt)
-		r.max = identifier.Tokens(maxTokensFactor * float64(r.answer))
-		r.prefix = a.prefix(kind, r.account)
+		r.promptTokens = drawTokens(a.rng, kind.Prompt)
+		r.maxTokens = identifier.Tokens(maxTokensFactor * float64(r.answerTokens))
+		r.prefixHashes = a.drawPrefix(kind, r.account)
 	}
-	r.entitled = a.allowances[r.account].take(at, float64(r.prompt+r.max))
+	r.entitled = a.limitCounters[r.account].consume(at, float64(r.promptTokens+r.maxTokens))
 	return r, true
 }
 
 func (a *arrivals) drawKind() *Kind {
-	x := a.rng.Float64() * a.peakRate() / flashFactor
+	remainder := a.rng.Float64() * a.peakRate() / flashFactor
 	for i := range a.deployment.Kinds {
-		k := &a.deployment.Kinds[i]
-		if x -= k.Rate; x < 0 {
-			return k
+		kind := &a.deployment.Kinds[i]
+		if remainder -= kind.Rate; remainder < 0 {
+			return kind
 		}
 	}
 	return &a.deployment.Kinds[0]
 }
 
 func (a *arrivals) drawAccount() int {
-	x := a.rng.Float64()
+	remainder := a.rng.Float64()
 	for i, s := range a.deployment.Accounts {
-		if x -= s.Share; x < 0 {
+		if remainder -= s.Share; remainder < 0 {
 			return i
 		}
 	}
 	return 0
 }
 
-func between(rng *rand.Rand, bounds [2]int) identifier.Tokens {
+func drawTokens(rng *rand.Rand, bounds [2]int) identifier.Tokens {
 	return identifier.Tokens(bounds[0] + rng.IntN(bounds[1]-bounds[0]+1))
 }
 
-// prefix names the blocks that a prompt shares with others.
-func (a *arrivals) prefix(k *Kind, account identifier.AccountID) []identifier.PrefixHash {
+// drawPrefix returns the hashes of the blocks that a prompt shares with others.
+func (a *arrivals) drawPrefix(kind *Kind, account identifier.AccountID) []identifier.PrefixHash {
 	var blocks []identifier.PrefixHash
-	for i := range k.AccountBlocks {
-		blocks = append(blocks, block(string(k.Service.Name), string(account), uint64(i)))
+	for i := range kind.AccountBlocks {
+		blocks = append(blocks, blockHash(string(kind.Service.Name), string(account), uint64(i)))
 	}
-	if k.DocumentBlocks == 0 {
+	if kind.DocumentBlocks == 0 {
 		return blocks
 	}
-	document := a.document(k)
-	for i := range k.DocumentBlocks {
-		blocks = append(blocks, block(string(account)+string(k.Service.Name), fmt.Sprint(document), uint64(i)))
+	document := a.drawDocument(kind)
+	for i := range kind.DocumentBlocks {
+		blocks = append(blocks, blockHash(string(account)+string(kind.Service.Name), fmt.Sprint(document), uint64(i)))
 	}
 	return blocks
 }
 
-func block(a, b string, n uint64) identifier.PrefixHash {
-	return identifier.PrefixHash(xxhash.Sum64String(fmt.Sprintf("%s/%s/%d", a, b, n)))
+func blockHash(scope, subject string, n uint64) identifier.PrefixHash {
+	return identifier.PrefixHash(xxhash.Sum64String(fmt.Sprintf("%s/%s/%d", scope, subject, n)))
 }
 
-// document draws one of the current documents, and now and then puts a new
-// one in its place.
-func (a *arrivals) document(k *Kind) uint64 {
-	current := a.documents[k.Service.Name]
-	for len(current) < k.Documents {
+// drawDocument draws one of the current documents and occasionally replaces it
+// with a new one for later requests.
+func (a *arrivals) drawDocument(kind *Kind) uint64 {
+	current := a.documents[kind.Service.Name]
+	for len(current) < kind.Documents {
 		current = append(current, a.rng.Uint64())
 	}
-	a.documents[k.Service.Name] = current
+	a.documents[kind.Service.Name] = current
 	i := a.rng.IntN(len(current))
 	document := current[i]
-	if a.rng.IntN(k.RequestsPerDocument) == 0 {
+	if a.rng.IntN(kind.RequestsPerDocument) == 0 {
 		current[i] = a.rng.Uint64()
 	}
 	return document
 }
 
-// allowance is the exact count of an account's limits, against which the
-// nodes' shares are judged: a request within it that is refused is a miss.
-type allowance struct {
-	spec     catalog.Account
-	at       timekeeper.Time
-	requests float64
-	tokens   float64
+// limitCounter counts an account's use exactly, over all nodes. A request that
+// is refused although the counter permits it counts as a miss.
+type limitCounter struct {
+	spec      catalog.Account
+	updatedAt timekeeper.Time
+	requests  float64
+	tokens    float64
 }
 
-func newAllowance(spec catalog.Account) *allowance {
-	return &allowance{
+func newLimitCounter(spec catalog.Account) *limitCounter {
+	return &limitCounter{
 		spec:     spec,
 		requests: spec.RequestBurst,
 		tokens:   spec.TokenBurst,
 	}
 }
 
-func (w *allowance) take(now timekeeper.Time, tokens float64) bool {
-	passed := now.Sub(w.at).Seconds()
-	w.at = now
-	w.requests = min(w.requests+passed*w.spec.RequestsPerSecond, w.spec.RequestBurst)
-	w.tokens = min(w.tokens+passed*w.spec.TokensPerSecond, w.spec.TokenBurst)
-	if w.requests < 1 || w.tokens < tokens {
+func (c *limitCounter) consume(now timekeeper.Time, tokens float64) bool {
+	passed := now.Sub(c.updatedAt).Seconds()
+	c.updatedAt = now
+	c.requests = min(c.requests+passed*c.spec.RequestsPerSecond, c.spec.RequestBurst)
+	c.tokens = min(c.tokens+passed*c.spec.TokensPerSecond, c.spec.TokenBurst)
+	if c.requests < 1 || c.tokens < tokens {
 		return false
 	}
-	w.requests--
-	w.tokens -= tokens
+	c.requests--
+	c.tokens -= tokens
 	return true
 }
--- a/internal/bencher/schedule.go
+++ b/internal/bencher/schedule.go
@@ -6,32 +6,32 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// schedule is the virtual time of a run: what is to happen, in order.
+// schedule is a discrete-event queue that drives virtual time.
 type schedule struct {
-	now    timekeeper.Time
-	events eventHeap
-	count  uint64
+	now       timekeeper.Time
+	events    eventHeap
+	scheduled uint64
 }
 
 type event struct {
-	at    timekeeper.Time
-	order uint64
-	run   func()
+	at       timekeeper.Time
+	sequence uint64
+	run      func()
 }
 
-// at lets run happen at t, after what was scheduled for t before.
+// at schedules run for t, after the events already scheduled for t.
 func (s *schedule) at(t timekeeper.Time, run func()) {
-	s.count++
+	s.scheduled++
 	heap.Push(&s.events, event{
-		at:    max(t, s.now),
-		order: s.count,
-		run:   run,
+		at:       max(t, s.now),
+		sequence: s.scheduled,
+		run:      run,
 	})
 }
 
 func (s *schedule) after(d timekeeper.Duration, run func()) { s.at(s.now.Add(d), run) }
 
-// every lets run happen now and then, until the end.
+// every calls run now and then at every interval d until end.
 func (s *schedule) every(d timekeeper.Duration, end timekeeper.Time, run func()) {
 	if s.now.After(end) {
 		return
@@ -40,7 +40,7 @@
 	s.after(d, func() { s.every(d, end, run) })
 }
 
-// runUntil lets everything happen that is scheduled up to end.
+// runUntil runs all events that are scheduled up to and including end.
 func (s *schedule) runUntil(end timekeeper.Time) {
 	for len(s.events) > 0 && !s.events[0].at.After(end) {
 		e := heap.Pop(&s.events).(event)
@@ -59,7 +59,7 @@
 	if h[i].at != h[j].at {
 		return h[i].at < h[j].at
 	}
-	return h[i].order < h[j].order
+	return h[i].sequence < h[j].sequence
 }
 
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
--- a/internal/bencher/server.go
+++ b/internal/bencher/server.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// batchSlowdown and batchExponent shape the time between tokens: at a
-	// full batch it is 1.8 times that of an empty one.
-	batchSlowdown = 0.8
-	batchExponent = 1.5
-	// prefillShare is the pace that decoding keeps while a prompt is read.
-	prefillShare = 0.7
-	// kvCapacity is how many tokens an engine's KV memory holds.
-	kvCapacity identifier.Tokens = 240_000
-	// sliver is less than any amount of work that matters.
-	sliver = 1e-6
+	// maxBatchSlowdown and batchExponent define how the time between tokens
+	// grows with the batch: by 80% at a full batch.
+	maxBatchSlowdown = 0.8
+	batchExponent    = 1.5
+	// prefillRateFactor scales the decode rate during a prefill.
+	prefillRateFactor = 0.7
+	// kvCapacityTokens is the size of an engine's KV cache.
+	kvCapacityTokens identifier.Tokens = 240_000
+	// workTolerance absorbs rounding errors of remaining work.
+	workTolerance = 1e-6
 )
 
-// phase is what an attempt does on its server.
+// phase is the stage of an attempt on its server.
 type phase int
 
 const (
@@ -35,58 +35,60 @@
 	phaseOver
 )
 
-// attempt is one attempt of a request at a server.
+// attempt is one execution of a request on a server.
 type attempt struct {
-	request   *request
-	server    *server
-	mode      messenger.StartMode
-	phase     phase
-	prefill   float64
-	left      float64
-	gotFirst  bool
-	sentAt    timekeeper.Time
-	predicted router.Prediction
-	// movingTo and movingUntil describe the export under way.
+	request     *request
+	server      *server
+	mode        messenger.StartMode
+	phase       phase
+	prefillLeft float64
+	decodeLeft  float64
+	gotFirst    bool
+	sentAt      timekeeper.Time
+	predicted   router.Prediction
+	// movingTo and movingUntil are the target and the end of the KV export in
+	// progress.
 	movingTo    identifier.VMID
 	movingUntil timekeeper.Time
 }
 
-// server is a fake engine, or a fake plain server: its work then is counted
-// in milliseconds, and its pace depends on nothing.
+// server models an engine or a plain server. Work is counted in tokens on an
+// engine and in milliseconds on a plain server, whose rate does not depend on
+// its load.
 type server struct {
-	world *world
+	sim   *simulation
 	state messenger.VMState
 	price identifier.Money
 	pool  catalog.Pool
 
-	boughtAt timekeeper.Time
-	readyAt  timekeeper.Time
-	goneAt   timekeeper.Time
-	// leaveBy is the deadline of a notice, or zero.
-	leaveBy timekeeper.Time
+	boughtAt  timekeeper.Time
+	readyAt   timekeeper.Time
+	removedAt timekeeper.Time
+	// removalDeadline is the deadline of the notice, or zero without one.
+	removalDeadline timekeeper.Time
 
-	slow   float64
-	silent bool
-	lies   bool
+	speedFactor float64
+	stalled     bool
+	reportsIdle bool
 
-	running []*attempt
-	waiting []*attempt
-	last    timekeeper.Time
-	version int
-	cache   *prefixCache
-	// linkFree is the instant from which the link for exports is idle.
-	linkFree timekeeper.Time
-	// published is the last measured load, the one before it and their times.
-	published [2]messenger.ServerLoad
+	running         []*attempt
+	waiting         []*attempt
+	advancedAt      timekeeper.Time
+	scheduleVersion int
+	cache           *prefixCache
+	// linkIdleAt is when the link has finished all scheduled exports.
+	linkIdleAt timekeeper.Time
+	// reports holds the previous and the latest load measurement.
+	reports [2]messenger.ServerLoad
 }
 
 func (s *server) plain() bool { return s.pool.Kind == catalog.PlainService }
 
 func (s *server) ready(now timekeeper.Time) bool {
-	return !now.Before(s.readyAt) && now.Before(s.goneAt)
+	return !now.Before(s.readyAt) && now.Before(s.removedAt)
 }
 
-// accept takes an attempt in.
+// accept queues an attempt by priority.
 func (s *server) accept(a *attempt) {
 	if a.phase == phaseOver {
 		return
@@ -98,85 +100,85 @@
 		at--
 	}
 	s.waiting = slices.Insert(s.waiting, at, a)
-	s.fill()
+	s.startWaiting()
 }
 
-// fill starts what waits, as far as there are slots.
-func (s *server) fill() {
+// startWaiting starts waiting attempts while slots are free.
+func (s *server) startWaiting() {
 	for len(s.waiting) > 0 && len(s.running) < s.pool.Slots {
 		a := s.waiting[0]
 		s.waiting = s.waiting[1:]
 		s.running = append(s.running, a)
-		s.begin(a)
+		s.start(a)
 	}
 	s.reschedule()
 }
 
-func (s *server) begin(a *attempt) {
+func (s *server) start(a *attempt) {
 	r := a.request
-	a.left = float64(r.answer) - r.delivered
+	a.decodeLeft = float64(r.answerTokens) - r.delivered
 	if s.plain() {
 		a.phase = phaseDecode
 		return
 	}
 	if a.mode == messenger.StartImported {
 		a.phase = phaseDecode
-		s.world.first(a)
+		s.sim.firstToken(a)
 		return
 	}
 	a.phase = phasePrefill
-	a.prefill = float64(max(r.context()-s.cache.hit(r.prefix), 1))
-	s.world.tally.prefill(r, a.prefill)
+	a.prefillLeft = float64(max(r.context()-s.cache.cachedTokens(r.prefixHashes), 1))
+	s.sim.tally.countPrefill(r, a.prefillLeft)
 	r.prefilled = true
 }
 
-// remove takes an attempt off the server.
+// remove ends an attempt and frees its slot.
 func (s *server) remove(a *attempt) {
 	s.advance()
 	if a.phase == phaseOver {
 		return
 	}
 	a.phase = phaseOver
-	s.running = without(s.running, a)
-	s.waiting = without(s.waiting, a)
-	s.fill()
+	s.running = removeAttempt(s.running, a)
+	s.waiting = removeAttempt(s.waiting, a)
+	s.startWaiting()
 }
 
-func without(list []*attempt, a *attempt) []*attempt {
-	if i := slices.Index(list, a); i >= 0 {
-		return slices.Delete(list, i, i+1)
+func removeAttempt(attempts []*attempt, a *attempt) []*attempt {
+	if i := slices.Index(attempts, a); i >= 0 {
+		return slices.Delete(attempts, i, i+1)
 	}
-	return list
+	return attempts
 }
 
-// advance does the work of the time that has passed.
+// advance performs the work of the time since the last call.
 func (s *server) advance() {
-	now := s.world.now
-	passed := now.Sub(s.last).Seconds()
-	s.last = now
-	if passed <= 0 || s.silent {
+	now := s.sim.now
+	passed := now.Sub(s.advancedAt).Seconds()
+	s.advancedAt = now
+	if passed <= 0 || s.stalled {
 		return
 	}
-	pace := s.pace()
-	reading := s.reading()
+	pace := s.rate()
+	reading := s.prefilling()
 	for _, a := range s.running {
 		if a.phase == phaseDecode {
-			step := min(pace*passed, a.left)
-			a.left -= step
+			step := min(pace*passed, a.decodeLeft)
+			a.decodeLeft -= step
 			a.request.delivered += step
 			if !s.plain() {
-				s.world.tally.generated += step
+				s.sim.tally.generated += step
 			}
 		}
 	}
 	if reading != nil {
-		reading.prefill -= s.pool.PrefillPerSecond * s.slow * passed
+		reading.prefillLeft -= s.pool.PrefillPerSecond * s.speedFactor * passed
 	}
 }
 
-// reading returns the attempt whose prompt is being read: engines read one
-// prompt at a time.
-func (s *server) reading() *attempt {
+// prefilling returns the attempt in prefill, or nil: engines prefill one prompt
+// at a time.
+func (s *server) prefilling() *attempt {
 	for _, a := range s.running {
 		if a.phase == phasePrefill {
 			return a
@@ -185,93 +187,95 @@
 	return nil
 }
 
-// pace is the tokens, or milliseconds of work, done for each in a second.
-func (s *server) pace() float64 {
+// rate returns the work that each decoding attempt receives, in tokens or
+// milliseconds of work per second.
+func (s *server) rate() float64 {
 	if s.plain() {
-		return float64(timekeeper.Second) * s.slow
+		return float64(timekeeper.Second) * s.speedFactor
 	}
 	batch := float64(len(s.running)) / float64(s.pool.Slots)
-	pace := s.pool.TokensPerSecond / (1 + batchSlowdown*math.Pow(batch, batchExponent))
-	if s.reading() != nil {
-		pace *= prefillShare
+	pace := s.pool.TokensPerSecond / (1 + maxBatchSlowdown*math.Pow(batch, batchExponent))
+	if s.prefilling() != nil {
+		pace *= prefillRateFactor
 	}
-	return pace * s.slow
+	return pace * s.speedFactor
 }
 
-// reschedule lets the server come back when the next thing ends.
+// reschedule replaces the scheduled event by one for the next prefill or decode
+// to finish.
 func (s *server) reschedule() {
-	s.version++
-	if s.silent {
+	s.scheduleVersion++
+	if s.stalled {
 		return
 	}
 	next := math.Inf(1)
-	pace := s.pace()
+	pace := s.rate()
 	for _, a := range s.running {
 		if a.phase == phaseDecode {
-			next = min(next, a.left/pace)
+			next = min(next, a.decodeLeft/pace)
 		}
 	}
-	if a := s.reading(); a != nil {
-		next = min(next, a.prefill/(s.pool.PrefillPerSecond*s.slow))
+	if a := s.prefilling(); a != nil {
+		next = min(next, a.prefillLeft/(s.pool.PrefillPerSecond*s.speedFactor))
 	}
 	if math.IsInf(next, 1) {
 		return
 	}
-	version := s.version
+	version := s.scheduleVersion
 	wait := timekeeper.Duration(math.Ceil(max(next, 0) * float64(timekeeper.Second)))
-	s.world.after(wait, func() {
-		if s.version == version {
-			s.step()
+	s.sim.after(wait, func() {
+		if s.scheduleVersion == version {
+			s.finishWork()
 		}
 	})
 }
 
-// step ends what is done.
-func (s *server) step() {
+// finishWork completes the prefill and the attempts whose work is done.
+func (s *server) finishWork() {
 	s.advance()
-	if a := s.reading(); a != nil && a.prefill <= sliver {
+	if a := s.prefilling(); a != nil && a.prefillLeft <= workTolerance {
 		a.phase = phaseDecode
-		s.cache.learn(s.world.now, a.request.prefix)
-		s.world.first(a)
+		s.cache.add(s.sim.now, a.request.prefixHashes)
+		s.sim.firstToken(a)
 	}
 	var done []*attempt
 	for _, a := range s.running {
-		if a.phase == phaseDecode && a.left <= sliver {
+		if a.phase == phaseDecode && a.decodeLeft <= workTolerance {
 			done = append(done, a)
 		}
 	}
 	for _, a := range done {
 		a.phase = phaseOver
-		s.running = without(s.running, a)
+		s.running = removeAttempt(s.running, a)
 	}
-	s.fill()
+	s.startWaiting()
 	for _, a := range done {
-		s.world.completed(a)
+		s.sim.completed(a)
 	}
 }
 
-// publish measures the load.
+// publish records a load measurement.
 func (s *server) publish() {
-	s.published[0] = s.published[1]
+	s.reports[0] = s.reports[1]
 	load := messenger.ServerLoad{
-		AsOf:         s.world.now,
+		AsOf:         s.sim.now,
 		Running:      len(s.running),
 		Waiting:      len(s.waiting),
 		Slots:        s.pool.Slots,
-		FreeKVTokens: kvCapacity,
+		FreeKVTokens: kvCapacityTokens,
 	}
 	for _, a := range s.running {
-		load.FreeKVTokens -= a.request.prompt + a.request.max
+		load.FreeKVTokens -= a.request.promptTokens + a.request.maxTokens
 	}
-	if s.lies {
-		load.Running, load.Waiting, load.FreeKVTokens = 0, 0, kvCapacity
+	if s.reportsIdle {
+		load.Running, load.Waiting, load.FreeKVTokens = 0, 0, kvCapacityTokens
 	}
-	s.published[1] = load
+	s.reports[1] = load
 }
 
-// load returns the newest report that is old enough to have arrived.
+// load returns the newest report that is at least reportLag old.
 func (s *server) load(now timekeeper.Time) (messenger.ServerLoad, bool) {
-	for _, l := range []messenger.ServerLoad{s.published[1], s.published[0]} {
+	for _, l := range []messenger.ServerLoad{s.reports[1], s.reports[0]} {
 		if l.Slots > 0 && now.Sub(l.AsOf) >= reportLag {
 			return l, true
 		}
@@ -279,7 +283,7 @@
 	return messenger.ServerLoad{}, false
 }
 
-// attempts returns all attempts on the server.
+// attempts returns the running attempts, then the waiting ones.
 func (s *server) attempts() []*attempt {
 	return append(slices.Clone(s.running), s.waiting...)
 }
--- a/internal/bencher/tally.go
+++ b/internal/bencher/tally.go
@@ -8,7 +8,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// outcome is how a request ended that was not answered.
+// outcome classifies a request that was not answered.
 type outcome string
 
 const (
@@ -20,7 +20,8 @@
 // histogramPrecision is the number of significant digits of percentiles.
 const histogramPrecision = 3
 
-// Latencies are the times of one kind of request, of those answered.
+// Latencies holds the latencies of the answered requests of one kind, in
+// milliseconds.
 type Latencies struct {
 	FirstToken *hdrhistogram.Histogram
 	Completion *hdrhistogram.Histogram
@@ -34,36 +35,37 @@
 	}
 }
 
-// share is a part of a whole.
-type share struct{ part, whole int }
+// fraction is a part of a whole.
+type fraction struct{ part, whole int }
 
-// tally counts what a run comes to. Requests of the warm-up do not count.
+// tally accumulates the figures of a run. Requests that arrive during the
+// warm-up are not counted.
 type tally struct {
-	requests  int
-	onTime    int
-	penalties identifier.Money
-	accounts  map[identifier.AccountID]share
-	latencies map[identifier.ServiceName]*Latencies
-	refusals  map[messenger.Reason]int
-	outcomes  map[outcome]int
-	// beyond counts requests refused beyond their account's limits, which
-	// nothing is owed for.
-	beyond     int
-	retries    int
-	moved      int
-	exported   int
-	refusedVMs int
-	prefilled  float64
-	generated  float64
-	recomputed float64
+	requests        int
+	onTime          int
+	penalties       identifier.Money
+	onTimeByAccount map[identifier.AccountID]fraction
+	latencies       map[identifier.ServiceName]*Latencies
+	refusals        map[messenger.Reason]int
+	outcomes        map[outcome]int
+	// overLimit counts requests refused because their account exceeded its
+	// limits; they incur no penalty.
+	overLimit        int
+	retries          int
+	moved            int
+	exported         int
+	refusedPurchases int
+	prefilled        float64
+	generated        float64
+	recomputed       float64
 }
 
 func newTally(d Deployment) *tally {
 	t := &tally{
-		accounts:  make(map[identifier.AccountID]share),
-		latencies: make(map[identifier.ServiceName]*Latencies),
-		refusals:  make(map[messenger.Reason]int),
-		outcomes:  make(map[outcome]int),
+		onTimeByAccount: make(map[identifier.AccountID]fraction),
+		latencies:       make(map[identifier.ServiceName]*Latencies),
+		refusals:        make(map[messenger.Reason]int),
+		outcomes:        make(map[outcome]int),
 	}
 	for _, k := range d.Kinds {
 		t.latencies[k.Service.Name] = newLatencies()
@@ -71,28 +73,29 @@
 	return t
 }
 
-func counts(r *request) bool { return r.arrival.Sub(0) >= warmUp }
+func isCounted(r *request) bool { return r.arrival.Sub(0) >= warmUp }
 
-// prefill counts prompt tokens that an engine begins to read.
-func (t *tally) prefill(r *request, tokens float64) {
+// countPrefill counts the tokens of a prefill, as recomputed if it is not the
+// request's first.
+func (t *tally) countPrefill(r *request, tokens float64) {
 	t.prefilled += tokens
 	if r.prefilled {
 		t.recomputed += tokens
 	}
 }
 
-// discarded counts the tokens of an answer that begins again.
-func (t *tally) discarded(r *request) { t.recomputed += r.delivered }
+// countDiscarded counts the tokens of an answer that restarts from nothing.
+func (t *tally) countDiscarded(r *request) { t.recomputed += r.delivered }
 
-func (t *tally) refusal(r *request, reason messenger.Reason) {
-	if counts(r) {
+func (t *tally) countRefusal(r *request, reason messenger.Reason) {
+	if isCounted(r) {
 		t.refusals[reason]++
 	}
 }
 
-// answered counts a request with its whole answer.
-func (t *tally) answered(r *request, now timekeeper.Time) {
-	if !counts(r) {
+// countAnswered counts a request that received its complete answer.
+func (t *tally) countAnswered(r *request, now timekeeper.Time) {
+	if !isCounted(r) {
 		return
 	}
 	first, completion := r.firstAt.Sub(r.arrival), now.Sub(r.arrival)
@@ -102,13 +105,13 @@
 	t.count(r, first <= r.kind.Target.FirstToken && completion <= r.kind.Target.Completion)
 }
 
-// lost counts a request that ended without its answer.
-func (t *tally) lost(r *request, o outcome) {
-	if !counts(r) {
+// countUnanswered counts a request that ended without a complete answer.
+func (t *tally) countUnanswered(r *request, o outcome) {
+	if !isCounted(r) {
 		return
 	}
 	if o == outcomeRefused && !r.entitled {
-		t.beyond++
+		t.overLimit++
 		return
 	}
 	t.outcomes[o]++
@@ -117,7 +120,7 @@
 
 func (t *tally) count(r *request, onTime bool) {
 	t.requests++
-	s := t.accounts[r.account]
+	s := t.onTimeByAccount[r.account]
 	s.whole++
 	if onTime {
 		t.onTime++
@@ -125,10 +128,10 @@
 	} else {
 		t.penalties += r.kind.Target.Penalty
 	}
-	t.accounts[r.account] = s
+	t.onTimeByAccount[r.account] = s
 }
 
-// Result is what one run came to.
+// Result holds the figures of one run.
 type Result struct {
 	Requests  int
 	OnTime    int
@@ -150,15 +153,15 @@
 	Recomputed       float64
 }
 
-// result closes the books: VMs are paid for from the end of the warm-up to
-// the end of the arrivals.
-func (w *world) result() Result {
-	t := w.tally
+// result summarizes the run. VMs are charged from the end of the warm-up to the
+// end of the arrivals.
+func (sim *simulation) result() Result {
+	t := sim.tally
 	r := Result{
 		Requests:         t.requests,
 		OnTime:           t.onTime,
-		OverLimit:        t.beyond,
-		VMCost:           w.vmCost(),
+		OverLimit:        t.overLimit,
+		VMCost:           sim.vmCost(),
 		Penalties:        t.penalties,
 		OnTimeShare:      make(map[identifier.AccountID]float64),
 		Latencies:        t.latencies,
@@ -168,22 +171,22 @@
 		Retries:          t.retries,
 		Moved:            t.moved,
 		Exported:         t.exported,
-		RefusedPurchases: t.refusedVMs,
+		RefusedPurchases: t.refusedPurchases,
 		Prefilled:        t.prefilled,
 		Generated:        t.generated,
 		Recomputed:       t.recomputed,
 	}
-	for id, s := range t.accounts {
+	for id, s := range t.onTimeByAccount {
 		r.OnTimeShare[id] = float64(s.part) / float64(max(s.whole, 1))
 	}
 	return r
 }
 
-func (w *world) vmCost() identifier.Money {
+func (sim *simulation) vmCost() identifier.Money {
 	var total identifier.Money
-	for _, s := range w.cloud.servers {
+	for _, s := range sim.cloud.servers {
 		from := max(s.boughtAt, timekeeper.Time(warmUp))
-		to := min(s.goneAt, timekeeper.Time(runTime))
+		to := min(s.removedAt, timekeeper.Time(runTime))
 		if to.After(from) {
 			total += s.price * identifier.Money(to.Sub(from)) / identifier.Money(timekeeper.Hour)
 		}
@@ -191,17 +194,18 @@
 	return total
 }
 
-// CostPerThousand is the cost of a thousand requests answered on time.
+// CostPerThousand divides cost by the requests answered on time and returns it
+// in currency units per 1,000 requests.
 func (r Result) CostPerThousand(cost identifier.Money) float64 {
 	return float64(cost) / float64(identifier.CurrencyUnit) / float64(max(r.OnTime, 1)) * 1000
 }
 
-// RecomputedShare is the part of all tokens that was computed a second time.
+// RecomputedShare returns the share of all tokens that were computed again.
 func (r Result) RecomputedShare() float64 {
 	return r.Recomputed / max(r.Prefilled+r.Generated, 1)
 }
 
-// LowestOnTimeShare is the on-time share of the account that is served worst.
+// LowestOnTimeShare returns the lowest on-time share of any account.
 func (r Result) LowestOnTimeShare() float64 {
 	lowest := 1.0
 	for _, s := range r.OnTimeShare {
--- a/internal/bencher/variant.go
+++ b/internal/bencher/variant.go
@@ -11,50 +11,53 @@
 	"github.com/dotterelhollow/dotterelhollow/internal/scaler"
 )
 
-// Routing is how a node chooses a server.
+// Routing selects the algorithm by which nodes choose servers.
 type Routing string
 
-// The routings.
+// The routing algorithms.
 const (
 	PolicyRouting Routing = "policy"
 	RoundRobin    Routing = "round_robin"
 	LeastInFlight Routing = "least_in_flight"
 )
 
-// ReclaimMode is what becomes of the streams on a server that is reclaimed.
+// ReclaimMode selects how streams on a reclaimed server continue.
 type ReclaimMode string
 
-// The ways to meet a reclaim.
+// The reclaim modes.
 const (
-	// Planned plans the wave as soon as it is announced.
+	// Planned moves streams by a plan made when the notice arrives.
 	Planned ReclaimMode = "planned"
-	// PrefillAfterRemoval resumes a stream elsewhere once its server is gone.
+	// PrefillAfterRemoval resumes a stream by prefill on another server after
+	// its server was removed.
 	PrefillAfterRemoval ReclaimMode = "prefill_at_break"
-	// RestartAfterRemoval begins again from nothing once its server is gone.
+	// RestartAfterRemoval discards the answer so far and restarts the request
+	// after its server was removed.
 	RestartAfterRemoval ReclaimMode = "restart_at_break"
 )
 
-// Group orders the variants in the tables.
+// Group classifies variants in the tables.
 type Group string
 
-// The groups.
+// The groups of variants.
 const (
 	FullPolicy Group = "policy"
 	Baseline   Group = "baseline"
 	RuleOff    Group = "rule_off"
 )
 
-// Variant is the policy, a baseline, or the policy with one rule off.
+// Variant is the policy, a baseline, or the policy with one rule disabled.
 type Variant struct {
 	Name    string
 	Group   Group
 	Routing Routing
 	Reclaim ReclaimMode
-	// ShareHeadroom plans a wave with this node's part of room and bandwidth.
+	// ShareHeadroom limits a node's plan to its own share of the headroom and
+	// of the export bandwidth.
 	ShareHeadroom bool
 	AllOnDemand   bool
-	// PredictedTimeouts bounds the wait for a silent server by what was predicted;
-	// without it a fixed time is waited.
+	// PredictedTimeouts derives event timeouts from the predicted latency
+	// instead of using a fixed timeout.
 	PredictedTimeouts bool
 	Router            router.Rules
 	Limiter           limiter.Rules
@@ -64,7 +67,7 @@
 	Scaler            scaler.Rules
 }
 
-// Policy is the policy with all its rules.
+// Policy returns the policy with all rules enabled.
 func Policy() Variant {
 	return Variant{
 		Name:              "policy",
@@ -82,10 +85,10 @@
 	}
 }
 
-// plainStack is a system of the usual kind: the given routing, the accounts'
-// limits shared as in the policy, retries with backoff, and a fleet that
-// follows the load at the cheapest price with the pool's on-demand share.
-func plainStack(name string, routing Routing, reclaim ReclaimMode) Variant {
+// baseline returns a conventional system: the given routing, account limits
+// shared among nodes as in the policy, retries with backoff, and a fleet that
+// follows the load at the lowest price with the pool's on-demand share.
+func baseline(name string, routing Routing, reclaim ReclaimMode) Variant {
 	return Variant{
 		Name:    name,
 		Group:   Baseline,
@@ -106,29 +109,30 @@
 	}
 }
 
-// Variants returns the policy, the baselines and the policy with each rule
-// off in turn.
+// Variants returns the policy, the baselines and one variant for each disabled
+// rule. The policy comes first.
 func Variants() []Variant {
-	onDemand := plainStack("all_on_demand", LeastInFlight, PrefillAfterRemoval)
+	onDemand := baseline("all_on_demand", LeastInFlight, PrefillAfterRemoval)
 	onDemand.AllOnDemand = true
 	all := []Variant{
 		Policy(),
-		plainStack("round_robin", RoundRobin, PrefillAfterRemoval),
-		plainStack("least_in_flight", LeastInFlight, PrefillAfterRemoval),
-		plainStack("restart_from_nothing", LeastInFlight, RestartAfterRemoval),
+		baseline("round_robin", RoundRobin, PrefillAfterRemoval),
+		baseline("least_in_flight", LeastInFlight, PrefillAfterRemoval),
+		baseline("restart_from_nothing", LeastInFlight, RestartAfterRemoval),
 		onDemand,
 	}
-	all = append(all, wholeParts()...)
-	all = append(all, singleRules("router", func(v *Variant) any { return &v.Router })...)
-	all = append(all, singleRules("limiter", func(v *Variant) any { return &v.Limiter })...)
-	all = append(all, singleRules("retrier", func(v *Variant) any { return &v.Retrier })...)
-	all = append(all, singleRules("detector", func(v *Variant) any { return &v.Detector })...)
-	all = append(all, singleRules("planner", func(v *Variant) any { return &v.Planner })...)
-	return append(all, singleRules("scaler", func(v *Variant) any { return &v.Scaler })...)
+	all = append(all, componentVariants()...)
+	all = append(all, ruleVariants("router", func(v *Variant) any { return &v.Router })...)
+	all = append(all, ruleVariants("limiter", func(v *Variant) any { return &v.Limiter })...)
+	all = append(all, ruleVariants("retrier", func(v *Variant) any { return &v.Retrier })...)
+	all = append(all, ruleVariants("detector", func(v *Variant) any { return &v.Detector })...)
+	all = append(all, ruleVariants("planner", func(v *Variant) any { return &v.Planner })...)
+	return append(all, ruleVariants("scaler", func(v *Variant) any { return &v.Scaler })...)
 }
 
-// wholeParts switches off whole parts of the policy.
-func wholeParts() []Variant {
+// componentVariants returns variants that disable whole components of the
+// policy.
+func componentVariants() []Variant {
 	off := func(name string, change func(*Variant)) Variant {
 		v := Policy()
 		v.Name = "-" + name
@@ -146,21 +150,22 @@
 	}
 }
 
-// singleRules switches off each boolean field of a part's rules in turn, so
-// that a rule that is added gets its row without anyone thinking of it.
-func singleRules(part string, rules func(*Variant) any) []Variant {
+// ruleVariants returns one variant for each boolean field of a component's
+// rules, with that field disabled. It uses reflection so that new rules are
+// included.
+func ruleVariants(component string, rules func(*Variant) any) []Variant {
 	policy := Policy()
-	kind := reflect.TypeOf(rules(&policy)).Elem()
-	var found []Variant
-	for i := range kind.NumField() {
-		if kind.Field(i).Type.Kind() != reflect.Bool {
+	rulesType := reflect.TypeOf(rules(&policy)).Elem()
+	var variants []Variant
+	for i := range rulesType.NumField() {
+		if rulesType.Field(i).Type.Kind() != reflect.Bool {
 			continue
 		}
 		v := Policy()
-		v.Name = "-" + part + "." + kind.Field(i).Name
+		v.Name = "-" + component + "." + rulesType.Field(i).Name
 		v.Group = RuleOff
 		reflect.ValueOf(rules(&v)).Elem().Field(i).SetBool(false)
-		found = append(found, v)
+		variants = append(variants, v)
 	}
-	return found
+	return variants
 }
--- a/internal/bencher/wave.go
+++ b/internal/bencher/wave.go
@@ -12,103 +12,104 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// noticed is the news at one node that servers are leaving.
-func (n *node) noticed(servers []*server) {
+// receiveNotice handles a notice that servers will be removed.
+func (n *node) receiveNotice(servers []*server) {
 	for _, s := range servers {
 		v := n.view(s.state.VM)
 		v.leaving = true
-		v.leaveBy = s.leaveBy
+		v.removalDeadline = s.removalDeadline
 	}
-	if n.world.variant.Reclaim != Planned {
+	if n.sim.variant.Reclaim != Planned {
 		return
 	}
-	n.plan++
-	for _, p := range n.world.deployment.Pools {
+	n.planVersion++
+	for _, p := range n.sim.deployment.Pools {
 		if p.KVBytesPerToken > 0 {
 			n.planPool(p.Name)
 		}
 	}
 }
 
-// planPool plans for this node's streams on the leaving servers of a pool.
+// planPool plans and starts the moves of this node's streams on the leaving
+// servers of a pool.
 func (n *node) planPool(pool identifier.PoolName) {
 	leaving := make(map[identifier.VMID]timekeeper.Time)
-	var rooms []planner.Headroom
+	var headroom []planner.Headroom
 	running := 0
-	for _, s := range n.world.pools[pool] {
-		if !n.knows(s) {
+	for _, s := range n.sim.pools[pool] {
+		if !n.isDiscovered(s) {
 			continue
 		}
 		v := n.view(s.state.VM)
 		if v.leaving {
-			leaving[s.state.VM] = v.leaveBy
+			leaving[s.state.VM] = v.removalDeadline
 			running += v.load.Running
 			continue
 		}
-		rooms = append(rooms, n.room(s, v))
+		headroom = append(headroom, n.headroom(s, v))
 	}
-	streams := n.endangered(pool, leaving)
+	streams := n.affectedStreams(pool, leaving)
 	if len(streams) == 0 {
 		return
 	}
-	rate := n.world.catalog.Pools[pool].TransferRate
-	rules := n.world.variant.Planner
-	if n.world.variant.ShareHeadroom {
-		part := n.part(len(streams), running)
-		rooms = part.Headroom(rooms)
-		rules.LinkShare = part.LinkShare()
+	rate := n.sim.catalog.Pools[pool].TransferRate
+	rules := n.sim.variant.Planner
+	if n.sim.variant.ShareHeadroom {
+		share := n.nodeShare(len(streams), running)
+		headroom = share.Headroom(headroom)
+		rules.LinkShare = share.LinkShare()
 	}
-	for _, m := range planner.PlanWave(n.world.now, leaving, rate, streams, rooms, rules) {
-		n.carryOut(m)
+	for _, m := range planner.PlanWave(n.sim.now, leaving, rate, streams, headroom, rules) {
+		n.execute(m)
 	}
 }
 
-func (n *node) part(own, running int) planner.NodeShare {
-	p := planner.NodeShare{
+func (n *node) nodeShare(ownStreams, totalStreams int) planner.NodeShare {
+	share := planner.NodeShare{
 		Self:         n.id,
-		OwnStreams:   own,
-		TotalStreams: running,
+		OwnStreams:   ownStreams,
+		TotalStreams: totalStreams,
 	}
-	for _, peer := range n.world.nodes {
-		p.Nodes = append(p.Nodes, peer.id)
+	for _, peer := range n.sim.nodes {
+		share.Nodes = append(share.Nodes, peer.id)
 	}
-	return p
+	return share
 }
 
-func (n *node) room(s *server, v *view) planner.Headroom {
+func (n *node) headroom(s *server, v *serverView) planner.Headroom {
 	return planner.Headroom{
 		Server:   s.state.VM,
 		Zone:     s.state.Zone,
-		Slots:    max(0, s.pool.Slots-max(v.own, v.load.Running)-v.load.Waiting),
+		Slots:    max(0, s.pool.Slots-max(v.ownInFlight, v.load.Running)-v.load.Waiting),
 		KVTokens: v.load.FreeKVTokens,
 	}
 }
 
-// endangered returns this node's streams on leaving servers. Those without a
-// token yet have nothing to move: they are routed again at once.
-func (n *node) endangered(pool identifier.PoolName, leaving map[identifier.VMID]timekeeper.Time) []planner.Stream {
-	live := slices.SortedFunc(maps.Values(n.live), func(a, b *request) int {
+// affectedStreams returns this node's streams on leaving servers. Attempts
+// without a first token have no state to move and are rerouted at once.
+func (n *node) affectedStreams(pool identifier.PoolName, leaving map[identifier.VMID]timekeeper.Time) []planner.Stream {
+	requests := slices.SortedFunc(maps.Values(n.active), func(a, b *request) int {
 		return cmp.Compare(a.id, b.id)
 	})
 	var streams []planner.Stream
-	for _, r := range live {
+	for _, r := range requests {
 		a := r.current
 		if r.kind.Service.Pool != pool || a == nil {
 			continue
 		}
-		if _, gone := leaving[a.server.state.VM]; !gone {
+		if _, affected := leaving[a.server.state.VM]; !affected {
 			continue
 		}
 		if !a.gotFirst {
-			n.move(a)
+			n.reroute(a)
 			continue
 		}
-		streams = append(streams, n.describe(a))
+		streams = append(streams, n.streamOf(a))
 	}
 	return streams
 }
 
-func (n *node) describe(a *attempt) planner.Stream {
+func (n *node) streamOf(a *attempt) planner.Stream {
 	r, s := a.request, a.server
 	s.advance()
 	delivered := identifier.Tokens(r.delivered)
@@ -117,8 +118,8 @@
 		Attempt:          identifier.AttemptNumber(r.attempts),
 		Server:           s.state.VM,
 		Zone:             s.state.Zone,
-		Remaining:        max(r.max-delivered, 0),
-		TokensPerSecond:  s.pace(),
+		Remaining:        max(r.maxTokens-delivered, 0),
+		TokensPerSecond:  s.rate(),
 		PrefillPerSecond: s.pool.PrefillPerSecond,
 		Context:          r.context(),
 		KVBytes:          identifier.Bytes(r.context()) * s.pool.KVBytesPerToken,
@@ -131,46 +132,48 @@
 	}
 }
 
-// carryOut does one move of a plan when its time has come. A stream resumed by
-// prefill is routed, as the conductor does: the router knows the caches.
-func (n *node) carryOut(m planner.Move) {
-	r := n.live[m.Request]
-	a, plan := r.current, n.plan
+// execute schedules one move of a plan. The router chooses the server for a
+// stream that resumes by prefill, as in the conductor, because it knows the
+// cached prefixes.
+func (n *node) execute(m planner.Move) {
+	r := n.active[m.Request]
+	a, plan := r.current, n.planVersion
 	if m.Action == planner.Finish || m.Action == planner.Export && a.movingTo == m.To {
 		return
 	}
-	n.world.at(m.Start, func() {
-		if r.current != a || n.plan != plan || a.movingTo != "" {
+	n.sim.at(m.Start, func() {
+		if r.current != a || n.planVersion != plan || a.movingTo != "" {
 			return
 		}
 		if m.Action == planner.Export {
-			n.export(a, n.world.cloud.servers[m.To])
+			n.export(a, n.sim.cloud.servers[m.To])
 			return
 		}
-		n.move(a)
+		n.reroute(a)
 	})
 }
 
-// takes tells whether the node may still send the server work.
-func (n *node) takes(s *server) bool {
-	return n.knows(s) && !n.view(s.state.VM).leaving
+// acceptsWork reports whether the node may send requests to the server.
+func (n *node) acceptsWork(s *server) bool {
+	return n.isDiscovered(s) && !n.view(s.state.VM).leaving
 }
 
-// move ends an attempt on a leaving server and lets the router place it.
-func (n *node) move(a *attempt) {
+// reroute ends an attempt on a leaving server and resumes the request on a
+// server that the router chooses.
+func (n *node) reroute(a *attempt) {
 	r := a.request
 	a.server.remove(a)
-	n.leave(a)
-	n.world.tally.moved++
+	n.endAttempt(a)
+	n.sim.tally.moved++
 	r.avoidZones = map[identifier.Zone]bool{a.server.state.Zone: true}
 	n.resume(r)
 }
 
-func (n *node) moveTo(a *attempt, to *server, mode messenger.StartMode) {
+func (n *node) restartOn(a *attempt, to *server, mode messenger.StartMode) {
 	r := a.request
 	a.server.remove(a)
-	n.leave(a)
-	n.world.tally.moved++
+	n.endAttempt(a)
+	n.sim.tally.moved++
 	n.send(r, router.Choice{
 		Server:    to.state.VM,
 		Predicted: n.predict(r, to),
@@ -182,47 +185,48 @@
 		if c.Server == to.state.VM {
 			job := router.Job{
 				PromptTokens: r.context(),
-				MaxTokens:    r.max - identifier.Tokens(r.delivered),
+				MaxTokens:    r.maxTokens - identifier.Tokens(r.delivered),
 			}
-			return router.Predict(n.world.now, job, c, n.world.variant.Router)
+			return router.Predict(n.sim.now, job, c, n.sim.variant.Router)
 		}
 	}
 	return router.Prediction{}
 }
 
-// export copies the KV cache over the links of both servers, which serve one
-// export after the other. The stream runs on until its turn comes.
+// export copies the KV cache over the links of both servers, which process
+// exports one at a time. The stream continues to decode until its export
+// starts.
 func (n *node) export(a *attempt, to *server) {
-	if !n.takes(to) {
-		n.move(a)
+	if !n.acceptsWork(to) {
+		n.reroute(a)
 		return
 	}
 	from := a.server
 	from.advance()
 	size := float64(a.request.context()) * float64(from.pool.KVBytesPerToken)
-	start := max(n.world.now, from.linkFree, to.linkFree)
+	start := max(n.sim.now, from.linkIdleAt, to.linkIdleAt)
 	span := timekeeper.Duration(size/float64(from.pool.TransferRate)*float64(timekeeper.Second)) + timekeeper.Millisecond
 	end := start.Add(span)
-	from.linkFree, to.linkFree = end, end
+	from.linkIdleAt, to.linkIdleAt = end, end
 	a.movingTo, a.movingUntil = to.state.VM, end
-	n.world.at(start, func() {
+	n.sim.at(start, func() {
 		if a.phase == phaseDecode {
 			from.advance()
 			a.phase = phaseExport
 			from.reschedule()
 		}
 	})
-	n.world.at(end, func() { n.exported(a, to) })
+	n.sim.at(end, func() { n.exported(a, to) })
 }
 
 func (n *node) exported(a *attempt, to *server) {
 	if a.phase != phaseExport {
 		return
 	}
-	if !n.takes(to) {
-		n.move(a)
+	if !n.acceptsWork(to) {
+		n.reroute(a)
 		return
 	}
-	n.world.tally.exported++
-	n.moveTo(a, to, messenger.StartImported)
+	n.sim.tally.exported++
+	n.restartOn(a, to, messenger.StartImported)
 }
--- a/internal/bencher/workload.go
+++ b/internal/bencher/workload.go
@@ -6,8 +6,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// The course of a run, the same for both deployments. These constants, and
-// those of the deployments, were fixed before the first result was read.
+// The schedule of a run, the same for all deployments.
 const (
 	warmUp      = 1 * timekeeper.Minute
 	runTime     = 45 * timekeeper.Minute
@@ -15,97 +14,100 @@
 	flashStart  = 8 * timekeeper.Minute
 	flashEnd    = 14 * timekeeper.Minute
 	flashFactor = 4.0
-	// The three zone waves: a plain one, one that spreads to a second zone
-	// while nothing reclaimable is to be had anywhere, and one in the middle
-	// of a second, shorter flash crowd.
-	waveOne       = 17 * timekeeper.Minute
-	waveTwo       = 25 * timekeeper.Minute
-	waveTwoSpread = 8 * timekeeper.Second
-	waveThree     = 40 * timekeeper.Minute
-	secondFlash   = 39 * timekeeper.Minute
-	// holderChange is when the lease passes to another node.
-	holderChange = 21 * timekeeper.Minute
-	// One engine lies: it is slow and reports no load. Another goes silent
-	// while its load reports go on.
-	slowStart   = 31 * timekeeper.Minute
-	slowEnd     = 34 * timekeeper.Minute
-	slowFactor  = 0.2
-	silentStart = 36 * timekeeper.Minute
-	silentEnd   = 37 * timekeeper.Minute
-	// waveJitter moves each of these by up to so much, by the seed.
+	// Zones are reclaimed three times: a single zone; then two zones in quick
+	// succession while all zones are out of capacity; then one zone during a
+	// second, shorter flash crowd.
+	firstWave        = 17 * timekeeper.Minute
+	secondWave       = 25 * timekeeper.Minute
+	secondWaveSpread = 8 * timekeeper.Second
+	thirdWave        = 40 * timekeeper.Minute
+	secondFlashStart = 39 * timekeeper.Minute
+	// leaderChange is when the lease passes to another node.
+	leaderChange = 21 * timekeeper.Minute
+	// One engine is slow and reports itself idle. Later an engine stops
+	// generating while its load reports continue.
+	slowStart       = 31 * timekeeper.Minute
+	slowEnd         = 34 * timekeeper.Minute
+	slowSpeedFactor = 0.2
+	stallStart      = 36 * timekeeper.Minute
+	stallEnd        = 37 * timekeeper.Minute
+	// waveJitter bounds the random delay of each fault.
 	waveJitter = 20 * timekeeper.Second
-	// singleReclaims is how many single VMs of an hour are reclaimed.
-	singleReclaims = 0.2
-	// zoneExhausted is how long a reclaimed zone refuses reclaimable purchases, and
-	// allExhausted how long all zones do after the second wave.
-	zoneExhausted = 6 * timekeeper.Minute
-	allExhausted  = 4 * timekeeper.Minute
-	// refusedPercent and lostPercent are the purchases refused at any time,
-	// and those whose answer is lost.
-	refusedPercent = 5
-	lostPercent    = 2
+	// reclaimsPerVMHour is the mean number of single reclaims per VM and hour.
+	reclaimsPerVMHour = 0.2
+	// A reclaimed zone refuses purchases of reclaimable VMs for
+	// zoneExhaustedTime; all zones do so for allZonesExhaustedTime from the
+	// second wave on.
+	zoneExhaustedTime     = 6 * timekeeper.Minute
+	allZonesExhaustedTime = 4 * timekeeper.Minute
+	// refusedPercent of the purchases of reclaimable VMs are refused at any
+	// time; the responses to lostResponsePercent of all purchases are lost.
+	refusedPercent      = 5
+	lostResponsePercent = 2
 )
 
-// The pictures that nodes have of servers and of each other.
+// Delays and losses of the information that nodes have about servers and peers.
 const (
-	pollEvery    = 1 * timekeeper.Second
-	publishEvery = 500 * timekeeper.Millisecond
-	reportLag    = 300 * timekeeper.Millisecond
-	// missedPercent of the polls go unanswered, gapPercent of the cache
-	// events' batches are lost.
-	missedPercent = 5
-	gapPercent    = 2
-	gossipEvery   = 1 * timekeeper.Second
-	minNoticeLag  = 50 * timekeeper.Millisecond
-	maxNoticeLag  = 400 * timekeeper.Millisecond
-	listLag       = 2 * timekeeper.Second
-	planEvery     = 3 * timekeeper.Second
-	leaseTime     = 10 * timekeeper.Second
-	// clientKeep is how long a caller keeps the address it was given.
-	clientKeep       = 30 * timekeeper.Second
-	clientsByAccount = 4
-	// maxReturns is how often a refused caller comes back.
-	maxReturns = 2
+	pollInterval    = 1 * timekeeper.Second
+	publishInterval = 500 * timekeeper.Millisecond
+	reportLag       = 300 * timekeeper.Millisecond
+	// missedPollPercent of the polls are not answered;
+	// cacheEventLossPercent of the batches of cache events are lost.
+	missedPollPercent     = 5
+	cacheEventLossPercent = 2
+	gossipInterval        = 1 * timekeeper.Second
+	minNoticeLag          = 50 * timekeeper.Millisecond
+	maxNoticeLag          = 400 * timekeeper.Millisecond
+	listLag               = 2 * timekeeper.Second
+	planInterval          = 3 * timekeeper.Second
+	leaseTime             = 10 * timekeeper.Second
+	// addressMaxAge is the time for which a caller uses one node's address.
+	addressMaxAge     = 30 * timekeeper.Second
+	clientsPerAccount = 4
+	// maxRefusalRetries is the number of times a caller retries after a
+	// refusal.
+	maxRefusalRetries = 2
 )
 
-// Weights and boot of new VMs.
+// Startup times of new VMs.
 const (
-	engineBoot = 45 * timekeeper.Second
-	// weightTime is the time that the weight store needs for one engine; it
-	// serves one after the other.
-	weightTime = 25 * timekeeper.Second
-	plainBoot  = 20 * timekeeper.Second
-	buyTime    = 1 * timekeeper.Second
+	engineBootTime = 45 * timekeeper.Second
+	// weightLoadTime is the time the weight store needs for one engine; it
+	// serves engines one at a time.
+	weightLoadTime = 25 * timekeeper.Second
+	plainBootTime  = 20 * timekeeper.Second
+	purchaseTime   = 1 * timekeeper.Second
 )
 
-// Kind is a kind of request.
+// Kind describes the requests to one service.
 type Kind struct {
 	Service catalog.Service
 	Target  catalog.Target
-	// Rate is the mean number of requests a second, over all accounts.
+	// Rate is the mean number of requests per second over all accounts.
 	Rate float64
-	// Prompt and Answer bound the tokens, drawn evenly between them; for a
-	// plain service Answer bounds the milliseconds of work.
+	// Prompt and Answer are the inclusive bounds of uniformly drawn token
+	// counts. For a plain service Answer bounds the milliseconds of work.
 	Prompt [2]int
 	Answer [2]int
-	// AccountBlocks of the prompt are shared by the requests of an account,
-	// DocumentBlocks by the requests about one document, of which Documents
-	// are current and each is the subject of about RequestsPerDocument requests.
+	// All requests of an account share AccountBlocks prefix blocks; requests
+	// about the same document share another DocumentBlocks. Documents is the
+	// number of current documents; each is replaced after a mean of
+	// RequestsPerDocument requests.
 	AccountBlocks       int
 	DocumentBlocks      int
 	Documents           int
 	RequestsPerDocument int
-	// FlashCrowd tells that flash crowds are of this kind.
+	// FlashCrowd reports whether flash crowds send requests of this kind.
 	FlashCrowd bool
 }
 
-// AccountSpec is a client account with its share of the requests.
+// AccountSpec is a client account and its share of the requests.
 type AccountSpec struct {
 	ID    identifier.AccountID
 	Share float64
 }
 
-// Deployment is all that is fixed of a run.
+// Deployment describes the nodes, zones, pools and workload of a run.
 type Deployment struct {
 	Name       string
 	Nodes      int
@@ -117,14 +119,14 @@
 	Classes    []catalog.Class
 }
 
-// limitFactor is how far an account's limits lie above its mean use, and
-// burstTime the use that it may save up.
+// An account's limits are limitFactor times its mean use; its burst is the mean
+// use of limitBurstTime.
 const (
-	limitFactor = 2.5
-	burstTime   = 20 * timekeeper.Second
+	limitFactor    = 2.5
+	limitBurstTime = 20 * timekeeper.Second
 )
 
-// catalogOf builds the catalog of a deployment.
+// catalogOf returns the catalog of a deployment.
 func catalogOf(d Deployment) *catalog.Catalog {
 	c := &catalog.Catalog{
 		Revision: 1,
@@ -146,9 +148,9 @@
 		c.Accounts[a.ID] = catalog.Account{
 			ID:                a.ID,
 			RequestsPerSecond: requests * a.Share * limitFactor,
-			RequestBurst:      requests * a.Share * burstTime.Seconds(),
+			RequestBurst:      requests * a.Share * limitBurstTime.Seconds(),
 			TokensPerSecond:   tokens * a.Share * limitFactor,
-			TokenBurst:        tokens * a.Share * burstTime.Seconds(),
+			TokenBurst:        tokens * a.Share * limitBurstTime.Seconds(),
 			Targets:           targets,
 		}
 	}
@@ -164,7 +166,7 @@
 	return c
 }
 
-// meanTokens is the mean of what a request reserves.
+// meanTokens returns the mean number of tokens that a request reserves.
 func (k Kind) meanTokens() float64 {
 	if k.Service.Kind == catalog.PlainService {
 		return 0
@@ -172,19 +174,19 @@
 	return float64(k.Prompt[0]+k.Prompt[1])/2 + maxTokensFactor*float64(k.Answer[0]+k.Answer[1])/2
 }
 
-// maxTokensFactor is how far callers' max_tokens lie above the answers.
+// maxTokensFactor is the ratio of callers' max_tokens to the answer's length.
 const maxTokensFactor = 1.3
 
-// prices builds the price list of a class, in thousandths of a coin an hour.
+// prices returns the price list of a class from hourly prices in milliUnits.
 func prices(zones []identifier.Zone, reclaimable, onDemand []int) map[identifier.Zone]map[catalog.Market]identifier.Money {
 	list := make(map[identifier.Zone]map[catalog.Market]identifier.Money)
 	for i, z := range zones {
 		list[z] = map[catalog.Market]identifier.Money{
-			catalog.Reclaimable: identifier.Money(reclaimable[i]) * milliCoin,
-			catalog.OnDemand:    identifier.Money(onDemand[i]) * milliCoin,
+			catalog.Reclaimable: identifier.Money(reclaimable[i]) * milliUnit,
+			catalog.OnDemand:    identifier.Money(onDemand[i]) * milliUnit,
 		}
 	}
 	return list
 }
 
-const milliCoin = identifier.CurrencyUnit / 1000
+const milliUnit = identifier.CurrencyUnit / 1000
--- a/internal/bencher/world.go
+++ b/internal/bencher/world.go
@@ -11,15 +11,15 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// The streams of random numbers of a run.
+// Stream numbers of the random number generators of a run.
 const (
-	worldStream = 2 + iota
+	simulationStream = 2 + iota
 	faultStream
 	nodeStream = 100
 )
 
-// world is one run.
-type world struct {
+// simulation is the state of one run.
+type simulation struct {
 	schedule
 	deployment Deployment
 	variant    Variant
@@ -29,82 +29,82 @@
 	pools      map[identifier.PoolName][]*server
 	cloud      *cloud
 	tally      *tally
-	// news is what the nodes told each other at the last gossip.
-	news   map[identifier.VMID]map[identifier.AccountID]limiter.Demand
-	shards map[identifier.AccountID][]*node
+	// peerDemand holds the demand that each node sent in the last gossip round.
+	peerDemand map[identifier.VMID]map[identifier.AccountID]limiter.Demand
+	shards     map[identifier.AccountID][]*node
 }
 
-// Run makes one run and returns its result.
+// Run simulates one deployment and variant with a seed.
 func Run(d Deployment, v Variant, seed uint64) Result {
-	w := newWorld(d, v, seed)
-	for _, r := range newArrivals(d, w.catalog, seed).all() {
-		w.at(r.arrival, func() { w.arrive(r) })
+	sim := newSimulation(d, v, seed)
+	for _, r := range newArrivals(d, sim.catalog, seed).drawAll() {
+		sim.at(r.arrival, func() { sim.arrive(r) })
 	}
-	w.startClocks()
-	w.scheduleFaults(rand.New(rand.NewPCG(seed, faultStream)))
-	w.runUntil(timekeeper.Time(runTime + drainTime))
-	return w.result()
+	sim.startTimers()
+	sim.scheduleFaults(rand.New(rand.NewPCG(seed, faultStream)))
+	sim.runUntil(timekeeper.Time(runTime + drainTime))
+	return sim.result()
 }
 
-func newWorld(d Deployment, v Variant, seed uint64) *world {
-	w := &world{
+func newSimulation(d Deployment, v Variant, seed uint64) *simulation {
+	sim := &simulation{
 		deployment: d,
 		variant:    v,
 		catalog:    catalogOf(d),
-		rng:        rand.New(rand.NewPCG(seed, worldStream)),
+		rng:        rand.New(rand.NewPCG(seed, simulationStream)),
 		pools:      make(map[identifier.PoolName][]*server),
-		news:       make(map[identifier.VMID]map[identifier.AccountID]limiter.Demand),
+		peerDemand: make(map[identifier.VMID]map[identifier.AccountID]limiter.Demand),
 		shards:     make(map[identifier.AccountID][]*node),
 	}
 	if v.AllOnDemand {
-		for name, p := range w.catalog.Pools {
+		for name, p := range sim.catalog.Pools {
 			p.OnDemandPercent = 100
-			w.catalog.Pools[name] = p
+			sim.catalog.Pools[name] = p
 		}
 	}
-	w.tally = newTally(d)
+	sim.tally = newTally(d)
 	for i := range d.Nodes {
-		w.nodes = append(w.nodes, newNode(w, i, rand.New(rand.NewPCG(seed, nodeStream+uint64(i)))))
+		sim.nodes = append(sim.nodes, newNode(sim, i, rand.New(rand.NewPCG(seed, nodeStream+uint64(i)))))
 	}
-	w.addresses()
-	w.cloud = newCloud(w)
-	w.cloud.firstFleet()
-	return w
+	sim.assignShards()
+	sim.cloud = newCloud(sim)
+	sim.cloud.buyInitialFleet()
+	return sim
 }
 
-// startClocks starts what happens again and again.
-func (w *world) startClocks() {
+// startTimers schedules the periodic tasks and the change of leader.
+func (sim *simulation) startTimers() {
 	end := timekeeper.Time(runTime + drainTime)
-	w.every(publishEvery, end, w.publish)
-	for i, n := range w.nodes {
-		offset := timekeeper.Duration(i) * pollEvery / timekeeper.Duration(len(w.nodes))
-		w.after(offset, func() { w.every(pollEvery, end, n.poll) })
+	sim.every(publishInterval, end, sim.publish)
+	for i, n := range sim.nodes {
+		offset := timekeeper.Duration(i) * pollInterval / timekeeper.Duration(len(sim.nodes))
+		sim.after(offset, func() { sim.every(pollInterval, end, n.pollServers) })
 	}
-	w.every(gossipEvery, end, w.gossip)
-	w.after(planEvery, func() { w.every(planEvery, end, w.cloud.scale) })
-	w.at(timekeeper.Time(holderChange), w.cloud.changeHolder)
+	sim.every(gossipInterval, end, sim.gossip)
+	sim.after(planInterval, func() { sim.every(planInterval, end, sim.cloud.runScalers) })
+	sim.at(timekeeper.Time(leaderChange), sim.cloud.changeLeader)
 }
 
-// arrive gives a request to the node whose address its caller keeps.
-func (w *world) arrive(r *request) {
-	w.nodeFor(r).submit(r)
+// arrive submits a request to the node whose address its caller uses.
+func (sim *simulation) arrive(r *request) {
+	sim.nodeFor(r).submit(r)
 }
 
-// nodeFor returns the node at an address that the system gives the account:
-// each of its clients begins with another one, goes on to the next when it
-// asks again after clientKeep, and does so too when it was refused.
-func (w *world) nodeFor(r *request) *node {
-	offset := timekeeper.Duration(r.client) * clientKeep / clientsByAccount
-	kept := int(w.now.Add(offset).Sub(0) / clientKeep)
-	shard := w.shards[r.account]
-	return shard[(r.client+kept+r.returns)%len(shard)]
+// nodeFor returns the node that a request's caller uses. The clients of an
+// account start at different nodes of its shard and move to the next after
+// every addressMaxAge and after every refusal.
+func (sim *simulation) nodeFor(r *request) *node {
+	offset := timekeeper.Duration(r.clientIndex) * addressMaxAge / clientsPerAccount
+	addressChanges := int(sim.now.Add(offset).Sub(0) / addressMaxAge)
+	shard := sim.shards[r.account]
+	return shard[(r.clientIndex+addressChanges+r.refusalRetries)%len(shard)]
 }
 
-// addresses asks the system for the order of the nodes for each account.
-func (w *world) addresses() {
+// assignShards determines the order of the nodes for each account.
+func (sim *simulation) assignShards() {
 	var members []gossiper.Node
 	byID := make(map[identifier.VMID]*node)
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		byID[n.id] = n
 		members = append(members, gossiper.Node{
 			VM:    n.id,
@@ -112,42 +112,40 @@
 			State: gossiper.Alive,
 		})
 	}
-	for _, a := range w.deployment.Accounts {
+	for _, a := range sim.deployment.Accounts {
 		for _, m := range placer.Shard(a.ID, members, len(members)) {
-			w.shards[a.ID] = append(w.shards[a.ID], byID[m.VM])
+			sim.shards[a.ID] = append(sim.shards[a.ID], byID[m.VM])
 		}
 	}
 }
 
-func (w *world) publish() {
-	for _, p := range w.deployment.Pools {
-		for _, s := range w.pools[p.Name] {
-			if s.ready(w.now) {
+func (sim *simulation) publish() {
+	for _, p := range sim.deployment.Pools {
+		for _, s := range sim.pools[p.Name] {
+			if s.ready(sim.now) {
 				s.publish()
 			}
 		}
 	}
 }
 
-// gossip carries the demand from node to node: each hears what the others
-// said at the last round.
-func (w *world) gossip() {
-	for _, n := range w.nodes {
+// gossip delivers to each node the demand that its peers sent in the previous
+// round.
+func (sim *simulation) gossip() {
+	for _, n := range sim.nodes {
 		peers := make(map[identifier.VMID]map[identifier.AccountID]limiter.Demand)
-		for id, demand := range w.news {
+		for id, demand := range sim.peerDemand {
 			if id != n.id {
 				peers[id] = demand
 			}
 		}
-		n.limits.SetPeers(w.now, peers)
+		n.limits.SetPeers(sim.now, peers)
 	}
-	for _, n := range w.nodes {
-		w.news[n.id] = n.limits.Demand(w.now)
+	for _, n := range sim.nodes {
+		sim.peerDemand[n.id] = n.limits.Demand(sim.now)
 	}
 }
 
-// first is the first token of an attempt.
-func (w *world) first(a *attempt) { a.request.node.first(a) }
+func (sim *simulation) firstToken(a *attempt) { a.request.node.firstToken(a) }
 
-// completed is the end of an attempt with its whole answer.
-func (w *world) completed(a *attempt) { a.request.node.completed(a) }
+func (sim *simulation) completed(a *attempt) { a.request.node.attemptCompleted(a) }
