--- a/internal/quarantiner/quarantiner.go
+++ b/internal/quarantiner/quarantiner.go
@@ -7,7 +7,7 @@
 // and content, and the ends of servers are counted over all nodes:
 //
 //   - A node records each end of a server under one of its own requests, and nodes
-//     exchange these records (news.go).
+//     exchange these records (updates.go).
 //   - Once three servers have ended under a request, all nodes refuse it. Servers that
 //     probably ended for another request do not count (verdict.go).
 //   - A complete answer clears a request, because it shows that the request does not
