--- a/internal/gauger/claim.go
+++ b/internal/gauger/claim.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// readRecords is how many records one read of the log brings.
-	readRecords = 100
-	// recordedBody is the size of a small recorded answer.
-	recordedBody = 512
+	// recordsPerRead is the number of records in one read of the log.
+	recordsPerRead = 100
+	// recordedBodySize is the size of a small recorded answer in bytes.
+	recordedBodySize = 512
 )
 
-// claimGauge measures what the claims of all nodes cost each one, which reads
-// them all. It does not depend on the size of the fleet.
+// claimGauge measures the cost of claims for a node, which reads the claims of
+// all nodes. The figures do not depend on the size of the fleet.
 type claimGauge struct {
-	// sizes are the numbers of claims that are measured.
-	sizes []int
+	// claimCounts lists the numbers of claims to measure.
+	claimCounts []int
 }
 
 var _ Gauge = claimGauge{}
@@ -30,29 +30,28 @@
 
 func (g claimGauge) Measure(f *Fleet) ([]Reading, error) {
 	claim, outcome := claimRecords(0)
-	out := []Reading{
-		f.reading(g.Name(), "claim record", float64(len(claim)), Bytes),
-		f.reading(g.Name(), fmt.Sprintf("outcome record with an answer of %d bytes", recordedBody), float64(len(outcome)), Bytes),
+	readings := []Reading{
+		f.newReading(g.Name(), "claim record", float64(len(claim)), Bytes),
+		f.newReading(g.Name(), fmt.Sprintf("outcome record with an answer of %d bytes", recordedBodySize), float64(len(outcome)), Bytes),
 	}
-	for _, n := range g.sizes {
+	for _, n := range g.claimCounts {
 		reads := claimReads(n)
-		spent := metered(func() { absorbed(n, reads) })
-		heap := retained(func() any { return absorbed(n, reads) })
-		runtime.KeepAlive(reads) // Else they are taken off the growth.
+		cost := measure(func() { tableWith(n, reads) })
+		heap := retainedBytes(func() any { return tableWith(n, reads) })
+		runtime.KeepAlive(reads) // Otherwise collecting them would reduce the measured heap growth.
 		for _, r := range []Reading{
-			f.reading(g.Name(), "claim and outcome read by a node, each", spent.per(n), Microseconds),
-			f.reading(g.Name(), "claim and outcome read by a node, allocated", float64(spent.allocated)/float64(n), Bytes),
-			f.reading(g.Name(), "claim and outcome kept, each", heap/float64(n), Bytes),
+			f.newReading(g.Name(), "claim and outcome read by a node, each", cost.microsecondsPer(n), Microseconds),
+			f.newReading(g.Name(), "claim and outcome read by a node, allocated", float64(cost.allocated)/float64(n), Bytes),
+			f.newReading(g.Name(), "claim and outcome kept, each", heap/float64(n), Bytes),
 		} {
 			r.Parameter = n
-			out = append(out, r)
+			readings = append(readings, r)
 		}
 	}
-	return out, nil
+	return readings, nil
 }
 
-// claimRecords returns the records of the i-th claim of other nodes and of
-// its outcome.
+// claimRecords returns the records of the i-th claim and of its outcome.
 func claimRecords(i int) (claim, outcome []byte) {
 	request := identifier.RequestID(fmt.Sprintf("k%032x", i))
 	account := accountName(i % 100)
@@ -66,45 +65,44 @@
 	if err != nil {
 		return nil, nil
 	}
-	return claim, claimer.OutcomeRecord(account, key, request, nonce, messenger.Done, okStatus, make([]byte, recordedBody))
+	return claim, claimer.OutcomeRecord(account, key, request, nonce, messenger.Done, okStatus, make([]byte, recordedBodySize))
 }
 
-// claimReads returns n claims with their outcomes as the reads that bring
-// them.
+// claimReads returns the log reads that contain n claims and their outcomes.
 func claimReads(n int) []messenger.LogRead {
 	byStream := map[identifier.LogStream][]messenger.Record{}
 	offset := identifier.Offset(0)
 	for i := range n {
 		claim, outcome := claimRecords(i)
 		key := identifier.IdempotencyKey(fmt.Sprintf("booking-%08d", i))
-		s := claimer.Stream(accountName(i%100), key, claimer.DefaultPartitions)
+		stream := claimer.Stream(accountName(i%100), key, claimer.DefaultPartitions)
 		for _, data := range [][]byte{claim, outcome} {
 			offset++
-			byStream[s] = append(byStream[s], messenger.Record{
+			byStream[stream] = append(byStream[stream], messenger.Record{
 				Offset:   offset,
 				Appended: fleetStart.Add(timekeeper.Duration(i / 100)),
 				Data:     data,
 			})
 		}
 	}
-	var out []messenger.LogRead
-	for _, s := range observer(n).Streams() {
-		for records := byStream[s]; len(records) > 0; {
-			part := min(readRecords, len(records))
-			out = append(out, messenger.LogRead{
-				Stream:  s,
+	var reads []messenger.LogRead
+	for _, stream := range newObservingTable(n).Streams() {
+		for records := byStream[stream]; len(records) > 0; {
+			batch := min(recordsPerRead, len(records))
+			reads = append(reads, messenger.LogRead{
+				Stream:  stream,
 				First:   1,
-				Records: records[:part],
-				End:     part == len(records),
+				Records: records[:batch],
+				End:     batch == len(records),
 			})
-			records = records[part:]
+			records = records[batch:]
 		}
 	}
-	return out
+	return reads
 }
 
-// observer returns the table of a node that claims nothing itself.
-func observer(n int) *claimer.Table {
+// newObservingTable returns the table of a node that makes no claims itself.
+func newObservingTable(n int) *claimer.Table {
 	return claimer.New(claimer.Config{
 		Self:       "entry-9999",
 		MaxEntries: 2 * n,
@@ -112,8 +110,8 @@
 	})
 }
 
-func absorbed(n int, reads []messenger.LogRead) *claimer.Table {
-	table := observer(n)
+func tableWith(n int, reads []messenger.LogRead) *claimer.Table {
+	table := newObservingTable(n)
 	for _, read := range reads {
 		table.ApplyRecords(fleetStart, read)
 	}
--- a/internal/gauger/configuration.go
+++ b/internal/gauger/configuration.go
@@ -8,12 +8,12 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// changesMetered is how many changes of the configuration a figure is taken
-// over.
-const changesMetered = 20
+// measuredChanges is the number of configuration changes that a figure is
+// averaged over.
+const measuredChanges = 20
 
-// configurationGauge measures what a change of a file of client accounts costs
-// a node, and what the folder takes in the log.
+// configurationGauge measures the cost of changing a file of client accounts,
+// and the size of the configuration.
 type configurationGauge struct{}
 
 var _ Gauge = configurationGauge{}
@@ -21,65 +21,65 @@
 func (configurationGauge) Name() string { return "configuration" }
 
 func (g configurationGauge) Measure(f *Fleet) ([]Reading, error) {
-	accounts := accountsFile(0, min(accountsPerFile, accountCount(f.size)))
+	changedFile := accountsFile(0, min(accountsPerFile, accountCount(f.size)))
 	d := newDriver(f)
-	records, err := changes(d, accounts)
+	records, err := proposeChanges(d, changedFile)
 	if err != nil {
 		return nil, err
 	}
 	reads := make([]messenger.LogRead, 0, len(records))
-	other := newDriver(f)
+	follower := newDriver(f)
 	size := 0
 	for _, r := range records {
-		reads = append(reads, other.logRead(r.Stream, r.Data))
+		reads = append(reads, follower.newLogRead(r.Stream, r.Data))
 		size += len(r.Data)
 	}
-	spent := metered(func() {
+	applyCost := measure(func() {
 		for _, read := range reads {
-			other.now = other.now.Add(timekeeper.Second)
-			other.apply(read)
+			follower.now = follower.now.Add(timekeeper.Second)
+			follower.apply(read)
 		}
 	})
-	snapshot, _ := other.reducer.ExportConfiguration()
+	snapshot, _ := follower.reducer.ExportConfiguration()
 	return []Reading{
-		f.reading(g.Name(), "files of the folder", folderBytes(f.size), Bytes),
-		f.reading(g.Name(), "record of one changed file", float64(size)/changesMetered, Bytes),
-		f.reading(g.Name(), "whole state, as a peer or a snapshot carries it", float64(len(snapshot)), Bytes),
-		f.reading(g.Name(), "change read by a node, each", spent.per(changesMetered), Microseconds),
-		f.reading(g.Name(), "change read by a node, allocated", float64(spent.allocated)/changesMetered, Bytes),
+		f.newReading(g.Name(), "files of the folder", configurationBytes(f.size), Bytes),
+		f.newReading(g.Name(), "record of one changed file", float64(size)/measuredChanges, Bytes),
+		f.newReading(g.Name(), "whole state, as a peer or a snapshot carries it", float64(len(snapshot)), Bytes),
+		f.newReading(g.Name(), "change read by a node, each", applyCost.microsecondsPer(measuredChanges), Microseconds),
+		f.newReading(g.Name(), "change read by a node, allocated", float64(applyCost.allocated)/measuredChanges, Bytes),
 	}, nil
 }
 
-func folderBytes(s Size) float64 {
+func configurationBytes(s Size) float64 {
 	sum := 0
-	for _, f := range folder(s) {
-		sum += len(f.text)
+	for _, f := range configurationFiles(s) {
+		sum += len(f.content)
 	}
 	return float64(sum)
 }
 
-// changes proposes one change of a file after another and returns their
-// records as the log takes them.
-func changes(d *driver, f file) ([]messenger.AppendRecord, error) {
-	var out []messenger.AppendRecord
-	for i := range changesMetered {
+// proposeChanges proposes successive changes of a file and returns their
+// records.
+func proposeChanges(d *driver, original file) ([]messenger.AppendRecord, error) {
+	var records []messenger.AppendRecord
+	for i := range measuredChanges {
 		d.now = d.now.Add(timekeeper.Second)
-		record, err := propose(d, f, fmt.Sprintf("%s# change %d\n", f.text, i))
+		record, err := proposeChange(d, original, fmt.Sprintf("%s# change %d\n", original.content, i))
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, record)
-		d.apply(d.logRead(record.Stream, record.Data))
+		records = append(records, record)
+		d.apply(d.newLogRead(record.Stream, record.Data))
 	}
-	return out, nil
+	return records, nil
 }
 
-func propose(d *driver, f file, content string) (messenger.AppendRecord, error) {
+func proposeChange(d *driver, original file, content string) (messenger.AppendRecord, error) {
 	effects := d.apply(messenger.ChangeProposed{
 		Ticket:       1,
-		File:         f.name,
+		File:         original.name,
 		Content:      []byte(content),
-		BaseRevision: d.reducer.Files()[f.name].Revision,
+		BaseRevision: d.reducer.Files()[original.name].Revision,
 	})
 	for _, e := range effects {
 		if record, ok := e.(messenger.AppendRecord); ok {
@@ -88,6 +88,6 @@
 	}
 	return messenger.AppendRecord{}, &NotReadyError{
 		Node:   identifier.VMID("entry-0000"),
-		Reason: "change of the configuration was not taken",
+		Reason: "configuration change rejected",
 	}
 }
--- a/internal/gauger/fleet.go
+++ b/internal/gauger/fleet.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	// fleetStart is when every fleet begins, in virtual time.
+	// fleetStart is the virtual time at which every fleet starts.
 	fleetStart timekeeper.Time = 1_780_000_000_000
-	// listEvery is the spacing of reads of the VM list, and emptyReadEvery
-	// that of reads of a stream of the log which bring nothing, as in the
-	// runner.
-	listEvery      = 1 * timekeeper.Second
-	emptyReadEvery = 5 * timekeeper.Second
-	// askEvery is the spacing of the requests that each node but the first
-	// gets, so that peers have demand to tell of, and shardAccounts how many
-	// accounts they come from.
-	askEvery      = 200 * timekeeper.Millisecond
-	shardAccounts = 5
-	// parallel is how many reducers of a fleet work at once.
-	parallel = 4
+	// listInterval is the time between reads of the VM list, emptyReadInterval
+	// the time between log reads while there are no new records; both are as in
+	// the runner.
+	listInterval      = 1 * timekeeper.Second
+	emptyReadInterval = 5 * timekeeper.Second
+	// Every node but the first receives a request every requestInterval, from
+	// accountsPerShard accounts in turn, so that peers have demand to report.
+	requestInterval  = 200 * timekeeper.Millisecond
+	accountsPerShard = 5
+	// maxParallel bounds the reducers that run concurrently.
+	maxParallel = 4
 )
 
-// Fleet is a set of reducers in virtual time, with the list of VMs, the log
-// and the load of the servers. A message or answer takes one step.
+// Fleet runs one reducer for each node in virtual time, with a simulated VM
+// list, log and backend servers. Messages and responses are delivered one step
+// after they are sent.
 type Fleet struct {
 	size    Size
 	now     timekeeper.Time
@@ -40,9 +40,9 @@
 	members []*member
 	byVM    map[identifier.VMID]*member
 	log     []logRecord
-	// appends counts the records that the nodes appended.
+	// appends counts the records appended by all nodes.
 	appends int
-	// verdict is what became of the last proposed change.
+	// verdict is the result of the last proposed change.
 	verdict messenger.ChangeVerdict
 }
 
@@ -53,19 +53,19 @@
 
 // member is one node of a fleet.
 type member struct {
-	config  reducer.Config
-	reducer *reducer.Reducer
-	inbox   []messenger.EventBody
-	effects []messenger.Effect
-	read    int
-	// events are all events so far, where they are kept.
-	events []messenger.Event
-	keep   bool
+	config      reducer.Config
+	reducer     *reducer.Reducer
+	inbox       []messenger.EventBody
+	effects     []messenger.Effect
+	recordsRead int
+	// events holds all events so far if recordEvents is set.
+	events       []messenger.Event
+	recordEvents bool
 
 	gossipOut traffic
 	gossipIn  traffic
 	polls     int
-	asked     int
+	requests  int
 }
 
 type traffic struct {
@@ -78,7 +78,8 @@
 	t.bytes += len(data)
 }
 
-// NewFleet returns nodes that know nothing yet; the first keeps its events.
+// NewFleet returns a fleet of newly started nodes. The first node records its
+// events for replay.
 func NewFleet(s Size) *Fleet {
 	f := &Fleet{
 		size: s,
@@ -89,9 +90,9 @@
 	for i := range s.Nodes {
 		c := nodeConfig(i)
 		m := &member{
-			config:  c,
-			reducer: reducer.New(c),
-			keep:    i == 0,
+			config:       c,
+			reducer:      reducer.New(c),
+			recordEvents: i == 0,
 		}
 		f.members = append(f.members, m)
 		f.byVM[c.Self] = m
@@ -112,7 +113,7 @@
 	}
 }
 
-// vmList returns the platform's list of a fleet's VMs.
+// vmList returns the VM list of a fleet.
 func vmList(s Size) []messenger.VMState {
 	var vms []messenger.VMState
 	for i := range s.Nodes {
@@ -138,55 +139,55 @@
 	return vms
 }
 
-// Run lets time pass.
+// Run advances the virtual time by at least d.
 func (f *Fleet) Run(d timekeeper.Duration) {
 	for end := f.now.Add(d); f.now < end; {
 		f.step()
 	}
 }
 
-// step lets one tick pass: what was sent in the last one arrives, all nodes
-// work, and what they sent is collected in their order.
+// step runs one tick: it delivers the messages of the previous tick, applies
+// the events at all nodes, and executes their effects in node order.
 func (f *Fleet) step() {
 	f.now = f.now.Add(messenger.TickInterval)
 	for i, m := range f.members {
-		f.feed(i, m)
+		f.deliver(i, m)
 	}
-	f.work()
+	f.applyEvents()
 	for i, m := range f.members {
 		for _, e := range m.effects {
-			f.carryOut(i, m, e)
+			f.execute(i, m, e)
 		}
 		m.effects = nil
 	}
 }
 
-// feed gives a node the list and the new records of the log, each node at its
-// own instants.
-func (f *Fleet) feed(i int, m *member) {
+// deliver queues the VM list, log reads and a request for a node when they are
+// due. The nodes' schedules are offset from one another.
+func (f *Fleet) deliver(i int, m *member) {
 	tick := int(f.now.Sub(fleetStart) / messenger.TickInterval)
-	if (tick+i)%int(listEvery/messenger.TickInterval) == 0 {
+	if (tick+i)%int(listInterval/messenger.TickInterval) == 0 {
 		m.inbox = append(m.inbox, messenger.ListRead{
 			AsOf: f.now,
 			VMs:  f.vms,
 		})
 	}
-	empty := (tick+i)%int(emptyReadEvery/messenger.TickInterval) == 0
-	if m.read < len(f.log) || empty {
-		m.inbox = append(m.inbox, f.reads(m)...)
+	emptyReadDue := (tick+i)%int(emptyReadInterval/messenger.TickInterval) == 0
+	if m.recordsRead < len(f.log) || emptyReadDue {
+		m.inbox = append(m.inbox, f.logReads(m)...)
 	}
-	asks := tick % int(askEvery/messenger.TickInterval)
-	if i > 0 && asks == i%int(askEvery/messenger.TickInterval) && m.reducer.Catalog() != nil {
-		m.inbox = append(m.inbox, messenger.RequestReceived{Spec: f.ask(i, m)})
+	phase := tick % int(requestInterval/messenger.TickInterval)
+	if i > 0 && phase == i%int(requestInterval/messenger.TickInterval) && m.reducer.Catalog() != nil {
+		m.inbox = append(m.inbox, messenger.RequestReceived{Spec: f.nextRequest(i, m)})
 	}
 }
 
-// ask returns the next request of a node's shard of accounts.
-func (f *Fleet) ask(i int, m *member) messenger.RequestSpec {
-	m.asked++
+// nextRequest returns the next request from a node's shard of accounts.
+func (f *Fleet) nextRequest(i int, m *member) messenger.RequestSpec {
+	m.requests++
 	return messenger.RequestSpec{
-		Request:      identifier.RequestID(fmt.Sprintf("%s-%08d", m.config.Self, m.asked)),
-		Account:      accountName((i + m.asked%shardAccounts) % accountCount(f.size)),
+		Request:      identifier.RequestID(fmt.Sprintf("%s-%08d", m.config.Self, m.requests)),
+		Account:      accountName((i + m.requests%accountsPerShard) % accountCount(f.size)),
 		Service:      shortService,
 		Idempotent:   true,
 		EntryNode:    m.config.Self,
@@ -197,33 +198,34 @@
 	}
 }
 
-// reads returns the records that a node has not read, one read a stream.
-func (f *Fleet) reads(m *member) []messenger.EventBody {
+// logReads returns one read for each stream with the records that a node has
+// not read.
+func (f *Fleet) logReads(m *member) []messenger.EventBody {
 	byStream := map[identifier.LogStream][]messenger.Record{}
-	for _, r := range f.log[m.read:] {
+	for _, r := range f.log[m.recordsRead:] {
 		byStream[r.stream] = append(byStream[r.stream], r.Record)
 	}
-	m.read = len(f.log)
-	var out []messenger.EventBody
+	m.recordsRead = len(f.log)
+	var reads []messenger.EventBody
 	for _, s := range m.reducer.Streams() {
-		out = append(out, messenger.LogRead{
+		reads = append(reads, messenger.LogRead{
 			Stream:  s,
 			First:   1,
 			Records: byStream[s],
 			End:     true,
 		})
 	}
-	return out
+	return reads
 }
 
-// work applies the waiting events and a tick at every node.
-func (f *Fleet) work() {
+// applyEvents applies the queued events and a tick at every node.
+func (f *Fleet) applyEvents() {
 	next := make(chan *member)
 	var done sync.WaitGroup
-	for range min(parallel, runtime.GOMAXPROCS(0)) {
+	for range min(maxParallel, runtime.GOMAXPROCS(0)) {
 		done.Go(func() {
 			for m := range next {
-				m.work(f.now)
+				m.applyEvents(f.now)
 			}
 		})
 	}
@@ -234,7 +236,7 @@
 	done.Wait()
 }
 
-func (m *member) work(now timekeeper.Time) {
+func (m *member) applyEvents(now timekeeper.Time) {
 	inbox := append(m.inbox, messenger.Tick{})
 	m.inbox = nil
 	for _, body := range inbox {
@@ -242,15 +244,15 @@
 			At:   now,
 			Body: body,
 		}
-		if m.keep {
+		if m.recordEvents {
 			m.events = append(m.events, e)
 		}
 		m.effects = append(m.effects, m.reducer.Apply(e)...)
 	}
 }
 
-// carryOut does what an effect asks for, as far as the gauges need it.
-func (f *Fleet) carryOut(i int, m *member, e messenger.Effect) {
+// execute simulates an effect as far as the gauges need it.
+func (f *Fleet) execute(i int, m *member, e messenger.Effect) {
 	switch e := e.(type) {
 	case messenger.SendGossip:
 		m.gossipOut.add(e.Data)
@@ -304,13 +306,14 @@
 	}
 }
 
-// Configure puts the folder of the fleet's size into force on all nodes.
+// Configure applies the configuration for the fleet's size and waits until all
+// nodes have it. Its error is a *NotReadyError.
 func (f *Fleet) Configure() error {
-	for _, file := range folder(f.size) {
+	for _, file := range configurationFiles(f.size) {
 		f.members[0].inbox = append(f.members[0].inbox, messenger.ChangeProposed{
 			Ticket:  1,
 			File:    file.name,
-			Content: []byte(file.text),
+			Content: []byte(file.content),
 		})
 		f.verdict = messenger.ChangeVerdict{}
 		f.Run(4 * messenger.TickInterval)
@@ -334,7 +337,7 @@
 	return nil
 }
 
-// CheckMembership reports as an error which node does not know all others.
+// CheckMembership returns a *NotReadyError if a node does not know all others.
 func (f *Fleet) CheckMembership() error {
 	for _, m := range f.members {
 		if len(m.reducer.Nodes()) != f.size.Nodes {
@@ -347,7 +350,7 @@
 	return nil
 }
 
-// NotReadyError tells that a fleet is not in the state that was to be gauged.
+// NotReadyError reports that a fleet has not reached the state to be measured.
 type NotReadyError struct {
 	Node   identifier.VMID
 	Reason string
@@ -359,26 +362,26 @@
 
 var _ error = (*NotReadyError)(nil)
 
-// warmUp is how long a fleet runs before it is measured.
-const warmUp = 12 * timekeeper.Second
+// warmUpTime is the virtual time that a fleet runs before it is measured.
+const warmUpTime = 12 * timekeeper.Second
 
-// startFleet returns a configured fleet whose nodes know one another.
+// startFleet returns a configured fleet with complete membership on all nodes.
 func startFleet(s Size) (*Fleet, error) {
 	f := NewFleet(s)
 	f.Run(2 * timekeeper.Second)
 	if err := f.Configure(); err != nil {
 		return nil, err
 	}
-	f.Run(warmUp)
+	f.Run(warmUpTime)
 	if err := f.CheckMembership(); err != nil {
 		return nil, err
 	}
 	return f, nil
 }
 
-// replay returns the reducer of the first node in the state that the kept
-// events lead to. The reducer is a pure function of them.
-func (f *Fleet) replay() *reducer.Reducer {
+// replayFirstNode rebuilds the reducer of the first node from its recorded
+// events. This is possible because a reducer's state depends only on them.
+func (f *Fleet) replayFirstNode() *reducer.Reducer {
 	m := f.members[0]
 	r := reducer.New(m.config)
 	for _, e := range m.events {
--- a/internal/gauger/folder.go
+++ b/internal/gauger/folder.go
@@ -10,19 +10,17 @@
 // zoneCount is the number of availability zones of every fleet.
 const zoneCount = 10
 
-// accountsPerNode is how many client accounts the folder of a fleet has for
-// each node. Nobody has said how many there will be; today's five before nine
-// nodes are about half of that.
+// accountsPerNode is the number of client accounts for each node of a fleet.
 const accountsPerNode = 1
 
-// serverSlots is the slots of a server: so many that no gauged request is
-// refused, whatever the size of the fleet.
+// serverSlots is high enough that no measured request is refused at any fleet
+// size.
 const serverSlots = 1024
 
-// file is one file of a configuration folder.
+// file is one configuration file.
 type file struct {
-	name identifier.FileName
-	text string
+	name    identifier.FileName
+	content string
 }
 
 func zoneOf(i int) identifier.Zone {
@@ -33,60 +31,60 @@
 	return identifier.PoolName(fmt.Sprintf("pool-%02d", i%s.Pools))
 }
 
-// accountName returns the i-th client account.
 func accountName(i int) identifier.AccountID {
 	return identifier.AccountID(fmt.Sprintf("account_%04d", i))
 }
 
-// The services of each fleet; all are served by the first pool but the plain
-// one, which is served by the last.
+// The services of each fleet. The first pool serves the model services, the
+// last pool the plain service.
 const (
 	shortService identifier.ServiceName = "summary"
 	longService  identifier.ServiceName = "report"
 	plainService identifier.ServiceName = "booking"
 )
 
-func accountCount(s Size) int { return max(shardAccounts, s.Nodes*accountsPerNode) }
+func accountCount(s Size) int { return max(accountsPerShard, s.Nodes*accountsPerNode) }
 
-// accountsPerFile keeps each file of accounts below the largest file that the
-// configuration takes.
+// accountsPerFile keeps each file below the maximum size of a configuration
+// file.
 const accountsPerFile = 100
 
-// folder returns the files of a configuration of that size, in their order.
-func folder(s Size) []file {
+// configurationFiles returns the configuration files for a fleet of a size, in
+// the order in which they are read.
+func configurationFiles(s Size) []file {
 	files := []file{
 		{
-			name: "10-zones.ini",
-			text: zonesText(),
+			name:    "10-zones.ini",
+			content: zonesText(),
 		},
 		{
-			name: "20-vm-classes.ini",
-			text: classesText(),
+			name:    "20-vm-classes.ini",
+			content: classesText(),
 		},
 		{
-			name: "30-pools.ini",
-			text: poolsText(s),
+			name:    "30-pools.ini",
+			content: poolsText(s),
 		},
 		{
-			name: "40-services.ini",
-			text: servicesText(s),
+			name:    "40-services.ini",
+			content: servicesText(s),
 		},
 	}
 	for from := 0; from < accountCount(s); from += accountsPerFile {
 		files = append(files, accountsFile(from, min(from+accountsPerFile, accountCount(s))))
 	}
 	return append(files, file{
-		name: "90-log.ini",
-		text: "[log]\nretention = 24h\n",
+		name:    "90-log.ini",
+		content: "[log]\nretention = 24h\n",
 	})
 }
 
-// accountsFile returns the file of the client accounts from one up to
-// another, with their targets.
+// accountsFile returns a file with the client accounts numbered from up to but
+// not including to, and their targets.
 func accountsFile(from, to int) file {
 	return file{
-		name: identifier.FileName(fmt.Sprintf("50-client-accounts-%03d.ini", from/accountsPerFile)),
-		text: accountsText(from, to) + targetsText(from, to),
+		name:    identifier.FileName(fmt.Sprintf("50-client-accounts-%03d.ini", from/accountsPerFile)),
+		content: accountsText(from, to) + targetsText(from, to),
 	}
 }
 
--- a/internal/gauger/gauger.go
+++ b/internal/gauger/gauger.go
@@ -1,17 +1,16 @@
-// Package gauger measures what one node costs: processor time, allocations,
-// memory and bytes, each at two or more sizes, so that a slope can be worked
-// out for sizes that no single machine can run.
+// Package gauger measures the resources that one node needs: processor time,
+// allocations, memory and network bytes. It measures at several system sizes so
+// that the need at sizes too large for one machine can be extrapolated.
 //
-// It drives the packages that every node runs, not models of them. A Fleet
-// holds one reducer for each node in virtual time, with the messages between
-// them delivered in memory; one of the reducers is then replayed alone, event
-// by event, under a meter. Request, claims, configuration and reclaim gauges
-// work on a reducer in the state that the fleet led it to. What a reducer does
-// not do (HTTP, JSON, timers, the garbage collector's share) is measured on
-// real processes, whose ids are given by hand: see Watch.
+// It runs the packages of the real nodes, not models of them. A Fleet runs one
+// reducer for each node in virtual time and delivers their messages in memory.
+// The events of one reducer are then replayed alone and measured. The request,
+// claim, configuration and reclaim gauges start from that reducer's state. The
+// costs outside a reducer (HTTP, JSON, timers, garbage collection) are measured
+// on running processes, see Watcher.
 //
-// Figures are of the machine and the moment; processor time is of the
-// measuring thread, so that other work on the machine disturbs it less.
+// Processor time is that of the measuring thread, which makes it less sensitive
+// to other load on the machine.
 package gauger
 
 import (
@@ -19,7 +18,7 @@
 	"fmt"
 )
 
-// Unit is what a Reading counts.
+// Unit is the unit of a Reading.
 type Unit string
 
 // The units.
@@ -33,15 +32,15 @@
 	Percent               Unit = "percent_of_core"
 )
 
-// Size is the size of the system at which something was measured.
+// Size is the size of the measured system.
 type Size struct {
 	Nodes   int `json:"nodes"`
 	Servers int `json:"servers"`
 	Pools   int `json:"pools"`
 }
 
-// Sizes returns the sizes that are measured by default: today's, two between,
-// and the size that the design has to hold at.
+// Sizes returns the sizes measured by default, in ascending order; the last is
+// the design size.
 func Sizes() []Size {
 	return []Size{
 		{
@@ -70,39 +69,40 @@
 // Reading is one measured figure.
 type Reading struct {
 	Gauge string `json:"gauge"`
-	// Subject names what was counted, such as a kind of event.
+	// Subject names what was measured, such as a kind of event.
 	Subject string `json:"of"`
 	Size    Size   `json:"size"`
-	// Parameter is a second dimension, such as requests in flight, or zero.
+	// Parameter is a second dimension in addition to Size, such as the number of
+	// requests in flight, or zero without one.
 	Parameter int     `json:"at,omitempty"`
 	Value     float64 `json:"value"`
 	Unit      Unit    `json:"unit"`
 }
 
-// Gauge measures one role on a fleet that is at rest. It may let the fleet run
-// on.
+// Gauge measures one activity of the nodes. Measure gets a configured fleet and
+// may advance its time.
 type Gauge interface {
 	Name() string
 	Measure(f *Fleet) ([]Reading, error)
 }
 
-// Gauges returns all gauges.
+// Gauges returns all gauges in the order in which they run.
 func Gauges() []Gauge {
 	return []Gauge{
 		idleGauge{},
 		requestGauge{},
 		configurationGauge{},
 		reclaimGauge{},
-		claimGauge{sizes: []int{5_000, 50_000}},
+		claimGauge{claimCounts: []int{5_000, 50_000}},
 	}
 }
 
-// Run measures each size with each gauge and hands over the readings as they
-// come.
+// Run measures each size with each gauge and passes the readings of each
+// measurement to each.
 func Run(ctx context.Context, gauges []Gauge, sizes []Size, each func([]Reading)) error {
 	for _, s := range sizes {
 		if err := ctx.Err(); err != nil {
-			return fmt.Errorf("gauging stopped: %w", err)
+			return fmt.Errorf("measurement interrupted: %w", err)
 		}
 		f, err := startFleet(s)
 		if err != nil {
--- a/internal/gauger/gauger_test.go
+++ b/internal/gauger/gauger_test.go
@@ -8,24 +8,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-var tiny = Size{
+var smallSize = Size{
 	Nodes:   3,
 	Servers: 4,
 	Pools:   2,
 }
 
-// The figures are worth something only if the fleet's nodes know one another,
-// share one configuration and serve; a gauge of a fleet that refuses
-// everything would look cheap.
-func TestGaugesWorkOnAWholeFleet(t *testing.T) {
+// The figures are valid only if the nodes know one another, share a
+// configuration and serve: a fleet that refuses every request would appear
+// cheap.
+func TestGaugesMeasureConfiguredFleet(t *testing.T) {
 	var got []Reading
 	gauges := Gauges()
-	gauges[len(gauges)-1] = claimGauge{sizes: []int{100}}
-	err := Run(context.Background(), gauges, []Size{tiny}, func(r []Reading) { got = append(got, r...) })
+	gauges[len(gauges)-1] = claimGauge{claimCounts: []int{100}}
+	err := Run(context.Background(), gauges, []Size{smallSize}, func(r []Reading) { got = append(got, r...) })
 	require.NoError(t, err)
 	byName := map[string]float64{}
 	for _, r := range got {
-		require.Equal(t, tiny, r.Size)
+		require.Equal(t, smallSize, r.Size)
 		byName[r.Gauge+" "+r.Subject] = r.Value
 	}
 	for _, name := range []string{
@@ -43,17 +43,17 @@
 	require.Contains(t, table.String(), "whole report, each")
 }
 
-// The replayed reducer has to be in the state of the one that ran.
-func TestReplayLeadsToTheSameState(t *testing.T) {
-	f, err := startFleet(tiny)
+// Replay must reproduce the state of the original reducer.
+func TestReplayReproducesReducerState(t *testing.T) {
+	f, err := startFleet(smallSize)
 	require.NoError(t, err)
-	require.Equal(t, f.members[0].reducer.View(f.now), f.replay().View(f.now))
+	require.Equal(t, f.members[0].reducer.View(f.now), f.replayFirstNode().View(f.now))
 }
 
-// A node that never got the configuration must not be gauged.
-func TestFleetWithoutConfigurationIsAnError(t *testing.T) {
-	f := NewFleet(tiny)
-	f.members[1].read = 1 << 30
+// A fleet must not be measured while a node lacks the configuration.
+func TestConfigureFailsIfNodeLacksConfiguration(t *testing.T) {
+	f := NewFleet(smallSize)
+	f.members[1].recordsRead = 1 << 30
 	var notReady *NotReadyError
 	require.ErrorAs(t, f.Configure(), &notReady)
 }
--- a/internal/gauger/idle.go
+++ b/internal/gauger/idle.go
@@ -11,27 +11,27 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// idleGauge measures what a node does when no caller asks it for anything, but
-// its peers for something: membership, load polls, the list, the log, leases.
+// idleGauge measures the cost of a node without requests of its own, while its
+// peers have some: membership, load polls, VM list, log and leases.
 type idleGauge struct{}
 
 var _ Gauge = idleGauge{}
 
 func (idleGauge) Name() string { return "idle" }
 
-// window is the virtual time over which an idle node is measured.
-const window = 10 * timekeeper.Second
+// idleWindow is the virtual time over which an idle node is measured.
+const idleWindow = 10 * timekeeper.Second
 
 func (g idleGauge) Measure(f *Fleet) ([]Reading, error) {
 	m := f.members[0]
-	warm := len(m.events)
+	warmEvents := len(m.events)
 	f.clearCounts()
-	f.Run(window)
+	f.Run(idleWindow)
 	if err := f.CheckMembership(); err != nil {
 		return nil, err
 	}
 	readings := append(f.trafficReadings(g.Name()), f.memoryReading(g.Name()))
-	return append(readings, f.idleCost(g.Name(), warm)...), nil
+	return append(readings, f.idleCost(g.Name(), warmEvents)...), nil
 }
 
 func (f *Fleet) clearCounts() {
@@ -43,60 +43,60 @@
 	}
 }
 
-// trafficReadings tells what a node sends and gets each second, over all
-// nodes.
+// trafficReadings returns the mean traffic of a node, averaged over all nodes.
 func (f *Fleet) trafficReadings(gauge string) []Reading {
-	var sent, got traffic
+	var sent, received traffic
 	polls := 0
 	for _, m := range f.members {
 		sent.messages += m.gossipOut.messages
 		sent.bytes += m.gossipOut.bytes
-		got.bytes += m.gossipIn.bytes
+		received.bytes += m.gossipIn.bytes
 		polls += m.polls
 	}
-	per := window.Seconds() * float64(len(f.members))
+	nodeSeconds := idleWindow.Seconds() * float64(len(f.members))
 	return []Reading{
-		f.reading(gauge, "gossip sent by a node", float64(sent.bytes)/per, BytesPerSecond),
-		f.reading(gauge, "gossip received by a node", float64(got.bytes)/per, BytesPerSecond),
-		f.reading(gauge, "gossip messages sent by a node", float64(sent.messages)/per, PerSecond),
-		f.reading(gauge, "load polls sent by a node", float64(polls)/per, PerSecond),
-		f.reading(gauge, "records appended by all nodes", float64(f.appends)/window.Seconds(), PerSecond),
+		f.newReading(gauge, "gossip sent by a node", float64(sent.bytes)/nodeSeconds, BytesPerSecond),
+		f.newReading(gauge, "gossip received by a node", float64(received.bytes)/nodeSeconds, BytesPerSecond),
+		f.newReading(gauge, "gossip messages sent by a node", float64(sent.messages)/nodeSeconds, PerSecond),
+		f.newReading(gauge, "load polls sent by a node", float64(polls)/nodeSeconds, PerSecond),
+		f.newReading(gauge, "records appended by all nodes", float64(f.appends)/idleWindow.Seconds(), PerSecond),
 	}
 }
 
 func (f *Fleet) memoryReading(gauge string) Reading {
-	heap := retained(func() any { return f.replay() })
-	return f.reading(gauge, "live heap of the reducer", heap, Bytes)
+	heap := retainedBytes(func() any { return f.replayFirstNode() })
+	return f.newReading(gauge, "live heap of the reducer", heap, Bytes)
 }
 
-// idleCost replays the measured window on a reducer in the warm state: once
-// as a whole, and once with each event on the meter.
-func (f *Fleet) idleCost(gauge string, warm int) []Reading {
+// idleCost replays the measured window on a reducer that has applied the first
+// warmEvents events: once as a whole and once with each event timed separately.
+func (f *Fleet) idleCost(gauge string, warmEvents int) []Reading {
 	m := f.members[0]
-	measured := m.events[warm:]
-	all := m.events
-	m.events = all[:warm]
-	r := f.replay()
-	split := f.replay()
-	m.events = all
-	whole := metered(func() {
+	measured := m.events[warmEvents:]
+	events := m.events
+	m.events = events[:warmEvents]
+	combined := f.replayFirstNode()
+	separate := f.replayFirstNode()
+	m.events = events
+	total := measure(func() {
 		for _, e := range measured {
-			r.Apply(e)
+			combined.Apply(e)
 		}
 	})
 	readings := []Reading{
-		f.reading(gauge, "processor time, all events", whole.per(1)/window.Seconds(), MicrosecondsPerSecond),
-		f.reading(gauge, "bytes allocated, all events", float64(whole.allocated)/window.Seconds(), BytesPerSecond),
-		f.reading(gauge, "objects allocated, all events", float64(whole.objects)/window.Seconds(), PerSecond),
+		f.newReading(gauge, "processor time, all events", total.microsecondsPer(1)/idleWindow.Seconds(), MicrosecondsPerSecond),
+		f.newReading(gauge, "bytes allocated, all events", float64(total.allocated)/idleWindow.Seconds(), BytesPerSecond),
+		f.newReading(gauge, "objects allocated, all events", float64(total.objects)/idleWindow.Seconds(), PerSecond),
 	}
-	return append(readings, f.split(gauge, split, measured)...)
+	return append(readings, f.costByKind(gauge, separate, measured)...)
 }
 
-// split meters each event by its kind.
-func (f *Fleet) split(gauge string, r *reducer.Reducer, events []messenger.Event) []Reading {
+// costByKind measures each event and returns the processor time by kind of
+// event.
+func (f *Fleet) costByKind(gauge string, r *reducer.Reducer, events []messenger.Event) []Reading {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	spent := map[string]time.Duration{}
+	elapsed := map[string]time.Duration{}
 	count := map[string]int{}
 	var kinds []string
 	for _, e := range events {
@@ -104,26 +104,26 @@
 		if count[kind] == 0 {
 			kinds = append(kinds, kind)
 		}
-		began := processorTime()
+		start := processorTime()
 		r.Apply(e)
-		spent[kind] += processorTime() - began
+		elapsed[kind] += processorTime() - start
 		count[kind]++
 	}
 	slices.Sort(kinds)
-	var out []Reading
+	var readings []Reading
 	for _, kind := range kinds {
-		total := float64(spent[kind]) / float64(time.Microsecond)
-		out = append(out,
-			f.reading(gauge, kind+", each", total/float64(count[kind]), Microseconds),
-			f.reading(gauge, kind+", all", total/window.Seconds(), MicrosecondsPerSecond))
+		total := float64(elapsed[kind]) / float64(time.Microsecond)
+		readings = append(readings,
+			f.newReading(gauge, kind+", each", total/float64(count[kind]), Microseconds),
+			f.newReading(gauge, kind+", all", total/idleWindow.Seconds(), MicrosecondsPerSecond))
 	}
-	return out
+	return readings
 }
 
-func (f *Fleet) reading(gauge, of string, value float64, unit Unit) Reading {
+func (f *Fleet) newReading(gauge, subject string, value float64, unit Unit) Reading {
 	return Reading{
 		Gauge:   gauge,
-		Subject: of,
+		Subject: subject,
 		Size:    f.size,
 		Value:   value,
 		Unit:    unit,
--- a/internal/gauger/meter.go
+++ b/internal/gauger/meter.go
@@ -5,50 +5,50 @@
 	"time"
 )
 
-// cost is what a piece of work took.
+// cost holds processor time, allocated bytes and allocated objects.
 type cost struct {
-	processor time.Duration
-	allocated uint64
-	objects   uint64
+	processorTime time.Duration
+	allocated     uint64
+	objects       uint64
 }
 
-// per returns the processor time of one of n runs in microseconds.
-func (c cost) per(n int) float64 {
-	return float64(c.processor) / float64(time.Microsecond) / float64(max(n, 1))
+// microsecondsPer returns the mean processor time of n runs in microseconds.
+func (c cost) microsecondsPer(n int) float64 {
+	return float64(c.processorTime) / float64(time.Microsecond) / float64(max(n, 1))
 }
 
-// metered runs work on one thread and returns what it took. The collector's
-// own threads are not counted; the objects are, which is what feeds it.
-func metered(work func()) cost {
+// measure runs work on one thread and returns its cost. Processor time excludes
+// the garbage collector's threads; the allocations indicate their load.
+func measure(work func()) cost {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	began := processorTime()
+	start := processorTime()
 	work()
-	took := processorTime() - began
+	elapsed := processorTime() - start
 	runtime.ReadMemStats(&after)
 	return cost{
-		processor: took,
-		allocated: after.TotalAlloc - before.TotalAlloc,
-		objects:   after.Mallocs - before.Mallocs,
+		processorTime: elapsed,
+		allocated:     after.TotalAlloc - before.TotalAlloc,
+		objects:       after.Mallocs - before.Mallocs,
 	}
 }
 
-// retained returns by how much the live heap grows while what build returns
-// is kept.
-func retained(build func() any) float64 {
+// retainedBytes returns the growth of the live heap due to the value that build
+// returns.
+func retainedBytes(build func() any) float64 {
 	before := liveHeap()
-	kept := build()
+	value := build()
 	after := liveHeap()
-	runtime.KeepAlive(kept)
+	runtime.KeepAlive(value)
 	return float64(after) - float64(before)
 }
 
 func liveHeap() uint64 {
 	var stats runtime.MemStats
-	// The second collection frees what finalizers of the first let go.
+	// The second collection frees objects that the first only finalized.
 	runtime.GC()
 	runtime.GC()
 	runtime.ReadMemStats(&stats)
--- a/internal/gauger/process.go
+++ b/internal/gauger/process.go
@@ -12,33 +12,33 @@
 	"time"
 )
 
-// Process is what a running process used while it was watched.
+// Process holds the resources that a process used during a measurement.
 type Process struct {
 	PID int `json:"pid"`
-	// ResidentBytes is the memory at the end, AnonymousBytes the part of it
-	// that is not the program's own file, and PeakBytes the most ever.
+	// ResidentBytes is the resident memory at the end, AnonymousBytes its
+	// anonymous part, and PeakBytes the maximum since the process started.
 	ResidentBytes  float64 `json:"resident_bytes"`
 	AnonymousBytes float64 `json:"anonymous_bytes"`
 	PeakBytes      float64 `json:"peak_bytes"`
-	// PercentOfCore is processor time, of the process and the kernel for it.
+	// PercentOfCore is the user and system processor time.
 	PercentOfCore float64 `json:"percent_of_core"`
 	Threads       float64 `json:"threads"`
-	// LoopbackBytesPerSecond counts all bytes that were sent on the loopback
-	// device of the process's network namespace, by whomever, or 0.
+	// LoopbackBytesPerSecond counts the bytes sent on the loopback device of
+	// the process's network namespace by all its processes. It is 0 if unknown.
 	LoopbackBytesPerSecond float64 `json:"loopback_bytes_per_s"`
 }
 
-// ticksPerSecond is the unit of processor time in /proc, which Linux fixes for
-// programs whatever the kernel's own timer is.
+// ticksPerSecond is Linux's USER_HZ, the unit of processor time in /proc. It
+// does not depend on the kernel's timer frequency.
 const ticksPerSecond = 100
 
-// Watcher reads processes that someone else started.
+// Watcher measures running processes through the proc file system.
 type Watcher struct {
-	// Root is where the proc file system is mounted.
+	// Root is the mount point of the proc file system.
 	Root string
 }
 
-// ProcError tells that a figure of a process could not be read.
+// ProcError reports a field missing in a file of the proc file system.
 type ProcError struct {
 	Path  string
 	Field string
@@ -48,10 +48,10 @@
 
 var _ error = (*ProcError)(nil)
 
-// Watch reads the processes, waits, and reads them again.
+// Watch measures the processes over the time wait, in the order of pids.
 func (w Watcher) Watch(ctx context.Context, pids []int, wait time.Duration) ([]Process, error) {
-	began := time.Now()
-	before, err := w.usages(pids)
+	start := time.Now()
+	before, err := w.readUsages(pids)
 	if err != nil {
 		return nil, err
 	}
@@ -62,34 +62,35 @@
 	case <-ctx.Done():
 		return nil, fmt.Errorf("watching processes: %w", ctx.Err())
 	}
-	after, err := w.usages(pids)
+	after, err := w.readUsages(pids)
 	if err != nil {
 		return nil, err
 	}
-	passed := time.Since(began).Seconds()
+	elapsed := time.Since(start).Seconds()
 	out := make([]Process, 0, len(pids))
 	for i, pid := range pids {
-		p, err := w.memory(pid)
+		p, err := w.readMemory(pid)
 		if err != nil {
 			return nil, err
 		}
-		p.PercentOfCore = 100 * (after[i].processor - before[i].processor) / passed
-		p.LoopbackBytesPerSecond = (after[i].loopback - before[i].loopback) / passed
+		p.PercentOfCore = 100 * (after[i].processor - before[i].processor) / elapsed
+		p.LoopbackBytesPerSecond = (after[i].loopback - before[i].loopback) / elapsed
 		out = append(out, p)
 	}
 	return out, nil
 }
 
-// usage is what a process has used since its start; processor in seconds.
+// usage holds a process's processor seconds and the bytes sent on its loopback
+// device, both as running totals.
 type usage struct {
 	processor float64
 	loopback  float64
 }
 
-func (w Watcher) usages(pids []int) ([]usage, error) {
+func (w Watcher) readUsages(pids []int) ([]usage, error) {
 	out := make([]usage, 0, len(pids))
 	for _, pid := range pids {
-		u, err := w.usage(pid)
+		u, err := w.readUsage(pid)
 		if err != nil {
 			return nil, err
 		}
@@ -102,19 +103,19 @@
 	return filepath.Join(w.Root, strconv.Itoa(pid), name)
 }
 
-// Fields of /proc/PID/stat after the program's name.
+// Indexes of fields of /proc/PID/stat after the program's name.
 const (
 	userTicksField   = 11
 	systemTicksField = 12
 )
 
-func (w Watcher) usage(pid int) (usage, error) {
+func (w Watcher) readUsage(pid int) (usage, error) {
 	path := w.path(pid, "stat")
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return usage{}, fmt.Errorf("read processor time: %w", err)
 	}
-	// The name stands in parentheses and may contain any character.
+	// The name is enclosed in parentheses and may contain spaces.
 	_, rest, _ := strings.Cut(string(data), ") ")
 	fields := strings.Fields(rest)
 	if len(fields) <= systemTicksField {
@@ -133,14 +134,14 @@
 	}
 	return usage{
 		processor: ticks / ticksPerSecond,
-		loopback:  w.loopback(pid),
+		loopback:  w.readLoopback(pid),
 	}, nil
 }
 
-// sentField is the place of the bytes sent in a line of /proc/PID/net/dev.
-const sentField = 8
+// sentBytesField is the index of the bytes sent in a line of /proc/PID/net/dev.
+const sentBytesField = 8
 
-func (w Watcher) loopback(pid int) float64 {
+func (w Watcher) readLoopback(pid int) float64 {
 	data, err := os.ReadFile(w.path(pid, "net/dev"))
 	if err != nil {
 		return 0
@@ -148,16 +149,16 @@
 	for line := range strings.Lines(string(data)) {
 		device, counts, found := strings.Cut(strings.TrimSpace(line), ":")
 		fields := strings.Fields(counts)
-		if !found || device != "lo" || len(fields) <= sentField {
+		if !found || device != "lo" || len(fields) <= sentBytesField {
 			continue
 		}
-		n, _ := strconv.ParseFloat(fields[sentField], 64)
+		n, _ := strconv.ParseFloat(fields[sentBytesField], 64)
 		return n
 	}
 	return 0
 }
 
-func (w Watcher) memory(pid int) (Process, error) {
+func (w Watcher) readMemory(pid int) (Process, error) {
 	path := w.path(pid, "status")
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/gauger/processor_other.go
+++ b/internal/gauger/processor_other.go
@@ -4,6 +4,6 @@
 
 import "time"
 
-// processorTime returns the time that has passed: an upper bound of the
-// processor time, on systems without a clock for it.
+// processorTime returns the elapsed time, an upper bound of the thread's
+// processor time.
 func processorTime() time.Duration { return wallTime() }
--- a/internal/gauger/reclaim.go
+++ b/internal/gauger/reclaim.go
@@ -6,11 +6,11 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// noticeTime is the time between a notice and the reclaim.
-const noticeTime = 30 * timekeeper.Second
+// noticePeriod is the time between a notice and the reclaim.
+const noticePeriod = 30 * timekeeper.Second
 
-// reclaimGauge measures what a node does when a zone's backend servers are
-// reclaimed: one event with the notices of each of them, while requests run.
+// reclaimGauge measures the cost of the notices for all backend servers of a
+// zone while requests are in flight.
 type reclaimGauge struct{}
 
 var _ Gauge = reclaimGauge{}
@@ -21,20 +21,20 @@
 	var out []Reading
 	for _, n := range []int{fewInFlight, manyInFlight} {
 		d := newDriver(f)
-		if err := d.fill(n); err != nil {
+		if err := d.startRequests(n); err != nil {
 			return nil, err
 		}
 		servers := serversOf(f, zoneOf(0))
-		spent := metered(func() { d.reclaim(servers) })
-		r := f.reading(g.Name(), "notices of a zone's servers, together", spent.per(1), Microseconds)
+		cost := measure(func() { d.reclaim(servers) })
+		r := f.newReading(g.Name(), "notices of a zone's servers, together", cost.microsecondsPer(1), Microseconds)
 		r.Parameter = n
 		out = append(out, r)
 	}
-	return append(out, f.reading(g.Name(), "servers of the zone", float64(len(serversOf(f, zoneOf(0)))), Count)), nil
+	return append(out, f.newReading(g.Name(), "servers of the zone", float64(len(serversOf(f, zoneOf(0)))), Count)), nil
 }
 
 func (d *driver) reclaim(servers []identifier.VMID) {
-	deadline := d.now.Add(noticeTime)
+	deadline := d.now.Add(noticePeriod)
 	for _, vm := range servers {
 		d.apply(messenger.NoticeReceived{
 			VM:       vm,
@@ -45,11 +45,11 @@
 }
 
 func serversOf(f *Fleet, zone identifier.Zone) []identifier.VMID {
-	var found []identifier.VMID
+	var servers []identifier.VMID
 	for _, vm := range f.vms {
 		if vm.Pool != "" && vm.Zone == zone {
-			found = append(found, vm.VM)
+			servers = append(servers, vm.VM)
 		}
 	}
-	return found
+	return servers
 }
--- a/internal/gauger/request.go
+++ b/internal/gauger/request.go
@@ -10,30 +10,31 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// A request of the letter's mix: 1.6 million tokens a second over 5,000
-// requests a second are 320 tokens each, and at 34 ms between tokens it is in
-// flight for 11 s.
+// The measured requests. Their answers have the mean length of the target load
+// of 5,000 requests and 1.6 million tokens per second.
 const (
 	answerTokens identifier.Tokens = 320
 	promptTokens identifier.Tokens = 2000
-	// progressTokens is how many tokens the runner reports at once.
+	// progressTokens is the number of tokens in one progress report of the
+	// runner.
 	progressTokens = 16
-	// blockTokens is the size of a prefix block.
+	// blockTokens is the size of a prefix block in tokens.
 	blockTokens = 64
-	// requestsMetered is how many requests one figure is taken over.
-	requestsMetered = 1000
-	// manyInFlight and fewInFlight are what a node has in flight when the
-	// slopes per request in flight are taken; the first is the share of one of
-	// 400 nodes.
+	// measuredRequests is the number of requests that a figure is averaged
+	// over.
+	measuredRequests = 1000
+	// fewInFlight and manyInFlight are the two numbers of requests in flight
+	// from which the cost per request is computed; fewInFlight is the mean
+	// number on one of 400 nodes.
 	fewInFlight  = 136
 	manyInFlight = 1000
-	// ticksMetered is how many ticks a figure is taken over. Without gossip
-	// between, peers would be taken for dead after more.
-	ticksMetered = 20
+	// measuredTicks is the number of ticks that a figure is averaged over. With
+	// more, the node would consider its peers dead, as no gossip is delivered.
+	measuredTicks = 20
 )
 
-// requestGauge measures what a request costs in the reducer of its node and
-// of its holder.
+// requestGauge measures the cost of a request in the reducers of its entry node
+// and of the node that holds its copy.
 type requestGauge struct{}
 
 var _ Gauge = requestGauge{}
@@ -41,55 +42,55 @@
 func (requestGauge) Name() string { return "request" }
 
 func (g requestGauge) Measure(f *Fleet) ([]Reading, error) {
-	var out []Reading
+	var all []Reading
 	for _, service := range []identifier.ServiceName{shortService, longService, plainService} {
-		readings, err := g.life(f, service)
+		readings, err := g.measureRequests(f, service)
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, readings...)
+		all = append(all, readings...)
 	}
-	out = append(out, g.copies(f)...)
-	inFlight, err := g.inFlight(f)
-	return append(out, inFlight...), err
+	all = append(all, g.measureCopies(f)...)
+	inFlight, err := g.measureInFlight(f)
+	return append(all, inFlight...), err
 }
 
-// life meters whole requests, one after the other.
-func (g requestGauge) life(f *Fleet, service identifier.ServiceName) ([]Reading, error) {
+// measureRequests measures complete requests that run one at a time.
+func (g requestGauge) measureRequests(f *Fleet, service identifier.ServiceName) ([]Reading, error) {
 	d := newDriver(f)
-	var failed error
-	spent := metered(func() {
-		for i := range requestsMetered {
-			if failed = d.whole(i, service); failed != nil {
+	var failure error
+	cost := measure(func() {
+		for i := range measuredRequests {
+			if failure = d.completeRequest(i, service); failure != nil {
 				return
 			}
 		}
 	})
 	return []Reading{
-		f.reading(g.Name(), fmt.Sprintf("whole %s, each", service), spent.per(requestsMetered), Microseconds),
-		f.reading(g.Name(), fmt.Sprintf("whole %s, allocated", service), float64(spent.allocated)/requestsMetered, Bytes),
-	}, failed
+		f.newReading(g.Name(), fmt.Sprintf("whole %s, each", service), cost.microsecondsPer(measuredRequests), Microseconds),
+		f.newReading(g.Name(), fmt.Sprintf("whole %s, allocated", service), float64(cost.allocated)/measuredRequests, Bytes),
+	}, failure
 }
 
-// copies meters what the holder of long requests does and keeps.
-func (g requestGauge) copies(f *Fleet) []Reading {
+// measureCopies measures the cost of storing copies of long requests.
+func (g requestGauge) measureCopies(f *Fleet) []Reading {
 	d := newDriver(f)
-	spent := metered(func() {
+	cost := measure(func() {
 		for i := range manyInFlight {
 			d.apply(copyHeld(d, i))
 		}
 	})
-	empty := retained(func() any { return newDriver(f) })
-	full := retained(func() any {
-		kept := newDriver(f)
+	empty := retainedBytes(func() any { return newDriver(f) })
+	full := retainedBytes(func() any {
+		holder := newDriver(f)
 		for i := range manyInFlight {
-			kept.apply(copyHeld(kept, i))
+			holder.apply(copyHeld(holder, i))
 		}
-		return kept
+		return holder
 	})
 	return []Reading{
-		f.reading(g.Name(), "copy kept or renewed, each", spent.per(manyInFlight), Microseconds),
-		f.reading(g.Name(), "copy kept, heap in the reducer", (full-empty)/manyInFlight, Bytes),
+		f.newReading(g.Name(), "copy kept or renewed, each", cost.microsecondsPer(manyInFlight), Microseconds),
+		f.newReading(g.Name(), "copy kept, heap in the reducer", (full-empty)/manyInFlight, Bytes),
 	}
 }
 
@@ -104,38 +105,38 @@
 	}
 }
 
-// inFlight meters ticks with requests running, and what these keep.
-func (g requestGauge) inFlight(f *Fleet) ([]Reading, error) {
-	var out []Reading
-	var failed error
+// measureInFlight measures ticks and memory with requests in flight.
+func (g requestGauge) measureInFlight(f *Fleet) ([]Reading, error) {
+	var readings []Reading
+	var failure error
 	for _, n := range []int{0, fewInFlight, manyInFlight} {
 		d := newDriver(f)
-		if err := d.fill(n); err != nil {
+		if err := d.startRequests(n); err != nil {
 			return nil, err
 		}
-		spent := metered(func() {
-			for range ticksMetered {
+		cost := measure(func() {
+			for range measuredTicks {
 				d.now = d.now.Add(messenger.TickInterval)
 				d.apply(messenger.Tick{})
 			}
 		})
-		r := f.reading(g.Name(), "tick, each", spent.per(ticksMetered), Microseconds)
+		r := f.newReading(g.Name(), "tick, each", cost.microsecondsPer(measuredTicks), Microseconds)
 		r.Parameter = n
-		out = append(out, r)
-		heap := retained(func() any {
-			kept := newDriver(f)
-			failed = kept.fill(n)
-			return kept
+		readings = append(readings, r)
+		heap := retainedBytes(func() any {
+			loaded := newDriver(f)
+			failure = loaded.startRequests(n)
+			return loaded
 		})
-		r = f.reading(g.Name(), "heap of the reducer", heap, Bytes)
+		r = f.newReading(g.Name(), "heap of the reducer", heap, Bytes)
 		r.Parameter = n
-		out = append(out, r)
+		readings = append(readings, r)
 	}
-	return out, failed
+	return readings, failure
 }
 
-// driver leads requests through the replayed reducer of a fleet's first node,
-// answering its effects.
+// driver runs requests on a replayed reducer of a fleet's first node and
+// simulates the responses to its effects.
 type driver struct {
 	fleet   *Fleet
 	reducer *reducer.Reducer
@@ -146,7 +147,7 @@
 func newDriver(f *Fleet) *driver {
 	return &driver{
 		fleet:   f,
-		reducer: f.replay(),
+		reducer: f.replayFirstNode(),
 		now:     f.now,
 		offset:  identifier.Offset(len(f.log)),
 	}
@@ -186,15 +187,15 @@
 	return s
 }
 
-// begin receives a request and answers the effects until its first attempt is
-// sent.
-func (d *driver) begin(i int, service identifier.ServiceName) (messenger.SendAttempt, error) {
+// beginRequest submits a request and responds to effects until the first
+// attempt is sent. It fails if the request is refused.
+func (d *driver) beginRequest(i int, service identifier.ServiceName) (messenger.SendAttempt, error) {
 	effects := d.apply(messenger.RequestReceived{Spec: d.spec(i, service)})
 	for {
-		next := nextEvent(effects, d)
+		next := responseTo(effects, d)
 		switch next := next.(type) {
 		case nil:
-			return messenger.SendAttempt{}, refused(effects)
+			return messenger.SendAttempt{}, refusalOf(effects)
 		case attemptSent:
 			return messenger.SendAttempt(next), nil
 		case messenger.EventBody:
@@ -205,9 +206,9 @@
 
 type attemptSent messenger.SendAttempt
 
-// nextEvent returns the event that answers the effects: the holder's or the
-// log's, or the attempt that was sent.
-func nextEvent(effects []messenger.Effect, d *driver) any {
+// responseTo returns the attempt, the holder's response or the log read that
+// follows from the first effect that has one, or nil.
+func responseTo(effects []messenger.Effect, d *driver) any {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case messenger.SendAttempt:
@@ -218,13 +219,13 @@
 				Holder:  e.Holder,
 			}
 		case messenger.AppendRecord:
-			return d.logRead(e.Stream, e.Data)
+			return d.newLogRead(e.Stream, e.Data)
 		}
 	}
 	return nil
 }
 
-func (d *driver) logRead(s identifier.LogStream, data []byte) messenger.LogRead {
+func (d *driver) newLogRead(s identifier.LogStream, data []byte) messenger.LogRead {
 	d.offset++
 	return messenger.LogRead{
 		Stream: s,
@@ -240,10 +241,10 @@
 	}
 }
 
-// whole leads one request to its end.
-func (d *driver) whole(i int, service identifier.ServiceName) error {
+// completeRequest runs one request to its end.
+func (d *driver) completeRequest(i int, service identifier.ServiceName) error {
 	d.now = d.now.Add(timekeeper.Millisecond)
-	sent, err := d.begin(i, service)
+	sent, err := d.beginRequest(i, service)
 	if err != nil {
 		return err
 	}
@@ -260,7 +261,7 @@
 			Delivered: delivered,
 		})
 	}
-	d.recordOutcome(d.apply(messenger.AttemptEnded{
+	d.readOutcome(d.apply(messenger.AttemptEnded{
 		Request:   sent.Request,
 		Attempt:   sent.Attempt,
 		Result:    messenger.AttemptComplete,
@@ -269,22 +270,22 @@
 	return nil
 }
 
-// recordOutcome reads the outcome of a claimed request back.
-func (d *driver) recordOutcome(effects []messenger.Effect) {
+// readOutcome delivers the outcome record of a claimed request to the reducer.
+func (d *driver) readOutcome(effects []messenger.Effect) {
 	for _, e := range effects {
 		if e, ok := e.(messenger.AppendOutcome); ok {
-			d.apply(d.logRead(e.Stream, claimer.OutcomeRecord(e.Account, e.Key, e.Request, e.Nonce, e.Outcome, okStatus, nil)))
+			d.apply(d.newLogRead(e.Stream, claimer.OutcomeRecord(e.Account, e.Key, e.Request, e.Nonce, e.Outcome, okStatus, nil)))
 		}
 	}
 }
 
-// okStatus is the status of a whole answer.
+// okStatus is the HTTP status of a complete answer.
 const okStatus = 200
 
-// fill starts n long requests and leaves them running.
-func (d *driver) fill(n int) error {
+// startRequests starts n long requests and leaves them in flight.
+func (d *driver) startRequests(n int) error {
 	for i := range n {
-		sent, err := d.begin(i, longService)
+		sent, err := d.beginRequest(i, longService)
 		if err != nil {
 			return err
 		}
@@ -301,16 +302,16 @@
 	return nil
 }
 
-// RefusedError tells that a request of a gauge was refused.
+// RefusedError reports that a measured request was refused.
 type RefusedError struct{ Refusal messenger.Refusal }
 
 func (e *RefusedError) Error() string {
-	return fmt.Sprintf("gauged request refused: %s", e.Refusal.Reason)
+	return fmt.Sprintf("measured request refused: %s", e.Refusal.Reason)
 }
 
 var _ error = (*RefusedError)(nil)
 
-func refused(effects []messenger.Effect) error {
+func refusalOf(effects []messenger.Effect) error {
 	for _, e := range effects {
 		if e, ok := e.(messenger.Refuse); ok {
 			return &RefusedError{Refusal: e.Refusal}
--- a/internal/gauger/table.go
+++ b/internal/gauger/table.go
@@ -14,7 +14,7 @@
 	fmt.Fprintln(t, "gauge\tof\tnodes\tservers\tpools\tat\tvalue\tunit")
 	for _, r := range readings {
 		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%s\t%s\t%s\n",
-			r.Gauge, r.Subject, r.Size.Nodes, r.Size.Servers, r.Size.Pools, at(r.Parameter), figure(r.Value), r.Unit)
+			r.Gauge, r.Subject, r.Size.Nodes, r.Size.Servers, r.Size.Pools, formatParameter(r.Parameter), formatValue(r.Value), r.Unit)
 	}
 	if err := t.Flush(); err != nil {
 		return fmt.Errorf("print the readings: %w", err)
@@ -45,15 +45,16 @@
 	return nil
 }
 
-func at(n int) string {
+func formatParameter(n int) string {
 	if n == 0 {
 		return "-"
 	}
 	return strconv.Itoa(n)
 }
 
-// figure prints a value with as many digits as it is worth.
-func figure(v float64) string {
+// formatValue formats a value with about three significant digits, and with all
+// digits before the point.
+func formatValue(v float64) string {
 	const wholeFrom = 100
 	if v >= wholeFrom {
 		return strconv.FormatFloat(v, 'f', 0, 64)
--- a/internal/gauger/walltime.go
+++ b/internal/gauger/walltime.go
@@ -2,6 +2,6 @@
 
 import "time"
 
-var gaugingStart = time.Now()
+var processStart = time.Now()
 
-func wallTime() time.Duration { return time.Since(gaugingStart) }
+func wallTime() time.Duration { return time.Since(processStart) }
