--- a/internal/commander/commander.go
+++ b/internal/commander/commander.go
@@ -1,5 +1,5 @@
 // Package commander decides which orders the holder of a pool's lease sends to the
-// pool's engines, so that each loads the model wanted of it.
+// pool's engines, so that each loads the model assigned to it.
 //
 // Orders are idempotent. They are repeated with backoff until a load report made after
 // the order shows the wanted state, and again if a later report shows another, because
--- a/internal/estimator/estimator.go
+++ b/internal/estimator/estimator.go
@@ -1,5 +1,5 @@
 // Package estimator predicts the time to the first event of a request from the answers
-// that a node has forwarded, by the part of the prompt that must be read and the
+// that a node has forwarded, given the part of the prompt that must be read and the
 // server's other work.
 //
 // The time is modelled as a sum of terms, each a rate times an input that is known when
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -1,12 +1,16 @@
 // Package limiter decides whether a request is admitted.
 //
 // Each client account has limits in requests and in tokens that hold over all nodes.
-// There is no lock and no coordinator: each node enforces a share of each limit, in
-// proportion to the account's recent demand at this node and at its peers. Further
-// rules protect the pool of backend servers: a request that can't meet its deadline is
-// refused, some slots are reserved for interactive requests, and under overload the
-// requests with the lowest penalty are shed first, beginning with accounts that exceed
-// their fair share.
+//
+// Limits decides on model requests without a lock or a coordinator: each node enforces
+// a share of each limit, in proportion to the account's recent demand at this node and
+// at its peers. Further rules protect the pool of backend servers: a request that can't
+// meet its deadline is refused, some slots are reserved for interactive requests, and
+// under overload the requests with the lowest penalty are shed first, beginning with
+// accounts that exceed their fair share.
+//
+// Buckets decides on opaque exchanges: the holder of a lease grants most of each limit,
+// and every node grants a small part by itself.
 //
 // No request is queued here: a verdict is final, and a refusal states when a retry
 // makes sense.
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -7,9 +7,9 @@
 // that need not be recomputed) per second of transfer. All other streams continue
 // until shortly before the deadline and are then resumed elsewhere by prefill.
 //
-// A plan is a pure function of its inputs. A further notice during a wave is a
-// further call: the streams carry their exports in progress, and replacement
-// servers that were refused are simply absent from the headroom.
+// A plan is a pure function of its inputs. PlanWave is called again for each further
+// notice during a wave: the streams then state their exports in progress, and the
+// headroom omits replacement servers that were refused.
 package planner
 
 import (
--- a/internal/promoter/promoter.go
+++ b/internal/promoter/promoter.go
@@ -13,7 +13,7 @@
 // undone by another order; a removed server can't be brought back.
 //
 // The holder of the leader tasks' lease leads. All nodes follow the leader's decisions,
-// which travel with the state updates between nodes. A node that has not received one
+// which are part of the state updates between nodes. A node that has not received one
 // for a while sends nothing to the new version. Each node limits the fraction of its
 // own requests that goes to the new version, so the limit holds for all nodes together,
 // whatever updates they receive.
@@ -21,7 +21,7 @@
 //   - promoter.go holds the state of rollouts.
 //   - choose.go chooses the servers that a request may be sent to.
 //   - count.go counts the results of attempts.
-//   - lead.go has the leader's decisions.
+//   - lead.go makes the leader's decisions.
 //
 // The package is pure: time and randomness are arguments. Nothing in it is safe for
 // concurrent use.
--- a/internal/provisioner/provisioner.go
+++ b/internal/provisioner/provisioner.go
@@ -4,8 +4,9 @@
 // only follow the leases in the log.
 //
 // Every purchase, release and order carries the time after which the lease no
-// longer covers it. The runner checks it immediately before carrying out the
-// effect, because the process may have been paused until the lease expired.
+// longer covers it. The runner compares that time with its clock immediately before
+// it carries out the effect, because the process may have been paused until the
+// lease expired.
 package provisioner
 
 import (
--- a/internal/reducer/reducer.go
+++ b/internal/reducer/reducer.go
@@ -1,13 +1,13 @@
 // Package reducer applies every event of a node to its state: Apply takes an event and
 // returns the effects to carry out.
 //
-// Apply reads no clock, does no I/O, and uses no randomness but its own. Time is a
-// field of the event and the random source is seeded in New, so the same events always
-// give the same effects, and a test can run several nodes through any schedule of
-// faults in one goroutine.
+// Apply reads no clock and does no I/O. Time is a field of the event, and the random
+// source is seeded in New, so the same events always give the same effects, and a test
+// can run several nodes through any schedule of faults in one goroutine.
 //
-// The reducer itself decides nothing. It passes each event to the packages whose part
-// of the state it concerns, and passes on changes of one part that concern another.
+// The reducer leaves decisions to other packages. It passes each event to the packages
+// that hold the affected parts of the state, and informs others of the changes that they
+// depend on.
 package reducer
 
 import (
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -1,9 +1,9 @@
-// Package registrar keeps the table of backend servers published in the platform's
-// store, as one node knows them from the store and from its peers.
+// Package registrar holds one node's table of the backend servers that are published in
+// the platform's store. A node receives entries from the store and from its peers.
 //
 // Each entry carries its offset in the store, and of two entries of a server the one
-// with the larger offset holds. The same entries in any order, over any path and any
-// number of times give the same table. Leaving is final: no later entry makes a leaving
+// with the larger offset takes precedence. Entries can be merged in any order and any
+// number of times with the same result. Leaving is final: no later entry makes a leaving
 // server ready again.
 //
 // A server may start again under the same id. Each start is treated as a server of its
--- a/internal/rehearser/doc.go
+++ b/internal/rehearser/doc.go
@@ -2,7 +2,7 @@
 // nodes are killed, frozen and stopped, connections are blackholed, and the log is
 // unavailable. It contains tests only.
 //
-// Package prover checks the decisions through the reducer. The tests here are few and
-// cover the risks of the runner: effects that have left the reducer and may fail in a
-// process, a socket or a signal.
+// Package prover tests the reducer's decisions in simulation. The few tests here cover
+// what that leaves out: the runner, which carries out the reducer's effects, and the
+// processes, sockets and signals that it depends on.
 package rehearser
--- a/internal/summarizer/summarizer.go
+++ b/internal/summarizer/summarizer.go
@@ -4,7 +4,7 @@
 //
 // When all nodes start together, each receives an event for every other node
 // and every server at once. Without the limit, logging would take processor
-// time when the node has the most other work.
+// time at the moment of the node's highest load.
 //
 // Everything is deterministic: time is an argument. Nothing is safe for
 // concurrent use.
