--- a/internal/standin/control.go
+++ b/internal/standin/control.go
@@ -9,14 +9,15 @@
 	"net/http"
 )
 
-// Control is the tests' and demos' side of a stand-in: it sets faults and
-// reads ledgers. Nothing of the system itself uses it.
+// Control is a client for the administrative endpoints of a stand-in, which set
+// faults and return ledgers. Only tests and demos use it.
 type Control struct {
 	// Address is the stand-in's host:port.
 	Address string
 }
 
-// ControlError reports that a stand-in did not do as told.
+// ControlError reports that a request to a stand-in failed. Status is 0 if there
+// was no response.
 type ControlError struct {
 	Method string
 	URL    string
@@ -35,13 +36,13 @@
 
 func (e *ControlError) Unwrap() error { return e.Cause }
 
-// Get reads the JSON at path into reply.
+// Get decodes the JSON at path into reply.
 func (c Control) Get(ctx context.Context, path string, reply any) error {
 	return c.exchange(ctx, http.MethodGet, path, nil, reply)
 }
 
-// Post sends the JSON form of body to path and reads the answer into reply,
-// which may be nil.
+// Post sends body as JSON to path and decodes the response into reply, which may
+// be nil.
 func (c Control) Post(ctx context.Context, path string, body, reply any) error {
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -54,7 +55,7 @@
 	return c.exchange(ctx, http.MethodPost, path, text, reply)
 }
 
-// Delete deletes what is at path.
+// Delete deletes the resource at path.
 func (c Control) Delete(ctx context.Context, path string) error {
 	return c.exchange(ctx, http.MethodDelete, path, nil, nil)
 }
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -9,10 +9,10 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// maxCacheEvents bounds the events kept for readers; older ones are gaps.
+// maxCacheEvents bounds the stored events. Readers see older ones as a gap.
 const maxCacheEvents = 4096
 
-// prefixCache holds prefix blocks, the least recently used goes first.
+// prefixCache is an LRU cache of prompt prefix blocks.
 type prefixCache struct {
 	capacity int
 	order    *list.List // of identifier.PrefixHash, most recently used first
@@ -23,7 +23,7 @@
 
 type cacheEvent struct {
 	encoder.CacheEvent
-	at timekeeper.Time
+	recordedAt timekeeper.Time
 }
 
 func newPrefixCache(capacity int) *prefixCache {
@@ -34,8 +34,9 @@
 	}
 }
 
-// hit returns how many leading blocks of a prompt are held.
-func (c *prefixCache) hit(prefix []identifier.PrefixHash) identifier.Tokens {
+// cachedBlocks returns the number of leading blocks of a prompt that are cached,
+// and marks them as used.
+func (c *prefixCache) cachedBlocks(prefix []identifier.PrefixHash) identifier.Tokens {
 	var blocks identifier.Tokens
 	for _, h := range prefix {
 		if c.blocks[h] == nil {
@@ -47,52 +48,53 @@
 	return blocks
 }
 
-// touch marks blocks as used, the first block last: a block is of no use
-// without those before it, so the later ones have to go first.
+// touch marks cached blocks as used, the first block last. Later blocks are thus
+// evicted before earlier ones, without which they are useless.
 func (c *prefixCache) touch(prefix []identifier.PrefixHash) {
 	for _, h := range slices.Backward(prefix) {
 		c.order.MoveToFront(c.blocks[h])
 	}
 }
 
-// add takes the blocks of a prompt in and drops what no longer fits.
+// add caches the blocks of a prompt and evicts the least recently used blocks
+// beyond the capacity.
 func (c *prefixCache) add(prefix []identifier.PrefixHash, now timekeeper.Time) {
 	for _, h := range prefix {
 		if c.blocks[h] == nil {
 			c.blocks[h] = c.order.PushFront(h)
-			c.record(h, false, now)
+			c.recordEvent(h, false, now)
 		}
 	}
 	c.touch(prefix)
 	for c.order.Len() > c.capacity {
 		oldest := c.order.Remove(c.order.Back()).(identifier.PrefixHash)
 		delete(c.blocks, oldest)
-		c.record(oldest, true, now)
+		c.recordEvent(oldest, true, now)
 	}
 }
 
-func (c *prefixCache) record(h identifier.PrefixHash, gone bool, now timekeeper.Time) {
+func (c *prefixCache) recordEvent(h identifier.PrefixHash, evicted bool, now timekeeper.Time) {
 	c.seq++
 	c.events = append(c.events, cacheEvent{
 		CacheEvent: encoder.CacheEvent{
 			Seq:     c.seq,
 			Hash:    h,
-			Evicted: gone,
+			Evicted: evicted,
 		},
-		at: now,
+		recordedAt: now,
 	})
 	if len(c.events) > maxCacheEvents {
 		c.events = c.events[len(c.events)-maxCacheEvents:]
 	}
 }
 
-// since returns the events after seq that are old enough to be shown, without
-// every drop-th one.
-func (c *prefixCache) since(after uint64, horizon timekeeper.Time, drop int) []encoder.CacheEvent {
+// eventsSince returns the events with a sequence number above after that were
+// recorded no later than latest. It omits every dropEvery-th event.
+func (c *prefixCache) eventsSince(after uint64, latest timekeeper.Time, dropEvery int) []encoder.CacheEvent {
 	shown := []encoder.CacheEvent{}
 	for _, e := range c.events {
-		dropped := drop > 0 && e.Seq%uint64(drop) == 0
-		if e.Seq > after && !e.at.After(horizon) && !dropped {
+		dropped := dropEvery > 0 && e.Seq%uint64(dropEvery) == 0
+		if e.Seq > after && !e.recordedAt.After(latest) && !dropped {
 			shown = append(shown, e.CacheEvent)
 		}
 	}
--- a/internal/standin/engine/control.go
+++ b/internal/standin/engine/control.go
@@ -14,36 +14,36 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// report is the load at an instant, kept until it is old enough to be shown.
-type report struct {
-	at   timekeeper.Time
-	load encoder.Load
+// loadReport is a load measurement, published after Config.LoadLag.
+type loadReport struct {
+	measuredAt timekeeper.Time
+	load       encoder.Load
 }
 
-// reportEvery is the spacing of load measurements.
-const reportEvery = 50 * timekeeper.Millisecond
+// reportInterval is the minimum time between load measurements.
+const reportInterval = 50 * timekeeper.Millisecond
 
-// observe measures the load when the last measurement is old enough, and
-// keeps one measurement that is as old as the lag.
-func (e *Engine) observe(now timekeeper.Time) {
-	if n := len(e.reports); n > 0 && now.Sub(e.reports[n-1].at) < reportEvery {
+// recordLoad measures the load if reportInterval has passed. It discards all
+// reports older than the newest one that is at least Config.LoadLag old.
+func (e *Engine) recordLoad(now timekeeper.Time) {
+	if n := len(e.reports); n > 0 && now.Sub(e.reports[n-1].measuredAt) < reportInterval {
 		return
 	}
-	e.reports = append(e.reports, report{
-		at:   now,
-		load: e.measure(),
+	e.reports = append(e.reports, loadReport{
+		measuredAt: now,
+		load:       e.currentLoad(),
 	})
 	horizon := now.Add(-e.config.LoadLag)
-	for len(e.reports) > 1 && !e.reports[1].at.After(horizon) {
+	for len(e.reports) > 1 && !e.reports[1].measuredAt.After(horizon) {
 		e.reports = e.reports[1:]
 	}
 }
 
-func (e *Engine) measure() encoder.Load {
-	pace := 0.0
+func (e *Engine) currentLoad() encoder.Load {
+	tokensPerSecond := 0.0
 	if len(e.running) > 0 {
 		load := float64(len(e.running)-1) / float64(max(1, e.config.Slots-1))
-		pace = e.config.TokensPerSecond * (1 - e.config.BatchSlowdown*load) * float64(len(e.running))
+		tokensPerSecond = e.config.TokensPerSecond * (1 - e.config.BatchSlowdown*load) * float64(len(e.running))
 	}
 	return encoder.Load{
 		AgeMS:           0,
@@ -51,14 +51,14 @@
 		Waiting:         len(e.waiting),
 		Slots:           e.config.Slots,
 		FreeKVTokens:    e.config.KVTokens - e.kvUsed,
-		TokensPerSecond: pace,
+		TokensPerSecond: tokensPerSecond,
 		Model:           e.model,
 		Role:            e.role,
 		Fence:           e.fence,
 	}
 }
 
-func (e *Engine) load(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	faults := e.switches.Get()
 	if faults.FailLoadReports {
 		encoder.WriteProblem(w, http.StatusServiceUnavailable, encoder.Problem{Error: "no report"})
@@ -67,10 +67,10 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.config.Clock.Now()
-	e.observe(now)
+	e.recordLoad(now)
 	oldest := e.reports[0]
 	shown := oldest.load
-	shown.AgeMS = int64(now.Sub(oldest.at))
+	shown.AgeMS = int64(now.Sub(oldest.measuredAt))
 	if faults.ReportIdle {
 		shown.Running, shown.Waiting = 0, 0
 		shown.FreeKVTokens = e.config.KVTokens
@@ -78,7 +78,7 @@
 	encoder.WriteJSON(w, http.StatusOK, shown)
 }
 
-func (e *Engine) cacheEvents(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) serveCacheEvents(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
 		encoder.WriteProblem(w, http.StatusBadRequest, encoder.Problem{Error: "after: " + err.Error()})
@@ -89,20 +89,20 @@
 	defer e.mu.Unlock()
 	horizon := e.config.Clock.Now().Add(-e.config.CacheLag)
 	encoder.WriteJSON(w, http.StatusOK, encoder.CacheEventsResponse{
-		Events: e.cache.since(after, horizon, drop),
+		Events: e.cache.eventsSince(after, horizon, drop),
 	})
 }
 
-func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var order encoder.OrderRequest
 	if !standin.ReadJSON(w, r, &order) {
 		return
 	}
-	if !e.takeFence(order.Fence) {
+	if !e.acceptFence(order.Fence) {
 		encoder.WriteProblem(w, http.StatusConflict, encoder.Problem{Error: "stale fencing number"})
 		return
 	}
-	// An order that was taken has its effect also when its giver has gone.
+	// An accepted order takes effect even if the client disconnects.
 	ctx := context.WithoutCancel(r.Context())
 	slow := timekeeper.Duration(e.switches.Get().OrderDelayMS)
 	standin.Pause(ctx, slow.Std())
@@ -110,16 +110,16 @@
 		encoder.WriteProblem(w, http.StatusBadGateway, encoder.Problem{Error: "weights not loaded"})
 		return
 	}
-	if !e.carryOut(order) {
+	if !e.execute(order) {
 		encoder.WriteProblem(w, http.StatusConflict, encoder.Problem{Error: "stale fencing number"})
 		return
 	}
 	encoder.WriteJSON(w, http.StatusOK, struct{}{})
 }
 
-// takeFence remembers the largest fencing number and tells whether the order
-// may go on; an engine that checks none lets every order pass.
-func (e *Engine) takeFence(f identifier.Fence) bool {
+// acceptFence stores the highest fencing number and reports whether the order may
+// proceed. Without Config.ChecksFence every order may.
+func (e *Engine) acceptFence(f identifier.Fence) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if f < e.fence {
@@ -129,9 +129,9 @@
 	return true
 }
 
-// carryOut takes the effect. An engine that checks fencing numbers looks
-// again, because a newer order may have come while this one took its time.
-func (e *Engine) carryOut(o encoder.OrderRequest) bool {
+// execute applies the order. It repeats the fence check, because a newer order may
+// have arrived since the first check.
+func (e *Engine) execute(o encoder.OrderRequest) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.config.ChecksFence && o.Fence < e.fence {
@@ -146,7 +146,8 @@
 	return true
 }
 
-// fetchWeights reads the model's weights from the weight store.
+// fetchWeights downloads the model's weights from the weight store and reports
+// whether that succeeded.
 func (e *Engine) fetchWeights(ctx context.Context, model identifier.ModelName) bool {
 	if e.config.WeightAddress == "" {
 		return true
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,27 +1,28 @@
 // Package engine is the stand-in for a model engine with continuous batching.
 //
-//	POST   /generate                  starts a stream, or joins the one of that name
+//	POST   /generate                  starts a stream, or joins an existing one
 //	GET    /streams/{name}?from=N     resumes after token N; 404 when unknown
 //	DELETE /streams/{name}            cancels
 //	POST   /streams/{name}/export     copies the KV cache to another engine
-//	PUT    /kv/{name}                 takes a copy from another engine
-//	GET    /load                      the load as it was Config.LoadLag ago
-//	GET    /cache_events?after=SEQ    changes of the prefix cache, late and with gaps
+//	PUT    /kv/{name}                 receives a KV cache from another engine
+//	GET    /load                      the load as of Config.LoadLag ago
+//	GET    /cache_events?after=SEQ    changes of the prefix cache, delayed and with gaps
 //	POST   /orders                    loads a model or sets the role; 409 when stale
-//	GET    /ledger                    what ran
-//	GET    /faults, POST /faults      the switches, see Faults
+//	GET    /ledger                    the executed streams
+//	GET    /faults, POST /faults      the fault settings, see Faults
 //
-// A stream answers as server-sent events. Each token is an event with the
-// token's index in the answer, from 1, as its id; an "end" event closes a
-// whole answer, an "error" event one that will not go on. A stream goes on
-// without a reader for Config.OrphanTimeout and is kept for Config.Retention after
-// its end; any number of readers may read it, from any index.
+// Streams are returned as server-sent events. The id of a token's event is its
+// index in the answer, counted from 1. An "end" event follows a complete answer,
+// an "error" event an answer that ended early. A stream without readers continues
+// for Config.OrphanTimeout; an ended stream is retained for Config.Retention. Any
+// number of readers may read a stream, from any index.
 //
-// A refusal before anything ran is a 503 with the header Outcome: not_run.
+// A request refused before execution gets status 503 and the header
+// Outcome: not_run.
 //
-// The tokens are those of standin.Token. A start with From > 0 carries the
-// tokens so far in Given; where they are not the true ones, the continuation
-// is wrong too, as a real model's would be.
+// The tokens are those of standin.Token. A start with From > 0 contains the
+// answer so far in Given. If that differs from the expected answer, so does the
+// continuation, as with a real model.
 package engine
 
 import (
@@ -35,45 +36,44 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Config says how the engine behaves without faults.
+// Config describes the engine's behavior without faults.
 type Config struct {
 	VM    identifier.VMID
 	Zone  identifier.Zone
 	Pool  identifier.PoolName
 	Model identifier.ModelName
 	Clock timekeeper.Clock
-	// Slots is how many streams run at once, MaxWaiting how many may wait.
+	// Slots bounds the running streams, MaxWaiting the queued ones.
 	Slots      int
 	MaxWaiting int
-	// TokensPerSecond is the pace of a stream that runs alone. With all slots
-	// taken it falls by the share BatchSlowdown.
+	// TokensPerSecond is the decode rate of a stream that runs alone. With all
+	// slots in use the rate falls by the fraction BatchSlowdown.
 	TokensPerSecond float64
 	BatchSlowdown   float64
-	// PrefillPerSecond is the pace at which the engine reads prompts, for all
-	// streams together.
+	// PrefillPerSecond is the engine's total prefill rate in tokens per second.
 	PrefillPerSecond float64
-	// KVTokens bounds the context of all running streams together.
+	// KVTokens bounds the total context of all running streams.
 	KVTokens identifier.Tokens
-	// CacheBlocks bounds the prefix cache.
+	// CacheBlocks is the capacity of the prefix cache in blocks.
 	CacheBlocks int
-	// KVBytesPerToken and TransferRate give the time of an export.
+	// KVBytesPerToken and TransferRate determine the duration of an export.
 	KVBytesPerToken identifier.Bytes
 	TransferRate    identifier.BytesPerSecond
-	// ChecksFence makes the engine refuse an order with an old fencing number.
+	// ChecksFence makes the engine refuse orders with a stale fencing number.
 	ChecksFence bool
-	// LoadLag is how old a load report is, CacheLag a cache event.
+	// LoadLag and CacheLag delay load reports and cache events.
 	LoadLag  timekeeper.Duration
 	CacheLag timekeeper.Duration
-	// OrphanTimeout bounds how long a stream goes on without a reader, Retention
-	// how long an ended one may still be read.
+	// OrphanTimeout is the time after which a stream without readers ends;
+	// Retention is the time for which an ended stream stays readable.
 	OrphanTimeout timekeeper.Duration
 	Retention     timekeeper.Duration
-	// WeightAddress is the weight store's address. Without it a model loads
+	// WeightAddress is the weight store's address. If it is empty, models load
 	// at once.
 	WeightAddress string
 }
 
-// The values of Config that apply where it says nothing.
+// Defaults for zero fields of Config.
 const (
 	DefaultSlots            = 8
 	DefaultMaxWaiting       = 64
@@ -105,56 +105,55 @@
 	return c
 }
 
-// Faults are the engine's fault switches.
+// Faults are the engine's fault settings.
 type Faults struct {
 	standin.ConnFaults
-	// StallConnections, when set, makes the connections that are open now silent for
-	// good; new ones work. It falls back by itself.
+	// StallConnections permanently stops all responses on the currently open
+	// connections; new ones work. It is reset at once.
 	StallConnections bool `json:"silence"`
-	// Refuse refuses each start with 503 and Outcome: not_run.
+	// Refuse rejects all new streams with status 503 and Outcome: not_run.
 	Refuse bool `json:"refuse"`
-	// SlowFactor divides the engine's pace where it is above 1.
+	// SlowFactor divides the engine's speed; values below 1 have no effect.
 	SlowFactor float64 `json:"slow_factor"`
-	// AbortAfter cuts each reader's connection after so many tokens; the
-	// stream itself goes on. 0 is off.
+	// AbortAfter closes each reader's connection after that number of tokens;
+	// the stream itself continues. 0 disables it.
 	AbortAfter int `json:"break_after"`
-	// DropStartResponses counts the next starts that run, but whose connection is cut
-	// before the answer.
+	// DropStartResponses is the number of upcoming starts that are executed but
+	// whose connection is closed before the response.
 	DropStartResponses int `json:"lose_starts"`
-	// ReportIdle makes load reports show an idle engine.
+	// ReportIdle makes load reports claim that the engine is idle.
 	ReportIdle bool `json:"lie_idle"`
-	// FailLoadReports makes load reports fail with 503.
+	// FailLoadReports makes load requests fail with status 503.
 	FailLoadReports bool `json:"mute_load"`
-	// DropCacheEvents drops every n-th cache event; 0 is off.
+	// DropCacheEvents drops every n-th cache event; 0 disables it.
 	DropCacheEvents int `json:"drop_cache_events"`
-	// OrderDelayMS is how long an order takes from its fence check to its
-	// effect.
+	// OrderDelayMS delays an order between its fence check and its effect.
 	OrderDelayMS int64 `json:"order_slow_ms"`
-	// RefuseImport refuses KV copies from other engines.
+	// RefuseImport rejects KV caches from other engines.
 	RefuseImport bool `json:"refuse_import"`
 }
 
-// Engine is the stand-in. It is safe for concurrent use.
+// Engine simulates a model engine. It is safe for concurrent use.
 type Engine struct {
-	// Gate applies the faults of the connection.
+	// Gate applies the connection faults.
 	Gate     *standin.Gate
 	config   Config
 	switches *standin.Switches[Faults]
 
-	mu      sync.Mutex
-	model   identifier.ModelName
-	role    string
-	fence   identifier.Fence
-	waiting []*stream
-	running []*stream
-	streams map[identifier.StreamName]*stream
-	kvUsed  identifier.Tokens
-	cache   *prefixCache
-	imports map[identifier.StreamName]importedKV
-	reports []report
-	link    timekeeper.Time // until when the transfer link is taken
-	ledger  ledger
-	wake    chan struct{}
+	mu         sync.Mutex
+	model      identifier.ModelName
+	role       string
+	fence      identifier.Fence
+	waiting    []*stream
+	running    []*stream
+	streams    map[identifier.StreamName]*stream
+	kvUsed     identifier.Tokens
+	cache      *prefixCache
+	imports    map[identifier.StreamName]importedKV
+	reports    []loadReport
+	linkIdleAt timekeeper.Time // when the transfer link has finished all exports
+	ledger     ledger
+	wake       chan struct{}
 }
 
 var _ standin.Service = (*Engine)(nil)
@@ -176,7 +175,7 @@
 	return e
 }
 
-// SetFaults changes the fault switches in place.
+// SetFaults applies change to the fault settings.
 func (e *Engine) SetFaults(change func(*Faults)) { e.switches.Update(change) }
 
 func (e *Engine) applyFaults(f Faults) {
@@ -185,11 +184,11 @@
 		e.Gate.StallConnections()
 		e.switches.Update(func(f *Faults) { f.StallConnections = false })
 	}
-	e.nudge()
+	e.wakeScheduler()
 }
 
-// nudge wakes the scheduler.
-func (e *Engine) nudge() {
+// wakeScheduler makes the scheduler run its next step at once.
+func (e *Engine) wakeScheduler() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
@@ -204,9 +203,9 @@
 	mux.HandleFunc("DELETE /streams/{name}", e.cancel)
 	mux.HandleFunc("POST /streams/{name}/export", e.exportKV)
 	mux.HandleFunc("PUT /kv/{name}", e.importKV)
-	mux.HandleFunc("GET /load", e.load)
-	mux.HandleFunc("GET /cache_events", e.cacheEvents)
-	mux.HandleFunc("POST /orders", e.order)
+	mux.HandleFunc("GET /load", e.serveLoad)
+	mux.HandleFunc("GET /cache_events", e.serveCacheEvents)
+	mux.HandleFunc("POST /orders", e.serveOrder)
 	mux.HandleFunc("GET /ledger", e.serveLedger)
 	mux.Handle("/faults", e.switches)
 	return mux
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -12,7 +12,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// newTestEngine returns an engine that moves only by calls of step.
+// newTestEngine returns an engine that advances only through calls of step.
 func newTestEngine(c Config) (*Engine, *timekeeper.Manual) {
 	clock := timekeeper.NewManual(1_000_000)
 	c.Clock = clock
@@ -20,8 +20,8 @@
 	return New(c), clock
 }
 
-// begin starts a stream with a prompt of so many tokens.
-func begin(t *testing.T, e *Engine, name identifier.StreamName, prompt identifier.Tokens, change func(*encoder.GenerateRequest)) *stream {
+// startStream starts a stream with a prompt of the given number of tokens.
+func startStream(t *testing.T, e *Engine, name identifier.StreamName, prompt identifier.Tokens, change func(*encoder.GenerateRequest)) *stream {
 	t.Helper()
 	r := encoder.GenerateRequest{
 		Stream:       name,
@@ -33,14 +33,14 @@
 	if change != nil {
 		change(&r)
 	}
-	require.NoError(t, check(&r))
+	require.NoError(t, validate(&r))
 	s, err := e.start(r)
 	require.NoError(t, err)
 	return s
 }
 
-// run steps the engine through a span, ten milliseconds at a time.
-func run(e *Engine, clock *timekeeper.Manual, span timekeeper.Duration) {
+// runFor advances the engine by span in steps of ten milliseconds.
+func runFor(e *Engine, clock *timekeeper.Manual, span timekeeper.Duration) {
 	const each = 10 * timekeeper.Millisecond
 	for ; span > 0; span -= each {
 		clock.Advance(each)
@@ -48,30 +48,30 @@
 	}
 }
 
-func TestSlotsGoByPriority(t *testing.T) {
+func TestSlotsAreAssignedByPriority(t *testing.T) {
 	e, clock := newTestEngine(Config{Slots: 1})
-	first := begin(t, e, "first", 4, nil)
-	run(e, clock, 10)
-	batch := begin(t, e, "batch", 4, nil)
-	urgent := begin(t, e, "urgent", 4, func(r *encoder.GenerateRequest) { r.Priority = 2 })
+	first := startStream(t, e, "first", 4, nil)
+	runFor(e, clock, 10)
+	batch := startStream(t, e, "batch", 4, nil)
+	urgent := startStream(t, e, "urgent", 4, func(r *encoder.GenerateRequest) { r.Priority = 2 })
 	require.Equal(t, stateRunning, first.state)
 	for first.state == stateRunning {
-		run(e, clock, 10)
+		runFor(e, clock, 10)
 	}
 	require.Equal(t, stateWaiting, batch.state)
 	require.Equal(t, stateRunning, urgent.state)
 }
 
-func TestPaceFallsWithBatch(t *testing.T) {
+func TestRateFallsWithBatchSize(t *testing.T) {
 	alone, clock := newTestEngine(Config{TokensPerSecond: 100})
-	s := begin(t, alone, "a", 4, func(r *encoder.GenerateRequest) { r.MaxTokens = 10000 })
-	run(alone, clock, timekeeper.Second)
+	s := startStream(t, alone, "a", 4, func(r *encoder.GenerateRequest) { r.MaxTokens = 10000 })
+	runFor(alone, clock, timekeeper.Second)
 	full, clock := newTestEngine(Config{TokensPerSecond: 100})
 	var last *stream
 	for _, name := range []identifier.StreamName{"1", "2", "3", "4", "5", "6", "7", "8"} {
-		last = begin(t, full, name, 4, func(r *encoder.GenerateRequest) { r.MaxTokens = 5000 })
+		last = startStream(t, full, name, 4, func(r *encoder.GenerateRequest) { r.MaxTokens = 5000 })
 	}
-	run(full, clock, timekeeper.Second)
+	runFor(full, clock, timekeeper.Second)
 	require.InDelta(t, 100, len(s.tokens), 5)
 	require.InDelta(t, 70, len(last.tokens), 5)
 }
@@ -81,81 +81,81 @@
 	prompt := func(blocks ...identifier.PrefixHash) func(*encoder.GenerateRequest) {
 		return func(r *encoder.GenerateRequest) { r.Prefix = blocks }
 	}
-	cold := begin(t, e, "cold", 128, prompt(1, 2))
-	run(e, clock, 500)
-	warm := begin(t, e, "warm", 128, prompt(1, 3))
-	run(e, clock, 500)
-	require.Equal(t, identifier.Tokens(128), cold.prefilled)
-	require.Equal(t, identifier.Tokens(64), warm.prefilled)
-	begin(t, e, "flood", 256, prompt(6, 7, 8, 9))
-	run(e, clock, 500)
-	forgotten := begin(t, e, "forgotten", 128, prompt(1, 2))
-	run(e, clock, 500)
-	require.Equal(t, identifier.Tokens(128), forgotten.prefilled)
+	cold := startStream(t, e, "cold", 128, prompt(1, 2))
+	runFor(e, clock, 500)
+	warm := startStream(t, e, "warm", 128, prompt(1, 3))
+	runFor(e, clock, 500)
+	require.Equal(t, identifier.Tokens(128), cold.prefilledTokens)
+	require.Equal(t, identifier.Tokens(64), warm.prefilledTokens)
+	startStream(t, e, "flood", 256, prompt(6, 7, 8, 9))
+	runFor(e, clock, 500)
+	forgotten := startStream(t, e, "forgotten", 128, prompt(1, 2))
+	runFor(e, clock, 500)
+	require.Equal(t, identifier.Tokens(128), forgotten.prefilledTokens)
 }
 
-func TestCacheEventsLagAndGap(t *testing.T) {
+func TestCacheEventsAreDelayedAndDropped(t *testing.T) {
 	c := newPrefixCache(2)
 	c.add([]identifier.PrefixHash{1, 2}, 100)
 	c.add([]identifier.PrefixHash{3}, 200)
-	require.Len(t, c.since(0, 150, 0), 2)
-	events := c.since(2, 200, 0)
+	require.Len(t, c.eventsSince(0, 150, 0), 2)
+	events := c.eventsSince(2, 200, 0)
 	require.Len(t, events, 2)
-	require.Equal(t, identifier.PrefixHash(2), events[1].Hash, "a later block goes before an earlier one")
+	require.Equal(t, identifier.PrefixHash(2), events[1].Hash, "later blocks are evicted first")
 	require.True(t, events[1].Evicted)
-	require.Len(t, c.since(0, 200, 2), 2)
+	require.Len(t, c.eventsSince(0, 200, 2), 2)
 }
 
-// A reader's node dies. Its stream goes on, so that another node can resume
-// it, but not for ever.
+// A stream without readers continues so that another node can resume it, but must
+// not run forever.
 func TestOrphanedStreamEnds(t *testing.T) {
 	e, clock := newTestEngine(Config{
 		TokensPerSecond: 1,
 		OrphanTimeout:   5 * timekeeper.Second,
 		Retention:       timekeeper.Second,
 	})
-	s := begin(t, e, "a", 4, func(r *encoder.GenerateRequest) { r.MaxTokens = 1000 })
-	run(e, clock, 20*timekeeper.Second)
+	s := startStream(t, e, "a", 4, func(r *encoder.GenerateRequest) { r.MaxTokens = 1000 })
+	runFor(e, clock, 20*timekeeper.Second)
 	require.Equal(t, stateRunning, s.state)
-	e.leave(s)
-	run(e, clock, 4*timekeeper.Second)
+	e.removeReader(s)
+	runFor(e, clock, 4*timekeeper.Second)
 	require.Equal(t, stateRunning, s.state)
-	run(e, clock, 2*timekeeper.Second)
+	runFor(e, clock, 2*timekeeper.Second)
 	require.Equal(t, stateOrphaned, s.state)
 	require.Zero(t, e.kvUsed)
-	run(e, clock, 2*timekeeper.Second)
+	runFor(e, clock, 2*timekeeper.Second)
 	require.Empty(t, e.streams)
 }
 
-func TestExpiredInQueueDidNotRun(t *testing.T) {
+func TestStreamExpiredInQueueDidNotRun(t *testing.T) {
 	e, clock := newTestEngine(Config{Slots: 1})
-	begin(t, e, "long", 4, func(r *encoder.GenerateRequest) { r.MaxTokens = 1000 })
-	run(e, clock, 10)
-	s := begin(t, e, "late", 4, func(r *encoder.GenerateRequest) { r.DeadlineMS = 50 })
-	run(e, clock, 100)
+	startStream(t, e, "long", 4, func(r *encoder.GenerateRequest) { r.MaxTokens = 1000 })
+	runFor(e, clock, 10)
+	s := startStream(t, e, "late", 4, func(r *encoder.GenerateRequest) { r.DeadlineMS = 50 })
+	runFor(e, clock, 100)
 	require.Equal(t, stateExpired, s.state)
-	require.False(t, s.ran)
+	require.False(t, s.wasStarted)
 	require.Equal(t, 1, e.Ledger().StreamsRun)
 }
 
-func TestFrozenEngineStandsStill(t *testing.T) {
+func TestFrozenEngineMakesNoProgress(t *testing.T) {
 	e, clock := newTestEngine(Config{})
-	s := begin(t, e, "a", 4, nil)
+	s := startStream(t, e, "a", 4, nil)
 	e.SetFaults(func(f *Faults) { f.Freeze = true })
-	run(e, clock, 5*timekeeper.Second)
+	runFor(e, clock, 5*timekeeper.Second)
 	require.Empty(t, s.tokens)
 	e.SetFaults(func(f *Faults) { f.Freeze = false })
-	run(e, clock, 5*timekeeper.Second)
+	runFor(e, clock, 5*timekeeper.Second)
 	require.Equal(t, standin.Tokens("a", 10), s.tokens)
 }
 
-func TestExportTakesTheLinkInTurn(t *testing.T) {
+func TestExportsShareTheLinkInTurn(t *testing.T) {
 	e, clock := newTestEngine(Config{
 		KVBytesPerToken: 1000,
 		TransferRate:    100_000,
 	})
 	for _, name := range []identifier.StreamName{"a", "b"} {
-		begin(t, e, name, 99, func(r *encoder.GenerateRequest) { r.MaxTokens = 1000 })
+		startStream(t, e, name, 99, func(r *encoder.GenerateRequest) { r.MaxTokens = 1000 })
 	}
 	for range 10 {
 		e.step(10 * time.Millisecond)
--- a/internal/standin/engine/kv.go
+++ b/internal/standin/engine/kv.go
@@ -16,21 +16,22 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// maxImports bounds the KV copies that an engine keeps for streams to come.
+// maxImports bounds the stored KV caches that no stream has used yet.
 const maxImports = 64
 
-// importedKV is a KV copy that waits for the stream that continues from it.
+// importedKV is a KV cache received for a stream that will continue here.
 type importedKV struct {
 	encoder.KV
-	at timekeeper.Time
+	importedAt timekeeper.Time
 }
 
-// importFor returns the largest copy that the stream can continue from.
-func (e *Engine) importFor(s *stream) (importedKV, bool) {
+// findImport returns the imported KV cache with the longest context that matches
+// the stream.
+func (e *Engine) findImport(s *stream) (importedKV, bool) {
 	var best importedKV
 	found := false
 	for _, kv := range e.imports {
-		fits := kv.Prompt == s.prompt && kv.Model == s.request.Model
+		fits := kv.Prompt == s.tokenSeed && kv.Model == s.request.Model
 		if fits && (!found || kv.Context > best.Context) {
 			best, found = kv, true
 		}
@@ -45,46 +46,47 @@
 	}
 	kv, wait, ok := e.snapshotKV(identifier.StreamName(r.PathValue("name")))
 	if !ok {
-		unknownStream(w)
+		writeUnknownStream(w)
 		return
 	}
 	if !standin.Pause(r.Context(), wait.Std()) {
 		return
 	}
-	if err := push(r.Context(), request.ToAddress, kv); err != nil {
+	if err := sendKV(r.Context(), request.ToAddress, kv); err != nil {
 		encoder.WriteProblem(w, http.StatusBadGateway, encoder.Problem{Error: err.Error()})
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// snapshotKV returns a stream's KV cache and how long its transfer takes:
-// transfers share the engine's link one after the other.
+// snapshotKV returns a running stream's KV cache and the time until its transfer
+// ends. It reserves the engine's link, which processes transfers one at a time.
 func (e *Engine) snapshotKV(name identifier.StreamName) (encoder.KV, timekeeper.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s, ok := e.streams[name]
-	if !ok || s.state != stateRunning || s.prefillLeft > 0 {
+	if !ok || s.state != stateRunning || s.prefillRemaining > 0 {
 		return encoder.KV{}, 0, false
 	}
 	now := e.config.Clock.Now()
-	size := int64(s.context()) * int64(e.config.KVBytesPerToken)
-	takes := timekeeper.Duration(size * int64(timekeeper.Second) / int64(e.config.TransferRate))
-	e.link = max(e.link, now).Add(takes)
+	size := int64(s.contextTokens()) * int64(e.config.KVBytesPerToken)
+	transferTime := timekeeper.Duration(size * int64(timekeeper.Second) / int64(e.config.TransferRate))
+	e.linkIdleAt = max(e.linkIdleAt, now).Add(transferTime)
 	kv := encoder.KV{
 		Stream:  name,
 		Model:   s.request.Model,
-		Prompt:  s.prompt,
+		Prompt:  s.tokenSeed,
 		Prefix:  s.request.Prefix,
-		Context: s.context(),
+		Context: s.contextTokens(),
 	}
-	return kv, e.link.Sub(now), true
+	return kv, e.linkIdleAt.Sub(now), true
 }
 
-// pushTimeout bounds the part of an export that is not the transfer itself.
-const pushTimeout = 5 * time.Second
+// sendTimeout bounds the HTTP request of an export, which follows the simulated
+// transfer time.
+const sendTimeout = 5 * time.Second
 
-// ImportError reports that the other engine did not take the copy.
+// ImportError reports that the other engine rejected a KV cache.
 type ImportError struct {
 	Address string
 	Status  string
@@ -94,8 +96,8 @@
 
 func (e *ImportError) Error() string { return "import at " + e.Address + ": " + e.Status }
 
-// push gives the copy to the other engine.
-func push(ctx context.Context, address string, kv encoder.KV) error {
+// sendKV sends a KV cache to the other engine.
+func sendKV(ctx context.Context, address string, kv encoder.KV) error {
 	body, err := json.Marshal(kv)
 	if err != nil {
 		return fmt.Errorf("encode copy: %w", err)
@@ -105,7 +107,7 @@
 	if err != nil {
 		return fmt.Errorf("address copy: %w", err)
 	}
-	client := &http.Client{Timeout: pushTimeout}
+	client := &http.Client{Timeout: sendTimeout}
 	defer client.CloseIdleConnections()
 	response, err := client.Do(request)
 	if err != nil {
@@ -136,8 +138,8 @@
 	}
 	now := e.config.Clock.Now()
 	e.imports[kv.Stream] = importedKV{
-		KV: kv,
-		at: now,
+		KV:         kv,
+		importedAt: now,
 	}
 	e.cache.add(kv.Prefix, now)
 	w.WriteHeader(http.StatusNoContent)
--- a/internal/standin/engine/ledger.go
+++ b/internal/standin/engine/ledger.go
@@ -7,22 +7,23 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// maxRuns bounds the runs that the ledger lists; its sums cover all.
+// maxRuns bounds the runs listed in the ledger; its totals include all.
 const maxRuns = 10000
 
-// Ledger answers GET /ledger: what the engine ran since it started.
+// Ledger is the response to GET /ledger: the streams executed since the engine
+// started.
 type Ledger struct {
 	StreamsRun      int               `json:"streams_run"`
 	TokensGenerated identifier.Tokens `json:"tokens_generated"`
 	TokensPrefilled identifier.Tokens `json:"tokens_prefilled"`
-	// TokensRecomputed is the part of TokensPrefilled that belongs to streams
-	// which continued another's answer.
+	// TokensRecomputed is the part of TokensPrefilled due to streams that
+	// continued an answer begun elsewhere.
 	TokensRecomputed identifier.Tokens `json:"tokens_recomputed"`
 	RunsDropped      int               `json:"runs_dropped"`
 	Runs             []Run             `json:"runs"`
 }
 
-// Run is one stream that ran.
+// Run is one executed stream.
 type Run struct {
 	Stream    identifier.StreamName `json:"stream"`
 	Model     identifier.ModelName  `json:"model"`
@@ -32,56 +33,56 @@
 	State     string                `json:"state"`
 }
 
-// ledger keeps the books under the engine's lock.
+// ledger records executed streams; the engine's lock guards it.
 type ledger struct {
-	sums  Ledger
-	index map[identifier.StreamName]int
+	totals Ledger
+	index  map[identifier.StreamName]int
 }
 
-func (l *ledger) started(s *stream) {
-	l.sums.StreamsRun++
-	l.sums.TokensPrefilled += s.prefilled
+func (l *ledger) recordStart(s *stream) {
+	l.totals.StreamsRun++
+	l.totals.TokensPrefilled += s.prefilledTokens
 	if s.request.From > 0 {
-		l.sums.TokensRecomputed += s.prefilled
+		l.totals.TokensRecomputed += s.prefilledTokens
 	}
-	if len(l.sums.Runs) == maxRuns {
-		l.sums.RunsDropped++
+	if len(l.totals.Runs) == maxRuns {
+		l.totals.RunsDropped++
 		return
 	}
 	if l.index == nil {
 		l.index = make(map[identifier.StreamName]int)
 	}
-	l.index[s.request.Stream] = len(l.sums.Runs)
-	l.sums.Runs = append(l.sums.Runs, Run{
+	l.index[s.request.Stream] = len(l.totals.Runs)
+	l.totals.Runs = append(l.totals.Runs, Run{
 		Stream:    s.request.Stream,
 		Model:     s.request.Model,
 		From:      s.request.From,
-		Prefilled: s.prefilled,
+		Prefilled: s.prefilledTokens,
 		Generated: 0,
 		State:     string(s.state),
 	})
 }
 
-func (l *ledger) generated(s *stream, n int) {
-	l.sums.TokensGenerated += identifier.Tokens(n)
+func (l *ledger) recordGenerated(s *stream, n int) {
+	l.totals.TokensGenerated += identifier.Tokens(n)
 	if i, ok := l.index[s.request.Stream]; ok {
-		l.sums.Runs[i].Generated += identifier.Tokens(n)
+		l.totals.Runs[i].Generated += identifier.Tokens(n)
 	}
 }
 
-func (l *ledger) ended(s *stream) {
+func (l *ledger) recordEnd(s *stream) {
 	if i, ok := l.index[s.request.Stream]; ok {
-		l.sums.Runs[i].State = string(s.state)
+		l.totals.Runs[i].State = string(s.state)
 	}
 }
 
 func (l *ledger) copy() Ledger {
-	c := l.sums
-	c.Runs = append([]Run{}, l.sums.Runs...)
+	c := l.totals
+	c.Runs = append([]Run{}, l.totals.Runs...)
 	return c
 }
 
-// Ledger returns what the engine ran since it started.
+// Ledger returns a copy of the engine's ledger.
 func (e *Engine) Ledger() Ledger {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/engine/scheduler.go
+++ b/internal/standin/engine/scheduler.go
@@ -10,19 +10,19 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// stepEvery is the time of one step of the batch. maxStep bounds what one
-// late step may catch up.
+// stepInterval is the time between steps of the batch. maxStep bounds the time
+// that a delayed step accounts for.
 const (
-	stepEvery = 5 * time.Millisecond
-	maxStep   = 250 * time.Millisecond
-	// idleEvery is how often an engine without work looks after ended streams
-	// and its load report.
-	idleEvery = 500 * time.Millisecond
+	stepInterval = 5 * time.Millisecond
+	maxStep      = 250 * time.Millisecond
+	// idleInterval is the time between steps of an engine without work, which
+	// remove ended streams and measure the load.
+	idleInterval = 500 * time.Millisecond
 )
 
-// schedule runs the batch step by step until ctx ends.
+// schedule runs the batch in steps until ctx ends.
 func (e *Engine) schedule(ctx context.Context) {
-	timer := time.NewTimer(stepEvery)
+	timer := time.NewTimer(stepInterval)
 	defer timer.Stop()
 	last := time.Now()
 	for {
@@ -33,33 +33,33 @@
 		case <-timer.C:
 		}
 		now := time.Now()
-		pause := idleEvery
+		wait := idleInterval
 		if e.step(min(now.Sub(last), maxStep)) {
-			pause = stepEvery
+			wait = stepInterval
 		}
 		last = now
-		timer.Reset(pause)
+		timer.Reset(wait)
 	}
 }
 
-// step advances the batch by the elapsed time and tells whether there is
-// work left.
+// step advances the batch by the elapsed time and reports whether work remains.
 func (e *Engine) step(elapsed time.Duration) bool {
 	faults := e.switches.Get()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.config.Clock.Now()
 	if !faults.Freeze {
-		e.expire(now)
+		e.removeExpired(now)
 		e.admit()
 		e.advance(elapsed, faults)
 		e.admit()
 	}
-	e.observe(now)
+	e.recordLoad(now)
 	return len(e.running)+len(e.waiting) > 0
 }
 
-// admit moves waiting streams into free slots, by priority and then arrival.
+// admit moves queued streams into free slots, by priority and then by arrival. It
+// stops at a stream whose context does not fit into the KV cache.
 func (e *Engine) admit() {
 	sort.SliceStable(e.waiting, func(i, j int) bool {
 		return e.waiting[i].request.Priority > e.waiting[j].request.Priority
@@ -72,30 +72,30 @@
 		}
 		e.waiting = e.waiting[1:]
 		e.kvUsed += need
-		s.reserved = need
+		s.reservedTokens = need
 		s.state = stateRunning
-		s.ran = true
-		s.prefillLeft = float64(e.prefillOf(s))
-		s.prefilled = identifier.Tokens(s.prefillLeft)
+		s.wasStarted = true
+		s.prefillRemaining = float64(e.prefillTokens(s))
+		s.prefilledTokens = identifier.Tokens(s.prefillRemaining)
 		e.running = append(e.running, s)
-		e.ledger.started(s)
-		s.notify()
+		e.ledger.recordStart(s)
+		s.notifyReaders()
 	}
 }
 
-// prefillOf is how many tokens of context the engine has to read before the
-// stream's next token: all but what its caches hold. At least one is read,
-// because the next token follows from reading the last.
-func (e *Engine) prefillOf(s *stream) identifier.Tokens {
-	held := e.cache.hit(s.request.Prefix) * blockTokens
-	if kv, ok := e.importFor(s); ok {
-		held = max(held, kv.Context)
+// prefillTokens returns the number of context tokens to process before the
+// stream's next token: those that are not cached, but at least one, because the
+// next token is computed from the last.
+func (e *Engine) prefillTokens(s *stream) identifier.Tokens {
+	cached := e.cache.cachedBlocks(s.request.Prefix) * blockTokens
+	if kv, ok := e.findImport(s); ok {
+		cached = max(cached, kv.Context)
 	}
-	return max(1, s.context()-min(held, s.context()))
+	return max(1, s.contextTokens()-min(cached, s.contextTokens()))
 }
 
-// advance spends the elapsed time: prefill goes to one stream after the
-// other, decoding to all others at once.
+// advance performs the work of the elapsed time. Streams share the prefill rate in
+// turn; all other streams decode concurrently.
 func (e *Engine) advance(elapsed time.Duration, f Faults) {
 	slow := max(1, f.SlowFactor)
 	seconds := elapsed.Seconds() / slow
@@ -103,70 +103,70 @@
 	load := float64(len(e.running)-1) / float64(max(1, e.config.Slots-1))
 	decode := e.config.TokensPerSecond * seconds * (1 - e.config.BatchSlowdown*load)
 	for _, s := range slices.Clone(e.running) {
-		if s.prefillLeft > 0 {
-			spent := min(prefill, s.prefillLeft)
-			prefill -= spent
-			s.prefillLeft -= spent
-			if s.prefillLeft > 0 {
+		if s.prefillRemaining > 0 {
+			processed := min(prefill, s.prefillRemaining)
+			prefill -= processed
+			s.prefillRemaining -= processed
+			if s.prefillRemaining > 0 {
 				continue
 			}
 			e.cache.add(s.request.Prefix, e.config.Clock.Now())
-			s.credit = 1
+			s.tokenCredit = 1
 		} else {
-			s.credit += decode
+			s.tokenCredit += decode
 		}
 		e.decode(s)
 	}
 }
 
 func (e *Engine) decode(s *stream) {
-	n := int(s.credit)
+	n := int(s.tokenCredit)
 	if n == 0 {
 		return
 	}
-	s.credit -= float64(n)
-	emitted, whole := s.emit(n)
-	e.ledger.generated(s, emitted)
-	if whole {
+	s.tokenCredit -= float64(n)
+	generated, complete := s.generate(n)
+	e.ledger.recordGenerated(s, generated)
+	if complete {
 		e.finish(s, stateEnded)
 		return
 	}
-	s.notify()
+	s.notifyReaders()
 }
 
-// finish takes a stream out of the batch or the queue.
+// finish removes a stream from the batch or the queue.
 func (e *Engine) finish(s *stream, end state) {
-	if s.over() {
+	if s.ended() {
 		return
 	}
 	same := func(other *stream) bool { return other == s }
 	e.running = slices.DeleteFunc(e.running, same)
 	e.waiting = slices.DeleteFunc(e.waiting, same)
-	e.kvUsed -= s.reserved
-	s.reserved = 0
+	e.kvUsed -= s.reservedTokens
+	s.reservedTokens = 0
 	s.state = end
 	s.endedAt = e.config.Clock.Now()
-	e.ledger.ended(s)
-	s.notify()
+	e.ledger.recordEnd(s)
+	s.notifyReaders()
 }
 
-// expire ends the streams whose deadline has passed or whom nobody has read
-// for long, and forgets the ended ones.
-func (e *Engine) expire(now timekeeper.Time) {
+// removeExpired ends streams whose deadline or OrphanTimeout has passed, and
+// deletes ended streams and imports after Retention.
+func (e *Engine) removeExpired(now timekeeper.Time) {
 	for name, s := range e.streams {
 		switch {
-		case s.over():
+		case s.ended():
 			if now.Sub(s.endedAt) > e.config.Retention {
 				delete(e.streams, name)
 			}
 		case now.After(s.deadline):
 			e.finish(s, stateExpired)
-		case s.readers == 0 && now.Sub(s.readerLeft) > e.config.OrphanTimeout:
+		case s.readers == 0 && now.Sub(s.lastReaderLeftAt) > e.config.OrphanTimeout:
 			e.finish(s, stateOrphaned)
 		}
 	}
 	for name, kv := range e.imports {
-		if now.Sub(kv.at) > e.config.Retention {
+		if now.Sub(kv.importedAt) > e.config.Retention {
 			delete(e.imports, name)
 		}
 	}
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -11,7 +11,7 @@
 
 const blockTokens = encoder.BlockTokens
 
-// state is the place of a stream in its life.
+// state is the lifecycle state of a stream.
 type state string
 
 const (
@@ -25,65 +25,65 @@
 
 // stream is one stream of tokens; the engine's lock guards it.
 type stream struct {
-	request  encoder.GenerateRequest
-	prompt   string // what the tokens follow from
-	state    state
-	ran      bool
-	tokens   []string // the answer so far, what was given included
-	deadline timekeeper.Time
-	arrived  timekeeper.Time
-	endedAt  timekeeper.Time
-	// prefillLeft is what is still to be read before the next token; credit
-	// is the part of a token that the pace has earned.
-	prefillLeft float64
-	credit      float64
-	prefilled   identifier.Tokens
-	reserved    identifier.Tokens
-	readers     int
-	readerLeft  timekeeper.Time
-	changed     chan struct{}
+	request    encoder.GenerateRequest
+	tokenSeed  string // the prompt argument of standin.Token
+	state      state
+	wasStarted bool
+	tokens     []string // the answer so far, including request.Given
+	deadline   timekeeper.Time
+	receivedAt timekeeper.Time
+	endedAt    timekeeper.Time
+	// prefillRemaining is the number of context tokens to process before the
+	// next token; tokenCredit accumulates fractions of tokens to generate.
+	prefillRemaining float64
+	tokenCredit      float64
+	prefilledTokens  identifier.Tokens
+	reservedTokens   identifier.Tokens
+	readers          int
+	lastReaderLeftAt timekeeper.Time
+	changed          chan struct{}
 }
 
 func newStream(r encoder.GenerateRequest, now timekeeper.Time) *stream {
 	s := &stream{
-		request:    r,
-		prompt:     r.Prompt,
-		state:      stateWaiting,
-		tokens:     append([]string{}, r.Given...),
-		deadline:   timekeeper.Never,
-		arrived:    now,
-		readerLeft: now,
-		changed:    make(chan struct{}),
+		request:          r,
+		tokenSeed:        r.Prompt,
+		state:            stateWaiting,
+		tokens:           append([]string{}, r.Given...),
+		deadline:         timekeeper.Never,
+		receivedAt:       now,
+		lastReaderLeftAt: now,
+		changed:          make(chan struct{}),
 	}
 	if r.DeadlineMS > 0 {
 		s.deadline = now.Add(timekeeper.Duration(r.DeadlineMS))
 	}
 	if given := strings.Join(r.Given, ""); given != standin.Answer(r.Prompt, r.From) {
-		s.prompt += "\x00" + given
+		s.tokenSeed += "\x00" + given
 	}
 	return s
 }
 
-// over tells that the stream gets no more tokens.
-func (s *stream) over() bool { return s.state != stateWaiting && s.state != stateRunning }
+// ended reports whether the stream generates no more tokens.
+func (s *stream) ended() bool { return s.state != stateWaiting && s.state != stateRunning }
 
-// context is the stream's size in the KV cache.
-func (s *stream) context() identifier.Tokens {
+// contextTokens is the stream's size in the KV cache.
+func (s *stream) contextTokens() identifier.Tokens {
 	return s.request.PromptTokens + identifier.Tokens(len(s.tokens))
 }
 
-// notify wakes the readers.
-func (s *stream) notify() {
+// notifyReaders wakes all goroutines that wait on changed.
+func (s *stream) notifyReaders() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// emit adds up to n tokens and tells whether the answer is whole.
-func (s *stream) emit(n int) (emitted int, whole bool) {
-	for emitted < n && identifier.Tokens(len(s.tokens)) < s.request.MaxTokens {
+// generate appends up to n tokens and reports whether the answer is complete.
+func (s *stream) generate(n int) (generated int, complete bool) {
+	for generated < n && identifier.Tokens(len(s.tokens)) < s.request.MaxTokens {
 		next := identifier.Tokens(len(s.tokens) + 1)
-		s.tokens = append(s.tokens, standin.Token(s.prompt, next))
-		emitted++
+		s.tokens = append(s.tokens, standin.Token(s.tokenSeed, next))
+		generated++
 	}
-	return emitted, identifier.Tokens(len(s.tokens)) >= s.request.MaxTokens
+	return generated, identifier.Tokens(len(s.tokens)) >= s.request.MaxTokens
 }
--- a/internal/standin/engine/stream_http.go
+++ b/internal/standin/engine/stream_http.go
@@ -12,7 +12,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// retryAfterMS is when a refused caller is told to come back.
+// retryAfterMS is the retry delay stated in refusals.
 const retryAfterMS = 1000
 
 func (e *Engine) generate(w http.ResponseWriter, r *http.Request) {
@@ -20,22 +20,22 @@
 	if !standin.ReadJSON(w, r, &request) {
 		return
 	}
-	if err := check(&request); err != nil {
-		notRun(w, http.StatusBadRequest, err)
+	if err := validate(&request); err != nil {
+		writeNotRun(w, http.StatusBadRequest, err)
 		return
 	}
 	s, err := e.start(request)
 	if err != nil {
-		notRun(w, http.StatusServiceUnavailable, err)
+		writeNotRun(w, http.StatusServiceUnavailable, err)
 		return
 	}
 	if e.switches.Consume(func(f *Faults) *int { return &f.DropStartResponses }) {
 		standin.AbortConnection()
 	}
-	e.serve(w, r, s, request.From)
+	e.serveStream(w, r, s, request.From)
 }
 
-// FieldError reports a field of a request that no stream can have.
+// FieldError reports an invalid field of a request.
 type FieldError struct {
 	Field  string
 	Reason string
@@ -45,15 +45,16 @@
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// RefusalError tells why the engine does not take a stream up.
+// RefusalError reports that the engine refused a stream before running it.
 type RefusalError struct{ Reason string }
 
 var _ error = (*RefusalError)(nil)
 
 func (e *RefusalError) Error() string { return e.Reason }
 
-// check fills in what the request leaves out. Its error is a *FieldError.
-func check(r *encoder.GenerateRequest) error {
+// validate sets the request's omitted fields and checks it. Its error is a
+// *FieldError.
+func validate(r *encoder.GenerateRequest) error {
 	if r.PromptTokens == 0 {
 		r.PromptTokens = encoder.PromptTokens(r.Prompt)
 	}
@@ -80,7 +81,7 @@
 	return nil
 }
 
-func notRun(w http.ResponseWriter, status int, err error) {
+func writeNotRun(w http.ResponseWriter, status int, err error) {
 	problem := encoder.Problem{
 		Error:   err.Error(),
 		Outcome: encoder.OutcomeNotRun,
@@ -91,12 +92,12 @@
 	encoder.WriteProblem(w, status, problem)
 }
 
-func unknownStream(w http.ResponseWriter) {
+func writeUnknownStream(w http.ResponseWriter) {
 	encoder.WriteProblem(w, http.StatusNotFound, encoder.Problem{Error: "unknown stream"})
 }
 
-// start queues a stream, or finds the one of that name: a repeated start
-// never runs twice. Its error is a *RefusalError.
+// start queues a stream or returns the existing one with its name, so that starts
+// are idempotent. It counts the caller as a reader. Its error is a *RefusalError.
 func (e *Engine) start(r encoder.GenerateRequest) (*stream, error) {
 	faults := e.switches.Get()
 	e.mu.Lock()
@@ -119,14 +120,14 @@
 	s.readers++
 	e.streams[r.Stream] = s
 	e.waiting = append(e.waiting, s)
-	e.nudge()
+	e.wakeScheduler()
 	return s, nil
 }
 
 func (e *Engine) resume(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseUint(r.URL.Query().Get("from"), 10, 31)
 	if err != nil {
-		notRun(w, http.StatusBadRequest, &FieldError{
+		writeNotRun(w, http.StatusBadRequest, &FieldError{
 			Field:  "from",
 			Reason: err.Error(),
 		})
@@ -139,10 +140,10 @@
 	}
 	e.mu.Unlock()
 	if !ok {
-		unknownStream(w)
+		writeUnknownStream(w)
 		return
 	}
-	e.serve(w, r, s, identifier.Tokens(from))
+	e.serveStream(w, r, s, identifier.Tokens(from))
 }
 
 func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
@@ -150,17 +151,17 @@
 	defer e.mu.Unlock()
 	s, ok := e.streams[identifier.StreamName(r.PathValue("name"))]
 	if !ok {
-		unknownStream(w)
+		writeUnknownStream(w)
 		return
 	}
 	e.finish(s, stateCancelled)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// serve writes the tokens after index from as they come. The caller has
-// counted itself as a reader.
-func (e *Engine) serve(w http.ResponseWriter, r *http.Request, s *stream, from identifier.Tokens) {
-	defer e.leave(s)
+// serveStream writes the tokens after index from as they are generated, and then
+// removes one reader, which the caller must have added.
+func (e *Engine) serveStream(w http.ResponseWriter, r *http.Request, s *stream, from identifier.Tokens) {
+	defer e.removeReader(s)
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	flusher := http.NewResponseController(w)
@@ -169,7 +170,7 @@
 	}
 	breakAfter := e.switches.Get().AbortAfter
 	for sent := 0; ; {
-		tokens, ok := e.next(r.Context(), s, from)
+		tokens, ok := e.nextTokens(r.Context(), s, from)
 		if !ok {
 			return
 		}
@@ -193,16 +194,16 @@
 	}
 }
 
-// next waits for tokens after index from. It returns none when the stream is
-// over, and ok false when the reader has gone.
-func (e *Engine) next(ctx context.Context, s *stream, from identifier.Tokens) ([]string, bool) {
+// nextTokens waits for tokens after index from. It returns none if the stream has
+// ended, and false if the reader disconnected.
+func (e *Engine) nextTokens(ctx context.Context, s *stream, from identifier.Tokens) ([]string, bool) {
 	for {
 		e.mu.Lock()
-		have := identifier.Tokens(len(s.tokens))
-		tokens := append([]string{}, s.tokens[min(from, have):]...)
-		changed, over := s.changed, s.over()
+		available := identifier.Tokens(len(s.tokens))
+		tokens := append([]string{}, s.tokens[min(from, available):]...)
+		changed, ended := s.changed, s.ended()
 		e.mu.Unlock()
-		if len(tokens) > 0 || over {
+		if len(tokens) > 0 || ended {
 			return tokens, true
 		}
 		select {
@@ -213,11 +214,11 @@
 	}
 }
 
-func (e *Engine) leave(s *stream) {
+func (e *Engine) removeReader(s *stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s.readers--
-	s.readerLeft = e.config.Clock.Now()
+	s.lastReaderLeftAt = e.config.Clock.Now()
 }
 
 func writeToken(w http.ResponseWriter, index identifier.Tokens, token string) error {
@@ -229,11 +230,11 @@
 	return err
 }
 
-// writeEnd closes a stream that is over. One that ended while it waited says
-// that it did not run.
+// writeEnd writes the final event of an ended stream. For a stream that ended in
+// the queue, the event states that it did not run.
 func (e *Engine) writeEnd(w http.ResponseWriter, s *stream, tokens identifier.Tokens) {
 	e.mu.Lock()
-	end, ran := s.state, s.ran
+	end, ran := s.state, s.wasStarted
 	e.mu.Unlock()
 	name, body := encoder.EndEvent, any(encoder.End{Tokens: tokens})
 	if end != stateEnded {
--- a/internal/standin/gate.go
+++ b/internal/standin/gate.go
@@ -8,68 +8,68 @@
 	"time"
 )
 
-// ConnFaults are the fault switches of the connection, which every stand-in
-// has.
+// ConnFaults are the connection faults that every stand-in supports.
 type ConnFaults struct {
-	// Freeze keeps all connections open and silent, as a paused VM does.
+	// Freeze keeps all connections open without sending, like a paused VM.
 	Freeze bool `json:"freeze"`
-	// DelayMS delays every answer.
+	// DelayMS delays every response.
 	DelayMS int64 `json:"slow_ms"`
 }
 
-// Gate stands between the connections and a stand-in's handler and applies
-// ConnFaults. It is safe for concurrent use.
+// Gate applies ConnFaults to a stand-in's connections. It is safe for concurrent
+// use.
 type Gate struct {
-	mu     sync.Mutex
-	faults ConnFaults
-	thaw   chan struct{}       // closed while not frozen
-	conns  map[*connState]bool // connections that are not silent
+	mu          sync.Mutex
+	faults      ConnFaults
+	resumed     chan struct{}       // closed unless frozen
+	activeConns map[*connState]bool // open connections that are not stalled
 }
 
-// connState is one connection; silent closes when it loses its way for good.
-type connState struct{ silent chan struct{} }
+// connState is one connection. The channel stalled is closed when the connection
+// is stalled permanently.
+type connState struct{ stalled chan struct{} }
 
 type connKey struct{}
 
 // NewGate returns a gate without faults.
 func NewGate() *Gate {
 	g := &Gate{
-		thaw:  make(chan struct{}),
-		conns: make(map[*connState]bool),
+		resumed:     make(chan struct{}),
+		activeConns: make(map[*connState]bool),
 	}
-	close(g.thaw)
+	close(g.resumed)
 	return g
 }
 
-// Set applies f from now on.
+// Set replaces the current faults, also for open connections.
 func (g *Gate) Set(f ConnFaults) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if f.Freeze && !g.faults.Freeze {
-		g.thaw = make(chan struct{})
+		g.resumed = make(chan struct{})
 	}
 	if !f.Freeze && g.faults.Freeze {
-		close(g.thaw)
+		close(g.resumed)
 	}
 	g.faults = f
 }
 
-// StallConnections makes the connections that are open now silent for good, while new
-// ones work: as when something between the two ends has lost track of them.
+// StallConnections permanently stops all responses on the currently open
+// connections; new ones work. It simulates a middlebox that lost their state.
 func (g *Gate) StallConnections() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for c := range g.conns {
-		close(c.silent)
-		delete(g.conns, c)
+	for c := range g.activeConns {
+		close(c.stalled)
+		delete(g.activeConns, c)
 	}
 }
 
 func (g *Gate) connContext(ctx context.Context, _ net.Conn) context.Context {
-	c := &connState{silent: make(chan struct{})}
+	c := &connState{stalled: make(chan struct{})}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.conns[c] = true
+	g.activeConns[c] = true
 	context.AfterFunc(ctx, func() { g.forget(c) })
 	return context.WithValue(ctx, connKey{}, c)
 }
@@ -77,15 +77,15 @@
 func (g *Gate) forget(c *connState) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.conns, c)
+	delete(g.activeConns, c)
 }
 
-// wait returns when bytes may pass on the connection of ctx, or false when
-// the connection has ended.
-func (g *Gate) wait(ctx context.Context) bool {
+// awaitPassage blocks while the connection of ctx is frozen or stalled. It
+// returns false if the connection has ended.
+func (g *Gate) awaitPassage(ctx context.Context) bool {
 	c, _ := ctx.Value(connKey{}).(*connState)
 	g.mu.Lock()
-	thaw := g.thaw
+	thaw := g.resumed
 	g.mu.Unlock()
 	select {
 	case <-thaw:
@@ -96,7 +96,7 @@
 		return ctx.Err() == nil
 	}
 	select {
-	case <-c.silent:
+	case <-c.stalled:
 		<-ctx.Done()
 		return false
 	default:
@@ -110,20 +110,19 @@
 	return time.Duration(g.faults.DelayMS) * time.Millisecond
 }
 
-// switchboard is the path under which a stand-in is told its faults; faults
-// do not bar it.
-const switchboard = "/faults"
+// faultsPath is the path that sets faults. Requests to it bypass the gate.
+const faultsPath = "/faults"
 
 func (g *Gate) wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Path == switchboard {
+		if r.URL.Path == faultsPath {
 			next.ServeHTTP(w, r)
 			return
 		}
-		if !g.wait(r.Context()) || !Pause(r.Context(), g.delay()) {
+		if !g.awaitPassage(r.Context()) || !Pause(r.Context(), g.delay()) {
 			panic(http.ErrAbortHandler)
 		}
-		next.ServeHTTP(&gatedWriter{
+		next.ServeHTTP(&gatedResponseWriter{
 			ResponseWriter: w,
 			gate:           g,
 			ctx:            r.Context(),
@@ -131,32 +130,32 @@
 	})
 }
 
-// gatedWriter holds every write back while its connection may not speak.
-type gatedWriter struct {
+// gatedResponseWriter delays writes while its connection is frozen or stalled.
+type gatedResponseWriter struct {
 	http.ResponseWriter
 	gate *Gate
 	ctx  context.Context
 }
 
-var _ http.ResponseWriter = (*gatedWriter)(nil)
+var _ http.ResponseWriter = (*gatedResponseWriter)(nil)
 
-// Unwrap lets http.ResponseController reach the connection.
-func (w *gatedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+// Unwrap gives http.ResponseController access to the underlying writer.
+func (w *gatedResponseWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-func (w *gatedWriter) WriteHeader(status int) {
-	if w.gate.wait(w.ctx) {
+func (w *gatedResponseWriter) WriteHeader(status int) {
+	if w.gate.awaitPassage(w.ctx) {
 		w.ResponseWriter.WriteHeader(status)
 	}
 }
 
-func (w *gatedWriter) Write(b []byte) (int, error) {
-	if !w.gate.wait(w.ctx) {
+func (w *gatedResponseWriter) Write(b []byte) (int, error) {
+	if !w.gate.awaitPassage(w.ctx) {
 		return 0, http.ErrAbortHandler
 	}
 	return w.ResponseWriter.Write(b)
 }
 
-// Pause waits for d, or returns false when ctx ends first.
+// Pause waits for d. It returns false if ctx ends first.
 func Pause(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -171,5 +170,6 @@
 	}
 }
 
-// AbortConnection ends the connection of the request at once, without an answer.
+// AbortConnection closes the request's connection without completing the
+// response. It must be called from an HTTP handler.
 func AbortConnection() { panic(http.ErrAbortHandler) }
--- a/internal/standin/hoster/group.go
+++ b/internal/standin/hoster/group.go
@@ -11,20 +11,21 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Group is a pool of like backend servers.
+// Group describes the backend servers of a pool, all with the same
+// configuration.
 type Group struct {
 	Kind  catalog.ServiceKind
 	Class identifier.VMClass
-	// Count is how many VMs there are from the start, spread over the zones;
-	// the last OnDemand of them are not reclaimable.
+	// Count is the number of initial VMs, spread over the zones. The last
+	// OnDemand of them are not reclaimable.
 	Count    int
 	OnDemand int
-	// Engine holds the pool's name and how its engines behave. Of a plain
-	// pool only Pool and Slots count.
+	// Engine holds the pool's name and the configuration of its engines. Plain
+	// pools use only Pool and Slots.
 	Engine engine.Config
 }
 
-// GroupError reports a fault in the text of a group.
+// GroupError reports an invalid key or value in the text of a group.
 type GroupError struct {
 	Key   string
 	Value string
@@ -37,24 +38,24 @@
 	if e.Cause != nil {
 		return fmt.Sprintf("group: %s=%s: %v", e.Key, e.Value, e.Cause)
 	}
-	return fmt.Sprintf("group: %s=%s: not a key and value that a group has", e.Key, e.Value)
+	return fmt.Sprintf("group: %s=%s: unknown key or invalid value", e.Key, e.Value)
 }
 
 func (e *GroupError) Unwrap() error { return e.Cause }
 
-// defaultLag is how old load reports and cache events are where the group says
-// nothing.
-const defaultLag = 500 * timekeeper.Millisecond
+// defaultReportLag is the default delay of load reports and cache events.
+const defaultReportLag = 500 * timekeeper.Millisecond
 
-// ParseGroup reads a group from text such as
-// "pool=reading,kind=model,count=10,model=report,slots=8".
+// ParseGroup parses a group from text such as
+// "pool=reading,kind=model,count=10,model=report,slots=8". Its error is a
+// *GroupError.
 func ParseGroup(text string) (Group, error) {
 	g := Group{
 		Kind:  catalog.ModelService,
 		Count: 1,
 		Engine: engine.Config{
-			LoadLag:  defaultLag,
-			CacheLag: defaultLag,
+			LoadLag:  defaultReportLag,
+			CacheLag: defaultReportLag,
 		},
 	}
 	for pair := range strings.SplitSeq(text, ",") {
@@ -74,7 +75,7 @@
 	return g, nil
 }
 
-// set sets one field by its key and tells whether there is one.
+// set sets one field by its key. It reports whether the key is known.
 func (g *Group) set(key, value string) (known bool, err error) {
 	c := &g.Engine
 	switch key {
--- a/internal/standin/hoster/hoster.go
+++ b/internal/standin/hoster/hoster.go
@@ -1,11 +1,10 @@
-// Package hoster is one process that hosts many stand-ins of engines and
-// plain servers, each on a port of its own, and makes VMs of them: it
-// registers them with the platform stand-in, starts the ones that are bought
-// there, and ends the ones that are reclaimed or given back. A VM ends as a
-// real one does: its port closes and its connections are cut.
+// Package hoster runs many engine and plain server stand-ins in one process, each
+// on its own port, as VMs of the platform stand-in. It registers them there,
+// starts VMs that are bought and ends VMs that are reclaimed or released. When a
+// VM ends, its port is closed and its connections are aborted.
 //
-//	GET  /admin/vms       the VMs that run now, with their addresses
-//	POST /admin/reclaim   hands platform.ReclaimRequest on to the platform
+//	GET  /admin/vms       the running VMs and their addresses
+//	POST /admin/reclaim   forwards a platform.ReclaimRequest to the platform
 //	POST /admin/kill      ends a VM, or a zone's VMs, without notice
 package hoster
 
@@ -31,21 +30,21 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Config says what to host.
+// Config lists the VMs to run and where they listen.
 type Config struct {
-	// Platform is the platform stand-in's address.
+	// PlatformAddress is the host:port of the platform stand-in.
 	PlatformAddress string
 	Zones           []identifier.Zone
 	Groups          []Group
-	// Host is the IP number to listen on; FirstPort the port of the first VM,
-	// the others follow. With 0 each takes a free one.
+	// Host is the IP address to listen on. FirstPort is the port of the first
+	// VM, and later VMs use the following ports; 0 selects free ports.
 	Host      string
 	FirstPort int
-	// Boot is the time from a purchase until the VM listens.
+	// BootTime is the time from a purchase until the VM listens.
 	BootTime timekeeper.Duration
 }
 
-// Hoster is the process's VMs.
+// Hoster runs VMs. It is safe for concurrent use.
 type Hoster struct {
 	config   Config
 	platform standin.Control
@@ -56,7 +55,7 @@
 	nextPort int
 }
 
-// hosted is one VM that runs.
+// hosted is a running VM.
 type hosted struct {
 	vm     encoder.VM
 	server *standin.Server
@@ -64,7 +63,7 @@
 
 var _ standin.Service = (*Hoster)(nil)
 
-// New returns a hoster that hosts nothing yet.
+// New returns a hoster without VMs; Start adds the initial ones.
 func New(c Config) *Hoster {
 	if c.Host == "" {
 		c.Host = "127.0.0.1"
@@ -78,11 +77,11 @@
 	}
 }
 
-// Start hosts the VMs that there are from the start. The context ends them.
+// Start starts the initial VMs. They end when ctx ends.
 func (h *Hoster) Start(ctx context.Context) error {
 	for _, g := range h.config.Groups {
 		for i := range g.Count {
-			if err := h.host(ctx, g, h.firstVM(g, i)); err != nil {
+			if err := h.startVM(ctx, g, h.initialVM(g, i)); err != nil {
 				return err
 			}
 		}
@@ -90,8 +89,8 @@
 	return nil
 }
 
-// firstVM names VM i of a group and puts it into a zone.
-func (h *Hoster) firstVM(g Group, i int) encoder.VM {
+// initialVM returns initial VM i of a group, with its name, zone and market.
+func (h *Hoster) initialVM(g Group, i int) encoder.VM {
 	zone := h.config.Zones[i%len(h.config.Zones)]
 	market := catalog.Reclaimable
 	if i >= g.Count-g.OnDemand {
@@ -106,10 +105,10 @@
 	}
 }
 
-// host opens the VM's port and registers it with the platform.
-func (h *Hoster) host(ctx context.Context, g Group, vm encoder.VM) error {
-	service, gate := h.build(g, vm)
-	server, err := standin.Listen(ctx, h.address(), service, gate)
+// startVM opens the VM's port and registers it with the platform.
+func (h *Hoster) startVM(ctx context.Context, g Group, vm encoder.VM) error {
+	service, gate := h.newService(g, vm)
+	server, err := standin.Listen(ctx, h.nextAddress(), service, gate)
 	if err != nil {
 		return err
 	}
@@ -123,8 +122,8 @@
 	return h.platform.Post(ctx, "/admin/vms", vm, nil)
 }
 
-// address is where the next VM listens.
-func (h *Hoster) address() string {
+// nextAddress returns the listen address for a new VM.
+func (h *Hoster) nextAddress() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	port := h.nextPort
@@ -134,7 +133,7 @@
 	return net.JoinHostPort(h.config.Host, strconv.Itoa(port))
 }
 
-func (h *Hoster) build(g Group, vm encoder.VM) (standin.Service, *standin.Gate) {
+func (h *Hoster) newService(g Group, vm encoder.VM) (standin.Service, *standin.Gate) {
 	if g.Kind == catalog.PlainService {
 		plain := responder.New(responder.Config{
 			VM:    vm.VM,
@@ -151,8 +150,8 @@
 	return model, model.Gate
 }
 
-// end closes a VM's port and cuts its connections.
-func (h *Hoster) end(id identifier.VMID) {
+// endVM closes a VM's port and aborts its connections.
+func (h *Hoster) endVM(id identifier.VMID) {
 	h.mu.Lock()
 	vm, ok := h.hosted[id]
 	delete(h.hosted, id)
@@ -169,13 +168,13 @@
 	return h.ended[id]
 }
 
-func (h *Hoster) endAll() {
+func (h *Hoster) endAllVMs() {
 	for _, vm := range h.VMs() {
-		h.end(vm.VM)
+		h.endVM(vm.VM)
 	}
 }
 
-// VMs returns the VMs that run now, by name.
+// VMs returns the running VMs in the order of their names.
 func (h *Hoster) VMs() []encoder.VM {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -211,15 +210,14 @@
 	encoder.WriteJSON(w, http.StatusOK, response)
 }
 
-// KillRequest is the body of POST /admin/kill: one VM by name, or those of a
-// zone.
+// KillRequest is the body of POST /admin/kill. It names one VM or a zone.
 type KillRequest struct {
 	VM   identifier.VMID `json:"vm,omitempty"`
 	Zone identifier.Zone `json:"zone,omitempty"`
 }
 
-// kill ends VMs as a crash does: the platform learns of it, but nobody gets a
-// notice.
+// kill simulates crashes: it ends VMs and deregisters them at the platform without
+// a reclaim notice.
 func (h *Hoster) kill(w http.ResponseWriter, r *http.Request) {
 	var request KillRequest
 	if !standin.ReadJSON(w, r, &request) {
@@ -230,7 +228,7 @@
 		if vm.VM != request.VM && vm.Zone != request.Zone {
 			continue
 		}
-		h.end(vm.VM)
+		h.endVM(vm.VM)
 		killed = append(killed, vm.VM)
 		if err := h.platform.Delete(r.Context(), "/admin/vms/"+url.PathEscape(string(vm.VM))); err != nil {
 			encoder.WriteProblem(w, http.StatusBadGateway, encoder.Problem{Error: err.Error()})
@@ -240,15 +238,16 @@
 	encoder.WriteJSON(w, http.StatusOK, platform.ReclaimResponse{VMs: killed})
 }
 
-// retryEvery is how long the hoster waits for a platform that does not answer.
-const retryEvery = 200 * time.Millisecond
+// retryInterval is the delay after a failed request to the platform.
+const retryInterval = 200 * time.Millisecond
 
-// feedWait is the wait of one long poll of the feed.
-const feedWait = 10 * timekeeper.Second
+// feedPollTime is the duration of one long poll of the feed.
+const feedPollTime = 10 * timekeeper.Second
 
-// Run follows the platform's feed until ctx ends, then ends all VMs.
+// Run executes the entries of the platform's feed until ctx ends, then ends all
+// VMs.
 func (h *Hoster) Run(ctx context.Context) {
-	defer h.endAll()
+	defer h.endAllVMs()
 	running := 0
 	ended := make(chan struct{})
 	defer func() {
@@ -256,17 +255,17 @@
 			<-ended
 		}
 	}()
-	for entry := range h.follow(ctx) {
-		running += 1 - reap(ended)
+	for entry := range h.feedEntries(ctx) {
+		running += 1 - countEnded(ended)
 		go func() {
-			h.carryOut(ctx, entry)
+			h.execute(ctx, entry)
 			ended <- struct{}{}
 		}()
 	}
 }
 
-// reap takes the ends that have been reported so far and counts them.
-func reap(ended <-chan struct{}) int {
+// countEnded receives the values available on ended and returns their number.
+func countEnded(ended <-chan struct{}) int {
 	for n := 0; ; n++ {
 		select {
 		case <-ended:
@@ -276,13 +275,13 @@
 	}
 }
 
-// follow gives the entries of the platform's feed as they come, until ctx
+// feedEntries yields the entries of the platform's feed as they arrive, until ctx
 // ends.
-func (h *Hoster) follow(ctx context.Context) iter.Seq[platform.FeedEntry] {
+func (h *Hoster) feedEntries(ctx context.Context) iter.Seq[platform.FeedEntry] {
 	return func(yield func(platform.FeedEntry) bool) {
 		var after uint64
 		for ctx.Err() == nil {
-			for _, entry := range h.read(ctx, after) {
+			for _, entry := range h.readFeed(ctx, after) {
 				after = entry.Seq
 				if !yield(entry) {
 					return
@@ -292,37 +291,39 @@
 	}
 }
 
-// read polls the feed once.
-func (h *Hoster) read(ctx context.Context, after uint64) []platform.FeedEntry {
+// readFeed polls the feed once. After a failure it waits for retryInterval and
+// returns no entries.
+func (h *Hoster) readFeed(ctx context.Context, after uint64) []platform.FeedEntry {
 	var feed platform.FeedResponse
-	path := fmt.Sprintf("/admin/feed?after=%d&wait_ms=%d", after, feedWait)
+	path := fmt.Sprintf("/admin/feed?after=%d&wait_ms=%d", after, feedPollTime)
 	if err := h.platform.Get(ctx, path, &feed); err != nil {
-		standin.Pause(ctx, retryEvery)
+		standin.Pause(ctx, retryInterval)
 	}
 	return feed.Entries
 }
 
-// carryOut does what one entry of the feed asks for, when its time has come.
-func (h *Hoster) carryOut(ctx context.Context, entry platform.FeedEntry) {
+// execute starts or ends the VM of a feed entry after its boot time or at its
+// deadline.
+func (h *Hoster) execute(ctx context.Context, entry platform.FeedEntry) {
 	switch entry.Kind {
 	case platform.FeedBought:
-		h.boot(ctx, entry.VM)
+		h.bootVM(ctx, entry.VM)
 	case platform.FeedReclaimed, platform.FeedReleased:
 		if standin.Pause(ctx, timekeeper.Duration(entry.DeadlineMSLeft).Std()) {
-			h.end(entry.VM.VM)
+			h.endVM(entry.VM.VM)
 		}
 	}
 }
 
-// boot starts a bought VM. A VM of a pool that is not hosted here is another
-// hoster's, and one that was taken away while it booted never starts.
-func (h *Hoster) boot(ctx context.Context, vm encoder.VM) {
+// bootVM starts a bought VM after its boot time. It ignores VMs of pools that
+// this hoster does not run and VMs that were removed while they booted.
+func (h *Hoster) bootVM(ctx context.Context, vm encoder.VM) {
 	for _, g := range h.config.Groups {
 		if g.Engine.Pool != vm.Pool || !standin.Pause(ctx, h.config.BootTime.Std()) || h.hasEnded(vm.VM) {
 			continue
 		}
-		if err := h.host(ctx, g, vm); err != nil {
-			h.end(vm.VM)
+		if err := h.startVM(ctx, g, vm); err != nil {
+			h.endVM(vm.VM)
 		}
 	}
 }
--- a/internal/standin/hoster/hoster_test.go
+++ b/internal/standin/hoster/hoster_test.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	loopback = "127.0.0.1:0"
-	within   = 10 * time.Second
-	every    = 5 * time.Millisecond
+	loopback     = "127.0.0.1:0"
+	waitTimeout  = 10 * time.Second
+	pollInterval = 5 * time.Millisecond
 )
 
 func ExampleParseGroup() {
@@ -30,17 +30,17 @@
 	fmt.Println(err)
 	// Output:
 	// reading 10 2 8 <nil>
-	// group: colour=blue: not a key and value that a group has
+	// group: colour=blue: unknown key or invalid value
 }
 
-// bench is a platform and a hoster with two engines and a plain server in
-// each of two zones.
-type bench struct {
+// fixture is a platform and a hoster with two engines and a plain server in each
+// of two zones.
+type fixture struct {
 	platform standin.Control
 	hoster   standin.Control
 }
 
-func newBench(t *testing.T) bench {
+func newFixture(t *testing.T) fixture {
 	t.Helper()
 	ctx := context.Background()
 	p := platform.New(platform.Config{})
@@ -61,17 +61,17 @@
 	hosterServer, err := standin.Listen(ctx, loopback, h, standin.NewGate())
 	require.NoError(t, err)
 	t.Cleanup(hosterServer.Close)
-	return bench{
+	return fixture{
 		platform: standin.Control{Address: platformServer.Address()},
 		hoster:   standin.Control{Address: hosterServer.Address()},
 	}
 }
 
-// addresses returns the addresses of the VMs that run, by name.
-func (b bench) addresses(t *testing.T) map[identifier.VMID]string {
+// addresses returns the addresses of the running VMs by name.
+func (f fixture) addresses(t *testing.T) map[identifier.VMID]string {
 	t.Helper()
 	var vms []encoder.VM
-	require.NoError(t, b.hoster.Get(context.Background(), "/admin/vms", &vms))
+	require.NoError(t, f.hoster.Get(context.Background(), "/admin/vms", &vms))
 	addresses := make(map[identifier.VMID]string)
 	for _, vm := range vms {
 		addresses[vm.VM] = vm.Address
@@ -79,21 +79,20 @@
 	return addresses
 }
 
-// A zone is reclaimed. Its reclaimable VMs answer until the deadline, and then
-// nobody listens at their addresses; a VM bought on demand and the other zone
-// go on.
-func TestReclaimedZoneEnds(t *testing.T) {
-	b := newBench(t)
-	before := b.addresses(t)
+// Reclaiming a zone must end its reclaimable VMs at the deadline, not earlier, and
+// must not affect on-demand VMs or other zones.
+func TestReclaimedZoneEndsAtDeadline(t *testing.T) {
+	f := newFixture(t)
+	before := f.addresses(t)
 	require.Len(t, before, 6)
 	var noticed platform.ReclaimResponse
-	require.NoError(t, b.hoster.Post(context.Background(), "/admin/reclaim", platform.ReclaimRequest{
+	require.NoError(t, f.hoster.Post(context.Background(), "/admin/reclaim", platform.ReclaimRequest{
 		Zone:     "b",
 		NoticeMS: 1500,
 	}, &noticed))
 	require.ElementsMatch(t, []identifier.VMID{"portal-b-1", "reading-b-1"}, noticed.VMs)
-	require.Len(t, b.addresses(t), 6)
-	require.Eventually(t, func() bool { return len(b.addresses(t)) == 4 }, within, every)
+	require.Len(t, f.addresses(t), 6)
+	require.Eventually(t, func() bool { return len(f.addresses(t)) == 4 }, waitTimeout, pollInterval)
 	client := adapter.NewEngine(adapter.ServerConfig{})
 	_, err := client.Load(context.Background(), before["reading-b-1"])
 	require.Equal(t, messenger.AttemptNotSent, adapter.Result(err))
@@ -101,39 +100,39 @@
 	require.NoError(t, err)
 }
 
-// A second notice comes in the middle of the first and is shorter: the VM goes
-// at the earlier deadline.
-func TestSecondNoticeShortens(t *testing.T) {
-	b := newBench(t)
+// If a second notice has an earlier deadline than the first, the VM must end at
+// the earlier one.
+func TestEarlierNoticeDeadlineApplies(t *testing.T) {
+	f := newFixture(t)
 	for _, notice := range []int64{3_600_000, 50} {
-		require.NoError(t, b.platform.Post(context.Background(), "/admin/reclaim", platform.ReclaimRequest{
+		require.NoError(t, f.platform.Post(context.Background(), "/admin/reclaim", platform.ReclaimRequest{
 			VM:       "reading-a-1",
 			NoticeMS: notice,
 		}, nil))
 	}
-	require.Eventually(t, func() bool { return b.addresses(t)["reading-a-1"] == "" }, within, every)
+	require.Eventually(t, func() bool { return f.addresses(t)["reading-a-1"] == "" }, waitTimeout, pollInterval)
 }
 
 func TestKilledVMGivesNoNotice(t *testing.T) {
-	b := newBench(t)
-	require.NoError(t, b.hoster.Post(context.Background(), "/admin/kill", hoster.KillRequest{VM: "reading-a-1"}, nil))
-	require.NotContains(t, b.addresses(t), identifier.VMID("reading-a-1"))
-	cloud := adapter.NewCloud(adapter.PlatformConfig{Address: b.platform.Address})
+	f := newFixture(t)
+	require.NoError(t, f.hoster.Post(context.Background(), "/admin/kill", hoster.KillRequest{VM: "reading-a-1"}, nil))
+	require.NotContains(t, f.addresses(t), identifier.VMID("reading-a-1"))
+	cloud := adapter.NewCloud(adapter.PlatformConfig{Address: f.platform.Address})
 	notices, err := cloud.Notices(context.Background(), 0, 0)
 	require.NoError(t, err)
 	require.Empty(t, notices)
 }
 
 func TestBoughtVMStartsAndReleasedOneEnds(t *testing.T) {
-	b := newBench(t)
-	cloud := adapter.NewCloud(adapter.PlatformConfig{Address: b.platform.Address})
+	f := newFixture(t)
+	cloud := adapter.NewCloud(adapter.PlatformConfig{Address: f.platform.Address})
 	vm, err := cloud.Buy(context.Background(), messenger.BuyVM{
 		ClientToken: "reading/5/1",
 		Zone:        "a",
 		Pool:        "reading",
 	})
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return b.addresses(t)[vm] != "" }, within, every)
+	require.Eventually(t, func() bool { return f.addresses(t)[vm] != "" }, waitTimeout, pollInterval)
 	require.NoError(t, cloud.Release(context.Background(), vm))
-	require.Eventually(t, func() bool { return b.addresses(t)[vm] == "" }, within, every)
+	require.Eventually(t, func() bool { return f.addresses(t)[vm] == "" }, waitTimeout, pollInterval)
 }
--- a/internal/standin/platform/cloud.go
+++ b/internal/standin/platform/cloud.go
@@ -11,26 +11,26 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// cloud knows all VMs, and when each changed, so that the list can show them
-// as they were a while ago.
+// cloud stores all VMs with the times of their changes, from which list returns a
+// past state.
 type cloud struct {
-	clock timekeeper.Clock
-	lag   timekeeper.Duration
+	clock   timekeeper.Clock
+	listLag timekeeper.Duration
 
-	mu      sync.Mutex
-	vms     map[identifier.VMID]*vm
-	tokens  map[string]identifier.VMID
-	bought  int
-	feed    []feedEntry
-	changed signal
+	mu          sync.Mutex
+	vms         map[identifier.VMID]*vm
+	tokens      map[string]identifier.VMID
+	purchases   int
+	feed        []feedEntry
+	feedChanged broadcast
 }
 
-// vm is a VM with the instants of its changes; Never where they have not come.
+// vm is a VM with the times of its changes, which are Never until they occur.
 type vm struct {
 	encoder.VM
 	listedAt  timekeeper.Time
 	leavingAt timekeeper.Time
-	goneAt    timekeeper.Time
+	removedAt timekeeper.Time
 }
 
 // FeedKind is a kind of entry of /admin/feed.
@@ -43,8 +43,8 @@
 	FeedReleased  FeedKind = "released"
 )
 
-// FeedEntry is one entry of /admin/feed, by which a hoster learns which VMs
-// to start and to end.
+// FeedEntry is one entry of /admin/feed. It instructs a hoster to start or end a
+// VM.
 type FeedEntry struct {
 	Seq            uint64     `json:"seq"`
 	Kind           FeedKind   `json:"kind"`
@@ -52,7 +52,7 @@
 	DeadlineMSLeft int64      `json:"deadline_ms_left"`
 }
 
-// FeedResponse answers GET /admin/feed.
+// FeedResponse is the response to GET /admin/feed.
 type FeedResponse struct {
 	Entries []FeedEntry `json:"entries"`
 }
@@ -65,15 +65,16 @@
 
 func newCloud(c Config) *cloud {
 	return &cloud{
-		clock:   c.Clock,
-		lag:     c.ListLag,
-		vms:     make(map[identifier.VMID]*vm),
-		tokens:  make(map[string]identifier.VMID),
-		changed: newSignal(),
+		clock:       c.Clock,
+		listLag:     c.ListLag,
+		vms:         make(map[identifier.VMID]*vm),
+		tokens:      make(map[string]identifier.VMID),
+		feedChanged: newBroadcast(),
 	}
 }
 
-// register adds a VM, or gives a bought one its address.
+// register lists a VM, including one that was bought before. If the VM is already
+// leaving, it sets only the address.
 func (c *cloud) register(v encoder.VM) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,20 +87,21 @@
 		VM:        v,
 		listedAt:  c.clock.Now(),
 		leavingAt: timekeeper.Never,
-		goneAt:    timekeeper.Never,
+		removedAt: timekeeper.Never,
 	}
 }
 
-// buy returns the VM of the client token, a new one where there is none yet.
+// buy returns the VM bought with the client token, or a new one if the token is
+// unknown or ignored.
 func (c *cloud) buy(r encoder.BuyRequest, ignoreToken bool) encoder.VM {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if id, ok := c.tokens[r.ClientToken]; ok && !ignoreToken {
 		return c.vms[id].VM
 	}
-	c.bought++
+	c.purchases++
 	v := encoder.VM{
-		VM:     identifier.VMID(fmt.Sprintf("vm-%d", c.bought)),
+		VM:     identifier.VMID(fmt.Sprintf("vm-%d", c.purchases)),
 		Zone:   r.Zone,
 		Class:  r.Class,
 		Market: r.Market,
@@ -110,16 +112,16 @@
 		VM:        v,
 		listedAt:  timekeeper.Never,
 		leavingAt: timekeeper.Never,
-		goneAt:    timekeeper.Never,
+		removedAt: timekeeper.Never,
 	}
-	c.publish(feedEntry{
+	c.appendFeed(feedEntry{
 		kind: FeedBought,
 		vm:   v,
 	})
 	return v
 }
 
-// release gives a VM back at once; it tells whether the VM was known.
+// release removes a VM immediately. It reports whether the VM is known.
 func (c *cloud) release(id identifier.VMID) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,9 +130,9 @@
 		return false
 	}
 	now := c.clock.Now()
-	if v.goneAt.After(now) {
-		v.goneAt = now
-		c.publish(feedEntry{
+	if v.removedAt.After(now) {
+		v.removedAt = now
+		c.appendFeed(feedEntry{
 			kind:     FeedReleased,
 			vm:       v.VM,
 			deadline: now,
@@ -139,8 +141,8 @@
 	return true
 }
 
-// ReclaimRequest is the body of POST /admin/reclaim: one VM by name, or the
-// VMs of a zone, reclaimable ones only unless OnDemand is set.
+// ReclaimRequest is the body of POST /admin/reclaim. It names one VM, or a zone
+// whose reclaimable VMs are meant; OnDemand includes its on-demand VMs.
 type ReclaimRequest struct {
 	VM       identifier.VMID `json:"vm,omitempty"`
 	Zone     identifier.Zone `json:"zone,omitempty"`
@@ -148,34 +150,34 @@
 	NoticeMS int64           `json:"notice_ms"`
 }
 
-func (r ReclaimRequest) meets(v encoder.VM) bool {
+func (r ReclaimRequest) matches(v encoder.VM) bool {
 	if r.VM != "" {
 		return v.VM == r.VM
 	}
 	return v.Zone == r.Zone && (r.OnDemand || v.Market != catalog.OnDemand)
 }
 
-// ReclaimResponse tells which VMs got a notice.
+// ReclaimResponse lists the VMs that received a notice.
 type ReclaimResponse struct {
 	VMs []identifier.VMID `json:"vms"`
 }
 
-// reclaim gives notice to the VMs that the request meets, also to those that
-// have one already; of two deadlines the earlier holds.
+// reclaim gives notice to the VMs that match the request. For a VM that already
+// has a notice, the earlier deadline applies.
 func (c *cloud) reclaim(r ReclaimRequest) []identifier.VMID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.clock.Now()
 	deadline := now.Add(timekeeper.Duration(r.NoticeMS))
 	noticed := []identifier.VMID{}
-	for _, id := range c.ids() {
+	for _, id := range c.sortedIDs() {
 		v := c.vms[id]
-		if !r.meets(v.VM) || !v.goneAt.After(now) {
+		if !r.matches(v.VM) || !v.removedAt.After(now) {
 			continue
 		}
 		v.leavingAt = min(v.leavingAt, now)
-		v.goneAt = min(v.goneAt, deadline)
-		c.publish(feedEntry{
+		v.removedAt = min(v.removedAt, deadline)
+		c.appendFeed(feedEntry{
 			kind:     FeedReclaimed,
 			vm:       v.VM,
 			deadline: deadline,
@@ -185,32 +187,32 @@
 	return noticed
 }
 
-// list returns the VMs as they were the lag ago, with the list's faults.
+// list returns the VMs as of listLag ago, modified by the list's faults.
 func (c *cloud) list(f Faults) encoder.ListResponse {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	asOf := c.clock.Now().Add(-c.lag)
+	asOf := c.clock.Now().Add(-c.listLag)
 	response := encoder.ListResponse{
 		AsOfMS: int64(asOf),
-		AgeMS:  int64(c.lag),
+		AgeMS:  int64(c.listLag),
 		VMs:    []encoder.VM{},
 	}
-	showLive := set(f.ShowAsLive)
-	hide := set(f.HideLive)
-	for _, id := range c.ids() {
+	showLive := toSet(f.ShowAsLive)
+	hide := toSet(f.HideLive)
+	for _, id := range c.sortedIDs() {
 		v := c.vms[id]
-		pinned := showLive[string(id)]
-		if v.listedAt.After(asOf) || hide[string(id)] || !v.goneAt.After(asOf) && !pinned {
+		shownAsLive := showLive[string(id)]
+		if v.listedAt.After(asOf) || hide[string(id)] || !v.removedAt.After(asOf) && !shownAsLive {
 			continue
 		}
 		shown := v.VM
-		shown.Leaving = !v.leavingAt.After(asOf) && !pinned
+		shown.Leaving = !v.leavingAt.After(asOf) && !shownAsLive
 		response.VMs = append(response.VMs, shown)
 	}
 	return response
 }
 
-func (c *cloud) ids() []identifier.VMID {
+func (c *cloud) sortedIDs() []identifier.VMID {
 	ids := make([]identifier.VMID, 0, len(c.vms))
 	for id := range c.vms {
 		ids = append(ids, id)
@@ -219,13 +221,14 @@
 	return ids
 }
 
-func (c *cloud) publish(e feedEntry) {
+func (c *cloud) appendFeed(e feedEntry) {
 	c.feed = append(c.feed, e)
-	c.changed.fire()
+	c.feedChanged.notify()
 }
 
-// entries returns the feed's entries after seq, which counts from 1.
-func (c *cloud) entries(after uint64) []FeedEntry {
+// entriesAfter returns the feed's entries with a sequence number above after. The
+// first entry has number 1.
+func (c *cloud) entriesAfter(after uint64) []FeedEntry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.clock.Now()
@@ -245,10 +248,10 @@
 func (c *cloud) change() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.changed.next
+	return c.feedChanged.changed
 }
 
-func set(names []string) map[string]bool {
+func toSet(names []string) map[string]bool {
 	members := make(map[string]bool, len(names))
 	for _, n := range names {
 		members[n] = true
--- a/internal/standin/platform/cloud_http.go
+++ b/internal/standin/platform/cloud_http.go
@@ -32,7 +32,7 @@
 	}
 	v := p.cloud.buy(request, faults.IgnoreClientTokens)
 	if p.switches.Consume(func(f *Faults) *int { return &f.DropPurchaseResponses }) {
-		p.answerLost(w)
+		p.dropResponse(w)
 		return
 	}
 	encoder.WriteJSON(w, http.StatusOK, v)
@@ -57,7 +57,7 @@
 	if unavailable(w, p.switches.Get().CloudOutage) {
 		return
 	}
-	entries, ok := p.waitEntries(w, r, func(e FeedEntry) bool { return e.Kind == FeedReclaimed })
+	entries, ok := p.pollFeed(w, r, func(e FeedEntry) bool { return e.Kind == FeedReclaimed })
 	if !ok || unavailable(w, p.switches.Get().CloudOutage) {
 		return
 	}
@@ -73,25 +73,25 @@
 }
 
 func (p *Platform) feed(w http.ResponseWriter, r *http.Request) {
-	entries, ok := p.waitEntries(w, r, func(FeedEntry) bool { return true })
+	entries, ok := p.pollFeed(w, r, func(FeedEntry) bool { return true })
 	if ok {
 		encoder.WriteJSON(w, http.StatusOK, FeedResponse{Entries: entries})
 	}
 }
 
-// waitEntries long-polls the feed for entries that keep accepts.
-func (p *Platform) waitEntries(w http.ResponseWriter, r *http.Request, keep func(FeedEntry) bool) ([]FeedEntry, bool) {
-	after, afterOK := query(w, r, "after")
+// pollFeed long-polls the feed for entries that satisfy include.
+func (p *Platform) pollFeed(w http.ResponseWriter, r *http.Request, include func(FeedEntry) bool) ([]FeedEntry, bool) {
+	after, afterOK := queryNumber(w, r, "after")
 	if !afterOK {
 		return nil, false
 	}
-	wait, waitOK := query(w, r, "wait_ms")
+	wait, waitOK := queryNumber(w, r, "wait_ms")
 	if !waitOK {
 		return nil, false
 	}
 	entries := []FeedEntry{}
 	longPoll(r.Context(), wait, p.cloud.change, func() bool {
-		entries = slices.DeleteFunc(p.cloud.entries(after), func(e FeedEntry) bool { return !keep(e) })
+		entries = slices.DeleteFunc(p.cloud.entriesAfter(after), func(e FeedEntry) bool { return !include(e) })
 		return len(entries) > 0
 	})
 	return entries, true
--- a/internal/standin/platform/log.go
+++ b/internal/standin/platform/log.go
@@ -14,33 +14,34 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// log is the append-only log: one sequence of offsets over all streams, from
-// 1, so that a stream's own offsets grow with gaps.
+// log is the append-only log. All streams share one sequence of offsets that
+// starts at 1, so the offsets of a stream have gaps.
 type log struct {
-	clock     timekeeper.Clock
-	retention timekeeper.Duration
-	limit     *rate.Limiter
-
-	mu      sync.Mutex
-	next    identifier.Offset
-	streams map[identifier.LogStream][]encoder.LogRecord
-	changed signal
+	clock         timekeeper.Clock
+	retention     timekeeper.Duration
+	appendLimiter *rate.Limiter
+
+	mu         sync.Mutex
+	nextOffset identifier.Offset
+	streams    map[identifier.LogStream][]encoder.LogRecord
+	changed    broadcast
 }
 
 func newLog(c Config) *log {
 	return &log{
-		clock:     c.Clock,
-		retention: c.Retention,
-		limit:     rate.NewLimiter(rate.Limit(c.AppendRate), max(1, int(c.AppendRate))),
-		next:      1,
-		streams:   make(map[identifier.LogStream][]encoder.LogRecord),
-		changed:   newSignal(),
+		clock:         c.Clock,
+		retention:     c.Retention,
+		appendLimiter: rate.NewLimiter(rate.Limit(c.AppendRate), max(1, int(c.AppendRate))),
+		nextOffset:    1,
+		streams:       make(map[identifier.LogStream][]encoder.LogRecord),
+		changed:       newBroadcast(),
 	}
 }
 
-// admit takes one append off the rate, or tells when to come back.
-func (l *log) admit() (retryAfter time.Duration, ok bool) {
-	reservation := l.limit.Reserve()
+// reserveAppend consumes one append of the rate limit, or returns the time after
+// which to retry.
+func (l *log) reserveAppend() (retryAfter time.Duration, ok bool) {
+	reservation := l.appendLimiter.Reserve()
 	if delay := reservation.Delay(); delay > 0 {
 		reservation.Cancel()
 		return delay, false
@@ -55,33 +56,33 @@
 	now := l.clock.Now()
 	for _, r := range records {
 		l.streams[r.Stream] = append(l.streams[r.Stream], encoder.LogRecord{
-			Offset:     l.next,
+			Offset:     l.nextOffset,
 			AppendedMS: int64(now),
 			Data:       r.Data,
 		})
-		offsets = append(offsets, l.next)
-		l.next++
+		offsets = append(offsets, l.nextOffset)
+		l.nextOffset++
 	}
-	l.changed.fire()
+	l.changed.notify()
 	return offsets
 }
 
-// read returns the records of a stream from an offset on.
+// read returns up to limit records of a stream, starting at offset from.
 func (l *log) read(stream identifier.LogStream, from identifier.Offset, limit int) encoder.ReadResponse {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.expire()
-	kept := l.streams[stream]
-	start := sort.Search(len(kept), func(i int) bool { return kept[i].Offset >= from })
-	stop := min(start+limit, len(kept))
+	records := l.streams[stream]
+	start := sort.Search(len(records), func(i int) bool { return records[i].Offset >= from })
+	stop := min(start+limit, len(records))
 	return encoder.ReadResponse{
-		First:   l.first(),
-		End:     stop == len(kept),
-		Records: append([]encoder.LogRecord{}, kept[start:stop]...),
+		First:   l.firstOffset(),
+		End:     stop == len(records),
+		Records: append([]encoder.LogRecord{}, records[start:stop]...),
 	}
 }
 
-// expire drops the records that are older than the retention.
+// expire deletes the records that are older than the retention period.
 func (l *log) expire() {
 	horizon := int64(l.clock.Now().Add(-l.retention))
 	for name, records := range l.streams {
@@ -90,8 +91,8 @@
 	}
 }
 
-func (l *log) first() identifier.Offset {
-	first := l.next
+func (l *log) firstOffset() identifier.Offset {
+	first := l.nextOffset
 	for _, records := range l.streams {
 		if len(records) > 0 {
 			first = min(first, records[0].Offset)
@@ -103,15 +104,15 @@
 func (l *log) change() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.changed.next
+	return l.changed.changed
 }
 
 func (p *Platform) append(w http.ResponseWriter, r *http.Request) {
 	var request encoder.AppendRequest
-	if !p.logReady(w, r) || !standin.ReadJSON(w, r, &request) {
+	if !p.awaitLog(w, r) || !standin.ReadJSON(w, r, &request) {
 		return
 	}
-	if delay, ok := p.log.admit(); !ok {
+	if delay, ok := p.log.reserveAppend(); !ok {
 		encoder.WriteProblem(w, http.StatusTooManyRequests, encoder.Problem{
 			Error:        "over the append rate",
 			Outcome:      encoder.OutcomeNotRun,
@@ -121,7 +122,7 @@
 	}
 	offsets := p.log.append(request.Records)
 	if p.switches.Consume(func(f *Faults) *int { return &f.DropAppendResponses }) {
-		p.answerLost(w)
+		p.dropResponse(w)
 		return
 	}
 	encoder.WriteJSON(w, http.StatusOK, encoder.AppendResponse{Offsets: offsets})
@@ -134,16 +135,16 @@
 )
 
 func (p *Platform) read(w http.ResponseWriter, r *http.Request) {
-	from, fromOK := query(w, r, "from")
+	from, fromOK := queryNumber(w, r, "from")
 	if !fromOK {
 		return
 	}
-	limit, limitOK := query(w, r, "limit")
+	limit, limitOK := queryNumber(w, r, "limit")
 	if !limitOK {
 		return
 	}
-	wait, waitOK := query(w, r, "wait_ms")
-	if !waitOK || !p.logReady(w, r) {
+	wait, waitOK := queryNumber(w, r, "wait_ms")
+	if !waitOK || !p.awaitLog(w, r) {
 		return
 	}
 	if limit == 0 {
@@ -162,8 +163,9 @@
 	encoder.WriteJSON(w, http.StatusOK, response)
 }
 
-// logReady applies the log's faults that come before any effect.
-func (p *Platform) logReady(w http.ResponseWriter, r *http.Request) bool {
+// awaitLog applies the log's delay and outage faults. If it returns false, it has
+// written the response.
+func (p *Platform) awaitLog(w http.ResponseWriter, r *http.Request) bool {
 	faults := p.switches.Get()
 	slow := time.Duration(faults.LogDelayMS) * time.Millisecond
 	if !standin.Pause(r.Context(), slow) {
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,25 +1,25 @@
-// Package platform is the stand-in for what the platform gives: an
-// append-only log, a lagging list of VMs, a cloud API and a weight store.
+// Package platform is the stand-in for the platform services: an append-only log,
+// a delayed VM list, a cloud API and a weight store.
 //
-//	POST   /log/append               appends records, all or none
+//	POST   /log/append               appends records atomically
 //	GET    /log/read                 ?stream=&from=&limit=&wait_ms= (long poll)
-//	GET    /vms                      the list, as of Config.ListLag ago
+//	GET    /vms                      the VM list as of Config.ListLag ago
 //	POST   /cloud/vms                buys a VM; 409 when refused
-//	DELETE /cloud/vms/{vm}           gives a VM back
+//	DELETE /cloud/vms/{vm}           releases a VM
 //	GET    /cloud/notices            ?after=&wait_ms= reclaim notices (long poll)
-//	GET    /weights/{model}          weights, at Config.WeightRate for all readers
+//	GET    /weights/{model}          weights; readers share Config.WeightRate
 //
-// What only tests, demos and hosters use:
+// Endpoints for tests, demos and hosters:
 //
-//	POST   /admin/vms                registers a VM, or gives a bought one its address
-//	DELETE /admin/vms/{vm}           a VM is gone
+//	POST   /admin/vms                registers a VM, or the address of a bought one
+//	DELETE /admin/vms/{vm}           removes a VM
 //	POST   /admin/reclaim            reclaims a VM or a zone with notice
 //	GET    /admin/feed               ?after=&wait_ms= purchases, reclaims, releases (long poll)
-//	GET    /faults, POST /faults     the switches, see Faults
+//	GET    /faults, POST /faults     the fault settings, see Faults
 //
-// Errors carry an encoder.Problem. 429 means over the append rate, and
-// nothing was appended. 503 means unavailable, and an effect may have been
-// taken.
+// Error responses contain an encoder.Problem. Status 429 means that the append
+// rate was exceeded and nothing was appended. Status 503 means unavailable; the
+// request may or may not have taken effect.
 package platform
 
 import (
@@ -34,22 +34,22 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Config says how the platform behaves without faults.
+// Config describes the platform's behavior without faults.
 type Config struct {
 	Clock timekeeper.Clock
-	// Retention is how long the log keeps a record.
+	// Retention is the time for which the log keeps a record.
 	Retention timekeeper.Duration
-	// AppendRate bounds the appends in a second; a batch is one append.
+	// AppendRate bounds the appends per second; a batch counts as one append.
 	AppendRate float64
-	// ListLag is how old the VM list is.
+	// ListLag is the age of the VM list.
 	ListLag timekeeper.Duration
-	// WeightBytes is the size of a model's weights, WeightRate the bytes in a
-	// second that the weight store gives to all readers together.
+	// WeightBytes is the size of a model's weights; WeightRate is the weight
+	// store's total rate in bytes per second.
 	WeightBytes int64
 	WeightRate  int64
 }
 
-// The values of Config that apply where it says nothing.
+// Defaults for zero fields of Config.
 const (
 	DefaultRetention   = timekeeper.Hour
 	DefaultAppendRate  = 300.0
@@ -69,46 +69,48 @@
 	return c
 }
 
-// DropMode is a way to lose an answer whose effect was taken.
+// DropMode selects how the response to a request that took effect is lost.
 type DropMode string
 
-// The ways to lose an answer.
+// The drop modes.
 const (
-	// DropUnavailable answers 503.
+	// DropUnavailable responds with status 503.
 	DropUnavailable DropMode = "unavailable"
-	// DropClosed closes the connection without an answer.
+	// DropClosed closes the connection without a response.
 	DropClosed DropMode = "closed"
 )
 
-// Faults are the platform's fault switches.
+// Faults are the platform's fault settings.
 type Faults struct {
 	standin.ConnFaults
-	// The outages: 503 before any effect.
+	// Outages respond with status 503 before any effect.
 	LogOutage    bool `json:"log_outage"`
 	ListOutage   bool `json:"list_outage"`
 	CloudOutage  bool `json:"cloud_outage"`
 	WeightOutage bool `json:"weight_outage"`
 	// LogDelayMS delays each append and read of the log.
 	LogDelayMS int64 `json:"log_slow_ms"`
-	// DropAppendResponses and DropPurchaseResponses count the next answers that are lost, by Loss,
-	// after the effect was taken.
+	// DropAppendResponses and DropPurchaseResponses are the numbers of upcoming
+	// responses to drop, as DropMode states, after the request took effect.
 	DropAppendResponses   int      `json:"lose_appends"`
 	DropPurchaseResponses int      `json:"lose_buys"`
 	DropMode              DropMode `json:"loss"`
-	// ShowAsLive are leaving VMs that the list shows as live, and even gone ones
-	// that it still shows; Hide are live ones that it does not show.
+	// ShowAsLive names leaving or removed VMs that the list shows as live;
+	// HideLive names VMs that it omits.
 	ShowAsLive []string `json:"show_live"`
 	HideLive   []string `json:"hide"`
-	// RefusePurchases refuses every purchase; RefuseZones those in these zones.
+	// RefusePurchases refuses all purchases; RefuseZones refuses those in the
+	// named zones.
 	RefusePurchases bool     `json:"refuse_buys"`
 	RefuseZones     []string `json:"refuse_zones"`
-	// IgnoreClientTokens buys anew for a client token seen before.
+	// IgnoreClientTokens buys another VM for a client token that was already
+	// used.
 	IgnoreClientTokens bool `json:"ignore_client_tokens"`
 }
 
-// Platform is the stand-in. Its parts are safe for concurrent use.
+// Platform simulates the platform services. It is safe for concurrent use.
 type Platform struct {
-	// Gate applies the faults of the connection.
+	// Gate applies the connection faults.
 	Gate     *standin.Gate
 	config   Config
 	switches *standin.Switches[Faults]
@@ -135,10 +137,10 @@
 	}
 }
 
-// SetFaults changes the fault switches in place.
+// SetFaults applies change to the fault settings.
 func (p *Platform) SetFaults(change func(*Faults)) { p.switches.Update(change) }
 
-// Run returns at once when ctx ends; the platform acts only when asked.
+// Run waits until ctx ends; the platform has no background work.
 func (p *Platform) Run(ctx context.Context) { <-ctx.Done() }
 
 // Handler serves the platform's protocol.
@@ -159,7 +161,7 @@
 	return mux
 }
 
-// unavailable answers 503 when the outage is on.
+// unavailable responds with status 503 if outage is set, and returns outage.
 func unavailable(w http.ResponseWriter, outage bool) bool {
 	if outage {
 		encoder.WriteProblem(w, http.StatusServiceUnavailable, encoder.Problem{Error: "unavailable"})
@@ -167,19 +169,20 @@
 	return outage
 }
 
-// answerLost ends the request in the way that the switch Loss says.
-func (p *Platform) answerLost(w http.ResponseWriter) {
+// dropResponse ends the request as Faults.DropMode states.
+func (p *Platform) dropResponse(w http.ResponseWriter) {
 	if p.switches.Get().DropMode == DropClosed {
 		standin.AbortConnection()
 	}
 	encoder.WriteProblem(w, http.StatusServiceUnavailable, encoder.Problem{Error: "unavailable"})
 }
 
-// MaxWait bounds a long poll.
+// MaxWait is the maximum duration of a long poll.
 const MaxWait = 30 * timekeeper.Second
 
-// query reads an unsigned number of the query; an absent one is 0.
-func query(w http.ResponseWriter, r *http.Request, name string) (uint64, bool) {
+// queryNumber parses an unsigned query parameter, by default 0. If it is invalid,
+// it responds with status 400 and returns false.
+func queryNumber(w http.ResponseWriter, r *http.Request, name string) (uint64, bool) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
 		return 0, true
@@ -192,8 +195,9 @@
 	return n, true
 }
 
-// longPoll calls try until it succeeds, the wait is over or the caller has
-// gone; changed gives a channel that closes at the next change.
+// longPoll calls try after each change until it succeeds, the wait has passed or
+// the caller disconnects. changed returns a channel that is closed at the next
+// change.
 func longPoll(ctx context.Context, waitMS uint64, changed func() <-chan struct{}, try func() bool) {
 	wait := min(timekeeper.Duration(min(waitMS, uint64(MaxWait))), MaxWait)
 	timer := time.NewTimer(wait.Std())
--- a/internal/standin/platform/signal.go
+++ b/internal/standin/platform/signal.go
@@ -1,12 +1,12 @@
 package platform
 
-// signal tells any number of waiters of the next change. Its owner guards it
-// with the lock that guards the changed state.
-type signal struct{ next chan struct{} }
+// broadcast notifies any number of waiters of the next change. The lock of the
+// observed state must guard it.
+type broadcast struct{ changed chan struct{} }
 
-func newSignal() signal { return signal{next: make(chan struct{})} }
+func newBroadcast() broadcast { return broadcast{changed: make(chan struct{})} }
 
-func (s *signal) fire() {
-	close(s.next)
-	s.next = make(chan struct{})
+func (s *broadcast) notify() {
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
--- a/internal/standin/platform/weights.go
+++ b/internal/standin/platform/weights.go
@@ -7,21 +7,21 @@
 	"golang.org/x/time/rate"
 )
 
-// weightChunk is the piece in which weights go out; all readers share the
-// rate piece by piece.
-const weightChunk = 64 << 10
+// weightChunkBytes is the unit in which weights are sent and the rate is shared
+// among readers.
+const weightChunkBytes = 64 << 10
 
-// weightStore gives every model the same number of zero bytes, at a rate that
-// all readers share.
+// weightStore serves the same number of zero bytes for every model, at a total
+// rate shared by all readers.
 type weightStore struct {
-	size  int64
-	limit *rate.Limiter
+	size    int64
+	limiter *rate.Limiter
 }
 
 func newWeightStore(c Config) *weightStore {
 	return &weightStore{
-		size:  c.WeightBytes,
-		limit: rate.NewLimiter(rate.Limit(c.WeightRate), weightChunk),
+		size:    c.WeightBytes,
+		limiter: rate.NewLimiter(rate.Limit(c.WeightRate), weightChunkBytes),
 	}
 }
 
@@ -30,15 +30,15 @@
 		return
 	}
 	w.Header().Set("Content-Length", strconv.FormatInt(p.weights.size, 10))
-	zeros := make([]byte, weightChunk)
-	for left := p.weights.size; left > 0; {
-		n := min(left, weightChunk)
-		if err := p.weights.limit.WaitN(r.Context(), int(n)); err != nil {
+	zeros := make([]byte, weightChunkBytes)
+	for remaining := p.weights.size; remaining > 0; {
+		n := min(remaining, weightChunkBytes)
+		if err := p.weights.limiter.WaitN(r.Context(), int(n)); err != nil {
 			return
 		}
 		if _, err := w.Write(zeros[:n]); err != nil {
 			return
 		}
-		left -= n
+		remaining -= n
 	}
 }
--- a/internal/standin/responder/responder.go
+++ b/internal/standin/responder/responder.go
@@ -1,11 +1,12 @@
 // Package responder is the stand-in for a plain server.
 //
-//	any    /call/...               runs the call and echoes it
-//	GET    /load                   the load, with no lag
-//	GET    /ledger                 how often each Request-Id ran
-//	GET    /faults, POST /faults   the switches, see Faults
+//	any    /call/...               executes a call and echoes it
+//	GET    /load                   the current load
+//	GET    /ledger                 the number of executions of each Request-Id
+//	GET    /faults, POST /faults   the fault settings, see Faults
 //
-// A refusal before anything ran is a 503 with the header Outcome: not_run.
+// A call refused before execution gets status 503 and the header
+// Outcome: not_run.
 package responder
 
 import (
@@ -21,35 +22,35 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// Config says which server it is.
+// Config identifies the server and sets its capacity.
 type Config struct {
 	VM   identifier.VMID
 	Pool identifier.PoolName
-	// Slots is how many calls run at once; more are refused.
+	// Slots is the maximum number of concurrent calls; others are refused.
 	Slots int
 }
 
-// DefaultSlots is the value of Config.Slots where it says nothing.
+// DefaultSlots applies if Config.Slots is zero.
 const DefaultSlots = 64
 
-// Faults are the plain server's fault switches.
+// Faults are the plain server's fault settings.
 type Faults struct {
 	standin.ConnFaults
-	// StallConnections, when set, makes the connections that are open now silent for
-	// good; new ones work. It falls back by itself.
+	// StallConnections permanently stops all responses on the currently open
+	// connections; new ones work. It is reset at once.
 	StallConnections bool `json:"silence"`
-	// Refuse refuses each call with 503 and Outcome: not_run.
+	// Refuse rejects all calls with status 503 and Outcome: not_run.
 	Refuse bool `json:"refuse"`
-	// DropResponses counts the next calls that run, but whose connection is cut
-	// before the answer.
+	// DropResponses is the number of upcoming calls that are executed but whose
+	// connection is closed before the response.
 	DropResponses int `json:"lose_answers"`
-	// Fail answers 500 after the call ran.
+	// Fail responds with status 500 after executing the call.
 	Fail bool `json:"fail"`
-	// RunDelayMS is how long a call runs.
+	// RunDelayMS is the execution time of a call.
 	RunDelayMS int64 `json:"run_slow_ms"`
 }
 
-// Reply is the body of the answer to a call.
+// Reply is the body of the response to a call.
 type Reply struct {
 	Server  identifier.VMID      `json:"server"`
 	Request identifier.RequestID `json:"request"`
@@ -58,16 +59,17 @@
 	Body    string               `json:"body"`
 }
 
-// Ledger answers GET /ledger: how often each request ran since the start.
+// Ledger is the response to GET /ledger: the number of executions of each request
+// since the server started.
 type Ledger struct {
 	Runs map[identifier.RequestID]int `json:"runs"`
-	// Bodies holds the body of the last run of each request.
+	// Bodies holds the body of each request's last execution.
 	Bodies map[identifier.RequestID]string `json:"bodies"`
 }
 
-// Responder is the stand-in. It is safe for concurrent use.
+// Responder simulates a plain server. It is safe for concurrent use.
 type Responder struct {
-	// Gate applies the faults of the connection.
+	// Gate applies the connection faults.
 	Gate     *standin.Gate
 	config   Config
 	switches *standin.Switches[Faults]
@@ -79,7 +81,7 @@
 
 var _ standin.Service = (*Responder)(nil)
 
-// New returns a plain server that has run nothing.
+// New returns a plain server with an empty ledger.
 func New(c Config) *Responder {
 	if c.Slots == 0 {
 		c.Slots = DefaultSlots
@@ -96,7 +98,7 @@
 	return p
 }
 
-// SetFaults changes the fault switches in place.
+// SetFaults applies change to the fault settings.
 func (p *Responder) SetFaults(change func(*Faults)) { p.switches.Update(change) }
 
 func (p *Responder) applyFaults(f Faults) {
@@ -107,23 +109,23 @@
 	}
 }
 
-// Run returns when ctx ends; the server acts only when asked.
+// Run waits until ctx ends; the server has no background work.
 func (p *Responder) Run(ctx context.Context) { <-ctx.Done() }
 
 // Handler serves the plain server's protocol.
 func (p *Responder) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("/call/", p.call)
-	mux.HandleFunc("GET /load", p.load)
+	mux.HandleFunc("/call/", p.serveCall)
+	mux.HandleFunc("GET /load", p.serveLoad)
 	mux.HandleFunc("GET /ledger", p.serveLedger)
 	mux.Handle("/faults", p.switches)
 	return mux
 }
 
-// retryAfterMS is when a refused caller is told to come back.
+// retryAfterMS is the retry delay stated in refusals.
 const retryAfterMS = 1000
 
-func (p *Responder) call(w http.ResponseWriter, r *http.Request) {
+func (p *Responder) serveCall(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, standin.MaxBodySize))
 	if err != nil {
 		encoder.WriteProblem(w, http.StatusBadRequest, encoder.Problem{
@@ -133,7 +135,7 @@
 		return
 	}
 	faults := p.switches.Get()
-	if faults.Refuse || !p.enter() {
+	if faults.Refuse || !p.takeSlot() {
 		encoder.WriteProblem(w, http.StatusServiceUnavailable, encoder.Problem{
 			Error:        "refusing",
 			Outcome:      encoder.OutcomeNotRun,
@@ -141,9 +143,9 @@
 		})
 		return
 	}
-	defer p.exit()
+	defer p.freeSlot()
 	request := identifier.RequestID(r.Header.Get(encoder.RequestIDHeader))
-	p.record(request, string(body))
+	p.recordRun(request, string(body))
 	standin.Pause(r.Context(), milliseconds(faults.RunDelayMS))
 	if p.switches.Consume(func(f *Faults) *int { return &f.DropResponses }) {
 		standin.AbortConnection()
@@ -161,7 +163,7 @@
 	})
 }
 
-func (p *Responder) enter() bool {
+func (p *Responder) takeSlot() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.running >= p.config.Slots {
@@ -171,20 +173,20 @@
 	return true
 }
 
-func (p *Responder) exit() {
+func (p *Responder) freeSlot() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.running--
 }
 
-func (p *Responder) record(request identifier.RequestID, body string) {
+func (p *Responder) recordRun(request identifier.RequestID, body string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.ledger.Runs[request]++
 	p.ledger.Bodies[request] = body
 }
 
-func (p *Responder) load(w http.ResponseWriter, _ *http.Request) {
+func (p *Responder) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	running := p.running
 	p.mu.Unlock()
@@ -194,7 +196,7 @@
 	})
 }
 
-// Ledger returns how often each request ran.
+// Ledger returns a copy of the server's ledger.
 func (p *Responder) Ledger() Ledger {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,7 +1,6 @@
-// Package standin holds what the stand-ins for the platform and for the
-// backend servers share. The stand-ins take the place of the real ones in
-// demos, tests and benchmarks; each does what the interface promises and has
-// a switch for each fault that the real one may show, and no more:
+// Package standin is the common part of the stand-ins, which replace the platform
+// and the backend servers in demos, tests and benchmarks. Each implements the
+// protocol of the real service and can simulate its possible faults:
 //
 //   - platform: the append-only log, the VM list, the cloud API, the weight
 //     store;
@@ -9,14 +8,14 @@
 //   - responder: a plain server;
 //   - hoster: one process that hosts many engines and plain servers as VMs.
 //
-// All speak HTTP with the JSON shapes of package adapter/encoder. The tests'
-// side of each stand-in is the same everywhere:
+// All use HTTP with the JSON types of package adapter/encoder. They share these
+// endpoints for tests:
 //
-//	GET  /faults   the fault switches as they stand
-//	POST /faults   sets the switches named in the body, leaves the others
-//	GET  /ledger   what the server ran, for checkers (engines, plain servers)
+//	GET  /faults   returns the current fault settings
+//	POST /faults   sets the faults named in the body and keeps the others
+//	GET  /ledger   returns the executed requests (engines and plain servers only)
 //
-// The switches that every stand-in has are those of ConnFaults.
+// Every stand-in supports the faults of ConnFaults.
 package standin
 
 import (
@@ -31,10 +30,10 @@
 	"github.com/dotterelhollow/dotterelhollow/internal/adapter/encoder"
 )
 
-// MaxBodySize bounds every body that a stand-in reads.
+// MaxBodySize is the maximum size in bytes of a request body.
 const MaxBodySize = 32 << 20
 
-// ListenError reports that a stand-in could not open its port.
+// ListenError reports that a stand-in could not listen on its address.
 type ListenError struct {
 	Address string
 	Cause   error
@@ -48,28 +47,29 @@
 
 func (e *ListenError) Unwrap() error { return e.Cause }
 
-// Service is the HTTP side of a stand-in.
+// Service is a stand-in that a Server can run.
 type Service interface {
 	// Handler serves the stand-in's protocol.
 	Handler() http.Handler
-	// Run does the stand-in's own work until the context ends.
+	// Run performs the stand-in's background work until ctx ends.
 	Run(ctx context.Context)
 }
 
-// Server is a Service that listens. Close ends it as the loss of its VM
-// would: no connection gets a last word.
+// Server runs a Service on a listener. Close simulates the loss of the VM: it
+// aborts all connections.
 type Server struct {
-	listener net.Listener
-	http     *http.Server
-	cancel   context.CancelFunc
-	closing  sync.Once
-	ended    chan struct{} // one value for each goroutine that has ended
+	listener       net.Listener
+	http           *http.Server
+	cancel         context.CancelFunc
+	closeOnce      sync.Once
+	goroutineEnded chan struct{} // receives one value from each goroutine that ends
 }
 
-// goroutines is how many goroutines a Server owns.
-const goroutines = 3
+// serverGoroutines is the number of goroutines of a Server.
+const serverGoroutines = 3
 
-// Listen opens address and serves s there until Close or the end of ctx.
+// Listen serves s on address until Close is called or ctx ends. Its error is a
+// *ListenError.
 func Listen(ctx context.Context, address string, s Service, gate *Gate) (*Server, error) {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp", address)
@@ -87,8 +87,8 @@
 			ConnContext:       gate.connContext,
 			ReadHeaderTimeout: 10 * time.Second,
 		},
-		cancel: cancel,
-		ended:  make(chan struct{}, goroutines),
+		cancel:         cancel,
+		goroutineEnded: make(chan struct{}, serverGoroutines),
 	}
 	go server.run(ctx, s.Run)
 	go server.run(ctx, func(context.Context) { _ = server.http.Serve(listener) })
@@ -101,26 +101,26 @@
 
 func (s *Server) run(ctx context.Context, work func(context.Context)) {
 	work(ctx)
-	s.ended <- struct{}{}
+	s.goroutineEnded <- struct{}{}
 }
 
-// Address returns the address at which the server listens.
+// Address returns the host:port on which the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Close closes the listener, cuts every connection and waits for the server's
-// goroutines. A second Close does nothing.
+// Close closes the listener, aborts all connections and waits for the server's
+// goroutines. It is idempotent.
 func (s *Server) Close() {
-	s.closing.Do(func() {
+	s.closeOnce.Do(func() {
 		s.cancel()
 		_ = s.http.Close()
-		for range goroutines {
-			<-s.ended
+		for range serverGoroutines {
+			<-s.goroutineEnded
 		}
 	})
 }
 
-// ReadJSON decodes the body of r into v. On a fault it answers 400 and
-// returns false.
+// ReadJSON decodes the body of r into v. If that fails, it responds with status
+// 400 and returns false.
 func ReadJSON(w http.ResponseWriter, r *http.Request, v any) bool {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, MaxBodySize))
 	decoder.DisallowUnknownFields()
--- a/internal/standin/switches.go
+++ b/internal/standin/switches.go
@@ -8,51 +8,50 @@
 	"github.com/dotterelhollow/dotterelhollow/internal/adapter/encoder"
 )
 
-// Switches holds the fault switches of one stand-in, a struct of type T, and
-// serves them at /faults. It is safe for concurrent use.
+// Switches holds the fault settings of a stand-in, a struct of type T, and serves
+// them over HTTP. It is safe for concurrent use.
 type Switches[T any] struct {
 	mu      sync.Mutex
 	current T
-	// OnChange is called after each change, under no lock; it may be nil.
+	// OnChange, if not nil, is called after each Update without the lock held.
 	OnChange func(T)
 }
 
-// Get returns the switches as they stand.
+// Get returns the current settings.
 func (s *Switches[T]) Get() T {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.current
 }
 
-// Update changes the switches in place.
+// Update applies change to the settings.
 func (s *Switches[T]) Update(change func(*T)) {
 	s.mu.Lock()
 	change(&s.current)
-	now := s.current
+	updated := s.current
 	s.mu.Unlock()
 	if s.OnChange != nil {
-		s.OnChange(now)
+		s.OnChange(updated)
 	}
 }
 
-// Consume uses up one of the counter that pick names, and tells whether there was
-// one.
-func (s *Switches[T]) Consume(pick func(*T) *int) bool {
+// Consume decrements the counter that the function selects. It reports whether
+// the counter was positive.
+func (s *Switches[T]) Consume(counter func(*T) *int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	left := pick(&s.current)
-	if *left <= 0 {
+	remaining := counter(&s.current)
+	if *remaining <= 0 {
 		return false
 	}
-	*left--
+	*remaining--
 	return true
 }
 
-// ServeHTTP answers GET with the switches and POST by setting those that the
-// body names.
+// ServeHTTP returns the settings. A POST first sets those named in its body.
 func (s *Switches[T]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
-		next, err := clone(s.Get())
+		next, err := deepCopy(s.Get())
 		if err != nil {
 			encoder.WriteProblem(w, http.StatusInternalServerError, encoder.Problem{Error: err.Error()})
 			return
@@ -65,9 +64,9 @@
 	encoder.WriteJSON(w, http.StatusOK, s.Get())
 }
 
-// clone copies v with all it points to, because decoding into a slice would
-// write into the array that other goroutines read.
-func clone[T any](v T) (T, error) {
+// deepCopy copies v with everything it refers to. Decoding into a shallow copy
+// would write to slices that other goroutines read.
+func deepCopy[T any](v T) (T, error) {
 	var c T
 	text, err := json.Marshal(v)
 	if err != nil {
--- a/internal/standin/token.go
+++ b/internal/standin/token.go
@@ -14,9 +14,9 @@
 	"inlet", "juniper", "kelp", "lark", "marsh", "north", "oak", "pine",
 }
 
-// Token returns token i, from 1, of the answer to a prompt. It depends on
-// nothing else, so that every engine continues every other's answer and a
-// checker can tell a whole answer from a wrong one.
+// Token returns token i, counted from 1, of the answer to a prompt. It depends
+// only on its arguments, so that any engine can continue an answer that another
+// one started, and a checker can verify answers.
 func Token(prompt string, i identifier.Tokens) string {
 	sum := xxhash.Sum64String(prompt + "\x00" + strconv.FormatInt(int64(i), 10))
 	word := words[sum%uint64(len(words))]
@@ -32,7 +32,7 @@
 	return tokens
 }
 
-// Answer returns the whole answer of n tokens to a prompt.
+// Answer returns the first n tokens of the answer to a prompt as one string.
 func Answer(prompt string, n identifier.Tokens) string {
 	return strings.Join(Tokens(prompt, n), "")
 }
