--- a/internal/provisioner/provisioner_test.go
+++ b/internal/provisioner/provisioner_test.go
@@ -251,7 +251,7 @@
 	f := newFixture("n1")
 	f.logUnavailable = true
 	f.run(3 * timekeeper.Second)
-	require.Equal(t, 3, f.demandCalls, "once for each planEvery")
+	require.Equal(t, 3, f.demandCalls, "once for each planInterval")
 	require.Equal(t, f.demandCalls, f.p.stateOf(readingPool).lastArrivals)
 }
 
