--- a/internal/rehearser/report_test.go
+++ b/internal/rehearser/report_test.go
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// Attached implements caller.Watcher.
+// Attached implements caller.AttachObserver.
 func (r *report) Attached(request identifier.RequestID, node string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
