--- a/internal/bencher/bencher_test.go
+++ b/internal/bencher/bencher_test.go
@@ -22,8 +22,8 @@
 	for _, l := range first.Latencies {
 		answered += int(l.Completion.TotalCount())
 	}
-	entitledRefused := first.Requests - answered - first.Expired - first.Failed
-	require.GreaterOrEqual(t, entitledRefused, 0)
+	refusedWithinLimits := first.Requests - answered - first.Expired - first.Failed
+	require.GreaterOrEqual(t, refusedWithinLimits, 0)
 
 	again := Run(d, Policy(), 1)
 	require.Equal(t, first.Penalties, again.Penalties)
--- a/internal/bencher/cloud.go
+++ b/internal/bencher/cloud.go
@@ -385,9 +385,9 @@
 	if s == nil {
 		return
 	}
-	set := func(slow float64, lies bool) {
+	set := func(factor float64, reportsIdle bool) {
 		s.advance()
-		s.speedFactor, s.reportsIdle = slow, lies
+		s.speedFactor, s.reportsIdle = factor, reportsIdle
 		s.reschedule()
 	}
 	set(slowSpeedFactor, true)
--- a/internal/bencher/node.go
+++ b/internal/bencher/node.go
@@ -17,9 +17,9 @@
 const (
 	// networkDelay is the one-way delay from a node to a server.
 	networkDelay = 1 * timekeeper.Millisecond
-	// If no server is available, a rejected caller is asked to retry after
-	// noServerRetryAfter; an accepted request waits for noServerRetryDelay to
-	// twice that.
+	// If no server is available, a new request is rejected with a retry delay
+	// of noServerRetryAfter, and an accepted one retries after a random delay
+	// of one to two times noServerRetryDelay.
 	noServerRetryAfter = 2 * timekeeper.Second
 	noServerRetryDelay = 200 * timekeeper.Millisecond
 	// baselineEventTimeout is the event timeout of the baselines and of calls
--- a/internal/bencher/request.go
+++ b/internal/bencher/request.go
@@ -22,9 +22,9 @@
 	answerTokens identifier.Tokens
 	maxTokens    identifier.Tokens
 	prefixHashes []identifier.PrefixHash
-	// entitled reports whether the account was within its limits, by an exact
-	// count over all nodes.
-	entitled bool
+	// withinLimits reports whether the account was within its limits on
+	// arrival, by an exact count over all nodes.
+	withinLimits bool
 
 	deadline       timekeeper.Time
 	firstAt        timekeeper.Time
@@ -124,7 +124,7 @@
 		r.maxTokens = identifier.Tokens(maxTokensFactor * float64(r.answerTokens))
 		r.prefixHashes = a.drawPrefix(kind, r.account)
 	}
-	r.entitled = a.limitCounters[r.account].consume(at, float64(r.promptTokens+r.maxTokens))
+	r.withinLimits = a.limitCounters[r.account].consume(at, float64(r.promptTokens+r.maxTokens))
 	return r, true
 }
 
--- a/internal/bencher/tally.go
+++ b/internal/bencher/tally.go
@@ -110,7 +110,7 @@
 	if !isCounted(r) {
 		return
 	}
-	if o == outcomeRefused && !r.entitled {
+	if o == outcomeRefused && !r.withinLimits {
 		t.overLimit++
 		return
 	}
--- a/internal/gauger/gauger.go
+++ b/internal/gauger/gauger.go
@@ -21,7 +21,7 @@
 // Unit is the unit of a Reading.
 type Unit string
 
-// The units.
+// The units of readings.
 const (
 	Microseconds          Unit = "us"
 	MicrosecondsPerSecond Unit = "us_per_s"
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -2,7 +2,7 @@
 //
 //	POST   /generate                  starts a stream, or joins an existing one
 //	GET    /streams/{name}?from=N     resumes after token N; 404 when unknown
-//	DELETE /streams/{name}            cancels
+//	DELETE /streams/{name}            cancels a stream
 //	POST   /streams/{name}/export     copies the KV cache to another engine
 //	PUT    /kv/{name}                 receives a KV cache from another engine
 //	GET    /load                      the load as of Config.LoadLag ago
--- a/internal/standin/engine/kv.go
+++ b/internal/standin/engine/kv.go
@@ -16,7 +16,7 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// maxImports bounds the stored KV caches that no stream has used yet.
+// maxImports bounds the KV caches stored from other engines.
 const maxImports = 64
 
 // importedKV is a KV cache received for a stream that will continue here.
--- a/internal/standin/platform/log.go
+++ b/internal/standin/platform/log.go
@@ -128,7 +128,7 @@
 	encoder.WriteJSON(w, http.StatusOK, encoder.AppendResponse{Offsets: offsets})
 }
 
-// The bounds of the limit of one read.
+// The default and the maximum number of records in one read.
 const (
 	defaultReadLimit = 500
 	maxReadLimit     = 5000
