--- a/internal/relayer/relayer_test.go
+++ b/internal/relayer/relayer_test.go
@@ -189,9 +189,8 @@
 	require.Equal(t, timekeeper.Never, decodeSpec(serverNow, encodeSpec(clientNow, s)).Deadline)
 }
 
-// The owner of a request was suspended and considered dead, and its holder
-// has taken over. The owner must receive HoldOwned, or it would answer the
-// caller a second time.
+// A holder that took over a request while its owner was suspended must reject the owner's push
+// with HoldOwned, or both nodes would answer the caller.
 func TestHolderReportsOwnership(t *testing.T) {
 	client, address := newPair(t, &fakePeer{answer: HoldOwned})
 	answer, err := client.Hold(t.Context(), address, Push{Spec: spec()})
@@ -377,9 +376,8 @@
 	require.True(t, notGranting.NotGranting)
 }
 
-// Guards against two nodes that answer the caller: a leaving node whose
-// handover failed may continue the request only if the successor certainly
-// does not own it.
+// Guards against two nodes answering the caller: a leaving node whose handover failed may continue
+// the request only if the successor certainly does not own it.
 func TestReachOfFailures(t *testing.T) {
 	unused, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/runner/addresses_test.go
+++ b/internal/runner/addresses_test.go
@@ -40,9 +40,8 @@
 	return out
 }
 
-// Guards against uneven load: all nodes must agree on an account's nodes, which
-// span three zones; accounts must be spread over all nodes, and an account's
-// callers over its nodes.
+// Guards against accounts concentrated on few nodes or in few zones, callers that all start at the
+// same node, and nodes that return different lists for an account.
 func TestAddressesAreSpread(t *testing.T) {
 	const accounts = 400
 	for size, listed := range map[int]int{6: 6, 9: 9, 12: 12, 13: shardNodes, 40: shardNodes} {
--- a/internal/runner/attempt_test.go
+++ b/internal/runner/attempt_test.go
@@ -16,9 +16,8 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// Guards against an answer that mixes tokens of two attempts, if the connection
-// of a stopped attempt ignores its context and delivers tokens after the next
-// attempt began.
+// Guards against an answer that mixes tokens of two attempts if a stopped attempt still delivers
+// tokens.
 func TestLateTokensOfStaleAttemptAreRejected(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		old := make(chan adapter.Sink, 1)
@@ -57,9 +56,8 @@
 	})
 }
 
-// Guards against a caller that waits forever if the engine's connection stays
-// open but delivers nothing. The attempt must time out and the resumed stream
-// complete the answer.
+// Guards against a caller that waits forever if the engine's connection stays open but delivers
+// nothing.
 func TestStalledStreamTimesOutAndResumes(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
--- a/internal/runner/backend_test.go
+++ b/internal/runner/backend_test.go
@@ -253,9 +253,8 @@
 	})
 }
 
-// Guards against a caller that lost its claim being told that the request did
-// not run. It must receive the winner's outcome, or "unknown" if that is
-// unavailable.
+// Guards against reporting that a request did not run if it lost its claim: its outcome is the
+// winner's, or unknown if that is unavailable.
 func TestLostClaimReturnsWinnersOutcome(t *testing.T) {
 	reply := &answerer.Reply{
 		Status: 201,
--- a/internal/runner/fake_test.go
+++ b/internal/runner/fake_test.go
@@ -112,7 +112,6 @@
 	return gossiper.Node{}, false
 }
 
-// eventsOf returns the recorded events of type E.
 func eventsOf[E messenger.EventBody](f *fakeReducer) []E {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -231,7 +230,6 @@
 	return nil
 }
 
-// pushed returns the pushes received so far.
 func (p *fakePeers) pushed() []relayer.Push {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -323,7 +321,6 @@
 	synctest.Wait()
 }
 
-// submit submits a request and returns its answer.
 func (f *fixture) submit() *answerer.Answer {
 	f.t.Helper()
 	a, err := f.Submit(f.t.Context(), submission("key-1"))
--- a/internal/runner/follow_test.go
+++ b/internal/runner/follow_test.go
@@ -12,9 +12,8 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// Guards against a node that detects the return of the log, or at its start the
-// state of an idle stream, only after the wait of a long poll. Until then it
-// refuses requests that need the log.
+// Guards against a node that refuses requests for the duration of a long poll after its start or
+// after the log becomes available again.
 func TestFirstReadOfIdleStreamDoesNotWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
--- a/internal/runner/hold_test.go
+++ b/internal/runner/hold_test.go
@@ -94,9 +94,8 @@
 	require.Equal(t, want, text)
 }
 
-// Guards against two nodes answering one caller, if the holder adopted the
-// request while this node was paused. After the rejected push the caller must
-// be redirected.
+// Guards against two nodes answering one caller if the holder adopted the request while this node
+// was paused.
 func TestPushToHolderThatOwnsRequest(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		f.reducer.nodes = nodes("entry-1", "entry-2")
@@ -192,9 +191,8 @@
 	})
 }
 
-// Guards against callers reading two continuations, if a successor may own the
-// request after a failed handover. The answer must stay paused even if a later
-// try certainly failed, until the request ends here.
+// Guards against callers reading two continuations if a successor may own the request after a
+// failed handover.
 func TestAmbiguousHandoverKeepsAnswerPaused(t *testing.T) {
 	lost := &relayer.PeerError{Reach: relayer.Ambiguous}
 	refused := &relayer.PeerError{Reach: relayer.NotReached}
@@ -229,6 +227,7 @@
 						f.runEffects(attemptOf(a, 1))
 					}
 				}
+				// A later try that certainly failed must not resume the answer.
 				text, _ := readable(t, a)
 				require.Equal(t, test.out, text)
 				failed := eventsOf[messenger.HandoverFailed](f.reducer)
@@ -257,9 +256,8 @@
 	}
 }
 
-// Guards against the loss of a request whose successor acknowledges the
-// handover and then dies. Every call must wait for the reducer's confirmation,
-// including a repeated one.
+// Guards against acknowledging a handover, first or repeated, before the reducer has confirmed it:
+// if this node then died, the request would be lost.
 func TestTakeOverWaitsForConfirmation(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		ends := make(chan error, 2)
@@ -279,9 +277,8 @@
 	})
 }
 
-// Guards against a refusal at this node that takes precedence over the node
-// that later accepted the same request: callers would be redirected in a loop,
-// or a handed-over request would be lost.
+// Guards against redirect loops and lost handovers if this node refused a request that another
+// node later accepted.
 func TestRefusalYieldsToOwner(t *testing.T) {
 	refuse := func(f *fixture) {
 		a := answerer.New(answerer.Config{Spec: push(5).Spec})
--- a/internal/runner/order_test.go
+++ b/internal/runner/order_test.go
@@ -52,7 +52,6 @@
 	return messenger.LeaderTaskDone
 }
 
-// setLoseAnswers sets whether answers are lost.
 func (c *delayingCloud) setLoseAnswers(lose bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/runner/runner_test.go
+++ b/internal/runner/runner_test.go
@@ -23,10 +23,8 @@
 	}
 }
 
-// Guards against exceeding the log's append rate: records that arrive during a
-// call are batched. Rate-limited batches are retried without loss or
-// duplication. An ambiguous append is reported as failed and not retried, since
-// it may have taken effect.
+// Guards against exceeding the log's append rate, and against losing or duplicating records when
+// an append is rate-limited or ambiguous.
 func TestAppendsAreBatched(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		f.log.append = func(n int) error {
@@ -55,6 +53,7 @@
 		require.Len(t, ended, 5)
 		for i, e := range ended {
 			require.EqualValues(t, i+1, e.Ticket)
+			// The last append is ambiguous and not retried, since it may have taken effect.
 			require.Equal(t, i < 4, e.OK)
 		}
 	})
@@ -133,9 +132,8 @@
 	})
 }
 
-// Guards against an exit that cancels the announcement to peers that the node
-// is leaving. Peers would otherwise refer callers to it until its heartbeats
-// time out.
+// Guards against an exit that cancels the announcement that the node is leaving: peers would refer
+// callers to it until its heartbeats time out.
 func TestPlannedStopNotifiesPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const answerTime = 300 * time.Millisecond
--- a/internal/scaler/swap_test.go
+++ b/internal/scaler/swap_test.go
@@ -10,10 +10,8 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// After repeated reclaims, the reclaim cost makes reclaimable servers the more
-// expensive ones: they are swapped for on-demand servers, each released only
-// after its replacement has had time to load. A new holder that has only
-// observed does the same.
+// Guards against a loss of serving capacity when reclaimable servers, made more expensive by
+// repeated reclaims, are swapped for on-demand ones.
 func TestSwapAfterReclaims(t *testing.T) {
 	c := &cloud{byToken: make(map[string]identifier.VMID)}
 	const load = 60 * timekeeper.Second
@@ -28,6 +26,7 @@
 	for i := range 400 {
 		now := start.Add(timekeeper.Duration(i) * 5 * timekeeper.Second)
 		if i == 200 {
+			// The new holder has only observed.
 			s, fence = next, 2
 		}
 		c.listed = len(c.vms)
@@ -47,6 +46,7 @@
 			s.PurchaseEnded(now, a.ClientToken, PurchaseResult{VM: vm})
 		}
 		if i > 100 {
+			// A server is released only after its replacement has had time to load.
 			require.GreaterOrEqual(t, c.servingSince(now.Add(-load), boughtAt), 4, "at step %d", i)
 		}
 	}
--- a/internal/sizer/sizer_test.go
+++ b/internal/sizer/sizer_test.go
@@ -222,9 +222,8 @@
 	require.GreaterOrEqual(t, c.total(catalog.Reclaimable), 46)
 }
 
-// While all zones are out of reclaimable capacity, orders for reclaimable
-// servers must not use up the zones' limits: on-demand servers take their place
-// until reclaimable ones serve again.
+// Guards against orders for reclaimable servers that use up the zones' limits while no zone has
+// reclaimable capacity, so that on-demand servers can't be ordered.
 func TestAllZonesLost(t *testing.T) {
 	c := newCloud(t, 9)
 	c.run(40*timekeeper.Second, 100)
@@ -262,12 +261,12 @@
 	require.Empty(t, c.running)
 }
 
-// While the servers of a starting fleet are published one after the other, the
-// fleet is sized by the operators' limit. Without demand, on-demand servers
-// that are not published yet are released too.
+// Guards against sizing a starting fleet by the servers published so far instead of by the
+// operators' limit.
 func TestInitialSizeIgnoresPublishedServers(t *testing.T) {
 	c := newCloud(t, 16)
 	c.fleet.Max = 46
+	// Without demand, on-demand servers that are not published yet are released too.
 	c.run(timekeeper.Second, 0)
 	require.Zero(t, c.total(catalog.OnDemand))
 	c.run(4*timekeeper.Second, 0)
@@ -338,9 +337,8 @@
 	require.Equal(t, 8, size)
 }
 
-// After the loss of all zones, on-demand servers stay while only one zone has
-// reclaimable servers, and serving ones are not released for servers that still
-// boot.
+// Guards against releasing on-demand servers while only one zone has reclaimable servers, or in
+// favor of servers that still boot.
 func TestOnDemandServersStayUntilTwoZonesServe(t *testing.T) {
 	c := newCloud(t, 9)
 	c.fleet.Max = 12
