--- a/internal/server/bound_test.go
+++ b/internal/server/bound_test.go
@@ -39,7 +39,6 @@
 	return conn
 }
 
-// readProblem reads a response with a problem document from conn.
 func readProblem(t *testing.T, conn net.Conn) server.Problem {
 	t.Helper()
 	require.NoError(t, conn.SetReadDeadline(time.Now().Add(waitTimeout)))
@@ -91,9 +90,8 @@
 	requireNoData(t, sendPartialBody(t, start(t, &fakeBackend{}, server.Limits{BodyTimeout: timekeeper.Hour})))
 }
 
-// A caller sends part of a body that no handler reads. net/http would wait for
-// the rest before it sends the response, so without the body timeout anyone
-// could occupy goroutines indefinitely.
+// Guards against goroutines occupied indefinitely by a partial body that no handler reads: net/http
+// waits for the rest before it sends the response.
 func TestUnreadPartialBodyTimesOut(t *testing.T) {
 	const partial = "Content-Length: 100\r\n\r\nhalf"
 	for name, test := range map[string]struct {
@@ -254,15 +252,13 @@
 	require.NoError(t, err)
 }
 
-// hasNoCaller reports whether no caller is attached to a.
 func hasNoCaller(a *answerer.Answer) bool {
 	defer a.RemoveCaller()
 	return a.AddCaller() == 1
 }
 
-// A caller opens a stream and stops reading. The write timeout must end the
-// handler, or each such caller would occupy a goroutine indefinitely. The
-// answer must remain available for reattachment.
+// Guards against a goroutine occupied indefinitely by a caller that stops reading, and against the
+// loss of its answer.
 func TestSlowReaderIsDisconnectedAndReattaches(t *testing.T) {
 	b, a := longAnswer()
 	address := start(t, b, server.Limits{WriteTimeout: shortTimeout})
--- a/internal/server/diverged_test.go
+++ b/internal/server/diverged_test.go
@@ -108,9 +108,8 @@
 	return map[identifier.RequestID]*answerer.Answer{a.Request(): a}
 }
 
-// A node adopts a request from an older copy while the partitioned owner still
-// streams, and its engine samples a different continuation. The caller must not
-// receive tokens of that continuation after its own.
+// Guards against an answer joined from two continuations if a node adopts an older copy of the
+// request while the partitioned owner still streams.
 func TestDivergedAnswersAreNotJoined(t *testing.T) {
 	t.Run("longer already", func(t *testing.T) {
 		got, err := failover{adopted: finish(newAnswer("r1", "the ", "boat ", "sinks"))}.run(t)
--- a/internal/server/operator_test.go
+++ b/internal/server/operator_test.go
@@ -37,9 +37,8 @@
 	require.Contains(t, body, "memstats")
 }
 
-// An operator must be able to distinguish accepted, rejected and undecided
-// changes. A change without a base revision must be rejected, since it could
-// overwrite a concurrent change.
+// Guards against an undecided change reported as accepted or rejected, and against a change without
+// a base revision, which could overwrite a concurrent one.
 func TestOperatorChanges(t *testing.T) {
 	tests := []struct {
 		name          string
--- a/pkg/caller/caller_test.go
+++ b/pkg/caller/caller_test.go
@@ -17,7 +17,6 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// receivedRequest records a request that a node received.
 type receivedRequest struct {
 	node        int
 	method      string
@@ -137,7 +136,6 @@
 // abortConnection closes the connection without ending the response.
 func abortConnection() { panic(http.ErrAbortHandler) }
 
-// textSink is a Sink that collects the answer.
 type textSink struct {
 	strings.Builder
 	restarts int
@@ -318,9 +316,8 @@
 	require.Equal(t, 1, trace.Restarted)
 }
 
-// A request that all reachable nodes report as unknown must be sent again before
-// the search timeout, unless a node redirects to an unreachable one, which may
-// still have the request.
+// Guards against waiting for the search timeout if no node knows the request, and against running
+// it twice if a node redirects to an unreachable one.
 func TestRequestUnknownToAllNodesIsResentEarly(t *testing.T) {
 	for _, redirected := range []bool{false, true} {
 		t.Run(fmt.Sprintf("redirected: %v", redirected), func(t *testing.T) {
@@ -350,6 +347,7 @@
 			})
 			var got textSink
 			trace, err := client.Stream(t.Context(), reportPrompt, &got)
+			// The unreachable node may still have the request.
 			if redirected {
 				require.Error(t, err)
 				require.Zero(t, trace.Restarted)
--- a/pkg/timekeeper/steady_linux_test.go
+++ b/pkg/timekeeper/steady_linux_test.go
@@ -8,9 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// After a suspension, a lease holder must see that its lease has expired. A test
-// can't suspend the VM, so it checks that System reads the clock that includes
-// suspensions.
+// Guards against a lease that appears valid after a suspension. A test can't suspend the VM, so it
+// compares System with the clock that includes suspensions.
 func TestSystemIncludesSuspendedTime(t *testing.T) {
 	before := boottime(t)
 	read := steady()
