--- a/cmd/dotterelhollow/gateway_test.go
+++ b/cmd/dotterelhollow/gateway_test.go
@@ -228,8 +228,8 @@
 	return b.String()
 }
 
-// Serves complete streams although an engine aborts, an unsafe call, and
-// refusals. Each usage window is reported once, and servers are ordered.
+// Guards against answers cut short by an engine that aborts, calls that run twice, wrong refusals,
+// usage windows that are reported twice, and servers that are never ordered.
 func TestGatewayServes(t *testing.T) {
 	in := newInstallation(t, 2)
 	in.engines[0].AbortAfter.Store(10)
@@ -342,9 +342,8 @@
 	return server.Listener.Addr().String()
 }
 
-// A request that crashes servers is quarantined after three crashes. The other
-// node must refuse it without sending it, and the two remaining engines must
-// serve other requests.
+// Guards against a second node sending a request that has already crashed three engines, and
+// against an outage for other requests.
 func TestGatewayRefusesQueryOfDeath(t *testing.T) {
 	in := newInstallationWith(t, 2, 5, (*installation).listenCrashing)
 	response, _, err := in.send(in.nodes[0], "r-2", "/reports/deadly", "secret")
--- a/internal/adapter/client_test.go
+++ b/internal/adapter/client_test.go
@@ -28,9 +28,8 @@
 	return server.Listener.Addr().String(), requests
 }
 
-// A call with an effect that arrives while the server closes the connection must not be
-// sent twice, as net/http does on pooled connections. The control shows the repeat on a
-// pooled connection.
+// Guards against net/http repeating a call with an effect that arrives while the server closes the
+// connection.
 func TestUnpooledRequestsAreNotReplayed(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -43,6 +42,7 @@
 			requests: 2,
 		},
 		{
+			// A pooled connection shows the repeat.
 			name:     "control: pooled",
 			client:   newClient(Timeouts{}),
 			requests: 3,
--- a/internal/adapter/engine_test.go
+++ b/internal/adapter/engine_test.go
@@ -306,8 +306,8 @@
 		err := sendOrder("old", 8)
 		var stale *adapter.StaleFenceError
 		require.Equal(t, c.checksFence, errorsAs(err, &stale))
-		// The engine caches its load measurement; this lets one from before the orders
-		// expire.
+		// The engine caches its load measurement. A measurement from before the orders
+		// must expire.
 		clock.Advance(timekeeper.Second)
 		load, err := client.Load(ctx, address)
 		require.NoError(t, err)
--- a/internal/adapter/platform_test.go
+++ b/internal/adapter/platform_test.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// An outage answers 503, which a client can't tell from a lost answer; a connection
-// that was refused had no effect.
+// An outage answers 503, which a client can't distinguish from a lost answer. A refused
+// connection had no effect.
 func TestLogOutage(t *testing.T) {
 	p, config := startPlatform(t, platform.Config{})
 	p.SetFaults(func(f *platform.Faults) { f.LogOutage = true })
@@ -168,9 +168,7 @@
 	require.Empty(t, list())
 }
 
-// The answer to a purchase is lost after the cloud sold the VM. A repeat with the same
-// client token must return the same VM if the cloud honours tokens; otherwise it buys a
-// second one.
+// Guards against buying a second VM when a purchase is repeated because its answer was lost.
 func TestPurchases(t *testing.T) {
 	p, config := startPlatform(t, platform.Config{})
 	cloud := adapter.NewCloud(config)
--- a/internal/claimer/claimer_test.go
+++ b/internal/claimer/claimer_test.go
@@ -41,9 +41,8 @@
 	return len(all)
 }
 
-// A node answers not_run for a claim that it abandoned before reading it back. A retry
-// on the same node must wait for the release of the first claim and then win, instead
-// of losing to it.
+// Guards against a retry that loses to an abandoned claim of the same node, which has already
+// answered not_run.
 func TestRetryAfterAbandonedClaimWins(t *testing.T) {
 	b, a := &harness{log: fakeLog{now: 1}}, newTestTable("vm-a")
 	b.claim(t, a, "first")
@@ -79,10 +78,8 @@
 	require.True(t, b.read(c)[0].Won)
 }
 
-// Node a holds a key. Node b lost to it, but was frozen until a's claim had expired
-// from the log, and considers its own claim the first. If b released its claim, node c,
-// which started late, would consider the key free while a's release frees it for a:
-// both would send.
+// Guards against a double run if a node releases a claim that seems the first only because the node
+// was frozen until an earlier claim expired from the log.
 func TestUnconfirmedClaimIsNotReleased(t *testing.T) {
 	run := func(disabled safeguards) (sent int) {
 		s := &harness{log: fakeLog{now: 1}}
@@ -93,6 +90,8 @@
 		s.log.now += 30_000
 		s.claim(t, b, "b1")
 		b.Drop("b1")
+		// The claim a1 expires before b and c read, so both consider b1 the first. If b
+		// released b1, c1 would win at c, and after a's release a2 would win at a.
 		s.log.now += 31_000
 		s.read(b)
 		s.appends(b)
@@ -220,10 +219,8 @@
 	}.encode()
 }
 
-// Node a wins a key, releases it unsent, and answers not_run. A claim that node c began
-// before it read the release but that lands after it must lose, since the request would
-// run despite the answer. A claim that c begins after it read the release must win,
-// since the caller retried.
+// Guards against a request that runs after another node answered not_run, because its claim began
+// before its node read the release.
 func TestClaimBegunBeforeReleaseLoses(t *testing.T) {
 	run := func(disabled safeguards) (early, late bool) {
 		b, a, c := &harness{log: fakeLog{now: 1}}, newTestTable("vm-a"), newTestTable("vm-c")
@@ -237,6 +234,7 @@
 		b.appends(a)
 		b.log.append(data)
 		early = b.read(c)[0].Won
+		// A claim that begins after its node read the release is a retry by the caller.
 		b.claim(t, c, "c2")
 		return early, b.read(c)[0].Won
 	}
@@ -267,9 +265,8 @@
 	require.NoError(t, begin("r3"))
 }
 
-// Claims must be rejected while appends fail, even though the pending read has not
-// failed yet. Failures at one moment are no outage, and after probeInterval the next
-// claim is accepted.
+// Guards against accepting claims while appends fail but the pending read has not failed, and
+// against rejecting them after the outage.
 func TestClaimIsRejectedWhileAppendsFail(t *testing.T) {
 	b, a := &harness{log: fakeLog{now: 10_000}}, newTestTable("vm-a")
 	b.read(a)
--- a/internal/claimer/property_test.go
+++ b/internal/claimer/property_test.go
@@ -279,9 +279,8 @@
 	shortIntervals = []timekeeper.Duration{1, 10}
 )
 
-// A key must run at most once within its window, although appends are delayed,
-// duplicated, reordered or lost, and nodes read slowly, freeze past the log's
-// retention, restart and abandon claims.
+// Guards against a key that runs twice within its window, although appends are delayed, duplicated,
+// reordered or lost, and nodes read slowly, freeze past the retention, restart and abandon claims.
 func TestKeyRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(rapidSource(t), safeguards{}, mixedIntervals)
--- a/internal/commander/commander_test.go
+++ b/internal/commander/commander_test.go
@@ -139,13 +139,13 @@
 	return out
 }
 
-// An order is repeated with backoff until a later report shows the model: after its
-// maximum duration if its answer is lost, sooner if it failed. A stale fence ends all
-// orders until the next tenure.
+// Guards against orders that are never repeated, are repeated without backoff, or are sent after
+// their fence has become stale.
 func TestRepeatsUntilReported(t *testing.T) {
 	c := New(Config{})
 	in := input(true, engine("b", "a", 1, 7))
 	require.Len(t, c.Plan(20_000, in), 1)
+	// Without an answer, the order is repeated after its maximum duration.
 	require.Empty(t, c.Plan(24_999, in))
 	require.Len(t, c.Plan(25_000, in), 1)
 	c.OrderEnded(25_010, "vm-1", 7, false, false)
@@ -154,6 +154,7 @@
 	c.OrderEnded(27_020, "vm-1", 7, true, false)
 	require.Empty(t, c.Plan(40_000, input(true, engine("b", "b", 39_000, 7))))
 	require.Len(t, c.Plan(41_000, input(true, engine("b", "a", 40_500, 7))), 1, "changed again")
+	// A stale fence ends all orders until the next tenure.
 	c.OrderEnded(41_010, "vm-1", 7, false, true)
 	require.Empty(t, c.Plan(99_000, in))
 	in.Lease.Fence = 8
--- a/internal/conductor/end_test.go
+++ b/internal/conductor/end_test.go
@@ -79,9 +79,8 @@
 	},
 }
 
-// In each phase, a cancelled or expired request ends at once and reports
-// not_run only if it cannot have run: the caller would repeat it under a new
-// key.
+// Guards against not_run for a cancelled or expired request that may have run: the caller would run
+// it again under a new key.
 func TestCancelAndExpireInEachPhase(t *testing.T) {
 	for _, phase := range phases {
 		t.Run(phase.name+", cancelled", func(t *testing.T) {
@@ -128,9 +127,8 @@
 	require.Equal(t, peer, requireOne[messenger.Unhold](t, out).Holder)
 }
 
-// A short answer whose caller does not reconnect is cancelled, so that it takes
-// no slot from others. Long answers are completed, and plain calls may have had
-// an effect.
+// Guards against short answers that occupy a slot although their caller has left, and against
+// cancelling long answers and plain calls, which may have had an effect.
 func TestAbandonedRequest(t *testing.T) {
 	tests := []struct {
 		name          string
--- a/internal/conductor/harness_test.go
+++ b/internal/conductor/harness_test.go
@@ -219,7 +219,6 @@
 	return s
 }
 
-// receive submits a request for a service to the node.
 func (f *fixture) receive(name identifier.ServiceName) []messenger.Effect {
 	return f.c.Receive(f.env, spec(name))
 }
@@ -240,7 +239,6 @@
 	return requireOne[messenger.SendAttempt](f.t, out)
 }
 
-// progress reports the tokens delivered by an attempt.
 func (f *fixture) progress(a messenger.SendAttempt, delivered identifier.Tokens) {
 	f.c.AttemptProgress(f.env, messenger.AttemptProgress{
 		Request:   id,
--- a/internal/conductor/move_test.go
+++ b/internal/conductor/move_test.go
@@ -16,9 +16,8 @@
 	return f.c.ServersLeaving(f.env)
 }
 
-// If the KV export of a stream on a reclaimed engine fails, or its target is
-// reclaimed too, the stream resumes from the delivered tokens on an engine that
-// is not leaving.
+// Guards against losing a stream, or its delivered tokens, if a KV export from a reclaimed engine
+// fails or its target is reclaimed too.
 func TestMoveKV(t *testing.T) {
 	tests := []struct {
 		name         string
--- a/internal/conductor/quarantine_test.go
+++ b/internal/conductor/quarantine_test.go
@@ -21,9 +21,8 @@
 	}
 }
 
-// A request is quarantined while this node waits to send it again, or before
-// the node takes it over. It is not sent to any server, and the caller is
-// informed of whether it may have run.
+// Guards against sending a request that is quarantined while this node waits to retry it or before
+// it takes the request over, and against a wrong outcome for its caller.
 func TestQuarantinedRequestIsNotSent(t *testing.T) {
 	t.Run("before the next attempt", func(t *testing.T) {
 		f := newFixture(t)
--- a/internal/conductor/refuse_test.go
+++ b/internal/conductor/refuse_test.go
@@ -10,9 +10,8 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// A non-idempotent key may be running on another node when this node refuses
-// it: if the refusal reported not_run, the caller would run it again under a
-// new key. All other refused requests have not run.
+// Guards against not_run for a refused non-idempotent request, whose key may be running on another
+// node: the caller would run it again under a new key.
 func TestRefusedOnReceipt(t *testing.T) {
 	tests := []struct {
 		name      string
--- a/internal/conductor/stall_test.go
+++ b/internal/conductor/stall_test.go
@@ -18,9 +18,8 @@
 	})
 }
 
-// The only possible holder of a long answer stops responding. It may have the
-// copy and declare this node dead, so the answer stalls until the holder
-// answers, turns out to have ended, or the stall times out.
+// Guards against a long answer that runs twice because its unresponsive holder adopts it, and
+// against one that stalls forever.
 func TestStall(t *testing.T) {
 	tests := []struct {
 		name string
@@ -59,6 +58,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
 			f.run("report")
+			// The holder may have the copy and declare this node dead.
 			out := f.failHold(false)
 			require.True(t, hasTimelineEntry(out, "stalled"))
 			require.False(t, hasTimelineEntry(out, "unprotected"))
