--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -191,8 +191,7 @@
 	return refuse.Refusal
 }
 
-// TestRefusals checks the reason and the retry delay of requests that are refused at
-// once.
+// Guards against a wrong reason or retry delay for requests that are refused at once.
 func TestRefusals(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -280,9 +279,8 @@
 	require.Empty(t, send.Account)
 }
 
-// A request is repeated only if the route allows it for the way in which the attempt
-// failed. A booking whose connection broke may have been made and must not be sent
-// again.
+// Guards against repeating a request that may have had an effect, such as a booking whose
+// connection broke, and against abandoning one that may be repeated.
 func TestAfterFailedAttempt(t *testing.T) {
 	const (
 		again   = "again"
@@ -376,8 +374,8 @@
 	}
 }
 
-// The first server refuses the request and the second breaks the connection. The
-// request may have run, so the caller must not be told that it has not.
+// The first server refuses the request and the second breaks the connection. The request may have
+// run at the second, so it must not be reported as not run.
 func TestRefusedThenBrokenIsNotReportedAsNotRun(t *testing.T) {
 	n := newNode(3)
 	first := n.sendPath(t, "/book/1")
@@ -646,9 +644,8 @@
 	require.Equal(t, serverID(0), n.sendPath(t, "/ping/1").Server)
 }
 
-// The account has used up this node's own part of its limit. The request waits for the
-// allocator's answer and is decided locally if the allocator is unreachable or does not
-// grant.
+// Guards against a wrong decision on a request beyond this node's own part of the account limit if
+// the allocator grants, refuses, is unreachable or has changed.
 func TestCentralLimit(t *testing.T) {
 	askLimit := func(t *testing.T) (*node, messenger.RequestLimit) {
 		n := newNode(2)
--- a/internal/dispatcher/ended_test.go
+++ b/internal/dispatcher/ended_test.go
@@ -41,9 +41,8 @@
 	return effect
 }
 
-// A request during which three servers ended is quarantined on any kind of route: its
-// next try is refused without use of the account's limit. Other requests of the account
-// and the same request of other callers are served.
+// Guards against sending a request again after three servers ended during it, and against refusing
+// other requests of its account or the same request of other callers.
 func TestRequestThatEndsServersIsQuarantined(t *testing.T) {
 	for _, path := range []string{"/ping/1", "/book/1", "/report/1", "/draft/1"} {
 		t.Run(path, func(t *testing.T) {
@@ -120,9 +119,8 @@
 	}
 }
 
-// A VM that fails as a whole refuses no connection; only its entry expires some seconds
-// later. The server then counts as ended during its request, unless the entry expired
-// much later or the server had given notice.
+// Guards against missing the failure of a whole VM, which refuses no connection and is visible only
+// when its entry expires some seconds later.
 func TestUnresponsiveServersThatAreRemoved(t *testing.T) {
 	for _, test := range []struct {
 		name    string
--- a/internal/dispatcher/misdirected_test.go
+++ b/internal/dispatcher/misdirected_test.go
@@ -8,15 +8,15 @@
 	"github.com/dotterelhollow/dotterelhollow/internal/messenger"
 )
 
-// The address of an ended server was reassigned to a server of another service before
-// its entry expired. The request must be repeated elsewhere, and nothing may be sent to
-// the address until a newer entry names the server.
+// Guards against sending requests to the address of an ended server after the address was
+// reassigned to a server of another service.
 func TestMisdirectedAttempt(t *testing.T) {
 	n := newNode(2)
 	first := n.sendPath(t, "/draft/1")
 	again, ok := n.endAttempt(first, messenger.AttemptMisdirected, false).(messenger.SendExchange)
 	require.True(t, ok, "another server is free")
 	require.NotEqual(t, first.Server, again.Server)
+	// Nothing is sent to the address until a newer entry names the server.
 	for range 20 {
 		require.Equal(t, again.Server, n.sendPath(t, "/ping/1").Server)
 	}
--- a/internal/dispatcher/permit_test.go
+++ b/internal/dispatcher/permit_test.go
@@ -11,7 +11,6 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// stateLimit makes a server state a limit.
 func (n *node) stateLimit(server identifier.VMID, rate identifier.RequestRate) {
 	n.env.Limits.Observe(n.env.Now, messenger.ServerLimitReceived{
 		Server: server,
--- a/internal/dispatcher/prompts_test.go
+++ b/internal/dispatcher/prompts_test.go
@@ -335,9 +335,8 @@
 	c.now = end
 }
 
-// Two zones of engines are lost in sequence under long prompts with shared prefixes.
-// Prefixes must be copied from leaving engines and requests must stay at cache holders,
-// so that few shared tokens are read again.
+// Guards against prefilling shared prefixes again, instead of copying them from leaving engines,
+// when two zones of engines are lost in sequence.
 func TestSharedPrefixesArePrefilledOnce(t *testing.T) {
 	const (
 		every  = 40 * timekeeper.Millisecond
@@ -356,9 +355,8 @@
 	require.GreaterOrEqual(t, float64(c.onTimeTokens)/float64(c.promptTokens), 0.99)
 }
 
-// 100 nodes know each other's load a quarter to half a second late. Unless they spread
-// their prompts by the unseen work, all choose the same few engines, and many answers
-// begin late.
+// Guards against 100 nodes that all choose the same few engines because they know each other's load
+// a quarter to half a second late.
 func TestStaleReportsSpreadPrompts(t *testing.T) {
 	const (
 		nodes   = 100
--- a/internal/dispatcher/sum_test.go
+++ b/internal/dispatcher/sum_test.go
@@ -10,7 +10,6 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// stateUpdate returns a report about one server.
 func stateUpdate(scope messenger.UpdateScope, zone identifier.Zone, server string, running int, prefill timekeeper.Duration) messenger.StateUpdate {
 	return messenger.StateUpdate{
 		Scope: scope,
@@ -27,9 +26,8 @@
 	}
 }
 
-// A relay sums its zone, adds the other zone and leaves out the receiver, which knows
-// its own load better. Prefill is reduced by the report's age, and stale reports do not
-// count.
+// Guards against relay sums that count the receiver's own load or stale reports, or that do not
+// reduce prefill by the report's age.
 func TestRelaySums(t *testing.T) {
 	n := newNode(0)
 	now := start.Add(200)
@@ -49,6 +47,7 @@
 
 	all := n.AddZones(now, zone)
 	require.Equal(t, 17, all.Demand["reader"].Running)
+	// The receiver knows its own load better.
 	rest := n.WithoutNode(now, all, "entry-3")
 	require.Equal(t, map[identifier.VMID]messenger.InFlight{
 		"i-1": {
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -21,9 +21,8 @@
 	return r
 }
 
-// Guards against gaps reported for an idle stream, whose position is passed
-// by the oldest retained offset of the log, and against records returned
-// twice.
+// Guards against gaps reported for an idle stream, whose position is passed by the oldest retained
+// offset of the log, and against records returned twice.
 func TestStream(t *testing.T) {
 	s := New(Config{Retention: timekeeper.Minute})
 	for _, step := range []struct {
--- a/internal/gauger/gauger_test.go
+++ b/internal/gauger/gauger_test.go
@@ -14,9 +14,8 @@
 	Pools:   2,
 }
 
-// The figures are valid only if the nodes know one another, share a
-// configuration and serve: a fleet that refuses every request would appear
-// cheap.
+// Guards against measuring nodes that do not know one another or lack the configuration: a fleet
+// that refuses every request would appear cheap.
 func TestGaugesMeasureConfiguredFleet(t *testing.T) {
 	var got []Reading
 	gauges := Gauges()
--- a/internal/gossiper/failure_test.go
+++ b/internal/gossiper/failure_test.go
@@ -30,9 +30,8 @@
 	return longest
 }
 
-// Until all nodes know of a notice, some send the engine requests that the
-// reclaim interrupts. The mark must reach all nodes within a few ticks, even
-// if a third of the messages is lost.
+// Guards against slow spreading of a notice, also with a third of the messages lost: nodes that do
+// not know of it send the engine requests that the reclaim interrupts.
 func TestNoticeSpreads(t *testing.T) {
 	tests := []struct {
 		loss  float64
@@ -234,9 +233,8 @@
 	require.True(t, isLeaving(m, engineVM(5)))
 }
 
-// A process that restarts on the same VM after a planned stop is a regular
-// member again. After a reclaim notice it is not, because the VM itself is
-// leaving.
+// Guards against excluding a process that restarts on its VM after a planned stop, and against
+// using a process whose VM is under a reclaim notice.
 func TestNewIncarnation(t *testing.T) {
 	restart := func(mark func(m *Members, now timekeeper.Time, vm identifier.VMID, deadline timekeeper.Time) []Change) (*cluster, NodeState) {
 		c := newCluster(t, 4, 2)
@@ -256,6 +254,7 @@
 	c, state := restart((*Members).MarkLeaving)
 	require.Equal(t, Alive, state)
 	require.True(t, c.reported(entryVM(0), NodeDead, entryVM(3)), "the memory of the older process is lost")
+	// After a reclaim notice the VM itself is leaving.
 	_, state = restart((*Members).MarkReclaimed)
 	require.Equal(t, Leaving, state)
 }
--- a/internal/gossiper/size_test.go
+++ b/internal/gossiper/size_test.go
@@ -42,9 +42,8 @@
 	})
 }
 
-// Guards against false suspicion and excessive gossip traffic at 400 nodes
-// with a tenth of the messages lost, and against slow spreading of notices
-// with a third lost.
+// Guards against false suspicion and excessive gossip traffic at 400 nodes with a tenth of the
+// messages lost, and against slow spreading of notices with a third lost.
 func TestLargeCluster(t *testing.T) {
 	for _, size := range sizes {
 		t.Run(fmt.Sprintf("%d nodes", size.nodes), func(t *testing.T) {
@@ -131,9 +130,8 @@
 	}
 }
 
-// Guards against rounds whose peers are chosen from all nodes: most peers
-// have no connection, and opening one costs both ends more processor time
-// than the message.
+// Guards against rounds whose peers are chosen from all nodes: most have no connection, and opening
+// one costs both ends more processor time than the message.
 func TestRoundsUseFewPeers(t *testing.T) {
 	const nodes = 195
 	c := newCluster(t, nodes, 0)
--- a/internal/leaser/leaser_test.go
+++ b/internal/leaser/leaser_test.go
@@ -257,9 +257,8 @@
 	},
 }
 
-// At no time do two processes believe that they hold the lease, although clocks run at
-// different rates, appends are late, repeated or lost, and processes pause past their
-// terms and past the log's retention.
+// Guards against two processes that hold the lease at the same time, although clock rates differ,
+// appends are late, repeated or lost, and processes pause past their terms and the log's retention.
 func TestOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "draw") }
