--- a/internal/limiter/central_test.go
+++ b/internal/limiter/central_test.go
@@ -115,10 +115,8 @@
 	return limit*toleratedPart + toleratedTokens
 }
 
-// An account requests many times its limit while nodes are partitioned from the central
-// node, another node takes over from it, and all nodes are killed at once. In no window
-// may the nodes together grant more than is tolerated, and the account must get about
-// its limit.
+// Guards against nodes that together grant more than is tolerated, or less than about the limit,
+// after partitions, a takeover of the lease, or a restart of all nodes.
 func TestSumOfGrants(t *testing.T) {
 	tests := []struct {
 		name string
@@ -181,9 +179,8 @@
 	}
 }
 
-// All nodes are killed at once, repeatedly if they are many, while an account requests
-// many times its limit. Guards against debts that sum over the nodes until one of them
-// holds the lease.
+// Guards against debts that, after all nodes were killed at once, sum over the nodes until one of
+// them holds the lease.
 func TestSumOfGrantsOfManyNodes(t *testing.T) {
 	account := catalog.Account{
 		ID:              "agency",
@@ -260,9 +257,7 @@
 	require.True(t, ok)
 }
 
-// An account exceeds its limit by a third with long prompts that put its bucket into
-// debt for seconds. Its few lookups must be granted meanwhile, and the prompts get no
-// more than the rest of the limit.
+// Guards against refusals of an account's few lookups while its long prompts exceed the limit.
 func TestLightRequestsAreNotRefusedForHeavyOnes(t *testing.T) {
 	account := catalog.Account{
 		ID:              "agency",
@@ -289,6 +284,7 @@
 		tokens += lookup
 	}
 	require.Zero(t, refused, "of %d lookups", lookups)
+	// The prompts get no more than the rest of the limit.
 	require.InDelta(t, 0.95*22_000*span, float64(tokens), 2*float64(prompt))
 }
 
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -47,9 +47,8 @@
 	}
 }
 
-// A node that is asked for a request of a failed node queries the first candidates. The
-// holder must be one of the first two, whichever node accepted the request, or the
-// caller loses it.
+// Guards against lost requests of a failed node: other nodes query the first candidates, so the
+// holder must be one of the first two, whichever node accepted the request.
 func TestHolderIsAmongFirstTwoCandidates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := cluster(rapid.IntRange(2, 40).Draw(t, "nodes"), rapid.IntRange(2, 4).Draw(t, "zones"))
--- a/internal/planner/wave_test.go
+++ b/internal/planner/wave_test.go
@@ -100,9 +100,8 @@
 	return ""
 }
 
-// A plan must never move a stream to a leaving server, to a server without
-// headroom, or over a link without time left: the stream would break again or
-// be queued.
+// Guards against moves to a leaving server, to one without headroom, or over a link without time
+// left: the stream would break again or be queued.
 func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
--- a/internal/promoter/cluster_test.go
+++ b/internal/promoter/cluster_test.go
@@ -234,7 +234,6 @@
 	}
 }
 
-// run simulates a span of time.
 func (c *cluster) run(span timekeeper.Duration) {
 	for end := c.now.Add(span); c.now.Before(end); c.now = c.now.Add(tickTime) {
 		for c.queue.Len() > 0 && !c.now.Before(c.queue[0].at) {
@@ -311,7 +310,6 @@
 	return c.published
 }
 
-// lead runs the leader's decisions.
 func (c *cluster) lead() {
 	if c.leader < 0 {
 		return
--- a/internal/promoter/judgement_test.go
+++ b/internal/promoter/judgement_test.go
@@ -11,7 +11,6 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// seeds is the number of rollouts simulated for each kind.
 var seeds = flag.Int("seeds", seedsPerKind, "rollouts of each kind")
 
 var workloads = []workload{
--- a/internal/promoter/promoter_test.go
+++ b/internal/promoter/promoter_test.go
@@ -13,7 +13,6 @@
 
 const testLimit = 16 * timekeeper.Second
 
-// fault is a fault during a rollout.
 type fault struct {
 	name   string
 	inject func(c *cluster)
@@ -103,10 +102,8 @@
 	},
 }
 
-// The leader, the store or servers fail at any step of a rollout. Operators must read
-// one final state, a bad version must stay within its exposure limit and lose its
-// requests soon after it shows, and a good one is completed unless it could not be
-// assessed.
+// Guards against rollouts without a final state, bad versions that exceed their exposure limit or
+// keep requests, and good ones rolled back, when the leader, the store or servers fail.
 func TestRolloutUnderFaults(t *testing.T) {
 	for _, s := range rolloutFaults {
 		for _, b := range []versionKind{versionKinds[0], versionKinds[3]} {
@@ -253,7 +250,6 @@
 	}
 }
 
-// request returns a request that is sent now.
 func (c *cluster) request() Request {
 	return Request{
 		Now:          c.now,
@@ -281,9 +277,7 @@
 	}
 }
 
-// Servers of a version that appear before the node knows the order behind them receive
-// no requests until it knows all orders up to that time. Without an order they are then
-// used like others.
+// Guards against requests to servers of a version whose order the node does not know yet.
 func TestServersOfAnUnknownVersion(t *testing.T) {
 	c := newCluster(1, workloads[0], versionKinds[0], testLimit)
 	n := c.nodes[0]
@@ -294,6 +288,7 @@
 	for _, s := range n.Candidates(a).Preferred {
 		require.Equal(t, identifier.Version("v1"), s.Version)
 	}
+	// The node knows all orders up to now, and none for v2: its servers are used like others.
 	a.OrdersAsOf = c.now
 	require.Len(t, n.Candidates(a).Preferred, 5)
 	for _, s := range c.servers[:4] {
--- a/internal/quarantiner/quarantiner_test.go
+++ b/internal/quarantiner/quarantiner_test.go
@@ -73,15 +73,14 @@
 	require.Empty(t, q.Changes())
 }
 
-// A request that runs beside a query of death on three servers is not refused, because
-// more servers ended under the query. It is refused once three servers have ended under
-// it without the query.
+// Guards against refusals of a request that merely ran on the same servers as a query of death.
 func TestInnocentRequestIsNotRefused(t *testing.T) {
 	q := quarantiner.New()
 	now := endServers(q, start, query, 1, 2, 3, 4)
 	for i := 2; i <= 4; i++ {
 		q.ServerEnded(now, other, server(i))
 	}
+	// More servers ended under the query.
 	require.False(t, refuses(q, now, other))
 	require.True(t, refuses(q, now, query))
 	now = endServers(q, now, other, 5, 6, 7)
@@ -139,9 +138,8 @@
 	require.True(t, refuses(third, now, query))
 }
 
-// A request that no longer arrives is forgotten, even if nodes exchange it
-// continuously. A request that keeps arriving is served again after refusalTime, and
-// refused after the next end.
+// Guards against table entries that exchanges between nodes keep forever, and against refusals that
+// last longer than refusalTime.
 func TestRequestsAreForgotten(t *testing.T) {
 	a, b := quarantiner.New(), quarantiner.New()
 	now := endServers(a, start, query, 1, 2, 3)
@@ -156,6 +154,8 @@
 	require.Empty(t, a.All(now))
 	require.Empty(t, b.All(now))
 
+	// A request that keeps arriving is served again after refusalTime, and refused after the
+	// next end.
 	now = endServers(a, now, query, 1, 2, 3)
 	lastEnd := now
 	for now.Sub(lastEnd) < 59*timekeeper.Minute {
