--- a/internal/reducer/cost_test.go
+++ b/internal/reducer/cost_test.go
@@ -10,13 +10,11 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// benchmarkServers is the number of servers in the benchmark.
 const benchmarkServers = 84
 
 // costCase is a state of the cluster whose cost is measured.
 type costCase struct {
-	name string
-	// prepare brings the cluster into the state.
+	name    string
 	prepare func(c *cluster)
 	// step runs before each measured second.
 	step func(c *cluster, second int)
--- a/internal/reducer/following_test.go
+++ b/internal/reducer/following_test.go
@@ -14,9 +14,8 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/timekeeper"
 )
 
-// All nodes start at once. Each reads the lease once, and afterwards only the
-// candidates follow it and the usage, and read the refused requests once. Guards
-// against repeated reads of the lease by all nodes.
+// Guards against repeated reads of the lease by all nodes after they start at once: only the
+// candidates may follow it.
 func TestNewNodesReadLeaseOnce(t *testing.T) {
 	c := newCluster(61)
 	lease := []identifier.LogStream{leaser.Stream}
@@ -34,6 +33,7 @@
 	}
 	c.run(3 * timekeeper.Second)
 	followers := 0
+	// Only the candidates follow the lease and the usage. They read the refused requests once.
 	for _, id := range c.ids {
 		streams := c.nodes[id].Streams()
 		if len(streams) == 0 {
@@ -50,9 +50,8 @@
 	require.Equal(t, leaderNodes, followers)
 }
 
-// All nodes start at once with a list of them. Nodes that know most of the listed ones
-// must settle before settleTime, with few false candidates, and relays must not wait
-// for relayWarmUp.
+// Guards against nodes that know most of the listed ones but wait for settleTime, or relays that
+// wait for relayWarmUp, when all nodes start at once.
 func TestSimultaneousStartSettlesEarly(t *testing.T) {
 	for _, nodes := range []int{61, 195} {
 		c := newCluster(nodes)
--- a/internal/reducer/quarantine_test.go
+++ b/internal/reducer/quarantine_test.go
@@ -277,9 +277,8 @@
 	},
 }
 
-// A request ends each server that runs it, and its caller retries it at other nodes,
-// with new idempotency keys. After three ended servers no node may run it, including
-// one that was partitioned meanwhile, and nodes that start after the loss of all nodes.
+// Guards against a query of death that ends more than three servers because its caller retries it
+// at other nodes, at a formerly partitioned one, or after the loss of all nodes.
 func TestQueryOfDeathIsRefusedByAllNodes(t *testing.T) {
 	for _, spec := range testRequests {
 		t.Run(string(spec.Service), func(t *testing.T) {
--- a/internal/reducer/restore_test.go
+++ b/internal/reducer/restore_test.go
@@ -12,9 +12,8 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// The records of the configuration have expired from the log. The node reports the
-// fault, an operator restores the settings through the log, and a second restore is
-// rejected.
+// Guards against a configuration that stays lost after its records have expired from the log, and
+// against a restore that replaces a complete configuration.
 func TestRestoreOfLostConfiguration(t *testing.T) {
 	files, err := folderreader.ReadDir("../../examples/quillmark")
 	require.NoError(t, err)
--- a/internal/reducer/start_test.go
+++ b/internal/reducer/start_test.go
@@ -51,9 +51,8 @@
 	return sent, received
 }
 
-// All nodes start at once and read all servers from the store. Guards against nodes
-// that send all of them to their peers as changes, or to each peer as a new one, which
-// fills the links.
+// Guards against overloaded links when all nodes start at once and send all servers to their peers
+// as changes, or to each peer as a new one.
 func TestSimultaneousStartSendsFewEntries(t *testing.T) {
 	c := newCluster(bigCluster)
 	entries := publishedServers(bigServers, 1)
--- a/internal/reducer/suspects_test.go
+++ b/internal/reducer/suspects_test.go
@@ -50,9 +50,8 @@
 	}
 }
 
-// All servers of a zone end at once, with sixty requests each. The updates about these
-// requests have to stay small and stop, instead of being forwarded repeatedly by each
-// relay.
+// Guards against large updates, or updates that each relay forwards repeatedly, after all servers
+// of a zone end at once with sixty requests each.
 func TestServerEndUpdatesAreBounded(t *testing.T) {
 	const nodes = 61
 	c := newCluster(nodes)
--- a/internal/registrar/registrar_test.go
+++ b/internal/registrar/registrar_test.go
@@ -115,12 +115,12 @@
 	}
 }
 
-// A node whose own last read was long ago, but that received recent reads from peers,
-// must not take that time for an outage: it would keep a removed server in use for two
-// more seconds.
+// Guards against a removed server that stays in use for two more seconds, because a node takes the
+// long time since its own last read for an outage.
 func TestRemovalReadByInfrequentReader(t *testing.T) {
 	table := registrar.New()
 	table.ApplyRead(start, []messenger.PublishedServer{entry("i-1", 1, messenger.ServerReady)}, true)
+	// A peer reports a recent read.
 	table.Merge(start.Add(60_000), start.Add(59_900), nil)
 	changed := table.ApplyRead(start.Add(61_200), []messenger.PublishedServer{entry("i-1", 2, messenger.ServerRemoved)}, false)
 	require.Len(t, changed, 1)
@@ -178,7 +178,7 @@
 }
 
 // A server that starts again under its id must be used, whatever late entries of its
-// earlier start say.
+// earlier start report.
 func TestServerStartsAgainUnderItsID(t *testing.T) {
 	first := identifier.ServerStart("i-1", 1000)
 	second := identifier.ServerStart("i-1", 9000)
--- a/internal/rehearser/blackhole_test.go
+++ b/internal/rehearser/blackhole_test.go
@@ -17,9 +17,8 @@
 	maxCallerPause = 8 * time.Second
 )
 
-// The open connections to an engine, and then those to a node, are blackholed without
-// an error. Each reader must time out and resume on a new connection from its last
-// token, so that the caller sees a short pause and the complete answer.
+// Guards against readers that wait on a blackholed connection to an engine or node instead of
+// resuming on a new one from the last token.
 func TestOpenConnectionsBlackholed(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, options{relays: true})
@@ -46,7 +45,6 @@
 	c.requireNoRestart(t, request)
 }
 
-// engineOf returns the engine that runs a request.
 func (c *cluster) engineOf(t *testing.T, request identifier.RequestID) identifier.VMID {
 	t.Helper()
 	var engineID identifier.VMID
--- a/internal/rehearser/cluster_test.go
+++ b/internal/rehearser/cluster_test.go
@@ -43,7 +43,6 @@
 	relayPort   = 7082
 	standInPort = 7090
 
-	// addressesPerCluster is the number of loopback addresses of each cluster.
 	addressesPerCluster = 16
 	// The offsets of the stand-ins and of the first node within a cluster's addresses.
 	platformHost = 1
@@ -248,7 +247,6 @@
 	return nil
 }
 
-// others returns all nodes but n.
 func (c *cluster) others(n *node) []*node {
 	var all []*node
 	for _, other := range c.nodes {
@@ -314,10 +312,8 @@
 	return ok
 }
 
-// operatorTimeout limits a request of an operator.
 const operatorTimeout = 16 * time.Second
 
-// operator sends a request as an operator.
 func (n *node) operator(method, path string, header http.Header, body []byte) (int, http.Header, []byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 	defer cancel()
--- a/internal/rehearser/email_test.go
+++ b/internal/rehearser/email_test.go
@@ -25,7 +25,6 @@
 	emailTimeout = 40 * time.Second
 )
 
-// emailAnswer is a node's answer to a rejection email.
 type emailAnswer struct {
 	node    *node
 	status  int
@@ -158,9 +157,8 @@
 	},
 }
 
-// A caller sends one email under one key to three nodes whose log appends take effect
-// but return failures; in some rounds a node is killed. The email must run at most
-// once, and no node may answer not_run if it ran.
+// Guards against an email that runs twice, or a not_run answer after it ran, when log appends take
+// effect but return failures, and a node is killed in some rounds.
 func TestRejectionEmailAtThreeNodes(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, options{})
--- a/internal/rehearser/freeze_test.go
+++ b/internal/rehearser/freeze_test.go
@@ -18,9 +18,8 @@
 // requests are adopted.
 const freezeTime = 9 * time.Second
 
-// The serving node is paused until its request is adopted, and then resumes as if it
-// still owned it. It must send the same tokens or redirect to the new owner: two
-// answers under one request id would let a caller mix them.
+// Guards against two answers under one request id: a paused node that resumes after its request was
+// adopted must send the same tokens or redirect to the new owner.
 func TestServingNodeFrozen(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, options{})
@@ -53,7 +52,6 @@
 	c.requireNoRestart(t, request)
 }
 
-// ended reports whether the report has ended.
 func (r *report) ended() bool {
 	select {
 	case <-r.done:
--- a/internal/rehearser/kill_test.go
+++ b/internal/rehearser/kill_test.go
@@ -2,9 +2,8 @@
 
 import "testing"
 
-// The serving node is killed. The caller must get the rest of the answer from the node
-// that adopts the request, which resumes the engine's stream by name without computing
-// anything again.
+// Guards against a lost or recomputed answer after the serving node is killed: the adopting node
+// resumes the engine's stream by name.
 func TestServingNodeKilled(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, options{})
--- a/internal/rehearser/operators_test.go
+++ b/internal/rehearser/operators_test.go
@@ -16,7 +16,6 @@
 )
 
 const (
-	// shortRetention is the retention of this test's log.
 	shortRetention = 12 * time.Second
 	// maxInForceTime limits the time until an accepted change is in force on all nodes.
 	maxInForceTime = 10 * time.Second
@@ -43,9 +42,8 @@
 	return text.String()
 }
 
-// Of two concurrent changes to one file, exactly one must be accepted and in force on
-// all nodes. Nodes that start after the log dropped its records, or during a log
-// outage, must get the same configuration from a snapshot or from peers.
+// Guards against two concurrent changes that are both accepted, and against nodes that start with
+// another configuration after the log dropped the records or during a log outage.
 func TestTwoOperatorsChangeOneFile(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, options{
@@ -60,6 +58,7 @@
 	t.Logf("revision %d in force on all nodes after %s", won.Revision, time.Since(decided).Round(time.Millisecond))
 
 	require.Eventually(t, func() bool { return c.configAppendedSince(t, decided) }, 4*shortRetention, pollInterval, "the change expires")
+	// A node that starts from here on gets the configuration from a snapshot or from peers.
 	late := c.startNode(t, "entry-7", "providence")
 	c.requireInForce(t, []*node{late}, won)
 	c.requireInForce(t, c.nodes, won)
@@ -71,7 +70,6 @@
 	c.setFaults(t, map[string]any{"log_outage": false})
 }
 
-// changeAnswer is the answer to one operator's change.
 type changeAnswer struct {
 	content string
 	status  int
--- a/internal/rehearser/outage_test.go
+++ b/internal/rehearser/outage_test.go
@@ -18,9 +18,8 @@
 	maxRefusalTime = time.Second
 )
 
-// During a log outage, a request that may run only once must be refused with a reason
-// and a retry time, and must never run. Requests that need no log are accepted and
-// survive the loss of their node.
+// Guards against requests that may run only once but run during a log outage, and against the loss
+// of requests that need no log.
 func TestLogOutage(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, options{})
@@ -41,6 +40,7 @@
 		return a.elapsed < maxRefusalTime
 	})
 
+	// A request that needs no log is accepted and survives the loss of its node.
 	r := startReport(t, c.client("monday_reports", nil), "Report on the manuscript 'Ferry'.", 400)
 	r.waitTokens(t, 100)
 	request, address := r.attachment()
--- a/internal/rehearser/process_test.go
+++ b/internal/rehearser/process_test.go
@@ -15,7 +15,6 @@
 	"github.com/stretchr/testify/require"
 )
 
-// exitTimeout limits the wait for a process to exit.
 const exitTimeout = 40 * time.Second
 
 // process is a program started by a test and killed at the test's end. Signals go to
--- a/internal/rehearser/reclaim_test.go
+++ b/internal/rehearser/reclaim_test.go
@@ -15,9 +15,8 @@
 // noticeTime is the time between the notice and the reclamation of a zone's VMs.
 const noticeTime = 3 * time.Second
 
-// A whole zone, nodes and engines, is reclaimed after a short notice while reports run.
-// Nodes must hand over their requests and engines' streams must move, so that every
-// report is complete.
+// Guards against incomplete reports when a whole zone, nodes and engines, is reclaimed after a
+// short notice.
 func TestZoneReclaimed(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, options{})
--- a/internal/rehearser/replace_test.go
+++ b/internal/rehearser/replace_test.go
@@ -21,9 +21,8 @@
 	"github.com/dotterelhollow/dotterelhollow/pkg/identifier"
 )
 
-// All nodes are replaced one by one with SIGTERM under load, on the same VM or on a new
-// one. Callers may see redirects and refused connections, but a planned stop must break
-// no connection with a request on it.
+// Guards against planned stops that break a connection with a request on it, when all nodes are
+// replaced one by one under load. Redirects and refused connections are allowed.
 func TestRollingReplacement(t *testing.T) {
 	t.Parallel()
 	// The report could end within 20 s, and its node would wait for it.
--- a/internal/rehearser/report_test.go
+++ b/internal/rehearser/report_test.go
@@ -84,7 +84,6 @@
 	r.node = node
 }
 
-// startReport starts a manuscript report.
 func startReport(t *testing.T, client *caller.Client, prompt string, tokens identifier.Tokens) *report {
 	t.Helper()
 	r := &report{
