--- a/internal/prover/cluster_test.go
+++ b/internal/prover/cluster_test.go
@@ -89,10 +89,8 @@
 	return cl
 }
 
-// after schedules do after d.
 func (cl *cluster) after(d timekeeper.Duration, do func()) { cl.queue.add(cl.now.Add(d), do) }
 
-// every schedules do with period d.
 func (cl *cluster) every(d timekeeper.Duration, do func()) {
 	cl.after(d, func() {
 		do()
--- a/internal/prover/exchange_matrix_test.go
+++ b/internal/prover/exchange_matrix_test.go
@@ -137,11 +137,8 @@
 	40, 700, 1600, 2300, 3050, 4100, 5333, 6000, 7777, 9001,
 }
 
-// Every fault is injected at every step, alone and followed by a second one. A
-// non-repeatable request must run at most once, a refused one never, a leaving
-// server must receive no new work, configurations must be applied in time and never
-// reverted, no two processes may use one fence, and no usage window may be reported
-// with different counts.
+// Guards against repeated runs, runs of refused requests, work for leaving servers, late or
+// reverted settings, reused fences and differing usage reports, when faults occur at any step.
 func TestMatrixOfExchanges(t *testing.T) {
 	for _, fault := range exchangeFaults {
 		t.Run(fault.name, func(t *testing.T) {
--- a/internal/prover/fault_test.go
+++ b/internal/prover/fault_test.go
@@ -27,7 +27,7 @@
 	fault fault
 }
 
-// deliveryMode says whether the messages of an effect are delivered.
+// deliveryMode determines whether the messages of an effect are delivered.
 type deliveryMode int
 
 const (
--- a/internal/prover/matrix_test.go
+++ b/internal/prover/matrix_test.go
@@ -44,7 +44,6 @@
 	return cl
 }
 
-// callersDone reports whether all callers are done.
 func (cl *cluster) callersDone() bool {
 	for _, c := range cl.callers {
 		if !c.done {
--- a/internal/prover/pair_test.go
+++ b/internal/prover/pair_test.go
@@ -59,10 +59,8 @@
 // sampledPairs is the number of random pairs per scenario.
 const sampledPairs = 120
 
-// TestMatrixDrawnPairs injects two random faults at two random steps. In every
-// fourth run both are the same fault. At most one of them kills a node, since the
-// loss of two nodes at about the same time may include both the owner and the only
-// copy of a long request.
+// Guards against failures that only two faults together cause, at random steps. In every fourth
+// run both are the same fault.
 func TestMatrixDrawnPairs(t *testing.T) {
 	for _, name := range pairScenarios {
 		t.Run(name, func(t *testing.T) {
@@ -71,6 +69,8 @@
 			rng := rand.New(rand.NewPCG(*seedFlag, xxhash.Sum64String(name)))
 			var runs [][]cell
 			for len(runs) < sampledPairs {
+				// The loss of two nodes at about the same time may include both the
+				// owner and the only copy of a long request.
 				if pair := drawPair(rng, steps, len(runs)%4 == 0); survivable(s, pair) {
 					runs = append(runs, pair)
 				}
--- a/internal/prover/query_test.go
+++ b/internal/prover/query_test.go
@@ -332,9 +332,8 @@
 	}
 }
 
-// BenchmarkThreeQueriesAtOnce measures how many of 10,000 unrelated requests are refused
-// while three queries of death crash all six servers within 0.4 s, and how many servers
-// each query crashes.
+// BenchmarkThreeQueriesAtOnce measures the refusals per 10,000 unrelated requests and the servers
+// that each query crashes, while three queries of death crash all six servers within 0.4 s.
 func BenchmarkThreeQueriesAtOnce(b *testing.B) {
 	for _, bench := range []crashCase{
 		{
--- a/internal/prover/restored_test.go
+++ b/internal/prover/restored_test.go
@@ -72,9 +72,8 @@
 	cl.apply(n, messenger.StoreRestored{Generation: cl.generation})
 }
 
-// The store is restored from a copy at any step of a rollout, shortly before or after
-// each other fault. The guarantees of TestMatrixOfExchanges must hold, and operators must
-// read a single final state of the rollout.
+// Guards against violations of the guarantees of TestMatrixOfExchanges, and several final states of
+// a rollout, when the store is restored from a copy shortly before or after another fault.
 func TestMatrixOfRestores(t *testing.T) {
 	for _, fault := range exchangeFaults {
 		t.Run(fault.name, func(t *testing.T) {
--- a/internal/prover/retry_test.go
+++ b/internal/prover/retry_test.go
@@ -53,9 +53,8 @@
 	return n
 }
 
-// The retry budgets of all nodes together must respect the bound while every attempt
-// fails. Guards against burst and refill adding up to twice the bound, and against a
-// restart of all nodes renewing their budgets.
+// Guards against bursts and refills of the retry budgets that add up to twice the bound, and
+// against a restart of all nodes that renews the budgets.
 func TestRetriesOfAllNodesStayWithinTheBound(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/internal/prover/rollout_test.go
+++ b/internal/prover/rollout_test.go
@@ -188,9 +188,8 @@
 	}
 }
 
-// Faults are injected in every phase of a rollout. Operators must read a single final
-// state, and a bad version must not exceed its exposure bound or be completed. Without
-// faults a good version must be completed.
+// Guards against several final states of a rollout, and bad versions that exceed their exposure
+// bound or are completed, when a fault occurs in any phase.
 func TestMatrixOfRollouts(t *testing.T) {
 	for _, fault := range exchangeFaults {
 		t.Run(fault.name, func(t *testing.T) {
