--- a/Makefile
+++ b/Makefile
@@ -1,15 +1,15 @@
-# The project's commands. A newcomer needs "make demo" and "make test".
+# To get started, run "make demo" and "make test".
 
 GO ?= go
 PACKAGES ?= ./...
-# Packages tested at once.
+# The number of packages tested in parallel.
 PARALLEL ?= 6
-# The race detector needs a C compiler; without one the tests run without it.
+# The race detector requires a C compiler and is disabled if none is found.
 RACE ?= $(shell command -v $${CC:-cc} >/dev/null 2>&1 && echo -race)
 
 LINT_VERSION = 2.15.0
 LINT = $(shell $(GO) env GOPATH)/bin/golangci-lint
-# Renames identifiers: gopls rename -w FILE:LINE:COLUMN NAME.
+# To rename an identifier: gopls rename -w FILE:LINE:COLUMN NAME.
 GOPLS_VERSION = 0.23.0
 
 .PHONY: all build test bench capacity demo load matrix lint gopls fmt fmt-check vet clean
@@ -22,28 +22,28 @@
 vet:
 	$(GO) vet $(PACKAGES)
 
-# Under the race detector only a part of the fault matrix runs. The second line runs
-# all of it, and all simulated clusters of rollouts.
+# The race detector is slow, so only a part of the fault matrix and of the simulated
+# rollouts runs with it. The second command runs all of them without it.
 test: vet
 	$(GO) test $(RACE) -count=1 -p $(PARALLEL) $(PACKAGES)
 	$(GO) test -count=1 ./internal/prover ./internal/promoter
 
-# The policies compared, see docs/MEASUREMENTS.md.
+# Compares the policies, see docs/MEASUREMENTS.md.
 bench: build
 	bin/dotterelhollow-bench $(BENCH_FLAGS)
 
-# What a node costs by size, see docs/CAPACITY.md.
+# Measures the resources that a node needs by size, see docs/CAPACITY.md.
 capacity: build
 	bin/dotterelhollow-gauge $(GAUGE_FLAGS)
 
-# Every fault at every step, see docs/FAULTS.md.
+# Injects every fault at every step, see docs/FAULTS.md.
 matrix:
 	$(GO) test -count=1 -v -run '^TestMatrix|^TestControls|^TestSameStory' ./internal/prover -table
 
 demo: build
 	scripts/demo.sh
 
-# Load on running nodes, every answer checked, see docs/LOAD.md.
+# Sends load to running nodes and checks every answer, see docs/LOAD.md.
 load: build
 	scripts/load.sh $(LOAD_FLAGS)
 
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,16 +1,16 @@
 #!/bin/bash
-# Runs the system as a newcomer would see it, on loopback addresses: stand-ins
-# for the platform and its pools, six nodes in Quillmark's four availability
-# zones, one request of each kind, and a zone that is reclaimed in the middle of
-# a manuscript report. Exits 0 only if every check held.
+# Demonstrates the system on loopback addresses: starts stand-ins for the
+# platform and its pools and six nodes in four availability zones, sends one
+# request of each kind, and reclaims a zone while a manuscript report is
+# generated. Exits 0 only if every check passes.
 #
-#   KILL_NODE=1 scripts/demo.sh   kills the report's node with no notice instead
-#   STOP_NODE=1 scripts/demo.sh   stops the report's node as planned, with SIGTERM, instead
-#   WAVES=2 scripts/demo.sh       also reclaims the zone of the report's engine, a second later
+#   KILL_NODE=1 scripts/demo.sh   instead kills the report's node without notice
+#   STOP_NODE=1 scripts/demo.sh   instead stops the report's node gracefully, with SIGTERM
+#   WAVES=2 scripts/demo.sh       also reclaims the zone of the report's engine, one second later
 #   KEEP=1 scripts/demo.sh        keeps the logs
-#   DEMO_PORT=20000 scripts/demo.sh   takes ports from there; chosen at random without
+#   DEMO_PORT=20000 scripts/demo.sh   uses ports from 20000; the default is random
 #
-# It needs bash and the programs that "make build" puts into bin/, no more.
+# Requires only bash and the programs that "make build" puts into bin/.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -24,7 +24,7 @@
 readonly reports=(harbor lighthouse orchard ferry)
 readonly operator_key=demo-operator
 readonly operator_key_hash=9437e87fae95c03d3778f2575bb18ce30e647e51d86a8c37963364e1fc4f374e
-# Other ports at each run, so that two runs on one machine do not mix.
+# Ports are random by default, so that concurrent runs do not collide.
 readonly port=${DEMO_PORT:-$((10000 + RANDOM % 10000))}
 readonly peer_port=$((port + 10000))
 readonly platform=127.0.0.2:$((port + 1))
@@ -41,7 +41,7 @@
 
 say() { printf '\n== %s\n' "$*"; }
 
-# check TEXT COMMAND... notes whether the command succeeds.
+# check TEXT COMMAND... runs the command, prints its result and counts failures.
 check() {
   local text=$1
   shift
@@ -76,7 +76,7 @@
   exec 3>&-
 }
 
-# stop PID... ends processes that the demo started, and waits for them.
+# stop PID... sends SIGTERM to child processes and waits for them to exit.
 stop() {
   local pid
   for pid in "$@"; do
@@ -167,11 +167,11 @@
   for node in "${!node_pid[@]}"; do
     nodes+=(--node "$(node_address "$node")")
   done
-  # shellcheck disable=SC2086 # A command such as "config apply" is two words.
+  # shellcheck disable=SC2086 # A command such as "config apply" has two words.
   "$bin/dotterelhollow" $command --operator-key "$operator_key" "${nodes[@]}" "$@"
 }
 
-# ask ACCOUNT FLAG... asks as one of the demo's client accounts.
+# ask ACCOUNT FLAG... sends a request as one of the demo's client accounts.
 ask() {
   local account=$1
   shift
@@ -184,7 +184,7 @@
 
 served() { ask portal --service "$1" --addresses; }
 
-# runs REQUEST prints how often the plain servers ran a request.
+# runs REQUEST prints the number of times that the plain servers ran a request.
 runs() {
   local request=$1 address total=0 count
   while read -r address; do
@@ -201,7 +201,7 @@
 
 at_least_words() { [ "$(words "$1")" -ge "$2" ]; }
 
-# home_of FILE prints the node that ask last said it is attached to.
+# home_of FILE prints the last node that the ask command reported a connection to.
 home_of() {
   local address
   address=$(grep -o 'at 127[^ ]*' "$1" | tail -1 | cut -d' ' -f2)
@@ -209,13 +209,13 @@
   echo $((${address##*.} - 10))
 }
 
-# ask_report KEY MANUSCRIPT asks for a report.
+# ask_report KEY MANUSCRIPT requests a report under the idempotency key KEY-MANUSCRIPT.
 ask_report() {
   ask monday_reports --service manuscript_report --max-tokens "$report_tokens" --deadline 60s \
     --idempotency-key "$1-$2" "Report on the manuscript '$2' for the Monday acquisitions meeting."
 }
 
-# request_of FILE prints the id of the request that ask followed.
+# request_of FILE prints the request ID from the log of an ask command.
 request_of() { grep -o 'request [^ ]* at' "$1" | head -1 | cut -d' ' -f2; }
 
 timeline_of() { operator timeline --request "$1" 2>/dev/null | tr -s ' '; }
@@ -224,15 +224,15 @@
   say "A summary, a tag and a portal lookup"
   ask portal --service query_summary --whole --max-tokens 40 "Summarize the query letter of a sea novel." \
     >"$work/summary.txt" 2>"$work/summary.log"
-  check "the summary is whole" [ "$(words "$work/summary.txt")" -eq 40 ]
+  check "the summary is complete" [ "$(words "$work/summary.txt")" -eq 40 ]
   ask dashboard --service genre_tag --max-tokens 4 "Tag this submission." >"$work/tag.txt" 2>"$work/tag.log"
-  check "the tag is whole" [ "$(words "$work/tag.txt")" -eq 4 ]
+  check "the tag is complete" [ "$(words "$work/tag.txt")" -eq 4 ]
   ask dashboard --service portal_lookup --method GET --path /submissions/17 >"$work/lookup.txt" 2>"$work/lookup.log"
   check "the lookup is answered" grep -q '"/call/submissions/17"' "$work/lookup.txt"
 }
 
 rejection_email() {
-  say "A rejection email, sent twice under one key to two nodes"
+  say "A rejection email, sent to two nodes with the same idempotency key"
   ask portal --service rejection_email --path /send --idempotency-key demo-email --json "Dear author, not this time." \
     >"$work/email.json" 2>"$work/email.log"
   email_request=$(field request_id "$work/email.json")
@@ -249,13 +249,13 @@
   echo "${engine%-*}"
 }
 
-# reclaim ZONE gives notice to all VMs of a zone.
+# reclaim ZONE sends a reclaim notice to all VMs of a zone.
 reclaim() {
   http POST "$platform" /admin/reclaim "{\"zone\":\"$1\",\"on_demand\":true,\"notice_ms\":$notice_ms}"
   echo
 }
 
-# end_zone ZONE ends the entry VMs of a zone.
+# end_zone ZONE kills the entry VMs of a zone.
 end_zone() {
   local node
   for node in 1 2 3 4 5 6; do
@@ -268,7 +268,7 @@
 take_zones_away() {
   local home=$1 zone=${zones[$1 - 1]} second
   second=$(engine_zone)
-  say "Zone $zone, with the report's node entry-$home, is reclaimed: $notice_ms ms of notice, then the end"
+  say "Zone $zone, with the report's node entry-$home, is reclaimed with $notice_ms ms of notice"
   reclaim "$zone"
   sleep 1
   if [ "$waves" = 2 ] && [ "$second" != "$zone" ]; then
@@ -286,21 +286,21 @@
   fi
 }
 
-# kill_entry NODE ends a node with no chance to do anything about it.
+# kill_entry NODE ends a node with SIGKILL.
 kill_entry() {
   kill -KILL "${node_pid[$1]}" 2>/dev/null || true
   wait "${node_pid[$1]}" 2>/dev/null || true
   unset "node_pid[$1]"
-  echo "   entry-$1 is gone"
+  echo "   entry-$1 was killed"
 }
 
-# stop_entry NODE asks a node to stop, and waits until it has.
+# stop_entry NODE stops a node gracefully and checks its exit status.
 stop_entry() {
   local status=0
   kill -TERM "${node_pid[$1]}"
   wait "${node_pid[$1]}" || status=$?
   unset "node_pid[$1]"
-  check "entry-$1 stopped as planned" [ "$status" -eq 0 ]
+  check "entry-$1 stopped gracefully" [ "$status" -eq 0 ]
 }
 
 stop_nodes() {
@@ -320,8 +320,8 @@
 say "Apply Quillmark's folder"
 "$bin/dotterelhollow" config check examples/quillmark
 operator "config apply" examples/quillmark
-check "all nodes agree on the configuration and on who is there" wait_for 10 operator status --agree
-check "nodes give out addresses" wait_for 5 served manuscript_report
+check "all nodes agree on the configuration and the members" wait_for 10 operator status --agree
+check "nodes return server addresses" wait_for 5 served manuscript_report
 served manuscript_report
 
 say "Start ${#reports[@]} manuscript reports of $report_tokens tokens"
@@ -331,22 +331,22 @@
   report_pids+=($!)
 done
 for name in "${reports[@]}"; do
-  check "the report on $name has begun" wait_for 10 at_least_words "$work/$name.txt" 5
+  check "the report on $name has started" wait_for 10 at_least_words "$work/$name.txt" 5
 done
 
 small_requests
 rejection_email
 
 readonly first=${reports[0]}
-check "the report on $first is in its middle" wait_for 20 at_least_words "$work/$first.txt" $((report_tokens / 3))
+check "a third of the report on $first is generated" wait_for 20 at_least_words "$work/$first.txt" $((report_tokens / 3))
 home=$(home_of "$work/$first.log")
 report_request=$(request_of "$work/$first.log")
 if [ "$kill_node" = 1 ]; then
-  say "The node of the report on $first is killed with no notice"
+  say "The node of the report on $first is killed without notice"
   timeline_of "$report_request" >"$work/timeline.before"
   kill_entry "$home"
 elif [ "$stop_node" = 1 ]; then
-  say "The node of the report on $first is stopped as planned"
+  say "The node of the report on $first is stopped gracefully"
   timeline_of "$report_request" >"$work/timeline.before"
   stop_entry "$home"
 else
@@ -359,15 +359,15 @@
   report_status=0
   wait "${report_pids[i]}" || report_status=$?
   cat "$work/$name.log"
-  check "the report on $name ended well" [ "$report_status" -eq 0 ]
-  check "it has all its tokens" [ "$(words "$work/$name.txt")" -eq "$report_tokens" ]
+  check "the report on $name succeeded" [ "$report_status" -eq 0 ]
+  check "the report on $name has all its tokens" [ "$(words "$work/$name.txt")" -eq "$report_tokens" ]
 done
-# A planned stop waits for what ends in time; in the other cases the node is gone.
+# A graceful stop may wait for the report to finish; otherwise another node resumes it.
 if [ "$stop_node" = 0 ]; then
-  check "another node went on with the one on $first" [ "$(home_of "$work/$first.log")" -ne "$home" ]
+  check "another node resumed the report on $first" [ "$(home_of "$work/$first.log")" -ne "$home" ]
 fi
 
-say "Compare them with undisturbed reports on the same manuscripts"
+say "Compare the reports with uninterrupted ones on the same manuscripts"
 twin_pids=()
 for name in "${reports[@]}"; do
   ask_report twin "$name" >"$work/$name.twin" 2>"$work/$name.twin.log" &
@@ -376,18 +376,18 @@
 for i in "${!reports[@]}"; do
   name=${reports[i]}
   wait "${twin_pids[i]}" || true
-  check "both on $name read the same, word for word" cmp -s "$work/$name.txt" "$work/$name.twin"
+  check "both reports on $name are identical" cmp -s "$work/$name.txt" "$work/$name.twin"
 done
-check "the email still ran at most once" [ "$(runs "$email_request")" -le 1 ]
+check "the email ran at most once" [ "$(runs "$email_request")" -le 1 ]
 
-say "The time line of the report on $first"
+say "The timeline of the report on $first"
 timeline_of "$report_request" >"$work/timeline.after"
 cat "$work/timeline.before"
-echo "-- from here on without the nodes that are gone"
+echo "-- entries below were read after the removal of the nodes"
 grep -vxFf "$work/timeline.before" "$work/timeline.after" || true
-check "the time line tells of its acceptance" grep -q ' accepted ' "$work/timeline.before"
+check "the timeline contains the acceptance" grep -q ' accepted ' "$work/timeline.before"
 
-say "Stop everything"
+say "Stop all processes"
 stop_nodes
 stop "${stand_ins[@]}"
 stand_ins=()
@@ -396,4 +396,4 @@
   say "$failures checks FAILED"
   exit 1
 fi
-say "All checks held, in $SECONDS seconds"
+say "All checks passed in $SECONDS seconds"
--- a/scripts/gauge.sh
+++ b/scripts/gauge.sh
@@ -1,12 +1,12 @@
 #!/bin/bash
-# Starts stand-ins and nodes on loopback addresses, lets them idle or answers
-# reports through them, and measures the node processes: memory, processor time
-# and TCP payload by purpose. See docs/CAPACITY.md.
+# Measures the node processes, idle or while they serve reports: memory, CPU time
+# and TCP payload by purpose. Starts the nodes and stand-ins on loopback
+# addresses. See docs/CAPACITY.md.
 #
 #   scripts/gauge.sh [NODES [ENGINES [PLAIN [REPORTS]]]]
 #
-# Needs bash, awk, ss and the programs that "make build" puts into bin/. It uses
-# the demo's ports: run one of the two at a time.
+# Requires bash, awk, sha256sum, ss and the programs that "make build" puts into
+# bin/. The ports are fixed: run it once at a time, and not together with the demo.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -93,7 +93,7 @@
   node_flags+=(--node "$address:$port")
 }
 
-# The pools may have as many servers as there are, so that none is released.
+# configure sets the sizes of the pools so that no running server is released.
 configure() {
   cp -r examples/quillmark "$work/folder"
   sed -i -e "s/^max = 14/max = $((engines + 4))/; s/^min = 4/min = $engines/" \
@@ -111,10 +111,10 @@
   sleep 8
 }
 
-# tokens counts what the reports have brought so far.
+# tokens prints the number of tokens received for all reports so far.
 tokens() { find "$work" -maxdepth 1 -name 'report-*' -exec cat {} + | wc -w; }
 
-# sockets prints purpose, bytes sent and bytes received by socket of the nodes.
+# sockets prints address pair, purpose, bytes sent and bytes received of each node socket.
 sockets() {
   ss -tinpHO state established | awk -v pids="${pids[*]}" '
     BEGIN { n = split(pids, p, " "); for (i = 1; i <= n; i++) ours[p[i]] = 1 }
@@ -138,7 +138,7 @@
   awk -v per="$((20 * nodes))" '
     NR == FNR { sent[$1] = $3; got[$1] = $4; next }
     { s[$2] += $3 - sent[$1]; g[$2] += $4 - got[$1] }
-    END { for (use in s) printf "%s: %.0f bytes/s sent, %.0f received, by a node\n", use, s[use] / per, g[use] / per }' \
+    END { for (use in s) printf "%s: %.0f bytes/s sent, %.0f received per node\n", use, s[use] / per, g[use] / per }' \
     "$work/before" "$work/after" | sort
 }
 
--- a/scripts/load.sh
+++ b/scripts/load.sh
@@ -1,22 +1,22 @@
 #!/bin/bash
-# Puts load on the system and checks every answer, on loopback addresses:
-# stand-ins for the platform and the pools, six nodes in four availability
-# zones, the example folder, and dotterelhollow-load. In the middle something
-# happens. Exits 0 only if every promise that can be checked was kept. See
-# docs/LOAD.md.
+# Runs a load test on loopback addresses and checks every answer: starts
+# stand-ins for the platform and the pools and six nodes in four availability
+# zones, applies an example folder, runs dotterelhollow-load and injects an
+# event during the load. Exits 0 only if every check passes. See docs/LOAD.md.
 #
 #   scripts/load.sh [quillmark|cooperative] [zone|kill|stop|none] [FLAG...]
 #
 #   zone   the availability zone of the busiest node is reclaimed, with notice
 #   kill   the busiest node is killed with SIGKILL
-#   stop   all nodes are stopped as planned and started again, one by one
-#   none   nothing happens
+#   stop   all nodes are stopped gracefully and restarted, one by one
+#   none   no event
 #
-# FLAG... go to dotterelhollow-load. Variables: KEEP=1 keeps the logs,
-# NOTICE_MS is the notice of the zone, EVENT_AT the second of the event,
-# LOAD_PORT takes ports from there, BIN is where the programs are.
+# FLAG... is passed to dotterelhollow-load. Variables: KEEP=1 keeps the logs,
+# NOTICE_MS is the notice before a zone is reclaimed, EVENT_AT is the time of the
+# event in seconds after the load starts, LOAD_PORT is the first port (the default
+# is random), BIN is the directory of the programs.
 #
-# It needs bash, awk, sha256sum and the programs that "make build" puts into bin/.
+# Requires bash, awk, sha256sum and the programs that "make build" puts into bin/.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -26,7 +26,7 @@
 readonly operator_key=load-operator
 operator_key_hash=$(printf %s "$operator_key" | sha256sum | cut -d' ' -f1)
 readonly operator_key_hash
-# Other ports at each run, so that two runs on one machine do not mix.
+# Ports are random by default, so that concurrent runs do not collide.
 readonly port=${LOAD_PORT:-$((30000 + RANDOM % 1000))}
 readonly peer_port=$((port + 1000))
 readonly platform=127.0.20.2:$((port + 1)) pool=127.0.20.3:$((port + 2))
@@ -48,14 +48,14 @@
   )
   ;;
 *)
-  echo "no deployment $deployment" >&2
+  echo "unknown deployment: $deployment" >&2
   exit 2
   ;;
 esac
 case $event in
 zone | kill | stop | none) ;;
 *)
-  echo "no event $event" >&2
+  echo "unknown event: $event" >&2
   exit 2
   ;;
 esac
@@ -76,7 +76,8 @@
 
 node_address() { echo "127.0.20.$((10 + $1)):$port"; }
 
-# The zones of the nodes: two in each of the first two, one in the others.
+# zone_of NODE prints the zone of a node. The first two zones have two nodes each,
+# the others one.
 zone_of() { echo "${all_zones[$1 <= 4 ? ($1 - 1) / 2 : $1 - 3]}"; }
 
 # wait_for SECONDS COMMAND... repeats the command until it succeeds.
@@ -102,7 +103,7 @@
   exec 3>&-
 }
 
-# stop PID... ends processes that the script started, and waits for them.
+# stop PID... sends SIGTERM to child processes and waits for them to exit.
 stop() {
   local pid
   for pid in "$@"; do
@@ -188,7 +189,7 @@
   for node in "${!node_pid[@]}"; do
     flags+=(--node "$(node_address "$node")")
   done
-  # shellcheck disable=SC2086 # A command such as "config apply" is two words.
+  # shellcheck disable=SC2086 # A command such as "config apply" has two words.
   "$bin/dotterelhollow" $command --operator-key "$operator_key" "${flags[@]}" "$@"
 }
 
@@ -202,16 +203,16 @@
   load_pid=$!
 }
 
-# kill_entry NODE ends a node with no chance to do anything about it.
+# kill_entry NODE ends a node with SIGKILL.
 kill_entry() {
   kill -KILL "${node_pid[$1]}" 2>/dev/null || true
   wait "${node_pid[$1]}" 2>/dev/null || true
   unset "node_pid[$1]"
-  say "entry-$1 is gone"
+  say "entry-$1 was killed"
 }
 
-# under_way NODE prints how many long requests a node has given a holder and
-# not ended.
+# under_way NODE prints the number of unfinished long requests for which a node
+# has sent a copy to a holder.
 under_way() {
   awk '
     !match($0, /"request":"[^"]*"/) { next }
@@ -221,7 +222,7 @@
     END { for (request in held) n += !(request in ended); print n + 0 }' "$work/entry-$1.log"
 }
 
-# busiest_node prints the node with the most long requests under way.
+# busiest_node prints the node with the most unfinished long requests.
 busiest_node() {
   local node count most=-1 busiest=1
   for node in "${nodes[@]}"; do
@@ -237,7 +238,7 @@
 reclaim_zone() {
   local zone node
   zone=$(zone_of "$(busiest_node)")
-  say "zone $zone is reclaimed, with $notice_ms ms of notice"
+  say "zone $zone is reclaimed with $notice_ms ms of notice"
   http POST "$platform" /admin/reclaim "{\"zone\":\"$zone\",\"on_demand\":true,\"notice_ms\":$notice_ms}"
   echo
   sleep "$((notice_ms / 1000))"
@@ -251,17 +252,17 @@
 replace_nodes() {
   local node status
   for node in "${nodes[@]}"; do
-    say "entry-$node is asked to stop"
+    say "stopping entry-$node"
     status=0
     kill -TERM "${node_pid[$node]}"
     wait "${node_pid[$node]}" || status=$?
     unset "node_pid[$node]"
     [ "$status" -eq 0 ] || fail "entry-$node stopped with status $status"
-    say "entry-$node has stopped and is started again"
+    say "entry-$node has stopped; restarting it"
     start_node "$node"
-    wait_for 20 operator status --agree || fail "the nodes do not agree after entry-$node is back"
+    wait_for 20 operator status --agree || fail "the nodes do not agree after the restart of entry-$node"
   done
-  say "all nodes were replaced"
+  say "all nodes were restarted"
 }
 
 happen() {
@@ -273,10 +274,10 @@
   esac
 }
 
-# check_logs fails on a panic, and prints how many errors the nodes logged.
+# check_logs fails on a crash or data race, and prints the number of errors logged.
 check_logs() {
   if grep -l '^panic:\|^fatal error:\|DATA RACE' "$work"/*.log; then
-    fail "a process broke down"
+    fail "a process crashed or had a data race"
   fi
   say "errors in the nodes' logs: $(cat "$work"/entry-*.log | grep -c '"@level":"error"' || true)"
 }
@@ -290,9 +291,9 @@
 operator "config apply" "examples/$deployment" >"$work/apply.log"
 wait_for 10 operator status --agree || fail "the nodes do not agree on the configuration"
 wait_for 5 "$bin/dotterelhollow-load" --node "$(node_address 1)" --folder "examples/$deployment" \
-  --deployment "$deployment" --window 100ms --requests 1 --drain 5s || fail "no request is answered"
+  --deployment "$deployment" --window 100ms --requests 1 --drain 5s || fail "the nodes do not answer requests"
 
-say "the load begins"
+say "the load starts"
 start_load "$@"
 sleep "$event_at"
 happen
@@ -301,7 +302,7 @@
 load_pid=
 say "the load has ended"
 cat "$work/report.txt"
-[ "$status" -eq 0 ] || fail "dotterelhollow-load ended with status $status"
+[ "$status" -eq 0 ] || fail "dotterelhollow-load exited with status $status"
 check_logs
 wait_for 20 operator status --agree || fail "the nodes do not agree at the end"
 [ "$failures" -eq 0 ] || operator timeline >"$work/timeline.txt" 2>&1 || true
@@ -311,10 +312,10 @@
   kill -TERM "$pid"
 done
 for pid in "${stopping[@]}"; do
-  wait "$pid" || fail "a node did not stop as planned"
+  wait "$pid" || fail "a node did not stop gracefully"
 done
 node_pid=()
 stop "${stand_ins[@]}"
 stand_ins=()
 [ "$failures" -eq 0 ] || exit 1
-say "all checks held"
+say "all checks passed"
